--- a/libcoltsfootdrum/relay/pal-take.c
+++ b/libcoltsfootdrum/relay/pal-take.c
@@ -69,7 +69,7 @@
          && is_numbers (&items[7], 2)
          && (is_number (&items[8])
              || items[8].type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
-         && is_numbers (&items[9], PAL_LISTS * 2)
+         && is_numbers (&items[9], PAL_LIST_COUNT * 2)
          && is_numbers (&items[10], 3);
 }
 
@@ -96,7 +96,7 @@
   peer->name = g_strdup (name);
   peer->loads
       = g_hash_table_new_full (hash_endpoint, equal_endpoint, NULL, g_free);
-  for (unsigned i = 0; i < PAL_LISTS; i++)
+  for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     peer->ages[i] = -1;
   g_hash_table_insert (pal->peers, peer->name, peer);
   log_info ("peers", "Another router is heard: router=%s.", name);
@@ -130,8 +130,8 @@
 add_load (edp_t *edp, const pal_load_t *load, int sign)
 {
   edp->peer_active += (unsigned)sign * load->active;
-  edp->peer_unread += sign * load->unread;
-  edp->peer_context += sign * load->context;
+  edp->peer_pending_prefill += sign * load->unread;
+  edp->peer_context_tokens += sign * load->context;
 }
 
 static void
@@ -141,9 +141,9 @@
   void *peer;
 
   edp->peer_active = 0;
-  edp->peer_unread = 0.;
-  edp->peer_context = 0.;
-  edp->peers_counted = true;
+  edp->peer_pending_prefill = 0.;
+  edp->peer_context_tokens = 0.;
+  edp->has_peer_totals = true;
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &peer))
     {
@@ -160,11 +160,11 @@
 static void
 count_load (pal_t *pal, const pal_load_t *load, int sign)
 {
-  edp_t *edp = edp_set_by_hash (pal->endpoints, load->endpoint);
+  edp_t *edp = edp_set_find_by_hash (pal->endpoints, load->endpoint);
 
   if (edp == NULL)
     return;
-  if (!edp->peers_counted)
+  if (!edp->has_peer_totals)
     count_endpoint (pal, edp);
   add_load (edp, load, sign);
 }
@@ -172,11 +172,11 @@
 void
 pal_count_new (pal_t *pal)
 {
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
-      if (!edp->peers_counted)
+      if (!edp->has_peer_totals)
         count_endpoint (pal, edp);
     }
 }
@@ -230,7 +230,7 @@
       use_sum_t own = { .demand = (double)rows->ptr[i + 1].via.u64,
                         .served = (double)rows->ptr[i + 2].via.u64 };
 
-      use_received (pal->use, now, peer->name, account, &own);
+      use_update_peer (pal->use, now, peer->name, account, &own);
     }
 }
 
@@ -238,8 +238,8 @@
 take_prefixes (pal_t *pal, cfd_time_t now, const msgpack_object_array *pairs)
 {
   for (unsigned i = 0; i + 1 < pairs->size; i += 2)
-    pfx_received (pal->pfx, now, pairs->ptr[i].via.u64,
-                  pairs->ptr[i + 1].via.u64);
+    pfx_apply_update (pal->pfx, now, pairs->ptr[i].via.u64,
+                      pairs->ptr[i + 1].via.u64);
 }
 
 static void
@@ -250,18 +250,18 @@
       uint64_t ago = MIN (rows->ptr[i + 1].via.u64, (uint64_t)now);
       uint64_t back = MIN (rows->ptr[i + 2].via.u64, AGE_MOST_MS);
 
-      ret_received (pal->ret, now, rows->ptr[i].via.u64, now - (cfd_time_t)ago,
-                    now + (cfd_time_t)back);
+      ret_add_peer_refusal (pal->ret, now, rows->ptr[i].via.u64,
+                            now - (cfd_time_t)ago, now + (cfd_time_t)back);
     }
 }
 
 static void
 take_seen (pal_peer_t *peer, cfd_time_t now, const msgpack_object_array *pairs)
 {
-  if (pairs->size < PAL_LISTS * 2)
+  if (pairs->size < PAL_LIST_COUNT * 2)
     return;
   peer->ages_told = now;
-  for (unsigned i = 0; i < PAL_LISTS; i++)
+  for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     {
       uint64_t age = MIN (pairs->ptr[2 * i + 1].via.u64, AGE_MOST_MS);
 
@@ -271,7 +271,7 @@
 }
 
 bool
-pal_take (pal_t *pal, cfd_time_t now, const void *bytes, size_t length)
+pal_receive (pal_t *pal, cfd_time_t now, const void *bytes, size_t length)
 {
   msgpack_unpacked unpacked;
   const msgpack_object *items;
--- a/libcoltsfootdrum/relay/rly-answer.c
+++ b/libcoltsfootdrum/relay/rly-answer.c
@@ -28,7 +28,7 @@
   answer->framed = false;
   g_string_truncate (answer->fields, 0);
   g_string_truncate (answer->body, 0);
-  evs_cut (&answer->events);
+  evs_discard_partial (&answer->events);
 }
 
 void
@@ -73,14 +73,14 @@
             now - request->since, request->service->waiting, retry_ms);
   request->rly->counts.refused++;
   if (request->key != 0)
-    ret_refused (request->rly->ret, now, request->key, request->asked,
-                 now + retry_ms);
+    ret_add_refusal (request->rly->ret, now, request->key, request->asked,
+                     now + retry_ms);
   g_ascii_formatd (retry, sizeof retry, "%.3f", (double)retry_ms / 1000.);
   fields = g_strdup_printf ("Retry-After: %s\r\n", retry);
   rly_request_free (request);
   /* Callers ask again on a new connection.  */
   ent_close_after (call);
-  ent_answer (call, 503, fields, NULL, 0);
+  ent_respond (call, 503, fields, NULL, 0);
 }
 
 void
@@ -98,9 +98,9 @@
   request->rly->counts.failed++;
   finish (request);
   if (began)
-    ent_break (call);
+    ent_abort (call);
   else
-    ent_answer (call, status, NULL, NULL, 0);
+    ent_respond (call, status, NULL, NULL, 0);
 }
 
 static bool
@@ -113,9 +113,11 @@
 gather_fields (rly_answer_t *answer, const hdr_t *fields)
 {
   for (guint i = 0; i < hdr_count (fields); i++)
-    if (!hdr_is_hop (fields, i)
-        && g_ascii_strcasecmp (hdr_name (fields, i), "Content-Length") != 0)
-      hdr_put (answer->fields, hdr_name (fields, i), hdr_value (fields, i));
+    if (!hdr_is_hop_by_hop (fields, i)
+        && g_ascii_strcasecmp (hdr_get_name (fields, i), "Content-Length")
+               != 0)
+      hdr_append_line (answer->fields, hdr_get_name (fields, i),
+                       hdr_get_value (fields, i));
 }
 
 /* A success counts only with the endpoint's mark, and in plain coding, for
@@ -162,9 +164,10 @@
   if (!request->began)
     {
       request->began = true;
-      ent_begin (request->call, answer->status, answer->fields->str, -1);
+      ent_begin_response (request->call, answer->status, answer->fields->str,
+                          -1);
     }
-  ent_send (request->call, answer->body->str, answer->body->len);
+  ent_send_body (request->call, answer->body->str, answer->body->len);
   g_string_truncate (answer->body, 0);
 }
 
@@ -184,10 +187,10 @@
   evs_feed (&answer->events, bytes, length, answer->body);
   pass_on (request);
   if (request->held || request->exchange == NULL
-      || ent_unwritten (request->call) <= BEHIND_MOST)
+      || ent_get_unsent_bytes (request->call) <= BEHIND_MOST)
     return;
   request->held = true;
-  ups_hold (request->exchange, true);
+  ups_set_read_paused (request->exchange, true);
 }
 
 /* REQUEST may go to one more endpoint.  Nothing is said of budget and time. */
@@ -220,7 +223,8 @@
 static bool
 may_repeat_now (rly_request_t *request, cfd_time_t now)
 {
-  if (!has_attempt (request) || !bud_repeat (&request->service->repeats, now))
+  if (!has_attempt (request)
+      || !bud_try_retry (&request->service->repeats, now))
     return false;
   request->rly->counts.repeats++;
   return true;
@@ -231,7 +235,7 @@
 take_not_run (rly_request_t *request, cfd_time_t now)
 {
   if (rly_has (request->rly, MECH_REJECT_PAUSE))
-    edp_gave_back (request->edp, now);
+    edp_record_rejection (request->edp, now);
   if (may_repeat_now (request, now))
     {
       again (request, now, "not-run");
@@ -250,9 +254,9 @@
 static void
 take_unknown (rly_request_t *request, cfd_time_t now, const char *reason)
 {
-  edp_failed (request->edp, now);
+  edp_record_failure (request->edp, now);
   request->may_have_run = true;
-  if (rte_may_repeat (request->route) && may_repeat_now (request, now))
+  if (rte_may_retry (request->route) && may_repeat_now (request, now))
     {
       request->rly->counts.resumed += request->began;
       again (request, now, reason);
@@ -264,7 +268,7 @@
 static void
 take_unreached (rly_request_t *request, cfd_time_t now)
 {
-  edp_failed (request->edp, now);
+  edp_record_failure (request->edp, now);
   /* Nothing was sent, so that no endpoint's attempt is spent.  */
   request->attempts--;
   if (request->tries < TRIES_MOST)
@@ -287,13 +291,13 @@
   rly_answer_t *answer = &request->answer;
   ent_call_t *call = request->call;
 
-  evs_rest (&answer->events, answer->body);
+  evs_flush (&answer->events, answer->body);
   pass_on (request);
   request->rly->counts.answered++;
   if (!request->began)
-    ent_begin (call, answer->status, answer->fields->str, -1);
+    ent_begin_response (call, answer->status, answer->fields->str, -1);
   finish (request);
-  ent_finish (call);
+  ent_finish_response (call);
 }
 
 static void
@@ -308,7 +312,7 @@
   answer->body = g_string_new (NULL);
   request->rly->counts.answered++;
   finish (request);
-  ent_answer (call, status, fields, body->str, body->len);
+  ent_respond (call, status, fields, body->str, body->len);
 }
 
 static void
@@ -326,7 +330,7 @@
       take_unknown (request, now, "unsound");
       return;
     }
-  edp_worked (request->edp, now);
+  edp_record_success (request->edp, now);
   if (answer->status / 100 == 2)
     prom_hist_add (&request->service->whole, now - request->since);
   if (answer->stream)
@@ -358,16 +362,16 @@
     case UPS_COMPLETE:
       take_whole (request, now);
       break;
-    case UPS_UNREACHED:
+    case UPS_CONNECT_FAILED:
       take_unreached (request, now);
       break;
-    case UPS_BROKEN:
+    case UPS_NO_RESPONSE:
       take_unknown (request, now, "broken");
       break;
-    case UPS_CUT:
+    case UPS_TRUNCATED:
       take_unknown (request, now, "cut");
       break;
-    case UPS_GARBLED:
+    case UPS_MALFORMED:
       take_unknown (request, now, "garbled");
       break;
     }
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -55,7 +55,7 @@
 
   if (per_s <= 0.)
     per_s = COLD_USUAL_PER_S;
-  return cold_rate (per_s, round->rly->routers, edp->cold_rank);
+  return cold_rate_per_router (per_s, round->rly->routers, edp->cold_rank);
 }
 
 static bool
@@ -71,12 +71,13 @@
 static plc_endpoint_t
 figures_of (const rly_round_t *round, edp_t *edp)
 {
-  plc_endpoint_t figures = { .active = edp->active + edp->peer_active,
-                             .unread = edp->unread + edp->peer_unread,
-                             .context = edp->context + edp->peer_context,
-                             .far = is_far (round, edp) };
+  plc_endpoint_t figures
+      = { .active = edp->active + edp->peer_active,
+          .unread = edp->unread + edp->peer_pending_prefill,
+          .context = edp->context + edp->peer_context_tokens,
+          .far = is_far (round, edp) };
 
-  if (edp_bears (edp, round->now, cold_rate_of (round, edp)))
+  if (edp_allows_request (edp, round->now, cold_rate_of (round, edp)))
     figures.slots = slots_of (edp, round->terms);
   if (round->terms != NULL)
     figures.memory = (double)round->terms->memory_tokens;
@@ -89,13 +90,13 @@
 {
   round->rly = rly;
   round->service = service;
-  round->terms = rte_service (rly->table, service->name);
+  round->terms = rte_find_service (rly->table, service->name);
   round->now = now;
   round->base_ms = fit_base (&service->first_token);
   round->ms_per_work = fit_slope (&service->first_token);
   round->count = 0;
   round->has_room = false;
-  list_for_each (node, edp_set_list (rly->endpoints))
+  list_for_each (node, edp_set_endpoints (rly->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
@@ -115,7 +116,7 @@
 far_ms (const rly_request_t *request)
 {
   double bytes
-      = ent_body (request->call)->len + request->output * BYTES_A_TOKEN;
+      = ent_get_body (request->call)->len + request->output * BYTES_A_TOKEN;
 
   if (!rly_has (request->rly, MECH_ZONE_COST))
     return 0.;
@@ -127,7 +128,7 @@
 static const edp_t *
 home_of (const rly_round_t *round, const pfx_prompt_t *prompt)
 {
-  uint64_t part = pfx_prompt_shared (prompt);
+  uint64_t part = pfx_prompt_get_shared_id (prompt);
   const edp_t *home = NULL;
   uint64_t best = 0;
 
@@ -157,7 +158,7 @@
       || !rly_has (round->rly, MECH_PREFIX_FETCH))
     return 0.;
   return TRANSFER_SETUP_MS
-         + tokens * terms->token_bytes * 8. / (terms->link_mbps * 1000.);
+         + tokens * terms->bytes_per_token * 8. / (terms->link_mbps * 1000.);
 }
 
 /* The prefill work of PROMPT at endpoint I, or what is left of it after a copy
@@ -188,13 +189,13 @@
   const pfx_prompt_t *prompt = request->prompt;
   bool affinity = rly_has (round->rly, MECH_PREFIX_AFFINITY);
   const edp_t *home = affinity ? home_of (round, prompt) : NULL;
-  double shared = pfx_prompt_shared_tokens (prompt);
+  double shared = pfx_prompt_count_shared_tokens (prompt);
 
   round->source = 0;
   for (guint i = 0; i < round->count; i++)
     {
-      round->cached[i] = pfx_cached (round->rly->pfx, round->now,
-                                     round->edps[i]->hash, prompt);
+      round->cached[i] = pfx_count_cached_tokens (
+          round->rly->pfx, round->now, round->edps[i]->hash, prompt);
       if (round->cached[i] > round->cached[round->source])
         round->source = i;
     }
@@ -218,7 +219,7 @@
   if (request->tries > 0 || request->line->behind
       || !rly_has (request->rly, MECH_PREFIX_WAIT))
     return HUGE_VAL;
-  return pfx_prompt_shared_tokens (request->prompt) * MISSING_SHARE;
+  return pfx_prompt_count_shared_tokens (request->prompt) * MISSING_SHARE;
 }
 
 static plc_request_t
@@ -230,7 +231,8 @@
   double allowed
       = request->late ? request->line->late_allowed : request->line->allowed;
   plc_request_t constraints
-      = { .left_ms = (double)request->aim_ms * AIM_SHARE - (double)waited,
+      = { .left_ms
+          = (double)request->target_latency_ms * AIM_SHARE - (double)waited,
           .max_queueing_ms = HUGE_VAL,
           .missing_most = HUGE_VAL,
           .capacity_share = 1.,
@@ -240,7 +242,7 @@
   if (request->prompt == NULL)
     return constraints;
   constraints.max_queueing_ms
-      = (double)request->aim_ms * MAX_QUEUEING_SHARE * allowed;
+      = (double)request->target_latency_ms * MAX_QUEUEING_SHARE * allowed;
   constraints.capacity_share = 1. - OVER_RESERVE * (1. - allowed);
   if (request->late)
     constraints.capacity_share = LATE_CAPACITY_SHARE;
@@ -295,7 +297,7 @@
   chosen = choose (round, request, &constraints);
   /* A process that is behind reads a request, and the end of its connection a
      turn later: by then an endpoint would work for a caller who left.  */
-  if (chosen < 0 || !ent_is_there (request->call))
+  if (chosen < 0 || !ent_is_client_connected (request->call))
     return false;
   edp = round->edps[chosen];
   figures = &round->figures[chosen];
@@ -319,12 +321,13 @@
 {
   const fit_t *line = &request->service->first_token;
   const pfx_prompt_t *prompt = request->prompt;
-  double aim = (double)request->aim_ms * AIM_SHARE;
+  double aim = (double)request->target_latency_ms * AIM_SHARE;
   double reading;
 
   if (prompt == NULL)
     return (int64_t)(aim * RLY_PLAIN_PATIENCE);
-  reading = plc_reading (prompt->tokens, pfx_prompt_shared_tokens (prompt));
+  reading
+      = plc_reading (prompt->tokens, pfx_prompt_count_shared_tokens (prompt));
   return (int64_t)MAX (aim - fit_base (line) - fit_slope (line) * reading,
                        aim * RLY_LONG_PATIENCE);
 }
--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -83,7 +83,7 @@
 
 rly_t *
 rly_new (struct ev_loop *loop, const rly_names_t *names,
-         const rly_bounds_t *bounds, edp_set_t *endpoints, use_t *use,
+         const rly_settings_t *bounds, edp_set_t *endpoints, use_t *use,
          pfx_t *pfx, ret_t *ret)
 {
   rly_t *rly = g_new0 (rly_t, 1);
@@ -173,9 +173,9 @@
   service->name = g_strdup (name);
   fit_init (&service->first_token, FIRST_BASE_MS, FIRST_MS_PER_WORK);
   list_init (&service->lines);
-  bud_init (&service->repeats, rly->bounds.repeat_window_ms,
-            rly->bounds.repeat_ratio * REPEAT_SAFETY,
-            rly->bounds.repeat_slack * REPEAT_SAFETY / rly->routers);
+  bud_init (&service->repeats, rly->bounds.retry_window_ms,
+            rly->bounds.retry_ratio * REPEAT_SAFETY,
+            rly->bounds.retry_slack * REPEAT_SAFETY / rly->routers);
   list_init (&service->node);
   list_append (&rly->services, &service->node);
   return service;
@@ -202,7 +202,7 @@
   log_info ("relay",
             "A configuration is in force: version=%" G_GUINT64_FORMAT
             " routes=%u.",
-            rte_table_version (table), rte_table_routes (table));
+            rte_table_version (table), rte_table_route_count (table));
   rte_table_unref (rly->table);
   rly->table = rte_table_ref (table);
 }
@@ -214,18 +214,18 @@
 }
 
 void
-rly_set_routers (rly_t *rly, unsigned routers)
+rly_set_router_count (rly_t *rly, unsigned routers)
 {
   rly->routers = MAX (routers, 1);
   list_for_each (node, &rly->services)
     {
       list_entry (node, rly_service_t, node)->repeats.slack
-          = rly->bounds.repeat_slack * REPEAT_SAFETY / rly->routers;
+          = rly->bounds.retry_slack * REPEAT_SAFETY / rly->routers;
     }
 }
 
 void
-rly_close (rly_t *rly)
+rly_stop_accepting (rly_t *rly)
 {
   rly->closed = true;
 }
@@ -312,7 +312,8 @@
 answer_plainly (rly_t *rly, ent_call_t *call, unsigned status,
                 const char *reason)
 {
-  const char *id = hdr_get (&ent_head (call)->fields, rly->names.request_id);
+  const char *id
+      = hdr_get (&ent_get_head (call)->fields, rly->names.request_id);
   g_autofree char *fields = NULL;
 
   log_info ("relay",
@@ -322,7 +323,7 @@
   if (status == 503)
     fields
         = g_strdup_printf ("Retry-After: %.3f\r\n", NO_TABLE_RETRY_MS / 1000.);
-  ent_answer (call, status, fields, NULL, 0);
+  ent_respond (call, status, fields, NULL, 0);
 }
 
 /* When the caller of REQUEST first asked.  */
@@ -330,20 +331,21 @@
 first_asked (rly_request_t *request, const hdr_t *fields)
 {
   const char *prompt = hdr_get (fields, request->rly->names.prompt);
-  const GByteArray *body = ent_body (request->call);
+  const GByteArray *body = ent_get_body (request->call);
 
   if (request->prompt == NULL)
     return request->since;
-  request->key
-      = ret_key (rly_account_name (request), prompt, body->data, body->len);
-  return ret_first_asked (request->rly->ret, request->since, request->key);
+  request->key = ret_request_key (rly_account_name (request), prompt,
+                                  body->data, body->len);
+  return ret_take_first_attempt (request->rly->ret, request->since,
+                                 request->key);
 }
 
 static rly_request_t *
 request_new (rly_t *rly, ent_call_t *call, const rte_route_t *route,
              const rte_account_t *account)
 {
-  const hdr_t *fields = &ent_head (call)->fields;
+  const hdr_t *fields = &ent_get_head (call)->fields;
   rly_request_t *request = g_new0 (rly_request_t, 1);
   double deadline = number (fields, rly->names.deadline_ms, USUAL_DEADLINE_MS);
 
@@ -353,7 +355,7 @@
   request->route = route;
   request->account = account;
   request->id = g_strdup (hdr_get (fields, rly->names.request_id));
-  request->since = ent_since (call);
+  request->since = ent_get_start_time (call);
   request->deadline = request->since + (int64_t)deadline;
   request->timeout = CFD_TIME_NEVER;
   if (route->timeout_ms > 0)
@@ -372,7 +374,7 @@
 rly_on_request (void *user, ent_call_t *call)
 {
   rly_t *rly = user;
-  rd_head_t *head = ent_head (call);
+  rd_head_t *head = ent_get_head (call);
   const char *host = hdr_get (&head->fields, "Host");
   const char *key = key_of (rly, &head->fields);
   const rte_account_t *account = NULL;
@@ -387,14 +389,15 @@
                       rly->closed ? "shutdown" : "no-configuration");
       return;
     }
-  route = host != NULL ? rte_find (rly->table, host, head->target) : NULL;
+  route
+      = host != NULL ? rte_find_route (rly->table, host, head->target) : NULL;
   if (route == NULL)
     {
       answer_plainly (rly, call, 404, "no-route");
       return;
     }
   if (key != NULL)
-    account = rte_account (rly->table, key);
+    account = rte_find_account (rly->table, key);
   if (account == NULL && !route->open && rte_table_has_accounts (rly->table))
     {
       answer_plainly (rly, call, 401, "unknown-key");
@@ -403,8 +406,8 @@
   request = request_new (rly, call, route, account);
   ent_set_data (call, request);
   request->service
-      = rly_service (rly, rte_route_service (route, g_random_double ()));
-  bud_request (&request->service->repeats, now);
+      = rly_service (rly, rte_choose_service (route, g_random_double ()));
+  bud_count_request (&request->service->repeats, now);
   use_add_demand (rly->use, now, rly_account_name (request), request->cost);
   rly_wait (request);
   if (!rly_refuse_early (request, now))
@@ -412,10 +415,10 @@
 }
 
 void
-rly_on_gone (void *user, ent_call_t *call)
+rly_on_disconnect (void *user, ent_call_t *call)
 {
   rly_t *rly = user;
-  rly_request_t *request = ent_data (call);
+  rly_request_t *request = ent_get_data (call);
   rly_service_t *service;
 
   if (request == NULL)
@@ -441,7 +444,7 @@
   if (now - rly->levelled >= LEVEL_MS)
     {
       rly->levelled = now;
-      use_level (rly->use, now);
+      use_update_level (rly->use, now);
     }
   tick_running (rly, now);
   if (rly->table != NULL)
@@ -450,6 +453,6 @@
     return;
   rly->swept = now;
   edp_set_sweep (rly->endpoints, now);
-  pfx_sweep (rly->pfx, now);
+  pfx_evict_expired (rly->pfx, now);
   ret_sweep (rly->ret, now);
 }
