--- a/libcoltsfootdrum/relay/pal-update.c
+++ b/libcoltsfootdrum/relay/pal-update.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* A larger one would be many packets, of which none may be lost.  */
-#define UPDATE_MOST 32768
+#define MAX_UPDATE_BYTES 32768
 
 GByteArray *
 pal_pack_update (unsigned list, int64_t from, int64_t to, const char *events)
@@ -37,7 +37,7 @@
   g_autoptr (GByteArray) bytes = NULL;
 
   g_return_if_fail (list < PAL_LIST_COUNT);
-  if (strlen (events) > UPDATE_MOST)
+  if (strlen (events) > MAX_UPDATE_BYTES)
     return;
   bytes = pal_pack_update (list, from, to, events);
   pal_send_all (pal, bytes->data, bytes->len);
@@ -45,11 +45,12 @@
 
 void
 pal_set_update_callback (pal_t *pal,
-                         void (*back) (void *user, unsigned list, int64_t from,
-                                       int64_t to, const char *events),
+                         void (*callback) (void *user, unsigned list,
+                                           int64_t from, int64_t to,
+                                           const char *events),
                          void *user)
 {
-  pal->on_update = back;
+  pal->on_update = callback;
   pal->update_user = user;
 }
 
@@ -70,16 +71,16 @@
 }
 
 bool
-pal_take_update (pal_t *pal, const void *bytes, size_t length)
+pal_receive_update (pal_t *pal, const void *bytes, size_t length)
 {
   msgpack_unpacked unpacked;
-  bool good;
+  bool valid;
 
   msgpack_unpacked_init (&unpacked);
-  good = msgpack_unpack_next (&unpacked, bytes, length, NULL)
-             == MSGPACK_UNPACK_SUCCESS
-         && is_update (&unpacked.data);
-  if (good && pal->on_update != NULL)
+  valid = msgpack_unpack_next (&unpacked, bytes, length, NULL)
+              == MSGPACK_UNPACK_SUCCESS
+          && is_update (&unpacked.data);
+  if (valid && pal->on_update != NULL)
     {
       const msgpack_object *items = unpacked.data.via.array.ptr;
       g_autofree char *events
@@ -89,5 +90,5 @@
                       items[2].via.i64, items[3].via.i64, events);
     }
   msgpack_unpacked_destroy (&unpacked);
-  return good;
+  return valid;
 }
--- a/libcoltsfootdrum/relay/pal.c
+++ b/libcoltsfootdrum/relay/pal.c
@@ -11,25 +11,26 @@
 #include <unistd.h>
 
 /* A router that was silent for this time has nothing under way: it is dead,
-   or its requests end by its silence.  Three whole figures in the largest
+   or its requests end by its silence.  Three full figures in the largest
    fleet, so that two may be lost.  */
-#define SILENT_MS 1000
+#define PEER_TIMEOUT_MS 1000
 /* The largest datagram that UDP carries.  */
-#define DATAGRAM_MOST 65536
+#define MAX_DATAGRAM_BYTES 65536
 /* A peer's word on the platform's list counts for so long.  */
-#define STEADY_MS 500
+#define PEER_REPORT_VALID_MS 500
 /* All figures are sent so often, for changes that were lost; with many routers
-   more seldom, for they make N x N datagrams.  Below a third of SILENT_MS.  */
-#define WHOLE_LEAST_MS 100
-#define WHOLE_MS_A_ROUTER 15
-#define WHOLE_MOST_MS 300
-/* Changes are told no more often than this for each router they go to: with N
-   routers each change makes N datagrams, and small machines would spend all
-   their time on them.  */
-#define TELL_MS_A_ROUTER 1
+   more seldom, for they make N x N datagrams.  Below a third of
+   PEER_TIMEOUT_MS.  */
+#define MIN_FULL_INTERVAL_MS 100
+#define FULL_INTERVAL_MS_PER_ROUTER 15
+#define MAX_FULL_INTERVAL_MS 300
+/* Changes are full_sent_at no more often than this for each router they go to:
+   with N routers each change makes N datagrams, and small machines would spend
+   all their time on them.  */
+#define CHANGES_INTERVAL_MS_PER_ROUTER 1
 /* Datagrams read at one wake: more than a socket holds, so that none waits
    there for a later turn of a loop that is behind.  */
-#define READS_A_WAKE 1024
+#define MAX_READS_PER_WAKEUP 1024
 
 static void
 peer_free (void *data)
@@ -43,12 +44,12 @@
 
 /* The number of datagrams read.  */
 static unsigned
-read_some (pal_t *pal)
+read_datagrams (pal_t *pal)
 {
-  char buffer[DATAGRAM_MOST];
+  char buffer[MAX_DATAGRAM_BYTES];
   unsigned read = 0;
 
-  while (read < READS_A_WAKE)
+  while (read < MAX_READS_PER_WAKEUP)
     {
       ssize_t n = recv (pal->reader.fd, buffer, sizeof buffer, 0);
 
@@ -56,7 +57,7 @@
         break;
       read++;
       if (!pal_receive (pal, clock_now (), buffer, (size_t)n)
-          && !pal_take_update (pal, buffer, (size_t)n))
+          && !pal_receive_update (pal, buffer, (size_t)n))
         log_warn ("peers", "A datagram was passed over: bytes=%zd.", n);
     }
   return read;
@@ -68,13 +69,13 @@
   pal_t *pal = watcher->data;
   lag_kind_t before = lag_enter (pal->lag, LAG_DATAGRAMS);
 
-  lag_leave (pal->lag, before, read_some (pal));
+  lag_leave (pal->lag, before, read_datagrams (pal));
 }
 
-static void on_turn (struct ev_loop *loop, ev_prepare *watcher, int events);
+static void on_prepare (struct ev_loop *loop, ev_prepare *watcher, int events);
 
 static int
-bind_datagrams (const char *address, GError **error)
+bind_udp_socket (const char *address, GError **error)
 {
   addr_t addr;
   int fd;
@@ -98,7 +99,7 @@
          edp_set_t *endpoints, use_t *use, pfx_t *pfx, ret_t *ret,
          GError **error)
 {
-  int fd = bind_datagrams (address, error);
+  int fd = bind_udp_socket (address, error);
   pal_t *pal;
 
   if (fd < 0)
@@ -114,15 +115,15 @@
   pal->use = use;
   pal->pfx = pfx;
   pal->ret = ret;
-  pal->steady_ms = -1;
+  pal->stable_ms = -1;
   for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     pal->ages[i] = -1;
   ev_io_init (&pal->reader, on_readable, fd, EV_READ);
   pal->reader.data = pal;
   ev_io_start (loop, &pal->reader);
-  ev_prepare_init (&pal->teller, on_turn);
-  pal->teller.data = pal;
-  ev_prepare_start (loop, &pal->teller);
+  ev_prepare_init (&pal->sender, on_prepare);
+  pal->sender.data = pal;
+  ev_prepare_start (loop, &pal->sender);
   return pal;
 }
 
@@ -132,10 +133,10 @@
   if (pal == NULL)
     return;
   ev_io_stop (pal->loop, &pal->reader);
-  ev_prepare_stop (pal->loop, &pal->teller);
+  ev_prepare_stop (pal->loop, &pal->sender);
   close (pal->reader.fd);
   g_array_unref (pal->addresses);
-  g_clear_pointer (&pal->listed, g_ptr_array_unref);
+  g_clear_pointer (&pal->member_names, g_ptr_array_unref);
   g_hash_table_unref (pal->peers);
   g_free (pal->name);
   g_free (pal);
@@ -151,13 +152,13 @@
 pal_set_peers (pal_t *pal, const pal_member_t *peers, guint count)
 {
   g_array_set_size (pal->addresses, 0);
-  g_clear_pointer (&pal->listed, g_ptr_array_unref);
-  pal->listed = g_ptr_array_new_with_free_func (g_free);
+  g_clear_pointer (&pal->member_names, g_ptr_array_unref);
+  pal->member_names = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < count; i++)
     {
       addr_t addr;
 
-      g_ptr_array_add (pal->listed, g_strdup (peers[i].name));
+      g_ptr_array_add (pal->member_names, g_strdup (peers[i].name));
       if (addr_parse (peers[i].address, &addr, NULL))
         g_array_append_val (pal->addresses, addr);
     }
@@ -166,10 +167,10 @@
 /* This router receives datagrams of less than half of the others: the cut may
    be on its side.  */
 static bool
-may_be_cut_off (const pal_t *pal)
+may_be_partitioned (const pal_t *pal)
 {
-  return pal->listed != NULL
-         && g_hash_table_size (pal->peers) * 2 < pal->listed->len;
+  return pal->member_names != NULL
+         && g_hash_table_size (pal->peers) * 2 < pal->member_names->len;
 }
 
 unsigned
@@ -181,20 +182,20 @@
 unsigned
 pal_estimate_fleet_size (const pal_t *pal)
 {
-  if (may_be_cut_off (pal))
-    return pal->listed->len + 1;
+  if (may_be_partitioned (pal))
+    return pal->member_names->len + 1;
   return pal_count_alive (pal);
 }
 
 static unsigned
-rank_at (const pal_t *pal, uint64_t endpoint)
+compute_cold_rank (const pal_t *pal, uint64_t endpoint)
 {
-  bool all = may_be_cut_off (pal);
+  bool all = may_be_partitioned (pal);
   unsigned rank = 0;
 
-  for (guint i = 0; i < pal->listed->len; i++)
+  for (guint i = 0; i < pal->member_names->len; i++)
     {
-      const char *name = g_ptr_array_index (pal->listed, i);
+      const char *name = g_ptr_array_index (pal->member_names, i);
 
       if (!all && !g_hash_table_contains (pal->peers, name))
         continue;
@@ -211,13 +212,14 @@
       edp_t *edp = list_entry (node, edp_t, node);
 
       if (now < edp->cold_until)
-        edp->cold_rank = pal->listed != NULL ? rank_at (pal, edp->hash)
-                                             : COLD_RANK_UNKNOWN;
+        edp->cold_rank = pal->member_names != NULL
+                             ? compute_cold_rank (pal, edp->hash)
+                             : COLD_RANK_UNKNOWN;
     }
 }
 
 static void
-forget_silent (pal_t *pal, cfd_time_t now)
+remove_silent_peers (pal_t *pal, cfd_time_t now)
 {
   GHashTableIter each;
   void *data;
@@ -227,10 +229,10 @@
     {
       pal_peer_t *peer = data;
 
-      if (now - peer->heard <= SILENT_MS)
+      if (now - peer->last_heard <= PEER_TIMEOUT_MS)
         continue;
       log_info ("peers", "A router fell silent: router=%s.", peer->name);
-      pal_uncount (pal, peer);
+      pal_subtract_peer (pal, peer);
       use_forget (pal->use, now, peer->name);
       g_hash_table_iter_remove (&each);
     }
@@ -249,41 +251,42 @@
 }
 
 static void
-send_figures (pal_t *pal, cfd_time_t now, bool whole)
+send_state (pal_t *pal, cfd_time_t now, bool full)
 {
-  g_autoptr (GByteArray) bytes = pal_pack (pal, now, whole);
+  g_autoptr (GByteArray) bytes = pal_pack (pal, now, full);
 
   pal_send_all (pal, bytes->data, bytes->len);
 }
 
 static void
-tell_changes (pal_t *pal, cfd_time_t now)
+send_changes (pal_t *pal, cfd_time_t now)
 {
-  int64_t pause = (int64_t)pal->addresses->len * TELL_MS_A_ROUTER;
+  int64_t interval_ms
+      = (int64_t)pal->addresses->len * CHANGES_INTERVAL_MS_PER_ROUTER;
 
-  if (now - pal->told_changes < pause)
+  if (now - pal->changes_sent_at < interval_ms)
     return;
   list_for_each (node, edp_set_list (pal->endpoints))
     {
       if (!list_entry (node, edp_t, node)->changed)
         continue;
-      pal->told_changes = now;
-      send_figures (pal, now, false);
+      pal->changes_sent_at = now;
+      send_state (pal, now, false);
       return;
     }
 }
 
 /* What changed in this turn, in one datagram for each other router.  */
 static void
-on_turn (struct ev_loop *loop, ev_prepare *watcher, int events)
+on_prepare (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
-  tell_changes (watcher->data, clock_now ());
+  send_changes (watcher->data, clock_now ());
 }
 
 void
-pal_set_list_stable_ms (pal_t *pal, int64_t steady_ms)
+pal_set_list_stable_ms (pal_t *pal, int64_t stable_ms)
 {
-  pal->steady_ms = steady_ms;
+  pal->stable_ms = stable_ms;
 }
 
 int64_t
@@ -291,24 +294,24 @@
 {
   GHashTableIter each;
   void *data;
-  int64_t longest = -1;
+  int64_t max_stable_ms = -1;
 
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &data))
     {
       const pal_peer_t *peer = data;
 
-      if (now - peer->heard <= STEADY_MS)
-        longest = MAX (longest, peer->steady_ms);
+      if (now - peer->last_heard <= PEER_REPORT_VALID_MS)
+        max_stable_ms = MAX (max_stable_ms, peer->stable_ms);
     }
-  return longest;
+  return max_stable_ms;
 }
 
 void
 pal_set_list_revision (pal_t *pal, unsigned list, int64_t revision)
 {
   g_return_if_fail (list < PAL_LIST_COUNT);
-  pal->seen[list] = revision;
+  pal->revisions[list] = revision;
 }
 
 int64_t
@@ -316,7 +319,7 @@
 {
   GHashTableIter each;
   void *data;
-  int64_t newest = 0;
+  int64_t max_revision = 0;
 
   g_return_val_if_fail (list < PAL_LIST_COUNT, 0);
   g_hash_table_iter_init (&each, pal->peers);
@@ -324,10 +327,10 @@
     {
       const pal_peer_t *peer = data;
 
-      if (now - peer->heard <= STEADY_MS)
-        newest = MAX (newest, peer->seen[list]);
+      if (now - peer->last_heard <= PEER_REPORT_VALID_MS)
+        max_revision = MAX (max_revision, peer->revisions[list]);
     }
-  return newest;
+  return max_revision;
 }
 
 void
@@ -339,10 +342,11 @@
 
 /* -1: not known.  */
 static int64_t
-age_at (const pal_peer_t *peer, cfd_time_t now, unsigned list)
+get_age_ms (const pal_peer_t *peer, cfd_time_t now, unsigned list)
 {
-  return peer->ages[list] < 0 ? -1
-                              : peer->ages[list] + (now - peer->ages_told);
+  return peer->ages[list] < 0
+             ? -1
+             : peer->ages[list] + (now - peer->ages_received_at);
 }
 
 int64_t
@@ -350,23 +354,23 @@
 {
   GHashTableIter each;
   void *peer;
-  int64_t least = -1;
+  int64_t min_age_ms = -1;
 
   g_return_val_if_fail (list < PAL_LIST_COUNT, -1);
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &peer))
     {
-      int64_t age = age_at (peer, now, list);
+      int64_t age = get_age_ms (peer, now, list);
 
-      if (age >= 0 && (least < 0 || age < least))
-        least = age;
+      if (age >= 0 && (min_age_ms < 0 || age < min_age_ms))
+        min_age_ms = age;
     }
-  return least;
+  return min_age_ms;
 }
 
 unsigned
 pal_get_reader_rank (const pal_t *pal, cfd_time_t now, unsigned list,
-                     int64_t most_ms)
+                     int64_t max_age_ms)
 {
   GHashTableIter each;
   void *data;
@@ -377,32 +381,32 @@
   while (g_hash_table_iter_next (&each, NULL, &data))
     {
       const pal_peer_t *peer = data;
-      int64_t age = age_at (peer, now, list);
+      int64_t age = get_age_ms (peer, now, list);
 
-      if (age >= 0 && age <= most_ms)
+      if (age >= 0 && age <= max_age_ms)
         rank += cold_goes_before (peer->name, pal->name, list);
     }
   return rank;
 }
 
 static int64_t
-whole_pause (const pal_t *pal)
+get_full_interval_ms (const pal_t *pal)
 {
-  return CLAMP ((int64_t)pal->addresses->len * WHOLE_MS_A_ROUTER,
-                WHOLE_LEAST_MS, WHOLE_MOST_MS);
+  return CLAMP ((int64_t)pal->addresses->len * FULL_INTERVAL_MS_PER_ROUTER,
+                MIN_FULL_INTERVAL_MS, MAX_FULL_INTERVAL_MS);
 }
 
 void
 pal_tick (pal_t *pal, cfd_time_t now)
 {
-  forget_silent (pal, now);
-  pal_count_new (pal);
-  if (now - pal->told < whole_pause (pal))
+  remove_silent_peers (pal, now);
+  pal_sum_new_endpoints (pal);
+  if (now - pal->full_sent_at < get_full_interval_ms (pal))
     {
-      tell_changes (pal, now);
+      send_changes (pal, now);
       return;
     }
-  pal->told = now;
+  pal->full_sent_at = now;
   pal_update_cold_ranks (pal, now);
-  send_figures (pal, now, true);
+  send_state (pal, now, true);
 }
--- a/libcoltsfootdrum/relay/test-pal.c
+++ b/libcoltsfootdrum/relay/test-pal.c
@@ -1,5 +1,5 @@
-/* What routers tell each other: figures add up, late words change nothing, a
-   silent router counts for nothing, and stray bytes are passed over.  */
+/* What routers deliver each other: figures add up, late words change nothing,
+   a silent router counts for nothing, and stray bytes are passed over.  */
 
 #include "relay/cold.h"
 #include "relay/pal-private.h"
@@ -17,10 +17,10 @@
   pfx_t *pfx;
   ret_t *ret;
   pal_t *pal;
-} side_t;
+} router_t;
 
 static edp_report_t *
-report_of (const char *id)
+report_new (const char *id)
 {
   edp_report_t *report = g_new0 (edp_report_t, 1);
 
@@ -31,45 +31,45 @@
   return report;
 }
 
-static side_t
-side_new (const char *name)
+static router_t
+router_new (const char *name)
 {
-  side_t side = { .loop = ev_loop_new (EVFLAG_AUTO) };
+  router_t router = { .loop = ev_loop_new (EVFLAG_AUTO) };
   GPtrArray *reports = g_ptr_array_new ();
 
-  g_ptr_array_add (reports, report_of ("e1"));
-  side.endpoints = edp_set_new (side.loop);
-  edp_set_update (side.endpoints, NOW, reports, true, COLD_MS);
-  side.use = use_new (4000);
-  side.pfx = pfx_new ();
-  side.ret = ret_new ();
-  side.pal = pal_new (side.loop, name, "127.0.0.1:0", side.endpoints, side.use,
-                      side.pfx, side.ret, NULL);
-  g_assert_nonnull (side.pal);
-  return side;
+  g_ptr_array_add (reports, report_new ("e1"));
+  router.endpoints = edp_set_new (router.loop);
+  edp_set_update (router.endpoints, NOW, reports, true, COLD_MS);
+  router.use = use_new (4000);
+  router.pfx = pfx_new ();
+  router.ret = ret_new ();
+  router.pal = pal_new (router.loop, name, "127.0.0.1:0", router.endpoints,
+                        router.use, router.pfx, router.ret, NULL);
+  g_assert_nonnull (router.pal);
+  return router;
 }
 
 static void
-side_free (side_t *side)
+router_free (router_t *router)
 {
-  pal_free (side->pal);
-  edp_set_free (side->endpoints);
-  use_free (side->use);
-  pfx_free (side->pfx);
-  ret_free (side->ret);
-  ev_loop_destroy (side->loop);
+  pal_free (router->pal);
+  edp_set_free (router->endpoints);
+  use_free (router->use);
+  pfx_free (router->pfx);
+  ret_free (router->ret);
+  ev_loop_destroy (router->loop);
 }
 
 static edp_t *
-endpoint_of (side_t *side)
+get_endpoint (router_t *router)
 {
-  return edp_set_find (side->endpoints, "e1");
+  return edp_set_find (router->endpoints, "e1");
 }
 
 static void
-set_load (side_t *side, unsigned active, double unread)
+set_load (router_t *router, unsigned active, double unread)
 {
-  edp_t *edp = endpoint_of (side);
+  edp_t *edp = get_endpoint (router);
 
   edp->active = active;
   edp->unread = unread;
@@ -78,86 +78,86 @@
 }
 
 static void
-tell (side_t *from, side_t *to, cfd_time_t now, bool whole)
+deliver (router_t *from, router_t *to, cfd_time_t now, bool full)
 {
-  g_autoptr (GByteArray) bytes = pal_pack (from->pal, now, whole);
-  bool taken = pal_receive (to->pal, now, bytes->data, bytes->len);
+  g_autoptr (GByteArray) bytes = pal_pack (from->pal, now, full);
+  bool accepted = pal_receive (to->pal, now, bytes->data, bytes->len);
 
-  g_assert_true (taken);
+  g_assert_true (accepted);
 }
 
 static void
 test_adds_up (gconstpointer data)
 {
-  bool whole = GPOINTER_TO_INT (data);
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
-  side_t two = side_new ("two");
-
-  /* A router's first word is whole: it has its name.  */
-  tell (&one, &here, NOW, true);
-  tell (&two, &here, NOW, true);
+  bool full = GPOINTER_TO_INT (data);
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
+  router_t two = router_new ("two");
+
+  /* A router's first word is full: it has its name.  */
+  deliver (&one, &here, NOW, true);
+  deliver (&two, &here, NOW, true);
   set_load (&one, 3, 500.);
   set_load (&two, 4, 700.);
-  tell (&one, &here, NOW, whole);
-  tell (&two, &here, NOW, whole);
-  g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 7);
-  g_assert_cmpfloat (endpoint_of (&here)->peer_unread, ==, 1200.);
-  g_assert_cmpfloat (endpoint_of (&here)->peer_context, ==, 2400.);
+  deliver (&one, &here, NOW, full);
+  deliver (&two, &here, NOW, full);
+  g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 7);
+  g_assert_cmpfloat (get_endpoint (&here)->peer_unread, ==, 1200.);
+  g_assert_cmpfloat (get_endpoint (&here)->peer_context, ==, 2400.);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 3);
   /* Absolute figures: the newer word takes the older one's place.  */
   set_load (&one, 1, 0.);
-  tell (&one, &here, NOW, whole);
-  g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 5);
-  side_free (&here);
-  side_free (&one);
-  side_free (&two);
+  deliver (&one, &here, NOW, full);
+  g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 5);
+  router_free (&here);
+  router_free (&one);
+  router_free (&two);
 }
 
 /* Changes of a router whose name was not told yet are passed over, and good:
-   whole figures come soon.  */
+   full figures come soon.  */
 static void
 test_unnamed (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
 
   set_load (&one, 3, 500.);
-  tell (&one, &here, NOW, false);
-  g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 0);
+  deliver (&one, &here, NOW, false);
+  g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 0);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 1);
-  tell (&one, &here, NOW, true);
-  g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 3);
-  side_free (&here);
-  side_free (&one);
+  deliver (&one, &here, NOW, true);
+  g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 3);
+  router_free (&here);
+  router_free (&one);
 }
 
 /* A datagram that was overtaken by a newer one of the same router.  */
 static void
 test_overtaken (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
   g_autoptr (GByteArray) old = NULL;
 
   set_load (&one, 9, 900.);
   old = pal_pack (one.pal, NOW, true);
   set_load (&one, 2, 100.);
-  tell (&one, &here, NOW, true);
+  deliver (&one, &here, NOW, true);
   pal_receive (here.pal, NOW, old->data, old->len);
-  g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 2);
-  side_free (&here);
-  side_free (&one);
+  g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 2);
+  router_free (&here);
+  router_free (&one);
 }
 
 static void
-list_two (side_t *side)
+list_second_endpoint (router_t *router)
 {
   GPtrArray *reports = g_ptr_array_new ();
 
-  g_ptr_array_add (reports, report_of ("e1"));
-  g_ptr_array_add (reports, report_of ("e2"));
-  edp_set_update (side->endpoints, NOW, reports, true, COLD_MS);
+  g_ptr_array_add (reports, report_new ("e1"));
+  g_ptr_array_add (reports, report_new ("e2"));
+  edp_set_update (router->endpoints, NOW, reports, true, COLD_MS);
 }
 
 /* Another router has requests at an endpoint before this one has read of it:
@@ -166,17 +166,17 @@
 static void
 test_listed_late (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
   edp_t *there;
   edp_t *edp;
 
-  list_two (&one);
+  list_second_endpoint (&one);
   there = edp_set_find (one.endpoints, "e2");
   there->active = 5;
   there->unread = 300.;
-  tell (&one, &here, NOW, true);
-  list_two (&here);
+  deliver (&one, &here, NOW, true);
+  list_second_endpoint (&here);
   edp = edp_set_find (here.endpoints, "e2");
   pal_tick (here.pal, NOW);
   g_assert_cmpuint (edp->peer_active, ==, 5);
@@ -184,13 +184,13 @@
   there->active = 2;
   there->unread = 0.;
   there->changed = true;
-  tell (&one, &here, NOW, false);
+  deliver (&one, &here, NOW, false);
   g_assert_cmpuint (edp->peer_active, ==, 2);
   g_assert_cmpfloat (edp->peer_unread, ==, 0.);
   pal_tick (here.pal, NOW + 5000);
   g_assert_cmpuint (edp->peer_active, ==, 0);
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 /* A router that hears less than half of the listed ones may itself be cut off:
@@ -201,10 +201,10 @@
   static const pal_member_t listed[] = { { "one", "127.0.0.1:9" },
                                          { "two", "127.0.0.1:9" },
                                          { "three", "not an address" } };
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
-  side_t two = side_new ("two");
-  edp_t *edp = endpoint_of (&here);
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
+  router_t two = router_new ("two");
+  edp_t *edp = get_endpoint (&here);
 
   edp->cold_until = NOW + 3000;
   pal_update_cold_ranks (here.pal, NOW);
@@ -214,15 +214,15 @@
   g_assert_cmpuint (edp->cold_rank, <=, 3);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 4);
   g_assert_cmpuint (pal_count_alive (here.pal), ==, 1);
-  tell (&one, &here, NOW, true);
+  deliver (&one, &here, NOW, true);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 4);
-  tell (&two, &here, NOW, true);
+  deliver (&two, &here, NOW, true);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 3);
   pal_update_cold_ranks (here.pal, NOW);
   g_assert_cmpuint (edp->cold_rank, <=, 2);
-  side_free (&here);
-  side_free (&one);
-  side_free (&two);
+  router_free (&here);
+  router_free (&one);
+  router_free (&two);
 }
 
 /* A router is killed: nobody says so, its requests end with it, and its
@@ -230,36 +230,36 @@
 static void
 test_silent (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
 
   set_load (&one, 9, 900.);
   use_add_served (one.use, NOW, "mill", 5000.);
-  tell (&one, &here, NOW, true);
+  deliver (&one, &here, NOW, true);
   g_assert_cmpfloat (use_all (here.use, NOW, "mill").served, ==, 5000.);
   pal_tick (here.pal, NOW + 5000);
-  g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 0);
+  g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 0);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 1);
   g_assert_cmpfloat (use_all (here.use, NOW, "mill").served, ==, 0.);
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 static void
 test_prompts (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
   g_autoptr (pfx_prompt_t) prompt = pfx_prompt_parse ("a:100,b:50,c:7");
-  uint64_t endpoint = endpoint_of (&here)->hash;
+  uint64_t endpoint = get_endpoint (&here)->hash;
 
-  tell (&one, &here, NOW, true);
-  pfx_record (one.pfx, NOW, endpoint_of (&one)->hash, prompt);
-  tell (&one, &here, NOW, false);
+  deliver (&one, &here, NOW, true);
+  pfx_record (one.pfx, NOW, get_endpoint (&one)->hash, prompt);
+  deliver (&one, &here, NOW, false);
   g_assert_cmpuint (pfx_count_cached_tokens (here.pfx, NOW, endpoint, prompt),
                     ==, 150);
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 /* A caller who was refused at one router comes back to another one, which
@@ -267,20 +267,20 @@
 static void
 test_refusals (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
   uint64_t key = ret_key ("mill", "a:1,b:2", "text", 4);
 
-  tell (&one, &here, NOW, true);
+  deliver (&one, &here, NOW, true);
   ret_refused (one.ret, NOW, key, NOW - 250, NOW + 100);
-  tell (&one, &here, NOW + 10, false);
+  deliver (&one, &here, NOW + 10, false);
   /* Whoever asks the same before that time just came.  */
   g_assert_cmpint (ret_first_asked (here.ret, NOW + 50, key), ==, NOW + 50);
   g_assert_cmpint (ret_first_asked (here.ret, NOW + 300, key), ==, NOW - 250);
   /* It came: the next one like it is another request.  */
   g_assert_cmpint (ret_first_asked (here.ret, NOW + 400, key), ==, NOW + 400);
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 /* Another router read the platform's list well while this one could not: what
@@ -288,16 +288,16 @@
 static void
 test_steady (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
 
   g_assert_cmpint (pal_get_max_peer_stable_ms (here.pal, NOW), ==, -1);
   pal_set_list_stable_ms (one.pal, 9000);
-  tell (&one, &here, NOW, true);
+  deliver (&one, &here, NOW, true);
   g_assert_cmpint (pal_get_max_peer_stable_ms (here.pal, NOW), ==, 9000);
   g_assert_cmpint (pal_get_max_peer_stable_ms (here.pal, NOW + 2000), ==, -1);
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 /* A router saw a list of the platform change; one that is no longer heard says
@@ -305,23 +305,23 @@
 static void
 test_seen (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
-  side_t two = side_new ("two");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
+  router_t two = router_new ("two");
 
   g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW, 1), ==, 0);
   pal_set_list_revision (one.pal, 1, 700);
   pal_set_list_revision (two.pal, 1, 900);
   pal_set_list_revision (two.pal, 2, 1000);
-  tell (&one, &here, NOW, true);
-  tell (&two, &here, NOW, true);
+  deliver (&one, &here, NOW, true);
+  deliver (&two, &here, NOW, true);
   /* What changed alone keeps the last word.  */
-  tell (&two, &here, NOW, false);
+  deliver (&two, &here, NOW, false);
   g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW, 1), ==, 900);
   g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW + 2000, 1), ==, 0);
-  side_free (&here);
-  side_free (&one);
-  side_free (&two);
+  router_free (&here);
+  router_free (&one);
+  router_free (&two);
 }
 
 /* The routers that read a list for the others: one order for all of them, in
@@ -329,26 +329,26 @@
 static void
 test_readers (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
 
   g_assert_cmpint (pal_get_min_peer_age_ms (here.pal, NOW, 1), ==, -1);
-  tell (&one, &here, NOW, true);
-  tell (&here, &one, NOW, true);
+  deliver (&one, &here, NOW, true);
+  deliver (&here, &one, NOW, true);
   g_assert_cmpint (pal_get_min_peer_age_ms (here.pal, NOW, 1), ==, -1);
   g_assert_cmpuint (pal_get_reader_rank (here.pal, NOW, 1, 1000), ==, 0);
   pal_set_list_age (one.pal, 1, 300);
   pal_set_list_age (here.pal, 1, 300);
-  tell (&one, &here, NOW, true);
-  tell (&here, &one, NOW, true);
+  deliver (&one, &here, NOW, true);
+  deliver (&here, &one, NOW, true);
   g_assert_cmpint (pal_get_min_peer_age_ms (here.pal, NOW + 200, 1), ==, 500);
   g_assert_cmpuint (pal_get_reader_rank (here.pal, NOW, 1, 1000)
                         + pal_get_reader_rank (one.pal, NOW, 1, 1000),
                     ==, 1);
   g_assert_cmpuint (pal_get_reader_rank (here.pal, NOW + 900, 1, 1000), ==, 0);
   g_assert_cmpuint (pal_get_reader_rank (one.pal, NOW + 900, 1, 1000), ==, 0);
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 /* Each datagram cut at each length, and with each byte changed: nothing but a
@@ -356,8 +356,8 @@
 static void
 test_stray (void)
 {
-  side_t here = side_new ("here");
-  side_t one = side_new ("one");
+  router_t here = router_new ("here");
+  router_t one = router_new ("one");
   g_autoptr (GByteArray) bytes = NULL;
 
   set_load (&one, 3, 500.);
@@ -365,9 +365,9 @@
   bytes = pal_pack (one.pal, NOW, true);
   for (guint i = 0; i < bytes->len; i++)
     {
-      bool taken = pal_receive (here.pal, NOW, bytes->data, i);
+      bool accepted = pal_receive (here.pal, NOW, bytes->data, i);
 
-      g_assert_false (taken);
+      g_assert_false (accepted);
     }
   for (guint i = 0; i < bytes->len; i++)
     {
@@ -375,8 +375,8 @@
       pal_receive (here.pal, NOW, bytes->data, bytes->len);
       bytes->data[i] ^= 0xff;
     }
-  side_free (&here);
-  side_free (&one);
+  router_free (&here);
+  router_free (&one);
 }
 
 typedef struct
@@ -392,14 +392,14 @@
 on_update (void *user, unsigned list, int64_t from, int64_t to,
            const char *events)
 {
-  update_t *seen = user;
-
-  seen->count++;
-  seen->list = list;
-  seen->from = from;
-  seen->to = to;
-  g_free (seen->events);
-  seen->events = g_strdup (events);
+  update_t *received = user;
+
+  received->count++;
+  received->list = list;
+  received->from = from;
+  received->to = to;
+  g_free (received->events);
+  received->events = g_strdup (events);
 }
 
 /* An update comes as it was sent; a truncated one, one of an unknown list or
@@ -407,28 +407,28 @@
 static void
 test_update (void)
 {
-  side_t here = side_new ("here");
+  router_t here = router_new ("here");
   g_autoptr (GByteArray) bytes = pal_pack_update (2, 40, 45, "{}");
   g_autoptr (GByteArray) unknown
       = pal_pack_update (PAL_LIST_COUNT, 40, 45, "{}");
   g_autoptr (GByteArray) back = pal_pack_update (2, 45, 45, "{}");
-  update_t seen = { 0 };
+  update_t received = { 0 };
 
-  pal_set_update_callback (here.pal, on_update, &seen);
+  pal_set_update_callback (here.pal, on_update, &received);
   g_assert_false (pal_receive (here.pal, NOW, bytes->data, bytes->len));
   for (guint i = 0; i < bytes->len; i++)
-    g_assert_false (pal_take_update (here.pal, bytes->data, i));
-  g_assert_false (pal_take_update (here.pal, unknown->data, unknown->len));
-  g_assert_false (pal_take_update (here.pal, back->data, back->len));
-  g_assert_cmpuint (seen.count, ==, 0);
-  g_assert_true (pal_take_update (here.pal, bytes->data, bytes->len));
-  g_assert_cmpuint (seen.count, ==, 1);
-  g_assert_cmpuint (seen.list, ==, 2);
-  g_assert_cmpint (seen.from, ==, 40);
-  g_assert_cmpint (seen.to, ==, 45);
-  g_assert_cmpstr (seen.events, ==, "{}");
-  g_free (seen.events);
-  side_free (&here);
+    g_assert_false (pal_receive_update (here.pal, bytes->data, i));
+  g_assert_false (pal_receive_update (here.pal, unknown->data, unknown->len));
+  g_assert_false (pal_receive_update (here.pal, back->data, back->len));
+  g_assert_cmpuint (received.count, ==, 0);
+  g_assert_true (pal_receive_update (here.pal, bytes->data, bytes->len));
+  g_assert_cmpuint (received.count, ==, 1);
+  g_assert_cmpuint (received.list, ==, 2);
+  g_assert_cmpint (received.from, ==, 40);
+  g_assert_cmpint (received.to, ==, 45);
+  g_assert_cmpstr (received.events, ==, "{}");
+  g_free (received.events);
+  router_free (&here);
 }
 
 int
