--- a/libcoltsfootdrum/relay/con.c
+++ b/libcoltsfootdrum/relay/con.c
@@ -12,31 +12,33 @@
 /* One read; larger than a usual request or event, so that one call takes all
    that is there.  */
 #define READ_BYTES 16384
-/* Reads for one wake, so that one busy connection can't hold up the others. */
-#define READS_A_WAKE 4
-/* Bytes sent and not acknowledged for so long end the connection: a path that
-   went silent gives no reset, and the caller would wait for its deadline.  */
-#define SILENT_MS 2500
+/* Reads for one wake, so that one busy connection can't paused up the others.
+ */
+#define MAX_READS_PER_WAKEUP 4
+/* Bytes has_sent and not acknowledged for so long end the connection: a path
+   that went ack_timeout_ms gives no reset, and the caller would wait for its
+   deadline.  */
+#define ACK_TIMEOUT_MS 2500
 
 struct con
 {
   struct ev_loop *loop;
   ev_io reader;
   ev_io writer;
-  ev_timer later; /* tells of an end outside the caller's stack */
+  ev_timer failure_timer; /* tells of an end outside the caller's stack */
   const con_ops_t *ops;
   void *user;
   GByteArray *out;
-  size_t out_done; /* bytes at the front of OUT that are written */
-  bool *gone;      /* set when freed while a callback runs */
+  size_t out_sent; /* bytes at the front of OUT that are written */
+  bool *freed;     /* set when freed while a callback runs */
   bool connected;
-  bool sent;
-  bool ending; /* closes once OUT is written */
+  bool has_sent;
+  bool shutdown_pending; /* closes once OUT is written */
   bool failed;
 };
 
 static void
-tell_end (con_t *con, con_end_t end)
+notify_ended (con_t *con, con_end_t end)
 {
   ev_io_stop (con->loop, &con->reader);
   ev_io_stop (con->loop, &con->writer);
@@ -44,44 +46,44 @@
 }
 
 static void
-on_later (struct ev_loop *loop, ev_timer *timer, int events)
+on_failure_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   con_t *con = timer->data;
 
-  tell_end (con, CON_END_RESET);
+  notify_ended (con, CON_END_RESET);
 }
 
 static void
-fail_later (con_t *con)
+defer_failure (con_t *con)
 {
   con->failed = true;
   ev_io_stop (con->loop, &con->writer);
-  if (ev_is_active (&con->later))
+  if (ev_is_active (&con->failure_timer))
     return;
-  ev_timer_set (&con->later, 0., 0.);
-  ev_timer_start (con->loop, &con->later);
+  ev_timer_set (&con->failure_timer, 0., 0.);
+  ev_timer_start (con->loop, &con->failure_timer);
 }
 
 /* Writes what is kept; false when the connection is broken.  */
 static bool
 flush (con_t *con)
 {
-  while (con->out_done < con->out->len)
+  while (con->out_sent < con->out->len)
     {
-      ssize_t n = send (con->reader.fd, con->out->data + con->out_done,
-                        con->out->len - con->out_done, MSG_NOSIGNAL);
+      ssize_t n = send (con->reader.fd, con->out->data + con->out_sent,
+                        con->out->len - con->out_sent, MSG_NOSIGNAL);
 
       if (n < 0 && (errno == EAGAIN || errno == EINTR))
         return true;
       if (n < 0)
         return false;
-      con->sent = true;
-      con->out_done += (size_t)n;
+      con->has_sent = true;
+      con->out_sent += (size_t)n;
     }
   g_byte_array_set_size (con->out, 0);
-  con->out_done = 0;
+  con->out_sent = 0;
   ev_io_stop (con->loop, &con->writer);
-  if (con->ending)
+  if (con->shutdown_pending)
     shutdown (con->reader.fd, SHUT_WR);
   return true;
 }
@@ -95,7 +97,7 @@
   if (getsockopt (con->reader.fd, SOL_SOCKET, SO_ERROR, &problem, &length) != 0
       || problem != 0)
     {
-      tell_end (con, CON_END_CONNECT_FAILED);
+      notify_ended (con, CON_END_CONNECT_FAILED);
       return false;
     }
   con->connected = true;
@@ -107,21 +109,21 @@
 on_writable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   con_t *con = watcher->data;
-  bool gone = false;
+  bool freed = false;
 
   if (!con->connected)
     {
       if (!finish_connect (con))
         return;
-      con->gone = &gone;
+      con->freed = &freed;
       if (con->ops->connected != NULL)
         con->ops->connected (con->user);
-      if (gone)
+      if (freed)
         return;
-      con->gone = NULL;
+      con->freed = NULL;
     }
   if (!flush (con))
-    tell_end (con, CON_END_RESET);
+    notify_ended (con, CON_END_RESET);
 }
 
 static void
@@ -129,9 +131,9 @@
 {
   con_t *con = watcher->data;
   char buffer[READ_BYTES];
-  bool gone = false;
+  bool freed = false;
 
-  for (int i = 0; i < READS_A_WAKE; i++)
+  for (int i = 0; i < MAX_READS_PER_WAKEUP; i++)
     {
       ssize_t n = recv (watcher->fd, buffer, sizeof buffer, 0);
 
@@ -139,14 +141,14 @@
         return;
       if (n <= 0)
         {
-          tell_end (con, n == 0 ? CON_END_CLOSED : CON_END_RESET);
+          notify_ended (con, n == 0 ? CON_END_CLOSED : CON_END_RESET);
           return;
         }
-      con->gone = &gone;
+      con->freed = &freed;
       con->ops->bytes (con->user, buffer, (size_t)n);
-      if (gone)
+      if (freed)
         return;
-      con->gone = NULL;
+      con->freed = NULL;
       if ((size_t)n < sizeof buffer || !ev_is_active (&con->reader))
         return;
     }
@@ -156,10 +158,11 @@
 set_options (int fd)
 {
   int on = 1;
-  unsigned silent = SILENT_MS;
+  unsigned ack_timeout_ms = ACK_TIMEOUT_MS;
 
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent, sizeof silent);
+  setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ack_timeout_ms,
+              sizeof ack_timeout_ms);
 }
 
 static con_t *
@@ -174,10 +177,10 @@
   con->out = g_byte_array_new ();
   ev_io_init (&con->reader, on_readable, fd, EV_READ);
   ev_io_init (&con->writer, on_writable, fd, EV_WRITE);
-  ev_timer_init (&con->later, on_later, 0., 0.);
+  ev_timer_init (&con->failure_timer, on_failure_timer, 0., 0.);
   con->reader.data = con;
   con->writer.data = con;
-  con->later.data = con;
+  con->failure_timer.data = con;
   return con;
 }
 
@@ -211,11 +214,11 @@
 {
   if (con == NULL)
     return;
-  if (con->gone != NULL)
-    *con->gone = true;
+  if (con->freed != NULL)
+    *con->freed = true;
   ev_io_stop (con->loop, &con->reader);
   ev_io_stop (con->loop, &con->writer);
-  ev_timer_stop (con->loop, &con->later);
+  ev_timer_stop (con->loop, &con->failure_timer);
   close (con->reader.fd);
   g_byte_array_unref (con->out);
   g_free (con);
@@ -254,12 +257,12 @@
 
       if (n < 0 && errno != EAGAIN && errno != EINTR)
         {
-          fail_later (con);
+          defer_failure (con);
           return;
         }
       if (n > 0)
         {
-          con->sent = true;
+          con->has_sent = true;
           bytes = (const char *)bytes + n;
           length -= (size_t)n;
         }
@@ -273,19 +276,19 @@
 size_t
 con_get_unsent_bytes (const con_t *con)
 {
-  return con->out->len - con->out_done;
+  return con->out->len - con->out_sent;
 }
 
 bool
 con_has_sent (const con_t *con)
 {
-  return con->sent;
+  return con->has_sent;
 }
 
 void
 con_shutdown_after_flush (con_t *con)
 {
-  con->ending = true;
+  con->shutdown_pending = true;
   if (con->connected && con->out->len == 0)
     shutdown (con->reader.fd, SHUT_WR);
 }
@@ -299,11 +302,11 @@
 }
 
 void
-con_set_read_paused (con_t *con, bool hold)
+con_set_read_paused (con_t *con, bool paused)
 {
   if (!con->connected || con->failed)
     return;
-  if (hold)
+  if (paused)
     ev_io_stop (con->loop, &con->reader);
   else
     ev_io_start (con->loop, &con->reader);
--- a/libcoltsfootdrum/relay/con.h
+++ b/libcoltsfootdrum/relay/con.h
@@ -40,8 +40,9 @@
 void con_free (con_t *con);
 
 /* As con_free, and resets the connection: bytes that the peer didn't get yet
-   are never sent.  After a usual close the system goes on sending them, and a
-   request that was given up could reach its endpoint seconds later.  */
+   are never has_sent.  After a usual close the system goes on sending them,
+   and a request that was given up could reach its endpoint seconds
+   failure_timer.  */
 void con_abort (con_t *con);
 
 /* Puts other callbacks in place.  */
@@ -49,7 +50,7 @@
 
 bool con_is_connected (const con_t *con);
 
-/* A failure to write is told by the ended callback, later.  */
+/* A failure to write is told by the ended callback, failure_timer.  */
 void con_write (con_t *con, const void *bytes, size_t length);
 
 /* Bytes that the peer has not taken yet.  */
@@ -63,11 +64,11 @@
    bytes would reset it, and the peer might lose what was written last.  */
 void con_shutdown_after_flush (con_t *con);
 
-/* False when the peer has closed and all that it sent was read: its end is
+/* False when the peer has closed and all that it has_sent was read: its end is
    still to be told.  */
 bool con_is_peer_open (const con_t *con);
 
 /* Stops and restarts reading.  */
-void con_set_read_paused (con_t *con, bool hold);
+void con_set_read_paused (con_t *con, bool paused);
 
 #endif
--- a/libcoltsfootdrum/relay/ent.c
+++ b/libcoltsfootdrum/relay/ent.c
@@ -15,20 +15,20 @@
 #include <unistd.h>
 
 /* Bounds until the configuration gives its own.  */
-#define HEAD_BYTES 16384
-#define BODY_BYTES 4194304
+#define DEFAULT_MAX_HEAD_BYTES 16384
+#define DEFAULT_MAX_BODY_BYTES 4194304
 /* Idle connections: while no bound is known, and the least one.  */
-#define IDLE_USUAL_MS 60000.
-#define IDLE_LEAST_MS 300.
+#define DEFAULT_IDLE_MS 60000.
+#define MIN_IDLE_MS 300.
 /* Connections that wait to be accepted.  The queue is in order of arrival: at
-   a slow instance a long one holds callers alone who have given up meanwhile.
+   a slow instance a long one holds calls alone who have given up meanwhile.
  */
-#define BACKLOG 128
+#define LISTEN_BACKLOG 128
 /* Accepted at one wake, so that a crowd of new ones doesn't hold up those that
    are served.  */
-#define ACCEPTS_A_WAKE 32
+#define MAX_ACCEPTS_PER_WAKEUP 32
 /* Bytes kept of a next request that came before the answer to this one.  */
-#define AHEAD_MOST 65536
+#define MAX_PIPELINED_BYTES 65536
 /* After a refusal that ends the connection the rest of the request is read and
    dropped for so long: a close with unread bytes would reset the connection,
    and the caller might lose the answer.  */
@@ -41,11 +41,11 @@
   ent_ops_t ops;
   void *user;
   ent_limits_t limits;
-  lag_t *lag;          /* not owned; may be NULL */
-  list_node_t callers; /* ent_call_t */
+  lag_t *lag;        /* not owned; may be NULL */
+  list_node_t calls; /* ent_call_t */
   unsigned count;
-  unsigned accepted; /* since the start */
-  bool backlogged;   /* since the last question */
+  unsigned accepted; /* state_since the start */
+  bool backlogged;   /* state_since the last question */
   bool draining;
 };
 
@@ -54,7 +54,7 @@
   STATE_IDLE,    /* between requests */
   STATE_READING, /* a request has begun */
   STATE_SERVING, /* with the user */
-  STATE_ENDING   /* closes; what comes is dropped */
+  STATE_CLOSING  /* closes; what comes is dropped */
 } state_t;
 
 /* A connection with the call that is on it.  */
@@ -65,25 +65,25 @@
   con_t *con;
   rd_t *rd;
   GByteArray *body;
-  GByteArray *ahead; /* read, and not yet looked at */
+  GByteArray *pipelined; /* read, and not yet looked at */
   void *data;
-  cfd_time_t since; /* of the present state */
-  cfd_time_t began; /* of the request */
+  cfd_time_t state_since; /* of the present state */
+  cfd_time_t started;     /* of the request */
   state_t state;
   bool head_done;
   bool too_large;
   bool chunked;
-  bool keep;
-  bool taking; /* the request is being read; freeing waits */
-  bool doomed;
+  bool reusable;
+  bool parsing; /* the request is being read; freeing waits */
+  bool free_pending;
 };
 
 static void
 call_free (ent_call_t *call)
 {
-  if (call->taking)
+  if (call->parsing)
     {
-      call->doomed = true;
+      call->free_pending = true;
       return;
     }
   list_remove (&call->node);
@@ -91,7 +91,7 @@
   con_free (call->con);
   rd_free (call->rd);
   g_byte_array_unref (call->body);
-  g_byte_array_unref (call->ahead);
+  g_byte_array_unref (call->pipelined);
   g_free (call);
 }
 
@@ -99,18 +99,18 @@
 set_state (ent_call_t *call, state_t state)
 {
   call->state = state;
-  call->since = clock_now ();
+  call->state_since = clock_now ();
 }
 
 static bool
 on_head (void *user, rd_head_t *head)
 {
   ent_call_t *call = user;
-  size_t most = call->ent->limits.body_bytes;
+  size_t limit = call->ent->limits.body_bytes;
   const char *expect = hdr_get (&head->fields, "Expect");
 
   call->head_done = true;
-  if (most > 0 && head->length > (int64_t)most)
+  if (limit > 0 && head->length > (int64_t)limit)
     {
       call->too_large = true;
       return false;
@@ -124,31 +124,31 @@
 on_body (void *user, const char *bytes, size_t length)
 {
   ent_call_t *call = user;
-  size_t most = call->ent->limits.body_bytes;
+  size_t limit = call->ent->limits.body_bytes;
 
-  if (most > 0 && call->body->len + length > most)
+  if (limit > 0 && call->body->len + length > limit)
     call->too_large = true;
   else
     g_byte_array_append (call->body, (const guint8 *)bytes, (guint)length);
 }
 
-static const rd_ops_t reader = { .head = on_head, .body = on_body };
+static const rd_ops_t parser_ops = { .head = on_head, .body = on_body };
 
 /* Ends the connection after STATUS.  */
 static void
-refuse (ent_call_t *call, unsigned status)
+reject_request (ent_call_t *call, unsigned status)
 {
   log_info ("entry", "A request was refused: status=%u.", status);
-  call->keep = false;
+  call->reusable = false;
   ent_respond (call, status, NULL, NULL, 0);
 }
 
 static void
-hand_over (ent_call_t *call)
+dispatch_request (ent_call_t *call)
 {
   rd_head_t *head = rd_head (call->rd);
 
-  call->keep = head->keep_alive;
+  call->reusable = head->keep_alive;
   set_state (call, STATE_SERVING);
   call->ent->ops.request (call->ent->user, call);
 }
@@ -163,24 +163,24 @@
   if (call->state == STATE_IDLE)
     {
       set_state (call, STATE_READING);
-      call->began = call->since;
+      call->started = call->state_since;
     }
   result = rd_feed (call->rd, bytes, length, &used);
   if (call->too_large)
-    refuse (call, 413);
+    reject_request (call, 413);
   else if (result == RD_TOO_LARGE)
-    refuse (call, 431);
+    reject_request (call, 431);
   else if (result == RD_INVALID)
-    refuse (call, 400);
+    reject_request (call, 400);
   else if (result == RD_COMPLETE)
-    hand_over (call);
+    dispatch_request (call);
   return used;
 }
 
 static void
-take_bytes (ent_call_t *call, const char *bytes, size_t length)
+parse_bytes (ent_call_t *call, const char *bytes, size_t length)
 {
-  while (length > 0 && !call->doomed
+  while (length > 0 && !call->free_pending
          && (call->state == STATE_IDLE || call->state == STATE_READING))
     {
       size_t used = read_request (call, bytes, length);
@@ -188,10 +188,10 @@
       bytes += used;
       length -= MIN (used, length);
     }
-  if (length == 0 || call->doomed || call->state == STATE_ENDING)
+  if (length == 0 || call->free_pending || call->state == STATE_CLOSING)
     return;
-  g_byte_array_append (call->ahead, (const guint8 *)bytes, (guint)length);
-  if (call->ahead->len > AHEAD_MOST)
+  g_byte_array_append (call->pipelined, (const guint8 *)bytes, (guint)length);
+  if (call->pipelined->len > MAX_PIPELINED_BYTES)
     con_set_read_paused (call->con, true);
 }
 
@@ -202,10 +202,10 @@
   lag_t *lag = call->ent->lag;
   lag_kind_t before = lag_enter (lag, LAG_CALLERS);
 
-  call->taking = true;
-  take_bytes (call, bytes, length);
-  call->taking = false;
-  if (call->doomed)
+  call->parsing = true;
+  parse_bytes (call, bytes, length);
+  call->parsing = false;
+  if (call->free_pending)
     call_free (call);
   lag_leave (lag, before, 1);
 }
@@ -216,37 +216,38 @@
   ent_call_t *call = user;
 
   if (call->state == STATE_SERVING)
-    call->ent->ops.gone (call->ent->user, call);
-  call->taking = false;
+    call->ent->ops.disconnected (call->ent->user, call);
+  call->parsing = false;
   call_free (call);
 }
 
-static const con_ops_t wire = { .bytes = on_bytes, .ended = on_ended };
+static const con_ops_t connection_ops
+    = { .bytes = on_bytes, .ended = on_ended };
 
 static void
-add_caller (ent_t *ent, int fd)
+add_connection (ent_t *ent, int fd)
 {
   ent_call_t *call = g_new0 (ent_call_t, 1);
 
   call->ent = ent;
-  call->rd = rd_new (RD_REQUESTS, ent->limits.head_bytes, &reader, call);
+  call->rd = rd_new (RD_REQUESTS, ent->limits.head_bytes, &parser_ops, call);
   call->body = g_byte_array_new ();
-  call->ahead = g_byte_array_new ();
+  call->pipelined = g_byte_array_new ();
   set_state (call, STATE_IDLE);
   list_init (&call->node);
-  list_append (&ent->callers, &call->node);
+  list_append (&ent->calls, &call->node);
   ent->count++;
   ent->accepted++;
-  call->con = con_new_accepted (ent->loop, fd, &wire, call);
+  call->con = con_new_accepted (ent->loop, fd, &connection_ops, call);
 }
 
 /* Takes on what waits; the number of connections.  */
 static unsigned
-accept_some (ent_t *ent)
+accept_connections (ent_t *ent)
 {
   unsigned accepted = 0;
 
-  while (accepted < ACCEPTS_A_WAKE)
+  while (accepted < MAX_ACCEPTS_PER_WAKEUP)
     {
       int fd = accept4 (ent->listener.fd, NULL, NULL,
                         SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -260,10 +261,10 @@
                       g_strerror (errno));
           break;
         }
-      add_caller (ent, fd);
+      add_connection (ent, fd);
       accepted++;
     }
-  ent->backlogged |= accepted == ACCEPTS_A_WAKE;
+  ent->backlogged |= accepted == MAX_ACCEPTS_PER_WAKEUP;
   return accepted;
 }
 
@@ -273,7 +274,7 @@
   ent_t *ent = watcher->data;
   lag_kind_t before = lag_enter (ent->lag, LAG_ACCEPT);
 
-  lag_leave (ent->lag, before, accept_some (ent));
+  lag_leave (ent->lag, before, accept_connections (ent));
 }
 
 ent_t *
@@ -285,14 +286,14 @@
 
   if (fd < 0)
     return NULL;
-  listen (fd, BACKLOG);
+  listen (fd, LISTEN_BACKLOG);
   ent = g_new0 (ent_t, 1);
   ent->loop = loop;
   ent->ops = *ops;
   ent->user = user;
-  ent->limits.head_bytes = HEAD_BYTES;
-  ent->limits.body_bytes = BODY_BYTES;
-  list_init (&ent->callers);
+  ent->limits.head_bytes = DEFAULT_MAX_HEAD_BYTES;
+  ent->limits.body_bytes = DEFAULT_MAX_BODY_BYTES;
+  list_init (&ent->calls);
   ev_io_init (&ent->listener, on_accept, fd, EV_READ);
   ent->listener.data = ent;
   ev_io_start (loop, &ent->listener);
@@ -315,7 +316,7 @@
   if (ent == NULL)
     return;
   ent_close_listener (ent);
-  list_for_each_safe (node, &ent->callers)
+  list_for_each_safe (node, &ent->calls)
     {
       call_free (list_entry (node, ent_call_t, node));
     }
@@ -351,7 +352,7 @@
 ent_set_limits (ent_t *ent, const ent_limits_t *limits)
 {
   ent->limits = *limits;
-  list_for_each (node, &ent->callers)
+  list_for_each (node, &ent->calls)
     {
       ent_call_t *call = list_entry (node, ent_call_t, node);
 
@@ -368,7 +369,7 @@
 void
 ent_close_idle (ent_t *ent)
 {
-  list_for_each_safe (node, &ent->callers)
+  list_for_each_safe (node, &ent->calls)
     {
       ent_call_t *call = list_entry (node, ent_call_t, node);
 
@@ -379,35 +380,35 @@
 
 /* Begins to close: what the caller still sends is read and dropped.  */
 static void
-end_caller (ent_call_t *call)
+start_close (ent_call_t *call)
 {
-  set_state (call, STATE_ENDING);
+  set_state (call, STATE_CLOSING);
   con_shutdown_after_flush (call->con);
 }
 
 /* Milliseconds that a connection may stay idle.  Above half of the connections
-   that there may be it shrinks to the least at the full number: callers who
+   that there may be it shrinks to the least at the full number: calls who
    open a new one for each try would use up all descriptors, and nobody else
    could connect.  */
 static int64_t
-idle_bound (const ent_t *ent)
+get_idle_limit_ms (const ent_t *ent)
 {
-  double most = ent->limits.connections;
-  double usual
-      = ent->limits.idle_ms > 0 ? (double)ent->limits.idle_ms : IDLE_USUAL_MS;
-  double free_part;
+  double limit = ent->limits.connections;
+  double max_idle_ms = ent->limits.idle_ms > 0 ? (double)ent->limits.idle_ms
+                                               : DEFAULT_IDLE_MS;
+  double free_share;
 
-  if (most <= 0.)
-    return (int64_t)usual;
-  free_part = CLAMP (2. * (1. - ent->count / most), 0., 1.);
-  return (int64_t)MAX (usual * free_part, IDLE_LEAST_MS);
+  if (limit <= 0.)
+    return (int64_t)max_idle_ms;
+  free_share = CLAMP (2. * (1. - ent->count / limit), 0., 1.);
+  return (int64_t)MAX (max_idle_ms * free_share, MIN_IDLE_MS);
 }
 
 static void
-tick_call (ent_call_t *call, cfd_time_t now, int64_t idle_ms)
+enforce_timeouts (ent_call_t *call, cfd_time_t now, int64_t idle_ms)
 {
   const ent_limits_t *limits = &call->ent->limits;
-  int64_t in_state = now - call->since;
+  int64_t in_state = now - call->state_since;
 
   switch (call->state)
     {
@@ -418,11 +419,11 @@
     case STATE_READING:
       if (!call->head_done && limits->head_ms > 0
           && in_state > limits->head_ms)
-        refuse (call, 408);
+        reject_request (call, 408);
       else if (limits->idle_ms > 0 && in_state > limits->idle_ms)
-        refuse (call, 408);
+        reject_request (call, 408);
       break;
-    case STATE_ENDING:
+    case STATE_CLOSING:
       if (in_state > LINGER_MS && con_get_unsent_bytes (call->con) == 0)
         call_free (call);
       break;
@@ -434,11 +435,11 @@
 void
 ent_tick (ent_t *ent, cfd_time_t now)
 {
-  int64_t idle_ms = idle_bound (ent);
+  int64_t idle_ms = get_idle_limit_ms (ent);
 
-  list_for_each_safe (node, &ent->callers)
+  list_for_each_safe (node, &ent->calls)
     {
-      tick_call (list_entry (node, ent_call_t, node), now, idle_ms);
+      enforce_timeouts (list_entry (node, ent_call_t, node), now, idle_ms);
     }
 }
 
@@ -469,7 +470,7 @@
 cfd_time_t
 ent_get_start_time (const ent_call_t *call)
 {
-  return call->began;
+  return call->started;
 }
 
 void
@@ -487,11 +488,11 @@
 static bool
 will_close (const ent_call_t *call)
 {
-  return !call->keep || call->ent->draining;
+  return !call->reusable || call->ent->draining;
 }
 
 static GString *
-head_text (ent_call_t *call, unsigned status, const char *fields)
+build_head (ent_call_t *call, unsigned status, const char *fields)
 {
   GString *text = g_string_sized_new (512);
 
@@ -506,14 +507,14 @@
 
 /* The next request on the connection, or its end.  */
 static void
-after_answer (ent_call_t *call)
+finish_call (ent_call_t *call)
 {
-  g_autoptr (GByteArray) ahead = NULL;
+  g_autoptr (GByteArray) pipelined = NULL;
 
   call->data = NULL;
   if (will_close (call))
     {
-      end_caller (call);
+      start_close (call);
       return;
     }
   rd_reset (call->rd);
@@ -521,43 +522,43 @@
   call->head_done = false;
   call->too_large = false;
   set_state (call, STATE_IDLE);
-  if (call->ahead->len == 0)
+  if (call->pipelined->len == 0)
     return;
-  ahead = g_steal_pointer (&call->ahead);
-  call->ahead = g_byte_array_new ();
+  pipelined = g_steal_pointer (&call->pipelined);
+  call->pipelined = g_byte_array_new ();
   con_set_read_paused (call->con, false);
-  if (call->taking)
+  if (call->parsing)
     /* The answer came from inside the reading of its request; the bytes that
        follow are looked at when that returns.  */
-    g_byte_array_append (call->ahead, ahead->data, ahead->len);
+    g_byte_array_append (call->pipelined, pipelined->data, pipelined->len);
   else
-    on_bytes (call, (const char *)ahead->data, ahead->len);
+    on_bytes (call, (const char *)pipelined->data, pipelined->len);
 }
 
 void
 ent_close_after (ent_call_t *call)
 {
-  call->keep = false;
+  call->reusable = false;
 }
 
 void
 ent_respond (ent_call_t *call, unsigned status, const char *fields,
              const void *body, size_t length)
 {
-  g_autoptr (GString) text = head_text (call, status, fields);
+  g_autoptr (GString) text = build_head (call, status, fields);
 
   g_string_append_printf (text, "Content-Length: %zu\r\n\r\n", length);
   if (length > 0)
     g_string_append_len (text, body, (gssize)length);
   con_write (call->con, text->str, text->len);
-  after_answer (call);
+  finish_call (call);
 }
 
 void
 ent_begin_response (ent_call_t *call, unsigned status, const char *fields,
                     int64_t length)
 {
-  g_autoptr (GString) text = head_text (call, status, fields);
+  g_autoptr (GString) text = build_head (call, status, fields);
 
   call->chunked = length < 0;
   if (call->chunked)
@@ -593,7 +594,7 @@
 {
   if (call->chunked)
     con_write (call->con, "0\r\n\r\n", 5);
-  after_answer (call);
+  finish_call (call);
 }
 
 void
--- a/libcoltsfootdrum/relay/ent.h
+++ b/libcoltsfootdrum/relay/ent.h
@@ -1,4 +1,4 @@
-/* The callers' side: a listening address, connections, and on each of them one
+/* The calls' side: a listening address, connections, and on each of them one
    call at a time.  A call is handed over once its request was read whole.  */
 
 #ifndef RELAY_ENT_H
@@ -27,7 +27,7 @@
   /* CALL stays until it is answered, broken off, or GONE was called.  */
   void (*request) (void *user, ent_call_t *call);
   /* The caller has left; CALL is not to be used again.  */
-  void (*gone) (void *user, ent_call_t *call);
+  void (*disconnected) (void *user, ent_call_t *call);
 } ent_ops_t;
 
 /* NULL with CFD_ERROR_ADDRESS when ADDRESS (IP:PORT) can't be listened on. */
@@ -55,7 +55,7 @@
 /* To be called some times a second: closes what took too long.  */
 void ent_tick (ent_t *ent, cfd_time_t now);
 unsigned ent_count_connections (const ent_t *ent);
-/* Connections accepted since the start.  */
+/* Connections accepted state_since the start.  */
 unsigned ent_count_accepted (const ent_t *ent);
 
 rd_head_t *ent_get_head (ent_call_t *call);
--- a/libcoltsfootdrum/relay/evs.c
+++ b/libcoltsfootdrum/relay/evs.c
@@ -6,23 +6,23 @@
 #include <string.h>
 
 void
-evs_init (evs_t *sse)
+evs_init (evs_t *stream)
 {
-  sse->bytes = g_byte_array_new ();
-  sse->last_id = -1;
-  sse->events = 0;
+  stream->bytes = g_byte_array_new ();
+  stream->last_id = -1;
+  stream->events = 0;
 }
 
 void
-evs_clear (evs_t *sse)
+evs_clear (evs_t *stream)
 {
-  g_clear_pointer (&sse->bytes, g_byte_array_unref);
+  g_clear_pointer (&stream->bytes, g_byte_array_unref);
 }
 
 /* Length of the first event in TEXT with the blank line that ends it; 0 when
    it isn't whole.  */
 static size_t
-event_length (const char *text, size_t length)
+find_event_length (const char *text, size_t length)
 {
   for (size_t i = 0; i + 1 < length; i++)
     {
@@ -38,7 +38,7 @@
 
 /* The number in the event's "id:" line; -1 without one.  */
 static int64_t
-event_id (const char *text, size_t length)
+parse_event_id (const char *text, size_t length)
 {
   static const char field[] = "id:";
   size_t at = 0;
@@ -57,44 +57,45 @@
 }
 
 unsigned
-evs_feed (evs_t *sse, const char *bytes, size_t length, GString *out)
+evs_feed (evs_t *stream, const char *bytes, size_t length, GString *out)
 {
-  size_t done = 0;
+  size_t consumed = 0;
   unsigned events = 0;
 
-  g_byte_array_append (sse->bytes, (const guint8 *)bytes, (guint)length);
-  while (done < sse->bytes->len)
+  g_byte_array_append (stream->bytes, (const guint8 *)bytes, (guint)length);
+  while (consumed < stream->bytes->len)
     {
-      const char *text = (const char *)sse->bytes->data + done;
-      size_t size = event_length (text, sse->bytes->len - done);
+      const char *text = (const char *)stream->bytes->data + consumed;
+      size_t size = find_event_length (text, stream->bytes->len - consumed);
       int64_t id;
 
       if (size == 0)
         break;
-      id = event_id (text, size);
-      done += size;
-      if (id >= 0 && id <= sse->last_id)
+      id = parse_event_id (text, size);
+      consumed += size;
+      if (id >= 0 && id <= stream->last_id)
         continue;
       if (id >= 0)
-        sse->last_id = id;
+        stream->last_id = id;
       g_string_append_len (out, text, (gssize)size);
       events++;
     }
-  if (done > 0)
-    g_byte_array_remove_range (sse->bytes, 0, (guint)done);
-  sse->events += events;
+  if (consumed > 0)
+    g_byte_array_remove_range (stream->bytes, 0, (guint)consumed);
+  stream->events += events;
   return events;
 }
 
 void
-evs_discard_partial (evs_t *sse)
+evs_discard_partial (evs_t *stream)
 {
-  g_byte_array_set_size (sse->bytes, 0);
+  g_byte_array_set_size (stream->bytes, 0);
 }
 
 void
-evs_flush (evs_t *sse, GString *out)
+evs_flush (evs_t *stream, GString *out)
 {
-  g_string_append_len (out, (const char *)sse->bytes->data, sse->bytes->len);
-  evs_discard_partial (sse);
+  g_string_append_len (out, (const char *)stream->bytes->data,
+                       stream->bytes->len);
+  evs_discard_partial (stream);
 }
--- a/libcoltsfootdrum/relay/evs.h
+++ b/libcoltsfootdrum/relay/evs.h
@@ -15,17 +15,18 @@
   unsigned events;   /* passed on */
 } evs_t;
 
-void evs_init (evs_t *sse);
-void evs_clear (evs_t *sse);
+void evs_init (evs_t *stream);
+void evs_clear (evs_t *stream);
 
 /* Adds BYTES and appends to OUT the events that are whole by now, but those
    with an id that was passed on before.  Returns their number.  */
-unsigned evs_feed (evs_t *sse, const char *bytes, size_t length, GString *out);
+unsigned evs_feed (evs_t *stream, const char *bytes, size_t length,
+                   GString *out);
 
 /* Drops the begun event, as when its stream broke off.  */
-void evs_discard_partial (evs_t *sse);
+void evs_discard_partial (evs_t *stream);
 
 /* What is left at the end of a whole stream, which no blank line ended.  */
-void evs_flush (evs_t *sse, GString *out);
+void evs_flush (evs_t *stream, GString *out);
 
 #endif
--- a/libcoltsfootdrum/relay/hdr.c
+++ b/libcoltsfootdrum/relay/hdr.c
@@ -26,7 +26,7 @@
 }
 
 static guint
-keep (hdr_t *hdr, const char *text)
+store_text (hdr_t *hdr, const char *text)
 {
   guint at = hdr->text->len;
 
@@ -40,8 +40,8 @@
 {
   hdr_field_t field = { 0 };
 
-  field.name = keep (hdr, name);
-  field.value = keep (hdr, value);
+  field.name = store_text (hdr, name);
+  field.value = store_text (hdr, value);
   g_array_append_val (hdr->fields, field);
 }
 
@@ -78,12 +78,12 @@
 
 /* True when the comma-separated LIST holds WORD.  */
 static bool
-list_holds (const char *list, const char *word)
+list_contains (const char *list, const char *item)
 {
   g_auto (GStrv) parts = g_strsplit (list, ",", -1);
 
   for (char **part = parts; *part != NULL; part++)
-    if (g_ascii_strcasecmp (g_strstrip (*part), word) == 0)
+    if (g_ascii_strcasecmp (g_strstrip (*part), item) == 0)
       return true;
   return false;
 }
@@ -91,25 +91,25 @@
 bool
 hdr_is_hop_by_hop (const hdr_t *hdr, guint i)
 {
-  static const char *const hop[] = { "Connection",
-                                     "Keep-Alive",
-                                     "Proxy-Connection",
-                                     "TE",
-                                     "Trailer",
-                                     "Transfer-Encoding",
-                                     "Upgrade",
-                                     "Proxy-Authenticate",
-                                     "Proxy-Authorization",
-                                     "Expect",
-                                     NULL };
+  static const char *const hop_by_hop[] = { "Connection",
+                                            "Keep-Alive",
+                                            "Proxy-Connection",
+                                            "TE",
+                                            "Trailer",
+                                            "Transfer-Encoding",
+                                            "Upgrade",
+                                            "Proxy-Authenticate",
+                                            "Proxy-Authorization",
+                                            "Expect",
+                                            NULL };
   const char *name = hdr_get_name (hdr, i);
   const char *connection;
 
-  for (const char *const *fixed = hop; *fixed != NULL; fixed++)
-    if (g_ascii_strcasecmp (*fixed, name) == 0)
+  for (const char *const *known = hop_by_hop; *known != NULL; known++)
+    if (g_ascii_strcasecmp (*known, name) == 0)
       return true;
   connection = hdr_get (hdr, "Connection");
-  return connection != NULL && list_holds (connection, name);
+  return connection != NULL && list_contains (connection, name);
 }
 
 void
--- a/libcoltsfootdrum/relay/pfx.h
+++ b/libcoltsfootdrum/relay/pfx.h
@@ -14,7 +14,7 @@
 /* One part of a prompt, in order.  */
 typedef struct
 {
-  uint64_t id; /* with that of all parts before it: a part is cached
+  uint64_t id; /* with that of all parts previous it: a part is cached
                   together with these alone */
   unsigned tokens;
 } pfx_part_t;
@@ -30,8 +30,8 @@
 void pfx_prompt_free (pfx_prompt_t *prompt);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (pfx_prompt_t, pfx_prompt_free)
 
-/* The part that names the shared prefix: the last one but the request's own. 0
-   when there is none.  */
+/* The part that names the shared prefix: the last_used one but the request's
+   own. 0 when there is none.  */
 uint64_t pfx_prompt_get_shared_id (const pfx_prompt_t *prompt);
 
 pfx_t *pfx_new (void);
@@ -60,11 +60,11 @@
 
 /* Tokens of all parts of PROMPT but its own.  */
 unsigned pfx_prompt_count_shared_tokens (const pfx_prompt_t *prompt);
-/* Tokens of the longest prefix of PROMPT that ENDPOINT caches, probably.  */
+/* Tokens of the longest prefix of PROMPT that ENDPOINT is_cached, probably. */
 unsigned pfx_count_cached_tokens (const pfx_t *pfx, cfd_time_t now,
                                   uint64_t endpoint,
                                   const pfx_prompt_t *prompt);
-/* Forgets what is old.  */
+/* Forgets what is expired_count.  */
 void pfx_evict_expired (pfx_t *pfx, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/relay/rd.c
+++ b/libcoltsfootdrum/relay/rd.c
@@ -11,7 +11,7 @@
   rd_kind_t kind;
   const rd_ops_t *ops;
   void *user;
-  size_t head_most;
+  size_t max_head_bytes;
   size_t head_bytes;
   GString *target;
   GString *name;
@@ -26,24 +26,24 @@
 };
 
 static rd_t *
-self (http_parser *parser)
+get_reader (http_parser *parser)
 {
   return parser->data;
 }
 
 /* Counts bytes of the head; false when it is over its bound.  */
 static bool
-count (rd_t *rd, size_t length)
+count_head_bytes (rd_t *rd, size_t length)
 {
   rd->head_bytes += length;
-  if (rd->head_bytes <= rd->head_most)
+  if (rd->head_bytes <= rd->max_head_bytes)
     return true;
   rd->too_large = true;
   return false;
 }
 
 static void
-keep_field (rd_t *rd)
+store_field (rd_t *rd)
 {
   if (!rd->in_value)
     return;
@@ -56,37 +56,37 @@
 static int
 on_begin (http_parser *parser)
 {
-  self (parser)->started = true;
+  get_reader (parser)->started = true;
   return 0;
 }
 
 static int
 on_target (http_parser *parser, const char *at, size_t length)
 {
-  rd_t *rd = self (parser);
+  rd_t *rd = get_reader (parser);
 
   g_string_append_len (rd->target, at, (gssize)length);
-  return count (rd, length) ? 0 : 1;
+  return count_head_bytes (rd, length) ? 0 : 1;
 }
 
 static int
 on_name (http_parser *parser, const char *at, size_t length)
 {
-  rd_t *rd = self (parser);
+  rd_t *rd = get_reader (parser);
 
-  keep_field (rd);
+  store_field (rd);
   g_string_append_len (rd->name, at, (gssize)length);
-  return count (rd, length) ? 0 : 1;
+  return count_head_bytes (rd, length) ? 0 : 1;
 }
 
 static int
 on_value (http_parser *parser, const char *at, size_t length)
 {
-  rd_t *rd = self (parser);
+  rd_t *rd = get_reader (parser);
 
   rd->in_value = true;
   g_string_append_len (rd->value, at, (gssize)length);
-  return count (rd, length) ? 0 : 1;
+  return count_head_bytes (rd, length) ? 0 : 1;
 }
 
 static bool
@@ -106,10 +106,10 @@
 static int
 on_head (http_parser *parser)
 {
-  rd_t *rd = self (parser);
+  rd_t *rd = get_reader (parser);
   rd_head_t *head = &rd->head;
 
-  keep_field (rd);
+  store_field (rd);
   /* Neither side switches protocols; the parser would stop reading here.  */
   parser->upgrade = 0;
   if (is_interim (parser))
@@ -134,7 +134,7 @@
 static int
 on_body (http_parser *parser, const char *at, size_t length)
 {
-  rd_t *rd = self (parser);
+  rd_t *rd = get_reader (parser);
 
   rd->ops->body (rd->user, at, length);
   return 0;
@@ -143,7 +143,7 @@
 static int
 on_complete (http_parser *parser)
 {
-  rd_t *rd = self (parser);
+  rd_t *rd = get_reader (parser);
 
   if (is_interim (parser))
     {
@@ -166,12 +166,12 @@
 };
 
 rd_t *
-rd_new (rd_kind_t kind, size_t head_most, const rd_ops_t *ops, void *user)
+rd_new (rd_kind_t kind, size_t max_head_bytes, const rd_ops_t *ops, void *user)
 {
   rd_t *rd = g_new0 (rd_t, 1);
 
   rd->kind = kind;
-  rd->head_most = head_most;
+  rd->max_head_bytes = max_head_bytes;
   rd->ops = ops;
   rd->user = user;
   rd->target = g_string_new (NULL);
@@ -195,9 +195,9 @@
 }
 
 void
-rd_set_max_head_bytes (rd_t *rd, size_t head_most)
+rd_set_max_head_bytes (rd_t *rd, size_t max_head_bytes)
 {
-  rd->head_most = head_most;
+  rd->max_head_bytes = max_head_bytes;
 }
 
 void
--- a/libcoltsfootdrum/relay/rd.h
+++ b/libcoltsfootdrum/relay/rd.h
@@ -44,12 +44,12 @@
 } rd_ops_t;
 
 /* HEAD_MOST bounds a message's first line and fields, in bytes.  */
-rd_t *rd_new (rd_kind_t kind, size_t head_most, const rd_ops_t *ops,
+rd_t *rd_new (rd_kind_t kind, size_t max_head_bytes, const rd_ops_t *ops,
               void *user);
 void rd_free (rd_t *rd);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (rd_t, rd_free)
 
-void rd_set_max_head_bytes (rd_t *rd, size_t head_most);
+void rd_set_max_head_bytes (rd_t *rd, size_t max_head_bytes);
 
 /* Reads of BYTES what belongs to the message and sets *USED to its length. */
 rd_result_t rd_feed (rd_t *rd, const char *bytes, size_t length, size_t *used);
--- a/libcoltsfootdrum/relay/rdy.h
+++ b/libcoltsfootdrum/relay/rdy.h
@@ -14,15 +14,15 @@
 
 typedef struct
 {
-  double busy;          /* share of time with work, smoothed */
-  cfd_time_t since;     /* connections wait; CFD_TIME_NEVER: none do */
-  cfd_time_t out_until; /* not ready until then at least */
-  cfd_time_t came_back; /* when it was ready again */
-  int64_t hold_ms;      /* of the last time it was not ready */
-  bool out;             /* not ready */
+  double busy;                 /* share of time with work, smoothed */
+  cfd_time_t backlogged_since; /* connections wait; CFD_TIME_NEVER: none do */
+  cfd_time_t not_ready_until;  /* not ready until then at least */
+  cfd_time_t ready_since;      /* when it was ready relapsed */
+  int64_t hold_ms;             /* of the last time it was not ready */
+  bool not_ready;              /* not ready */
 } rdy_t;
 
-/* What was seen since the last update.  */
+/* What was sample backlogged_since the last update.  */
 typedef struct
 {
   double busy_ms;  /* work */
@@ -31,7 +31,7 @@
 } rdy_sample_t;
 
 void rdy_init (rdy_t *rdy);
-void rdy_update (rdy_t *rdy, cfd_time_t now, const rdy_sample_t *seen);
+void rdy_update (rdy_t *rdy, cfd_time_t now, const rdy_sample_t *sample);
 bool rdy_is_ready (const rdy_t *rdy);
 
 #endif
--- a/libcoltsfootdrum/relay/test-ent.c
+++ b/libcoltsfootdrum/relay/test-ent.c
@@ -19,7 +19,7 @@
   struct ev_loop *loop;
   ent_t *ent;
   addr_t address;
-} scene_t;
+} fixture_t;
 
 static void
 on_request (void *user, ent_call_t *call)
@@ -28,48 +28,48 @@
 }
 
 static void
-on_gone (void *user, ent_call_t *call)
+on_disconnected (void *user, ent_call_t *call)
 {
 }
 
 static void
-scene_init (scene_t *scene)
+fixture_init (fixture_t *fixture)
 {
-  static const ent_ops_t ops = { on_request, on_gone };
+  static const ent_ops_t ops = { on_request, on_disconnected };
   g_autofree char *address = NULL;
 
-  scene->loop = ev_loop_new (EVFLAG_AUTO);
-  scene->ent = ent_new (scene->loop, "127.0.0.1:0", &ops, NULL, NULL);
-  g_assert_nonnull (scene->ent);
-  address = g_strdup_printf ("127.0.0.1:%u", ent_get_port (scene->ent));
-  g_assert_true (addr_parse (address, &scene->address, NULL));
+  fixture->loop = ev_loop_new (EVFLAG_AUTO);
+  fixture->ent = ent_new (fixture->loop, "127.0.0.1:0", &ops, NULL, NULL);
+  g_assert_nonnull (fixture->ent);
+  address = g_strdup_printf ("127.0.0.1:%u", ent_get_port (fixture->ent));
+  g_assert_true (addr_parse (address, &fixture->address, NULL));
 }
 
 static void
-scene_clear (scene_t *scene)
+fixture_clear (fixture_t *fixture)
 {
-  ent_free (scene->ent);
-  ev_loop_destroy (scene->loop);
+  ent_free (fixture->ent);
+  ev_loop_destroy (fixture->loop);
 }
 
 /* Callers come while the process is paused; the number whose connections the
-   system has made.  */
+   system has established.  */
 static unsigned
-begin_wave (const scene_t *scene, int *fds)
+open_connections (const fixture_t *fixture, int *fds)
 {
-  unsigned made = 0;
+  unsigned established = 0;
 
   for (unsigned i = 0; i < BURST; i++)
     {
-      fds[i] = addr_dial (&scene->address);
+      fds[i] = addr_dial (&fixture->address);
       g_assert_cmpint (fds[i], >=, 0);
-      made += send (fds[i], "", 0, MSG_NOSIGNAL) == 0;
+      established += send (fds[i], "", 0, MSG_NOSIGNAL) == 0;
     }
-  return made;
+  return established;
 }
 
 static void
-end_wave (const int *fds)
+close_connections (const int *fds)
 {
   for (unsigned i = 0; i < BURST; i++)
     close (fds[i]);
@@ -78,45 +78,47 @@
 /* A router that lags has a long queue of connections, and those that it takes
    were given up before; nobody can connect, though it takes some all the time.
    Over 5,000 connections come to a process that is paused and then given few
-   turns of its loop: no connection that was made waits longer than these.  */
+   turns of its loop: no connection that was established waits longer than
+   these.  */
 static void
 test_burst (void)
 {
-  scene_t scene = { 0 };
+  fixture_t fixture = { 0 };
   int fds[BURST];
 
-  scene_init (&scene);
+  fixture_init (&fixture);
   for (unsigned wave = 0; wave < WAVES; wave++)
     {
-      unsigned before = ent_count_accepted (scene.ent);
-      unsigned made = begin_wave (&scene, fds);
+      unsigned before = ent_count_accepted (fixture.ent);
+      unsigned established = open_connections (&fixture, fds);
 
       for (unsigned turn = 0; turn < TURNS; turn++)
-        ev_run (scene.loop, EVRUN_NOWAIT);
-      g_assert_cmpuint (ent_count_accepted (scene.ent) - before, >=, made);
-      end_wave (fds);
+        ev_run (fixture.loop, EVRUN_NOWAIT);
+      g_assert_cmpuint (ent_count_accepted (fixture.ent) - before, >=,
+                        established);
+      close_connections (fds);
       for (unsigned turn = 0; turn < BURST; turn++)
-        ev_run (scene.loop, EVRUN_NOWAIT);
+        ev_run (fixture.loop, EVRUN_NOWAIT);
     }
-  scene_clear (&scene);
+  fixture_clear (&fixture);
 }
 
 /* What readiness is judged by: connections that the last turn left.  */
 static void
 test_left_waiting (void)
 {
-  scene_t scene = { 0 };
+  fixture_t fixture = { 0 };
   int fds[BURST];
 
-  scene_init (&scene);
-  ev_run (scene.loop, EVRUN_NOWAIT);
-  g_assert_false (ent_test_and_clear_backlogged (scene.ent));
-  begin_wave (&scene, fds);
-  ev_run (scene.loop, EVRUN_NOWAIT);
-  g_assert_true (ent_test_and_clear_backlogged (scene.ent));
-  g_assert_false (ent_test_and_clear_backlogged (scene.ent));
-  end_wave (fds);
-  scene_clear (&scene);
+  fixture_init (&fixture);
+  ev_run (fixture.loop, EVRUN_NOWAIT);
+  g_assert_false (ent_test_and_clear_backlogged (fixture.ent));
+  open_connections (&fixture, fds);
+  ev_run (fixture.loop, EVRUN_NOWAIT);
+  g_assert_true (ent_test_and_clear_backlogged (fixture.ent));
+  g_assert_false (ent_test_and_clear_backlogged (fixture.ent));
+  close_connections (fds);
+  fixture_clear (&fixture);
 }
 
 int
--- a/libcoltsfootdrum/relay/test-evs.c
+++ b/libcoltsfootdrum/relay/test-evs.c
@@ -8,7 +8,7 @@
 {
   const char *name;
   const char *pieces[5]; /* NULL-ended */
-  const char *passed;    /* what comes out */
+  const char *output;    /* what comes out */
   int64_t last_id;
 } case_t;
 
@@ -36,35 +36,35 @@
 static void
 test_case (const void *data)
 {
-  const case_t *one = data;
+  const case_t *test = data;
   g_autoptr (GString) out = g_string_new (NULL);
-  evs_t sse;
+  evs_t stream;
 
-  evs_init (&sse);
-  for (unsigned i = 0; one->pieces[i] != NULL; i++)
-    evs_feed (&sse, one->pieces[i], strlen (one->pieces[i]), out);
-  g_assert_cmpstr (out->str, ==, one->passed);
-  g_assert_cmpint (sse.last_id, ==, one->last_id);
-  evs_clear (&sse);
+  evs_init (&stream);
+  for (unsigned i = 0; test->pieces[i] != NULL; i++)
+    evs_feed (&stream, test->pieces[i], strlen (test->pieces[i]), out);
+  g_assert_cmpstr (out->str, ==, test->output);
+  g_assert_cmpint (stream.last_id, ==, test->last_id);
+  evs_clear (&stream);
 }
 
 /* The caller must see each event once and whole.  An endpoint stops in the
    middle of event 2; another goes on after event 1 and sends it again.  Half
-   an event that was passed on could not be taken back.  */
+   an event that was output on could not be taken back.  */
 static void
 test_goes_on_elsewhere (void)
 {
   static const char first[] = "id: 1\ndata: a\n\nid: 2\ndata: b";
   static const char second[] = "id: 2\ndata: b\n\n";
   g_autoptr (GString) out = g_string_new (NULL);
-  evs_t sse;
+  evs_t stream;
 
-  evs_init (&sse);
-  evs_feed (&sse, first, strlen (first), out);
-  evs_discard_partial (&sse);
-  evs_feed (&sse, second, strlen (second), out);
+  evs_init (&stream);
+  evs_feed (&stream, first, strlen (first), out);
+  evs_discard_partial (&stream);
+  evs_feed (&stream, second, strlen (second), out);
   g_assert_cmpstr (out->str, ==, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  evs_clear (&sse);
+  evs_clear (&stream);
 }
 
 int
--- a/libcoltsfootdrum/relay/test-rd.c
+++ b/libcoltsfootdrum/relay/test-rd.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define HEAD_MOST 256
+#define MAX_HEAD_BYTES 256
 
 typedef struct
 {
@@ -12,19 +12,19 @@
   GString *body;
   unsigned status;
   bool framed;
-} seen_t;
+} parsed_t;
 
 static bool
 on_head (void *user, rd_head_t *head)
 {
-  seen_t *seen = user;
+  parsed_t *parsed = user;
 
-  seen->status = head->status;
-  seen->framed = head->framed;
+  parsed->status = head->status;
+  parsed->framed = head->framed;
   if (head->status == 0)
-    g_string_append_printf (seen->head, "%s %s", head->method, head->target);
+    g_string_append_printf (parsed->head, "%s %s", head->method, head->target);
   for (guint i = 0; i < hdr_count (&head->fields); i++)
-    g_string_append_printf (seen->head, "|%s=%s",
+    g_string_append_printf (parsed->head, "|%s=%s",
                             hdr_get_name (&head->fields, i),
                             hdr_get_value (&head->fields, i));
   return true;
@@ -33,7 +33,7 @@
 static void
 on_body (void *user, const char *bytes, size_t length)
 {
-  g_string_append_len (((seen_t *)user)->body, bytes, (gssize)length);
+  g_string_append_len (((parsed_t *)user)->body, bytes, (gssize)length);
 }
 
 typedef struct
@@ -47,40 +47,41 @@
   const char *rest; /* not read */
 } case_t;
 
-#define R RD_REQUESTS
-#define A RD_RESPONSES
+#define REQ RD_REQUESTS
+#define RESP RD_RESPONSES
 
 static const case_t cases[] = {
-  { "get", R, "GET /a/?b HTTP/1.1\r\nHost: h\r\n\r\n", RD_COMPLETE,
+  { "get", REQ, "GET /a/?b HTTP/1.1\r\nHost: h\r\n\r\n", RD_COMPLETE,
     "GET /a/?b|Host=h", "", "" },
-  { "length", R, "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nabc",
+  { "length", REQ, "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nabc",
     RD_COMPLETE, NULL, "ab", "c" },
-  { "chunked", R,
+  { "chunked", REQ,
     "POST / HTTP/1.1\r\nTransfer-Encoding: "
     "chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
     RD_COMPLETE, NULL, "ab", "" },
-  { "next-request", R, "GET / HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n",
+  { "next-request", REQ, "GET / HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n",
     RD_COMPLETE, NULL, "", "GET /2 HTTP/1.1\r\n\r\n" },
   /* Two lengths: two readers could disagree where the next request begins.  */
-  { "length-and-chunked", R,
+  { "length-and-chunked", REQ,
     "POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n"
     "\r\n0\r\n\r\n",
     RD_INVALID, NULL, NULL, NULL },
-  { "two-lengths", R,
+  { "two-lengths", REQ,
     "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
     RD_INVALID, NULL, NULL, NULL },
-  { "no-http", R, "\x16\x03\x01 hello\r\n\r\n", RD_INVALID, NULL, NULL, NULL },
-  { "upgrade", R,
+  { "no-http", REQ, "\x16\x03\x01 hello\r\n\r\n", RD_INVALID, NULL, NULL,
+    NULL },
+  { "upgrade", REQ,
     "GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\nGET",
     RD_COMPLETE, NULL, "", "GET" },
-  { "begun", R, "GET / HTTP/1.1\r\nHost:", RD_INCOMPLETE, NULL, NULL, NULL },
-  { "interim", A,
+  { "begun", REQ, "GET / HTTP/1.1\r\nHost:", RD_INCOMPLETE, NULL, NULL, NULL },
+  { "interim", RESP,
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
     "a",
     RD_INCOMPLETE, NULL, NULL, NULL },
-  { "answer", A, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab", RD_COMPLETE,
-    NULL, "a", "b" },
-  { "unframed", A, "HTTP/1.1 200 OK\r\n\r\nab", RD_INCOMPLETE, NULL, "ab",
+  { "answer", RESP, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab",
+    RD_COMPLETE, NULL, "a", "b" },
+  { "unframed", RESP, "HTTP/1.1 200 OK\r\n\r\nab", RD_INCOMPLETE, NULL, "ab",
     NULL },
 };
 
@@ -106,27 +107,28 @@
 check_case (const case_t *one, size_t step)
 {
   static const rd_ops_t ops = { on_head, on_body };
-  seen_t seen = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
-  g_autoptr (rd_t) rd = rd_new (one->kind, HEAD_MOST, &ops, &seen);
+  parsed_t parsed
+      = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
+  g_autoptr (rd_t) rd = rd_new (one->kind, MAX_HEAD_BYTES, &ops, &parsed);
   size_t done;
   rd_result_t result = feed_all (rd, one->bytes, step, &done);
 
   if (g_str_equal (one->name, "interim"))
     {
       g_assert_cmpint (result, ==, RD_COMPLETE);
-      g_assert_cmpuint (seen.status, ==, 200);
-      g_assert_cmpstr (seen.body->str, ==, "a");
+      g_assert_cmpuint (parsed.status, ==, 200);
+      g_assert_cmpstr (parsed.body->str, ==, "a");
     }
   else
     g_assert_cmpint (result, ==, one->result);
   if (one->head != NULL)
-    g_assert_cmpstr (seen.head->str, ==, one->head);
+    g_assert_cmpstr (parsed.head->str, ==, one->head);
   if (one->body != NULL)
-    g_assert_cmpstr (seen.body->str, ==, one->body);
+    g_assert_cmpstr (parsed.body->str, ==, one->body);
   if (one->rest != NULL)
     g_assert_cmpstr (one->bytes + done, ==, one->rest);
-  g_string_free (seen.head, TRUE);
-  g_string_free (seen.body, TRUE);
+  g_string_free (parsed.head, TRUE);
+  g_string_free (parsed.body, TRUE);
 }
 
 static void
@@ -141,32 +143,34 @@
 test_unframed_end (void)
 {
   static const rd_ops_t ops = { on_head, on_body };
-  seen_t seen = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
-  g_autoptr (rd_t) rd = rd_new (A, HEAD_MOST, &ops, &seen);
+  parsed_t parsed
+      = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
+  g_autoptr (rd_t) rd = rd_new (RESP, MAX_HEAD_BYTES, &ops, &parsed);
   size_t done;
 
   feed_all (rd, "HTTP/1.1 200 OK\r\n\r\nab", 4096, &done);
-  g_assert_false (seen.framed);
+  g_assert_false (parsed.framed);
   g_assert_cmpint (rd_finish (rd), ==, RD_COMPLETE);
-  g_string_free (seen.head, TRUE);
-  g_string_free (seen.body, TRUE);
+  g_string_free (parsed.head, TRUE);
+  g_string_free (parsed.body, TRUE);
 }
 
 static void
 test_large_head (void)
 {
   static const rd_ops_t ops = { on_head, on_body };
-  seen_t seen = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
-  g_autoptr (rd_t) rd = rd_new (R, HEAD_MOST, &ops, &seen);
-  g_autofree char *fill = g_strnfill (HEAD_MOST, 'a');
+  parsed_t parsed
+      = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
+  g_autoptr (rd_t) rd = rd_new (REQ, MAX_HEAD_BYTES, &ops, &parsed);
+  g_autofree char *fill = g_strnfill (MAX_HEAD_BYTES, 'a');
   g_autofree char *text
       = g_strdup_printf ("GET / HTTP/1.1\r\nX: %s\r\n\r\n", fill);
   size_t done;
   rd_result_t result = feed_all (rd, text, 4096, &done);
 
   g_assert_cmpint (result, ==, RD_TOO_LARGE);
-  g_string_free (seen.head, TRUE);
-  g_string_free (seen.body, TRUE);
+  g_string_free (parsed.head, TRUE);
+  g_string_free (parsed.body, TRUE);
 }
 
 int
--- a/libcoltsfootdrum/relay/test-rdy.c
+++ b/libcoltsfootdrum/relay/test-rdy.c
@@ -10,28 +10,28 @@
 {
   rdy_t rdy;
   cfd_time_t now;
-} scene_t;
+} fixture_t;
 
 static void
-scene_init (scene_t *scene)
+fixture_init (fixture_t *fixture)
 {
-  scene->now = 1000000;
-  rdy_init (&scene->rdy);
+  fixture->now = 1000000;
+  rdy_init (&fixture->rdy);
 }
 
 /* For MS the loop is busy for this share of the time; LEFT: connections wait
    at the end of its turns.  */
 static void
-play (scene_t *scene, double busy, bool left, int64_t ms)
+run_load (fixture_t *fixture, double busy, bool waiting, int64_t ms)
 {
-  rdy_sample_t seen = { .busy_ms = busy * TICK_MS,
-                        .idle_ms = (1. - busy) * TICK_MS,
-                        .backlogged = left };
+  rdy_sample_t sample = { .busy_ms = busy * TICK_MS,
+                          .idle_ms = (1. - busy) * TICK_MS,
+                          .backlogged = waiting };
 
   for (int64_t i = 0; i < ms / TICK_MS; i++)
     {
-      scene->now += TICK_MS;
-      rdy_update (&scene->rdy, scene->now, &seen);
+      fixture->now += TICK_MS;
+      rdy_update (&fixture->rdy, fixture->now, &sample);
     }
 }
 
@@ -39,11 +39,11 @@
 static void
 test_busy (void)
 {
-  scene_t scene;
+  fixture_t fixture;
 
-  scene_init (&scene);
-  play (&scene, 1., false, 20000);
-  g_assert_true (rdy_is_ready (&scene.rdy));
+  fixture_init (&fixture);
+  run_load (&fixture, 1., false, 20000);
+  g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
 /* A router said that it was ready while nobody could connect.  It says no
@@ -51,29 +51,29 @@
 static void
 test_left_waiting (void)
 {
-  scene_t scene;
-
-  scene_init (&scene);
-  play (&scene, 0.5, false, 5000);
-  play (&scene, 1., true, 900);
-  g_assert_true (rdy_is_ready (&scene.rdy));
-  play (&scene, 1., true, 200);
-  g_assert_false (rdy_is_ready (&scene.rdy));
+  fixture_t fixture;
+
+  fixture_init (&fixture);
+  run_load (&fixture, 0.5, false, 5000);
+  run_load (&fixture, 1., true, 900);
+  g_assert_true (rdy_is_ready (&fixture.rdy));
+  run_load (&fixture, 1., true, 200);
+  g_assert_false (rdy_is_ready (&fixture.rdy));
 }
 
 /* Many short bursts, each of which is taken, don't add up.  */
 static void
 test_short_bursts (void)
 {
-  scene_t scene;
+  fixture_t fixture;
 
-  scene_init (&scene);
+  fixture_init (&fixture);
   for (unsigned i = 0; i < 20; i++)
     {
-      play (&scene, 1., true, 800);
-      play (&scene, 1., false, 50);
+      run_load (&fixture, 1., true, 800);
+      run_load (&fixture, 1., false, 50);
     }
-  g_assert_true (rdy_is_ready (&scene.rdy));
+  g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
 /* Open connections still keep it busy: it isn't ready when the time is over,
@@ -81,14 +81,14 @@
 static void
 test_still_busy (void)
 {
-  scene_t scene;
-
-  scene_init (&scene);
-  play (&scene, 1., true, 1100);
-  play (&scene, 0.9, false, 15000);
-  g_assert_false (rdy_is_ready (&scene.rdy));
-  play (&scene, 0.4, false, 1000);
-  g_assert_true (rdy_is_ready (&scene.rdy));
+  fixture_t fixture;
+
+  fixture_init (&fixture);
+  run_load (&fixture, 1., true, 1100);
+  run_load (&fixture, 0.9, false, 15000);
+  g_assert_false (rdy_is_ready (&fixture.rdy));
+  run_load (&fixture, 0.4, false, 1000);
+  g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
 /* The same callers come back with it and take it out again, for longer each
@@ -96,37 +96,37 @@
 static void
 test_hysteresis (void)
 {
-  scene_t scene;
+  fixture_t fixture;
   int64_t first;
 
-  scene_init (&scene);
-  play (&scene, 1., true, 1100);
-  first = scene.rdy.hold_ms;
-  play (&scene, 0.3, false, first - 1000);
-  g_assert_false (rdy_is_ready (&scene.rdy));
-  play (&scene, 0.3, false, 1100);
-  g_assert_true (rdy_is_ready (&scene.rdy));
-  play (&scene, 1., true, 1100);
-  g_assert_cmpint (scene.rdy.hold_ms, ==, 2 * first);
-  play (&scene, 0.3, false, 6 * first);
-  g_assert_true (rdy_is_ready (&scene.rdy));
-  play (&scene, 1., true, 1100);
-  g_assert_cmpint (scene.rdy.hold_ms, ==, first);
+  fixture_init (&fixture);
+  run_load (&fixture, 1., true, 1100);
+  first = fixture.rdy.hold_ms;
+  run_load (&fixture, 0.3, false, first - 1000);
+  g_assert_false (rdy_is_ready (&fixture.rdy));
+  run_load (&fixture, 0.3, false, 1100);
+  g_assert_true (rdy_is_ready (&fixture.rdy));
+  run_load (&fixture, 1., true, 1100);
+  g_assert_cmpint (fixture.rdy.hold_ms, ==, 2 * first);
+  run_load (&fixture, 0.3, false, 6 * first);
+  g_assert_true (rdy_is_ready (&fixture.rdy));
+  run_load (&fixture, 1., true, 1100);
+  g_assert_cmpint (fixture.rdy.hold_ms, ==, first);
 }
 
 /* A process that was paused and then takes the callers who waited is ready. */
 static void
 test_pause (void)
 {
-  scene_t scene;
+  fixture_t fixture;
 
-  scene_init (&scene);
-  play (&scene, 0.3, false, 5000);
-  scene.now += 8000;
-  rdy_update (&scene.rdy, scene.now,
+  fixture_init (&fixture);
+  run_load (&fixture, 0.3, false, 5000);
+  fixture.now += 8000;
+  rdy_update (&fixture.rdy, fixture.now,
               &(rdy_sample_t){ .busy_ms = 8000., .backlogged = true });
-  play (&scene, 0.8, false, 100);
-  g_assert_true (rdy_is_ready (&scene.rdy));
+  run_load (&fixture, 0.8, false, 100);
+  g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
 int
--- a/libcoltsfootdrum/relay/ups.c
+++ b/libcoltsfootdrum/relay/ups.c
@@ -8,11 +8,11 @@
 #include <string.h>
 
 /* Of an answer's head: an endpoint's fields are few.  */
-#define HEAD_MOST 32768
+#define MAX_HEAD_BYTES 32768
 /* An idle connection is kept for so long where the endpoint names no time.
    The usual least idle timeout of servers is 5 s; a request that crosses the
    close of its connection has an unknown outcome.  */
-#define IDLE_MS 3500
+#define DEFAULT_IDLE_MS 3500
 /* And so much less than a time that the endpoint does name, for the way.  */
 #define IDLE_MARGIN_MS 900
 
@@ -20,10 +20,10 @@
 {
   struct ev_loop *loop;
   addr_t addr;
-  list_node_t idle; /* ups_line_t, the latest used first */
+  list_node_t idle; /* ups_connection_t, the latest used first */
   list_node_t used;
-  unsigned open;
-  uint64_t dialled;
+  unsigned connection_count;
+  uint64_t connects;
 };
 
 /* One connection.  */
@@ -35,39 +35,39 @@
   rd_t *rd;
   ups_exchange_t *exchange; /* NULL when idle */
   cfd_time_t idle_since;
-  int64_t keep_ms;
-  bool foreign; /* the answer being read belongs to another request */
-  bool reading; /* bytes are being taken in; freeing waits */
-  bool doomed;
+  int64_t max_idle_ms;
+  bool stale_response; /* the answer being read belongs to another request */
+  bool in_callback;    /* bytes are being taken in; freeing waits */
+  bool free_pending;
   bool aborted; /* its request was given up */
-} ups_line_t;
+} ups_connection_t;
 
 struct ups_exchange
 {
-  ups_line_t *line;
+  ups_connection_t *connection;
   ups_ops_t ops;
   void *user;
   char *id_field;
   char *id;
-  bool began; /* an answer's head came */
+  bool response_started; /* an answer's head came */
 };
 
 static void
-line_free (ups_line_t *line)
+connection_free (ups_connection_t *connection)
 {
-  if (line->reading)
+  if (connection->in_callback)
     {
-      line->doomed = true;
+      connection->free_pending = true;
       return;
     }
-  list_remove (&line->node);
-  line->ups->open--;
-  if (line->aborted)
-    con_abort (line->con);
+  list_remove (&connection->node);
+  connection->ups->connection_count--;
+  if (connection->aborted)
+    con_abort (connection->con);
   else
-    con_free (line->con);
-  rd_free (line->rd);
-  g_free (line);
+    con_free (connection->con);
+  rd_free (connection->rd);
+  g_free (connection);
 }
 
 static void
@@ -78,29 +78,29 @@
   g_free (exchange);
 }
 
-/* Ends the exchange of LINE and tells its user; the line stays.  */
+/* Ends the exchange of LINE and tells its user; the connection stays.  */
 static void
-end_exchange (ups_line_t *line, ups_end_t end)
+end_exchange (ups_connection_t *connection, ups_end_t end)
 {
-  ups_exchange_t *exchange = line->exchange;
+  ups_exchange_t *exchange = connection->exchange;
 
   if (exchange == NULL)
     return;
-  line->exchange = NULL;
+  connection->exchange = NULL;
   exchange->ops.ended (exchange->user, end);
   exchange_free (exchange);
 }
 
 /* "timeout=5, max=100" in milliseconds; the usual time without it.  */
 static int64_t
-keep_time (const hdr_t *fields)
+parse_keep_alive (const hdr_t *fields)
 {
   const char *text = hdr_get (fields, "Keep-Alive");
   const char *at = text != NULL ? strstr (text, "timeout=") : NULL;
   int64_t seconds;
 
   if (at == NULL)
-    return IDLE_MS;
+    return DEFAULT_IDLE_MS;
   seconds = strtol (at + strlen ("timeout="), NULL, 10);
   return MAX (seconds * 1000 - IDLE_MARGIN_MS, 0);
 }
@@ -108,84 +108,84 @@
 static bool
 on_head (void *user, rd_head_t *head)
 {
-  ups_line_t *line = user;
-  ups_exchange_t *exchange = line->exchange;
+  ups_connection_t *connection = user;
+  ups_exchange_t *exchange = connection->exchange;
   const char *id;
 
   if (exchange == NULL)
     return false;
   id = hdr_get (&head->fields, exchange->id_field);
-  line->foreign = id != NULL && strcmp (id, exchange->id) != 0;
-  if (line->foreign)
+  connection->stale_response = id != NULL && strcmp (id, exchange->id) != 0;
+  if (connection->stale_response)
     return true;
-  line->keep_ms = keep_time (&head->fields);
-  exchange->began = true;
+  connection->max_idle_ms = parse_keep_alive (&head->fields);
+  exchange->response_started = true;
   exchange->ops.head (exchange->user, head);
-  return line->exchange != NULL;
+  return connection->exchange != NULL;
 }
 
 static void
 on_body (void *user, const char *bytes, size_t length)
 {
-  ups_line_t *line = user;
+  ups_connection_t *connection = user;
 
-  if (line->exchange != NULL && !line->foreign)
-    line->exchange->ops.body (line->exchange->user, bytes, length);
+  if (connection->exchange != NULL && !connection->stale_response)
+    connection->exchange->ops.body (connection->exchange->user, bytes, length);
 }
 
-static const rd_ops_t reader = { .head = on_head, .body = on_body };
+static const rd_ops_t parser_ops = { .head = on_head, .body = on_body };
 
 /* The connection may serve another request: nothing of this one is still to
    be written, and no byte came after its answer.  */
 static bool
-may_keep (ups_line_t *line, bool left_over)
+is_reusable (ups_connection_t *connection, bool has_excess_bytes)
 {
-  rd_head_t *head = rd_head (line->rd);
+  rd_head_t *head = rd_head (connection->rd);
 
-  return !left_over && !line->doomed && head->keep_alive && head->framed
-         && con_get_unsent_bytes (line->con) == 0;
+  return !has_excess_bytes && !connection->free_pending && head->keep_alive
+         && head->framed && con_get_unsent_bytes (connection->con) == 0;
 }
 
 static void
-after_message (ups_line_t *line, bool left_over)
+finish_response (ups_connection_t *connection, bool has_excess_bytes)
 {
-  bool keep = may_keep (line, left_over);
+  bool reusable = is_reusable (connection, has_excess_bytes);
 
-  rd_reset (line->rd);
-  if (keep)
+  rd_reset (connection->rd);
+  if (reusable)
     {
-      list_remove (&line->node);
-      list_prepend (&line->ups->idle, &line->node);
-      line->idle_since = clock_now ();
+      list_remove (&connection->node);
+      list_prepend (&connection->ups->idle, &connection->node);
+      connection->idle_since = clock_now ();
     }
   else
-    line->doomed = true;
-  end_exchange (line, UPS_COMPLETE);
+    connection->free_pending = true;
+  end_exchange (connection, UPS_COMPLETE);
 }
 
 static ups_end_t
-early_end (const ups_exchange_t *exchange)
+get_early_end (const ups_exchange_t *exchange)
 {
-  return exchange->began ? UPS_TRUNCATED : UPS_NO_RESPONSE;
+  return exchange->response_started ? UPS_TRUNCATED : UPS_NO_RESPONSE;
 }
 
 static void
-take_bytes (ups_line_t *line, const char *bytes, size_t length)
+parse_bytes (ups_connection_t *connection, const char *bytes, size_t length)
 {
-  while (length > 0 && !line->doomed)
+  while (length > 0 && !connection->free_pending)
     {
       size_t used = 0;
       rd_result_t result;
 
-      if (line->exchange == NULL)
+      if (connection->exchange == NULL)
         {
-          line->doomed = true;
+          connection->free_pending = true;
           return;
         }
-      result = rd_feed (line->rd, bytes, length, &used);
-      if (line->exchange == NULL)
+      result = rd_feed (connection->rd, bytes, length, &used);
+      if (connection->exchange == NULL)
         {
-          line->doomed = true;
+          connection->free_pending = true;
           return;
         }
       bytes += used;
@@ -194,18 +194,19 @@
         return;
       if (result != RD_COMPLETE)
         {
-          line->doomed = true;
-          end_exchange (line,
-                        line->exchange->began ? UPS_TRUNCATED : UPS_MALFORMED);
+          connection->free_pending = true;
+          end_exchange (connection, connection->exchange->response_started
+                                        ? UPS_TRUNCATED
+                                        : UPS_MALFORMED);
           return;
         }
-      if (line->foreign)
+      if (connection->stale_response)
         {
-          line->foreign = false;
-          rd_reset (line->rd);
+          connection->stale_response = false;
+          rd_reset (connection->rd);
           continue;
         }
-      after_message (line, length > 0);
+      finish_response (connection, length > 0);
       return;
     }
 }
@@ -213,65 +214,70 @@
 static void
 on_bytes (void *user, const char *bytes, size_t length)
 {
-  ups_line_t *line = user;
+  ups_connection_t *connection = user;
 
-  line->reading = true;
-  take_bytes (line, bytes, length);
-  line->reading = false;
-  if (line->doomed)
-    line_free (line);
+  connection->in_callback = true;
+  parse_bytes (connection, bytes, length);
+  connection->in_callback = false;
+  if (connection->free_pending)
+    connection_free (connection);
 }
 
 static void
 on_ended (void *user, con_end_t end)
 {
-  ups_line_t *line = user;
-  ups_exchange_t *exchange = line->exchange;
+  ups_connection_t *connection = user;
+  ups_exchange_t *exchange = connection->exchange;
 
-  line->reading = true;
+  connection->in_callback = true;
   if (exchange != NULL && end == CON_END_CONNECT_FAILED)
-    end_exchange (line, UPS_CONNECT_FAILED);
-  else if (exchange != NULL && end == CON_END_CLOSED && exchange->began
-           && !line->foreign && rd_finish (line->rd) == RD_COMPLETE)
-    end_exchange (line, UPS_COMPLETE);
-  else if (exchange != NULL && line->exchange != NULL)
-    end_exchange (line, early_end (exchange));
-  line->reading = false;
-  line_free (line);
+    end_exchange (connection, UPS_CONNECT_FAILED);
+  else if (exchange != NULL && end == CON_END_CLOSED
+           && exchange->response_started && !connection->stale_response
+           && rd_finish (connection->rd) == RD_COMPLETE)
+    end_exchange (connection, UPS_COMPLETE);
+  else if (exchange != NULL && connection->exchange != NULL)
+    end_exchange (connection, get_early_end (exchange));
+  connection->in_callback = false;
+  connection_free (connection);
 }
 
-static const con_ops_t wire = { .bytes = on_bytes, .ended = on_ended };
+static const con_ops_t connection_ops
+    = { .bytes = on_bytes, .ended = on_ended };
 
-static ups_line_t *
-line_new (ups_t *ups)
+static ups_connection_t *
+connection_new (ups_t *ups)
 {
-  ups_line_t *line = g_new0 (ups_line_t, 1);
+  ups_connection_t *connection = g_new0 (ups_connection_t, 1);
 
-  line->con = con_new_outbound (ups->loop, &ups->addr, &wire, line);
-  if (line->con == NULL)
+  connection->con
+      = con_new_outbound (ups->loop, &ups->addr, &connection_ops, connection);
+  if (connection->con == NULL)
     {
-      g_free (line);
+      g_free (connection);
       return NULL;
     }
-  line->ups = ups;
-  line->rd = rd_new (RD_RESPONSES, HEAD_MOST, &reader, line);
-  list_init (&line->node);
-  ups->open++;
-  ups->dialled++;
-  return line;
+  connection->ups = ups;
+  connection->rd
+      = rd_new (RD_RESPONSES, MAX_HEAD_BYTES, &parser_ops, connection);
+  list_init (&connection->node);
+  ups->connection_count++;
+  ups->connects++;
+  return connection;
 }
 
 /* The connection that was used last: the others run into their idle timeout
    and the pool shrinks to what is needed.  */
-static ups_line_t *
-idle_line (ups_t *ups, cfd_time_t now)
+static ups_connection_t *
+find_idle_connection (ups_t *ups, cfd_time_t now)
 {
-  ups_line_t *line;
+  ups_connection_t *connection;
 
   if (list_is_empty (&ups->idle))
     return NULL;
-  line = list_entry (ups->idle.next, ups_line_t, node);
-  return now - line->idle_since < line->keep_ms ? line : NULL;
+  connection = list_entry (ups->idle.next, ups_connection_t, node);
+  return now - connection->idle_since < connection->max_idle_ms ? connection
+                                                                : NULL;
 }
 
 ups_t *
@@ -287,16 +293,16 @@
 }
 
 static void
-free_lines (list_node_t *lines)
+free_connections (list_node_t *connections)
 {
-  list_for_each_safe (node, lines)
+  list_for_each_safe (node, connections)
     {
-      ups_line_t *line = list_entry (node, ups_line_t, node);
+      ups_connection_t *connection = list_entry (node, ups_connection_t, node);
 
-      if (line->exchange != NULL)
-        exchange_free (line->exchange);
-      line->exchange = NULL;
-      line_free (line);
+      if (connection->exchange != NULL)
+        exchange_free (connection->exchange);
+      connection->exchange = NULL;
+      connection_free (connection);
     }
 }
 
@@ -305,8 +311,8 @@
 {
   if (ups == NULL)
     return;
-  free_lines (&ups->idle);
-  free_lines (&ups->used);
+  free_connections (&ups->idle);
+  free_connections (&ups->used);
   g_free (ups);
 }
 
@@ -314,48 +320,49 @@
 ups_send (ups_t *ups, cfd_time_t now, const ups_request_t *request,
           const ups_ops_t *ops, void *user)
 {
-  ups_line_t *line = request->fresh ? NULL : idle_line (ups, now);
+  ups_connection_t *connection
+      = request->new_connection ? NULL : find_idle_connection (ups, now);
   ups_exchange_t *exchange;
 
-  if (line == NULL)
-    line = line_new (ups);
-  if (line == NULL)
+  if (connection == NULL)
+    connection = connection_new (ups);
+  if (connection == NULL)
     return NULL;
-  list_remove (&line->node);
-  list_append (&ups->used, &line->node);
+  list_remove (&connection->node);
+  list_append (&ups->used, &connection->node);
   exchange = g_new0 (ups_exchange_t, 1);
-  exchange->line = line;
+  exchange->connection = connection;
   exchange->ops = *ops;
   exchange->user = user;
   exchange->id_field = g_strdup (request->id_field);
   exchange->id = g_strdup (request->id);
-  line->exchange = exchange;
-  rd_expect_no_body (line->rd, request->no_body);
-  con_write (line->con, request->bytes, request->length);
+  connection->exchange = exchange;
+  rd_expect_no_body (connection->rd, request->no_body);
+  con_write (connection->con, request->bytes, request->length);
   return exchange;
 }
 
 void
 ups_cancel (ups_exchange_t *exchange)
 {
-  ups_line_t *line = exchange->line;
+  ups_connection_t *connection = exchange->connection;
 
-  line->exchange = NULL;
-  line->aborted = true;
+  connection->exchange = NULL;
+  connection->aborted = true;
   exchange_free (exchange);
-  line_free (line);
+  connection_free (connection);
 }
 
 bool
 ups_is_connected (const ups_exchange_t *exchange)
 {
-  return con_is_connected (exchange->line->con);
+  return con_is_connected (exchange->connection->con);
 }
 
 void
-ups_set_read_paused (ups_exchange_t *exchange, bool hold)
+ups_set_read_paused (ups_exchange_t *exchange, bool paused)
 {
-  con_set_read_paused (exchange->line->con, hold);
+  con_set_read_paused (exchange->connection->con, paused);
 }
 
 void
@@ -363,21 +370,21 @@
 {
   list_for_each_safe (node, &ups->idle)
     {
-      ups_line_t *line = list_entry (node, ups_line_t, node);
+      ups_connection_t *connection = list_entry (node, ups_connection_t, node);
 
-      if (now - line->idle_since >= line->keep_ms)
-        line_free (line);
+      if (now - connection->idle_since >= connection->max_idle_ms)
+        connection_free (connection);
     }
 }
 
 unsigned
 ups_count_connections (const ups_t *ups)
 {
-  return ups->open;
+  return ups->connection_count;
 }
 
 uint64_t
 ups_count_connects (const ups_t *ups)
 {
-  return ups->dialled;
+  return ups->connects;
 }
--- a/libcoltsfootdrum/relay/ups.h
+++ b/libcoltsfootdrum/relay/ups.h
@@ -20,8 +20,8 @@
 {
   UPS_COMPLETE,       /* the whole answer came */
   UPS_CONNECT_FAILED, /* no connection was made: the request was never sent */
-  UPS_NO_RESPONSE,    /* sent, maybe in part, and no answer began */
-  UPS_TRUNCATED,      /* the answer began and is not whole */
+  UPS_NO_RESPONSE,    /* sent, maybe in part, and no answer response_started */
+  UPS_TRUNCATED,      /* the answer response_started and is not whole */
   UPS_MALFORMED       /* what came is no answer */
 } ups_end_t;
 
@@ -39,8 +39,8 @@
   size_t length;
   const char *id_field; /* the field in which endpoints echo ID */
   const char *id;
-  bool no_body; /* the answer has none, as to HEAD */
-  bool fresh;   /* on a new connection */
+  bool no_body;        /* the answer has none, as to HEAD */
+  bool new_connection; /* on a new connection */
 } ups_request_t;
 
 ups_t *ups_new (struct ev_loop *loop, const addr_t *addr);
@@ -60,8 +60,8 @@
 /* True when the connection is there, so that the request may have arrived. */
 bool ups_is_connected (const ups_exchange_t *exchange);
 
-/* Stops and restarts reading of the answer.  */
-void ups_set_read_paused (ups_exchange_t *exchange, bool hold);
+/* Stops and restarts parsing of the answer.  */
+void ups_set_read_paused (ups_exchange_t *exchange, bool paused);
 
 /* Closes what was idle for too long.  */
 void ups_close_expired (ups_t *ups, cfd_time_t now);
