--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -27,12 +27,12 @@
 {
   guint count = 0;
 
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       count += is_included (list_entry (node, edp_t, node), full);
     }
   msgpack_pack_array (packer, (size_t)count * 4);
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
@@ -104,7 +104,7 @@
 
       msgpack_pack_uint64 (packer, update->key);
       msgpack_pack_uint64 (packer, (uint64_t)MAX (now - update->asked, 0));
-      msgpack_pack_uint64 (packer, (uint64_t)MAX (update->back_at - now, 0));
+      msgpack_pack_uint64 (packer, (uint64_t)MAX (update->retry_at - now, 0));
       pal->last_refusal_sent = update->number;
     }
 }
@@ -115,10 +115,10 @@
   guint accounts = 0;
 
   if (full)
-    use_each_own (pal->use, now, count_account, &accounts);
+    use_foreach_own (pal->use, now, count_account, &accounts);
   msgpack_pack_array (packer, (size_t)accounts * 3);
   if (full)
-    use_each_own (pal->use, now, pack_account, packer);
+    use_foreach_own (pal->use, now, pack_account, packer);
 }
 
 static void
