--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -40,10 +40,10 @@
         continue;
       msgpack_pack_uint64 (packer, edp->hash);
       msgpack_pack_uint32 (packer, edp->active);
-      msgpack_pack_uint64 (packer,
-                           (uint64_t)(edp->unread / PREFILL_TOKENS_PER_UNIT));
-      msgpack_pack_uint64 (packer,
-                           (uint64_t)(edp->context / CONTEXT_TOKENS_PER_UNIT));
+      msgpack_pack_uint64 (
+          packer, (uint64_t)(edp->pending_prefill / PREFILL_TOKENS_PER_UNIT));
+      msgpack_pack_uint64 (
+          packer, (uint64_t)(edp->context_tokens / CONTEXT_TOKENS_PER_UNIT));
       edp->changed = false;
     }
 }
