--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -40,10 +40,10 @@
         continue;
       msgpack_pack_uint64 (packer, edp->hash);
       msgpack_pack_uint32 (packer, edp->active);
-      msgpack_pack_uint64 (
-          packer, (uint64_t)(edp->pending_prefill / PREFILL_TOKENS_PER_UNIT));
-      msgpack_pack_uint64 (
-          packer, (uint64_t)(edp->context_tokens / CONTEXT_TOKENS_PER_UNIT));
+      msgpack_pack_uint64 (packer,
+                           (uint64_t)(edp->unread / PREFILL_TOKENS_PER_UNIT));
+      msgpack_pack_uint64 (packer,
+                           (uint64_t)(edp->context / CONTEXT_TOKENS_PER_UNIT));
       edp->changed = false;
     }
 }
@@ -103,8 +103,7 @@
       const ret_update_t *update = &g_array_index (updates, ret_update_t, i);
 
       msgpack_pack_uint64 (packer, update->key);
-      msgpack_pack_uint64 (packer,
-                           (uint64_t)MAX (now - update->first_attempt, 0));
+      msgpack_pack_uint64 (packer, (uint64_t)MAX (now - update->asked, 0));
       msgpack_pack_uint64 (packer, (uint64_t)MAX (update->retry_at - now, 0));
       pal->last_refusal_sent = update->number;
     }
