--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -1,12 +1,12 @@
-/* One datagram's content, for the other routers.  */
+/* Peers: encoding of the state.  */
 
 #include "relay/pal-private.h"
 
 #include <msgpack.h>
 #include <string.h>
 
-/* Prefixes and refusals are full_sent_at in all datagrams of this time, for
-   some are lost.  */
+/* Prefixes and refusals are repeated in all full datagrams of this time, since
+   datagrams may be lost.  */
 #define RESEND_MS 150
 
 static void
@@ -85,8 +85,8 @@
     }
 }
 
-/* Refused callers: key, milliseconds since the first try, and until they were
-   full_sent_at to come back.  */
+/* Packs key, milliseconds since the first attempt and milliseconds until the
+   announced time to retry of each refused request.  */
 static void
 pack_refusals (pal_t *pal, msgpack_packer *packer, cfd_time_t now, bool full)
 {
@@ -130,7 +130,7 @@
   for (unsigned i = 0; i < count; i++)
     {
       msgpack_pack_uint64 (packer, (uint64_t)pal->revisions[i]);
-      /* 0: not known.  */
+      /* 0 stands for an unknown age, which is -1 here.  */
       msgpack_pack_uint64 (packer, (uint64_t)(pal->ages[i] + 1));
     }
 }
--- a/libcoltsfootdrum/relay/pal-receive.c
+++ b/libcoltsfootdrum/relay/pal-receive.c
@@ -1,4 +1,4 @@
-/* What another router's datagram says.  */
+/* Peers: decoding and applying the state of other routers.  */
 
 #include "relay/pal-private.h"
 
@@ -6,7 +6,8 @@
 #include <msgpack.h>
 #include <string.h>
 
-/* An older list counts for nothing.  */
+/* Received ages of lists and retry delays are capped at this: an older list is
+   of no use.  */
 #define MAX_AGE_MS UINT64_C (3600000)
 
 static bool
@@ -27,7 +28,7 @@
   return g_strndup (object->via.str.ptr, object->via.str.size);
 }
 
-/* Items that alternate: a text, then NUMBERS numbers.  */
+/* Whether OBJECT is an array of rows, each a string and NUMBERS numbers.  */
 static bool
 is_text_rows (const msgpack_object *object, unsigned numbers)
 {
@@ -42,7 +43,7 @@
   return true;
 }
 
-/* Numbers alone, in rows of COUNT.  */
+/* Whether OBJECT is an array of numbers, in rows of COUNT.  */
 static bool
 is_number_rows (const msgpack_object *object, unsigned count)
 {
@@ -99,7 +100,7 @@
   for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     peer->ages[i] = -1;
   g_hash_table_insert (pal->peers, peer->name, peer);
-  log_info ("peers", "Another router is heard: router=%s.", name);
+  log_info ("peers", "A peer was discovered: router=%s.", name);
   return peer;
 }
 
@@ -116,8 +117,8 @@
   return NULL;
 }
 
-/* The sender.  Its name comes with full figures alone, so that of a router
-   which is not known yet the first changes tell nothing: NULL.  */
+/* Returns the peer that sent a datagram.  The name is sent with the full state
+   only: NULL for changes of a router that is not known yet.  */
 static pal_peer_t *
 find_sender (pal_t *pal, const char *name, uint64_t incarnation)
 {
@@ -155,8 +156,9 @@
     }
 }
 
-/* Sums are kept by differences: adding up all endpoints of all routers at each
-   datagram takes the time of the fleet's square.  */
+/* Adds LOAD to the totals, or subtracts it.  Totals are updated incrementally:
+   summing up all endpoints of all routers for each datagram would take
+   quadratic time in the size of the fleet.  */
 static void
 apply_load (pal_t *pal, const pal_load_t *load, int sign)
 {
@@ -295,7 +297,7 @@
   peer = find_sender (pal, name, items[2].via.u64);
   if (peer == NULL)
     goto out;
-  /* An older one of the same start came late.  */
+  /* Ignores a duplicate or reordered datagram of the same process.  */
   if (peer->incarnation == items[2].via.u64
       && peer->number >= items[3].via.u64)
     goto out;
--- a/libcoltsfootdrum/relay/pal-update.c
+++ b/libcoltsfootdrum/relay/pal-update.c
@@ -1,11 +1,12 @@
-/* Changes of the platform's lists, from the router that read them.  */
+/* Peers: changes of the platform's lists, sent by the router that read them.
+ */
 
 #include "relay/pal-private.h"
 
 #include <msgpack.h>
 #include <string.h>
 
-/* A larger one would be many packets, of which none may be lost.  */
+/* A larger update would take many IP fragments, all of which must arrive.  */
 #define MAX_UPDATE_BYTES 32768
 
 GByteArray *
--- a/libcoltsfootdrum/relay/pal.c
+++ b/libcoltsfootdrum/relay/pal.c
@@ -1,4 +1,4 @@
-/* Routers' figures, by datagram.  */
+/* Peers: the UDP socket, the sending intervals and the timeout of peers.  */
 
 #include "relay/pal-private.h"
 
@@ -10,26 +10,26 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A router that was silent for this time has nothing under way: it is dead,
-   or its requests end by its silence.  Three full figures in the largest
-   fleet, so that two may be lost.  */
+/* A router that sent nothing for this time has no requests in flight: it is
+   dead, or its requests end because it is unreachable.  The full state is sent
+   three times within it in the largest fleet, so that two may be lost.  */
 #define PEER_TIMEOUT_MS 1000
-/* The largest datagram that UDP carries.  */
+/* The largest UDP datagram.  */
 #define MAX_DATAGRAM_BYTES 65536
-/* A peer's word on the platform's list counts for so long.  */
+/* What a peer reports of the platform's lists is valid for this time.  */
 #define PEER_REPORT_VALID_MS 500
-/* All figures are sent so often, for changes that were lost; with many routers
-   more seldom, for they make N x N datagrams.  Below a third of
-   PEER_TIMEOUT_MS.  */
+/* The full state is sent at this interval, to make up for lost changes.  N
+   routers send N x N datagrams, so that the interval grows with their number.
+   It stays below a third of PEER_TIMEOUT_MS.  */
 #define MIN_FULL_INTERVAL_MS 100
 #define FULL_INTERVAL_MS_PER_ROUTER 15
 #define MAX_FULL_INTERVAL_MS 300
-/* Changes are full_sent_at no more often than this for each router they go to:
-   with N routers each change makes N datagrams, and small machines would spend
-   all their time on them.  */
+/* Minimum interval between datagrams with changes, for each router that they
+   are sent to.  With N routers each change takes N datagrams, and small
+   machines would spend all their time on them.  */
 #define CHANGES_INTERVAL_MS_PER_ROUTER 1
-/* Datagrams read at one wake: more than a socket holds, so that none waits
-   there for a later turn of a loop that is behind.  */
+/* Datagrams read per wakeup: more than the socket's buffer holds, so that none
+   waits for a later iteration of an event loop that is behind.  */
 #define MAX_READS_PER_WAKEUP 1024
 
 static void
@@ -42,7 +42,7 @@
   g_free (peer);
 }
 
-/* The number of datagrams read.  */
+/* Returns the number of datagrams read.  */
 static unsigned
 read_datagrams (pal_t *pal)
 {
@@ -58,7 +58,7 @@
       read++;
       if (!pal_receive (pal, clock_now (), buffer, (size_t)n)
           && !pal_receive_update (pal, buffer, (size_t)n))
-        log_warn ("peers", "A datagram was passed over: bytes=%zd.", n);
+        log_warn ("peers", "An invalid datagram was ignored: bytes=%zd.", n);
     }
   return read;
 }
@@ -87,7 +87,7 @@
   if (fd >= 0 && bind (fd, (struct sockaddr *)&addr.storage, addr.length) == 0)
     return fd;
   g_set_error (error, CFD_ERROR, CFD_ERROR_ADDRESS,
-               "Datagrams can't be received at %s (%s); choose a free port",
+               "The UDP socket can't be bound to %s (%s); choose a free port",
                address, g_strerror (errno));
   if (fd >= 0)
     close (fd);
@@ -164,8 +164,8 @@
     }
 }
 
-/* This router receives datagrams of less than half of the others: the cut may
-   be on its side.  */
+/* True when datagrams come from less than half of the other routers, so that
+   it may be this router that is partitioned from the rest.  */
 static bool
 may_be_partitioned (const pal_t *pal)
 {
@@ -231,7 +231,7 @@
 
       if (now - peer->last_heard <= PEER_TIMEOUT_MS)
         continue;
-      log_info ("peers", "A router fell silent: router=%s.", peer->name);
+      log_info ("peers", "A peer timed out: router=%s.", peer->name);
       pal_subtract_peer (pal, peer);
       use_remove_peer (pal->use, now, peer->name);
       g_hash_table_iter_remove (&each);
@@ -276,7 +276,7 @@
     }
 }
 
-/* What changed in this turn, in one datagram for each other router.  */
+/* Sends all changes of a loop iteration in one datagram per router.  */
 static void
 on_prepare (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -340,7 +340,7 @@
   pal->ages[list] = age_ms;
 }
 
-/* -1: not known.  */
+/* Returns -1 when the age is not known.  */
 static int64_t
 get_age_ms (const pal_peer_t *peer, cfd_time_t now, unsigned list)
 {
--- a/libcoltsfootdrum/relay/pal.h
+++ b/libcoltsfootdrum/relay/pal.h
@@ -1,9 +1,11 @@
-/* What routers tell each other: how much each has under way at each endpoint,
-   what accounts got from it, and which prompts it sent where.
+/* Peers.  Exchanges state between routers over UDP: the load that each router
+   puts on each endpoint, the usage of accounts, cached prompt prefixes,
+   refused requests and the progress of reading the platform's lists.
 
-   Datagrams with absolute figures: of endpoints at once when theirs change, of
-   all at each tick.  A lost, doubled or late one does no harm, and a router
-   that falls silent is forgotten.  The codec is msgpack-c's.  */
+   Datagrams are encoded with msgpack-c and hold absolute values, so that a
+   lost, duplicated or reordered one does no harm.  The load of an endpoint is
+   sent as soon as it changes, and the full state periodically.  The state of a
+   router that sends nothing for a while is discarded.  */
 
 #ifndef RELAY_PAL_H
 #define RELAY_PAL_H
@@ -16,83 +18,89 @@
 
 typedef struct pal pal_t;
 
-/* NULL with CFD_ERROR_ADDRESS when ADDRESS (IP:PORT) can't be bound.  */
+/* Binds a UDP socket to ADDRESS (IP:PORT).  Returns NULL with
+   CFD_ERROR_ADDRESS when that fails.  */
 pal_t *pal_new (struct ev_loop *loop, const char *name, const char *address,
                 edp_set_t *endpoints, use_t *use, pfx_t *pfx, ret_t *ret,
                 GError **error);
 void pal_free (pal_t *pal);
 
-/* Its time is counted in LAG, which is not owned.  */
+/* Accounts the time spent on reading datagrams to LAG, which is not owned.  */
 void pal_set_lag (pal_t *pal, lag_t *lag);
 
-/* One of the other routers, as the platform's store lists it.  */
+/* Another router, as listed in the platform's store.  */
 typedef struct
 {
   const char *name;
   const char *address; /* IP:PORT */
 } pal_member_t;
 
-/* The other routers; all is copied.  One without a valid address counts, and
-   is sent nothing.  */
+/* Replaces the list of the other routers; PEERS is copied.  A router without a
+   valid address counts as part of the fleet, but is sent nothing.  */
 void pal_set_peers (pal_t *pal, const pal_member_t *peers, guint count);
 
-/* Routers whose datagrams came lately, this one included.  */
+/* Returns the number of routers that datagrams were received from lately, plus
+   this one.  */
 unsigned pal_count_alive (const pal_t *pal);
-/* Routers that work now, this one included: those whose datagrams came
-   lately.  A router that receives less than half of the member_names ones'
-   datagrams may itself be cut off, and counts all of them.  */
+/* Returns the number of routers that are assumed to work, this one included.
+   That is pal_count_alive, unless datagrams come from less than half of the
+   listed routers: this router may then be partitioned from the rest, and all
+   listed routers count.  */
 unsigned pal_estimate_fleet_size (const pal_t *pal);
-/* Sets the rank of this router at each cold endpoint (relay/cold.h).  To be
-   called when endpoints were member_names, before the next request is placed.
- */
+/* Sets this router's rank at each cold endpoint (relay/cold.h).  Must be
+   called after the list of endpoints changed, before the next request is
+   placed.  */
 void pal_update_cold_ranks (pal_t *pal, cfd_time_t now);
 
-/* How long the platform's list of endpoints has been read well here, and the
-   max_stable_ms such time of any other router; -1: not at all.  */
+/* Sets for how long this router has read the platform's list of endpoints
+   without a failure, and returns the longest such time of any other router.
+   -1: the last read failed, or there was none.  */
 void pal_set_list_stable_ms (pal_t *pal, int64_t stable_ms);
 int64_t pal_get_max_peer_stable_ms (const pal_t *pal, cfd_time_t now);
 
-/* Lists of the platform that routers compare notes on.  */
+/* Number of the platform's lists whose revision and age routers exchange.  */
 #define PAL_LIST_COUNT 4
 
-/* The platform's revision at which LIST (below PAL_LIST_COUNT) was last
-   revisions to change here, and the max_revision such revision of any other
-   router; 0: none.
- */
+/* Sets the platform's revision of the last change of LIST (below
+   PAL_LIST_COUNT) that this router has read, and returns the newest such
+   revision of any other router.  0: none.  */
 void pal_set_list_revision (pal_t *pal, unsigned list, int64_t revision);
 int64_t pal_get_max_peer_revision (const pal_t *pal, cfd_time_t now,
                                    unsigned list);
 
-/* How long ago LIST was last confirmed here, and the shortest such time of any
-   other router, in milliseconds; -1: not known.  */
+/* Sets how long ago this router last confirmed that its copy of LIST is
+   current, and returns the shortest such time of any other router, in
+   milliseconds.  -1: not known.  */
 void pal_set_list_age (pal_t *pal, unsigned list, int64_t age_ms);
 int64_t pal_get_min_peer_age_ms (const pal_t *pal, cfd_time_t now,
                                  unsigned list);
 
-/* How many of the other routers go before this one in the order in which
-   routers read LIST; those that confirmed it longer than MOST_MS ago don't
-   count.  */
+/* Returns how many other routers precede this one in the order in which
+   routers are chosen to read LIST for the fleet.  Routers that last confirmed
+   it more than MAX_AGE_MS ago don't count.  */
 unsigned pal_get_reader_rank (const pal_t *pal, cfd_time_t now, unsigned list,
                               int64_t max_age_ms);
 
-/* Changes of LIST from revision FROM to TO, for the others: they needn't read
-   these from the platform.  A lost or too large one does no harm, for those
-   who miss it read the list.  */
+/* Sends the changes of LIST from revision FROM to TO to the other routers, so
+   that they needn't read them from the platform.  An update that is lost, or
+   too large to be sent, does no harm: routers that miss it read the list.  */
 void pal_broadcast_update (pal_t *pal, unsigned list, int64_t from, int64_t to,
                            const char *events);
-/* Calls BACK for each update that comes.  */
+/* Sets the function that is called for each update received.  */
 void pal_set_update_callback (pal_t *pal,
                               void (*callback) (void *user, unsigned list,
                                                 int64_t from, int64_t to,
                                                 const char *events),
                               void *user);
 
-/* Sends this router's figures and adds up the others'.  */
+/* Must be called some times a second.  Discards the state of silent routers
+   and sends the full state when it is due, or else the changes.  */
 void pal_tick (pal_t *pal, cfd_time_t now);
 
-/* One datagram's content, for tests: WHOLE, or what changed alone.  */
+/* Encodes one datagram with the FULL state, or with the changes only.  */
 GByteArray *pal_pack (pal_t *pal, cfd_time_t now, bool full);
-/* False when BYTES is no figures of another router.  */
+/* Applies a datagram from another router.  Returns false when BYTES is not a
+   valid state datagram.  */
 bool pal_receive (pal_t *pal, cfd_time_t now, const void *bytes,
                   size_t length);
 
--- a/libcoltsfootdrum/relay/test-pal.c
+++ b/libcoltsfootdrum/relay/test-pal.c
@@ -1,5 +1,5 @@
-/* What routers deliver each other: figures add up, late words change nothing,
-   a silent router counts for nothing, and stray bytes are passed over.  */
+/* Tests of the state exchange between routers: totals over peers, reordered
+   datagrams, the timeout of silent peers and malformed datagrams.  */
 
 #include "relay/cold.h"
 #include "relay/pal-private.h"
@@ -94,7 +94,7 @@
   router_t one = router_new ("one");
   router_t two = router_new ("two");
 
-  /* A router's first word is full: it has its name.  */
+  /* The full state comes first: it has the router's name.  */
   deliver (&one, &here, NOW, true);
   deliver (&two, &here, NOW, true);
   set_load (&one, 3, 500.);
@@ -105,7 +105,7 @@
   g_assert_cmpfloat (get_endpoint (&here)->peer_pending_prefill, ==, 1200.);
   g_assert_cmpfloat (get_endpoint (&here)->peer_context_tokens, ==, 2400.);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 3);
-  /* Absolute figures: the newer word takes the older one's place.  */
+  /* Values are absolute: the newer datagram replaces the older one's.  */
   set_load (&one, 1, 0.);
   deliver (&one, &here, NOW, full);
   g_assert_cmpuint (get_endpoint (&here)->peer_active, ==, 5);
@@ -114,8 +114,8 @@
   router_free (&two);
 }
 
-/* Changes of a router whose name was not told yet are passed over, and good:
-   full figures come soon.  */
+/* Changes from a router whose name is not known yet are ignored, but are a
+   valid datagram: its full state follows soon.  */
 static void
 test_unnamed (void)
 {
@@ -132,7 +132,7 @@
   router_free (&one);
 }
 
-/* A datagram that was overtaken by a newer one of the same router.  */
+/* A datagram that arrives after a newer one of the same router is ignored.  */
 static void
 test_overtaken (void)
 {
@@ -160,9 +160,9 @@
   edp_set_update (router->endpoints, NOW, reports, true, COLD_MS);
 }
 
-/* Another router has requests at an endpoint before this one has read of it:
-   the sums are right from the first tick that lists it, and stay right through
-   changes and the other router's silence.  */
+/* A peer has requests at an endpoint that this router has not read from the
+   list yet.  The totals are right from the first tick after it is listed, and
+   stay right through changes and the peer's timeout.  */
 static void
 test_listed_late (void)
 {
@@ -193,8 +193,9 @@
   router_free (&one);
 }
 
-/* A router that hears less than half of the listed ones may itself be cut off:
-   it takes all of them for working, and the warm-up rate for shared.  */
+/* A router that receives datagrams from less than half of the listed routers
+   may itself be partitioned: it assumes that all of them work and share the
+   warm-up rate of cold endpoints.  */
 static void
 test_cut_off (void)
 {
@@ -225,8 +226,8 @@
   router_free (&two);
 }
 
-/* A router is killed: nobody says so, its requests end with it, and its
-   figures would keep room from others for ever.  */
+/* A killed router announces nothing, and its requests end with it.  Without
+   the timeout its load would reserve capacity at endpoints for ever.  */
 static void
 test_silent (void)
 {
@@ -262,8 +263,8 @@
   router_free (&one);
 }
 
-/* A caller who was refused at one router comes back to another one, which
-   knows when it first asked.  */
+/* A client that was refused by one router retries at another one, which knows
+   the time of its first attempt.  */
 static void
 test_refusals (void)
 {
@@ -274,20 +275,21 @@
   deliver (&one, &here, NOW, true);
   ret_add_refusal (one.ret, NOW, key, NOW - 250, NOW + 100);
   deliver (&one, &here, NOW + 10, false);
-  /* Whoever asks the same before that time just came.  */
+  /* The same request before the announced time is another client's.  */
   g_assert_cmpint (ret_take_first_attempt (here.ret, NOW + 50, key), ==,
                    NOW + 50);
   g_assert_cmpint (ret_take_first_attempt (here.ret, NOW + 300, key), ==,
                    NOW - 250);
-  /* It came: the next one like it is another request.  */
+  /* The retry was seen: the next equal request is a new one.  */
   g_assert_cmpint (ret_take_first_attempt (here.ret, NOW + 400, key), ==,
                    NOW + 400);
   router_free (&here);
   router_free (&one);
 }
 
-/* Another router read the platform's list well while this one could not: what
-   the list lacks then is gone, and not lapsed by an outage.  */
+/* A peer read the platform's list without failures while this router could
+   not: an entry that is missing from the list was removed, and did not expire
+   through an outage of the platform's store.  */
 static void
 test_steady (void)
 {
@@ -303,8 +305,7 @@
   router_free (&one);
 }
 
-/* A router saw a list of the platform change; one that is no longer heard says
-   nothing.  */
+/* Revisions of lists reported by peers; those of a silent peer don't count. */
 static void
 test_seen (void)
 {
@@ -318,7 +319,7 @@
   pal_set_list_revision (two.pal, 2, 1000);
   deliver (&one, &here, NOW, true);
   deliver (&two, &here, NOW, true);
-  /* What changed alone keeps the last word.  */
+  /* A datagram with changes only keeps the revisions.  */
   deliver (&two, &here, NOW, false);
   g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW, 1), ==, 900);
   g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW + 2000, 1), ==, 0);
@@ -327,8 +328,9 @@
   router_free (&two);
 }
 
-/* The routers that read a list for the others: one order for all of them, in
-   which one that has not confirmed the list lately doesn't count.  */
+/* The routers that read a list for the fleet are chosen by an order that is
+   the same at all routers.  One that has not confirmed the list lately doesn't
+   count.  */
 static void
 test_readers (void)
 {
@@ -354,8 +356,8 @@
   router_free (&one);
 }
 
-/* Each datagram cut at each length, and with each byte changed: nothing but a
-   refusal or other figures may come of it.  */
+/* A datagram truncated at each length, and with each byte changed, is rejected
+   or read as other values; nothing else may happen.  */
 static void
 test_stray (void)
 {
@@ -405,8 +407,9 @@
   received->events = g_strdup (events);
 }
 
-/* An update comes as it was sent; a truncated one, one of an unknown list or
-   one that goes back is none, and is no figures either.  */
+/* An update is received as it was sent, and is not taken for a state datagram.
+   A truncated one, one of an unknown list and one that doesn't advance the
+   revision are rejected.  */
 static void
 test_update (void)
 {
