--- a/libcoltsfootdrum/relay/con.c
+++ b/libcoltsfootdrum/relay/con.c
@@ -1,4 +1,5 @@
-/* Connections: one ev_io for reading, one for writing while bytes are kept. */
+/* Connections: one watcher for reading, and one for writing while output is
+   buffered.  */
 
 #include "relay/con.h"
 
@@ -9,14 +10,13 @@
 #include <string.h>
 #include <unistd.h>
 
-/* One read; larger than a usual request or event, so that one call takes all
-   that is there.  */
+/* Size of one read: larger than a usual request or event, so that one call
+   reads all available input.  */
 #define READ_BYTES 16384
-/* Reads for one wake, so that one busy connection can't paused up the others.
- */
+/* Reads per wakeup, so that one busy connection can't starve the others.  */
 #define MAX_READS_PER_WAKEUP 4
-/* Bytes has_sent and not acknowledged for so long end the connection: a path
-   that went ack_timeout_ms gives no reset, and the caller would wait for its
+/* A connection fails when sent bytes stay unacknowledged for this time: a
+   broken network path sends no reset, and the client would wait until its
    deadline.  */
 #define ACK_TIMEOUT_MS 2500
 
@@ -25,15 +25,15 @@
   struct ev_loop *loop;
   ev_io reader;
   ev_io writer;
-  ev_timer failure_timer; /* tells of an end outside the caller's stack */
+  ev_timer failure_timer; /* reports a failed write from the event loop */
   const con_ops_t *ops;
   void *user;
   GByteArray *out;
-  size_t out_sent; /* bytes at the front of OUT that are written */
-  bool *freed;     /* set when freed while a callback runs */
+  size_t out_sent; /* bytes at the start of OUT that are written */
+  bool *freed;     /* set to true when freed during a callback */
   bool connected;
   bool has_sent;
-  bool shutdown_pending; /* closes once OUT is written */
+  bool shutdown_pending; /* shut down once OUT is written */
   bool failed;
 };
 
@@ -64,7 +64,7 @@
   ev_timer_start (con->loop, &con->failure_timer);
 }
 
-/* Writes what is kept; false when the connection is broken.  */
+/* Writes buffered output.  Returns false when the connection has failed.  */
 static bool
 flush (con_t *con)
 {
--- a/libcoltsfootdrum/relay/con.h
+++ b/libcoltsfootdrum/relay/con.h
@@ -1,7 +1,8 @@
-/* A TCP connection on the loop: reads are handed on as they come, writes are
-   tried at once and kept when the peer does not take them.
+/* Connections.  A TCP connection on the event loop: input is passed on as it
+   is received, and output is written at once or buffered until the socket is
+   writable.
 
-   Callbacks may free the connection; nothing is touched afterwards.  */
+   Callbacks may free the connection; it is not accessed afterwards.  */
 
 #ifndef RELAY_CON_H
 #define RELAY_CON_H
@@ -15,60 +16,62 @@
 
 typedef enum
 {
-  CON_END_CLOSED,        /* the peer closed in order */
-  CON_END_RESET,         /* reset, timed out or broken */
-  CON_END_CONNECT_FAILED /* the connection was never made */
+  CON_END_CLOSED,        /* closed by the peer */
+  CON_END_RESET,         /* reset, timed out or failed */
+  CON_END_CONNECT_FAILED /* was never established */
 } con_end_t;
 
 typedef struct
 {
-  void (*connected) (void *user); /* dialled connections alone; may be NULL */
+  void (*connected) (void *user); /* outbound only; may be NULL */
   void (*bytes) (void *user, const char *bytes, size_t length);
-  /* Last call; the user frees the connection.  */
+  /* The last callback; the user must free the connection.  */
   void (*ended) (void *user, con_end_t end);
 } con_ops_t;
 
-/* Takes over the accepted descriptor FD.  */
+/* Takes ownership of the accepted socket FD.  */
 con_t *con_new_accepted (struct ev_loop *loop, int fd, const con_ops_t *ops,
                          void *user);
 
-/* Begins to connect to ADDR; NULL with errno set when that fails at once.  */
+/* Starts to connect to ADDR.  Returns NULL with errno set when that fails
+   immediately.  */
 con_t *con_new_outbound (struct ev_loop *loop, const addr_t *addr,
                          const con_ops_t *ops, void *user);
 
-/* Closes; what is still unwritten is given up.  */
+/* Closes the connection and discards unwritten output.  */
 void con_free (con_t *con);
 
-/* As con_free, and resets the connection: bytes that the peer didn't get yet
-   are never has_sent.  After a usual close the system goes on sending them,
-   and a request that was given up could reach its endpoint seconds
-   failure_timer.  */
+/* Like con_free, but resets the connection, so that bytes in the socket's send
+   buffer are discarded.  After a normal close the kernel goes on sending them,
+   and a cancelled request could reach its endpoint seconds later.  */
 void con_abort (con_t *con);
 
-/* Puts other callbacks in place.  */
+/* Replaces the callbacks.  */
 void con_set_ops (con_t *con, const con_ops_t *ops, void *user);
 
 bool con_is_connected (const con_t *con);
 
-/* A failure to write is told by the ended callback, failure_timer.  */
+/* Writes or buffers BYTES.  A failure is reported later, by the ended
+ * callback.
+ */
 void con_write (con_t *con, const void *bytes, size_t length);
 
-/* Bytes that the peer has not taken yet.  */
+/* Returns the number of bytes that wait to be written to the socket.  */
 size_t con_get_unsent_bytes (const con_t *con);
 
-/* True once a byte was handed to the system.  */
+/* Returns true once any byte was written to the socket.  */
 bool con_has_sent (const con_t *con);
 
-/* Shuts down the sending side once all is written.  Bytes that still come are
-   handed on, and the peer's close ends the connection: a close with unread
-   bytes would reset it, and the peer might lose what was written last.  */
+/* Shuts down the sending side once all output is written.  Further input is
+   still passed on until the peer closes: closing a socket with unread bytes
+   resets the connection, and the peer might lose the last output.  */
 void con_shutdown_after_flush (con_t *con);
 
-/* False when the peer has closed and all that it has_sent was read: its end is
-   still to be told.  */
+/* Returns false when the peer has closed and all its output was read, even if
+   the ended callback was not called yet.  */
 bool con_is_peer_open (const con_t *con);
 
-/* Stops and restarts reading.  */
+/* Pauses or resumes reading.  */
 void con_set_read_paused (con_t *con, bool paused);
 
 #endif
--- a/libcoltsfootdrum/relay/ent.c
+++ b/libcoltsfootdrum/relay/ent.c
@@ -1,4 +1,4 @@
-/* Callers' connections.  */
+/* Entry: the clients' connections.  */
 
 #include "relay/ent.h"
 
@@ -14,24 +14,25 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Bounds until the configuration gives its own.  */
+/* Limits until a configuration is loaded.  */
 #define DEFAULT_MAX_HEAD_BYTES 16384
 #define DEFAULT_MAX_BODY_BYTES 4194304
-/* Idle connections: while no bound is known, and the least one.  */
+/* Time that a connection may stay idle: the default while no limit is
+   configured, and the minimum when connections are scarce.  */
 #define DEFAULT_IDLE_MS 60000.
 #define MIN_IDLE_MS 300.
-/* Connections that wait to be accepted.  The queue is in order of arrival: at
-   a slow instance a long one holds calls alone who have given up meanwhile.
- */
+/* Length of the kernel's accept queue.  It is a FIFO: at a slow instance, a
+   long queue would hold only clients that have given up by the time they are
+   accepted.  */
 #define LISTEN_BACKLOG 128
-/* Accepted at one wake, so that a crowd of new ones doesn't hold up those that
-   are served.  */
+/* Connections accepted per wakeup, so that a burst of new ones doesn't delay
+   those that are being served.  */
 #define MAX_ACCEPTS_PER_WAKEUP 32
-/* Bytes kept of a next request that came before the answer to this one.  */
+/* Buffered bytes of pipelined requests, above which reading is paused.  */
 #define MAX_PIPELINED_BYTES 65536
-/* After a refusal that ends the connection the rest of the request is read and
-   dropped for so long: a close with unread bytes would reset the connection,
-   and the caller might lose the answer.  */
+/* Before a connection is closed, further input is read and discarded for this
+   time: closing a socket with unread bytes resets the connection, and the
+   client might lose the response.  */
 #define LINGER_MS 1000
 
 struct ent
@@ -44,20 +45,20 @@
   lag_t *lag;        /* not owned; may be NULL */
   list_node_t calls; /* ent_call_t */
   unsigned count;
-  unsigned accepted; /* state_since the start */
-  bool backlogged;   /* state_since the last question */
+  unsigned accepted; /* since the start */
+  bool backlogged;   /* since the last query */
   bool draining;
 };
 
 typedef enum
 {
   STATE_IDLE,    /* between requests */
-  STATE_READING, /* a request has begun */
-  STATE_SERVING, /* with the user */
-  STATE_CLOSING  /* closes; what comes is dropped */
+  STATE_READING, /* receiving a request */
+  STATE_SERVING, /* passed to the user */
+  STATE_CLOSING  /* input is discarded until the connection is closed */
 } state_t;
 
-/* A connection with the call that is on it.  */
+/* A connection and its current call.  */
 struct ent_call
 {
   list_node_t node;
@@ -65,16 +66,16 @@
   con_t *con;
   rd_t *rd;
   GByteArray *body;
-  GByteArray *pipelined; /* read, and not yet looked at */
+  GByteArray *pipelined; /* input that is not parsed yet */
   void *data;
-  cfd_time_t state_since; /* of the present state */
-  cfd_time_t started;     /* of the request */
+  cfd_time_t state_since;
+  cfd_time_t started; /* start of the request */
   state_t state;
   bool head_done;
   bool too_large;
   bool chunked;
-  bool reusable;
-  bool parsing; /* the request is being read; freeing waits */
+  bool reusable; /* for another request */
+  bool parsing;  /* input is being parsed; freeing is deferred */
   bool free_pending;
 };
 
@@ -134,11 +135,11 @@
 
 static const rd_ops_t parser_ops = { .head = on_head, .body = on_body };
 
-/* Ends the connection after STATUS.  */
+/* Responds with STATUS and closes the connection.  */
 static void
 reject_request (ent_call_t *call, unsigned status)
 {
-  log_info ("entry", "A request was refused: status=%u.", status);
+  log_info ("entry", "A request was rejected: status=%u.", status);
   call->reusable = false;
   ent_respond (call, status, NULL, NULL, 0);
 }
@@ -146,14 +147,15 @@
 static void
 dispatch_request (ent_call_t *call)
 {
-  rd_head_t *head = rd_head (call->rd);
+  rd_head_t *head = rd_get_head (call->rd);
 
   call->reusable = head->keep_alive;
   set_state (call, STATE_SERVING);
   call->ent->ops.request (call->ent->user, call);
 }
 
-/* Reads as much as belongs to the present request.  */
+/* Parses the part of BYTES that belongs to the current request, and returns
+   its length.  */
 static size_t
 read_request (ent_call_t *call, const char *bytes, size_t length)
 {
@@ -241,7 +243,7 @@
   call->con = con_new_accepted (ent->loop, fd, &connection_ops, call);
 }
 
-/* Takes on what waits; the number of connections.  */
+/* Accepts waiting connections and returns their number.  */
 static unsigned
 accept_connections (ent_t *ent)
 {
@@ -256,8 +258,8 @@
         {
           if (errno != EAGAIN && errno != EINTR && errno != ECONNABORTED)
             log_warn ("entry",
-                      "A caller was not accepted: problem=%s; raise the limit "
-                      "of open files if they have run out.",
+                      "A connection was not accepted: problem=%s; raise the "
+                      "limit of open files if it is exhausted.",
                       g_strerror (errno));
           break;
         }
@@ -378,7 +380,7 @@
     }
 }
 
-/* Begins to close: what the caller still sends is read and dropped.  */
+/* Starts to close the connection; further input is read and discarded.  */
 static void
 start_close (ent_call_t *call)
 {
@@ -386,10 +388,10 @@
   con_shutdown_after_flush (call->con);
 }
 
-/* Milliseconds that a connection may stay idle.  Above half of the connections
-   that there may be it shrinks to the least at the full number: calls who
-   open a new one for each try would use up all descriptors, and nobody else
-   could connect.  */
+/* Returns for how many milliseconds a connection may stay idle.  Above half of
+   the connection limit the time shrinks, down to MIN_IDLE_MS at the limit:
+   clients that open a new connection for each attempt would otherwise use up
+   all descriptors, and no other client could connect.  */
 static int64_t
 get_idle_limit_ms (const ent_t *ent)
 {
@@ -458,7 +460,7 @@
 rd_head_t *
 ent_get_head (ent_call_t *call)
 {
-  return rd_head (call->rd);
+  return rd_get_head (call->rd);
 }
 
 const GByteArray *
@@ -505,7 +507,7 @@
   return text;
 }
 
-/* The next request on the connection, or its end.  */
+/* Prepares the connection for its next request, or closes it.  */
 static void
 finish_call (ent_call_t *call)
 {
@@ -528,8 +530,8 @@
   call->pipelined = g_byte_array_new ();
   con_set_read_paused (call->con, false);
   if (call->parsing)
-    /* The answer came from inside the reading of its request; the bytes that
-       follow are looked at when that returns.  */
+    /* The response was sent while its request was being parsed; the bytes that
+       follow are parsed when that returns.  */
     g_byte_array_append (call->pipelined, pipelined->data, pipelined->len);
   else
     on_bytes (call, (const char *)pipelined->data, pipelined->len);
--- a/libcoltsfootdrum/relay/ent.h
+++ b/libcoltsfootdrum/relay/ent.h
@@ -1,5 +1,7 @@
-/* The calls' side: a listening address, connections, and on each of them one
-   call at a time.  A call is handed over once its request was read whole.  */
+/* Entry.  The HTTP server for clients: a listening socket and its connections.
+   Each connection handles one call at a time, that is, one request and its
+   response.  A call is passed to the user once its request was read in full.
+ */
 
 #ifndef RELAY_ENT_H
 #define RELAY_ENT_H
@@ -12,79 +14,86 @@
 typedef struct ent ent_t;
 typedef struct ent_call ent_call_t;
 
-/* What a caller may send and how long it may take; 0 is no bound.  */
+/* Limits of a client's connection and request; 0 means no limit.  */
 typedef struct
 {
-  size_t head_bytes;
+  size_t head_bytes; /* request line and header fields */
   size_t body_bytes;
-  int64_t head_ms;
-  int64_t idle_ms;
-  unsigned connections; /* in all */
+  int64_t head_ms;      /* time to receive the head */
+  int64_t idle_ms;      /* between requests, and for receiving one */
+  unsigned connections; /* total, by which idle ones are closed earlier */
 } ent_limits_t;
 
 typedef struct
 {
-  /* CALL stays until it is answered, broken off, or GONE was called.  */
+  /* Called for each complete request.  CALL stays valid until its response is
+     finished or aborted, or DISCONNECTED was called.  */
   void (*request) (void *user, ent_call_t *call);
-  /* The caller has left; CALL is not to be used again.  */
+  /* Called when the client has closed the connection before the response was
+     finished.  CALL must not be used afterwards.  */
   void (*disconnected) (void *user, ent_call_t *call);
 } ent_ops_t;
 
-/* NULL with CFD_ERROR_ADDRESS when ADDRESS (IP:PORT) can't be listened on. */
+/* Listens on ADDRESS (IP:PORT).  Returns NULL with CFD_ERROR_ADDRESS when that
+   fails.  */
 ent_t *ent_new (struct ev_loop *loop, const char *address,
                 const ent_ops_t *ops, void *user, GError **error);
 void ent_free (ent_t *ent);
 
-/* Since the last call more connections waited than were accepted.  */
+/* Returns true when, since the last call of this function, a wakeup accepted
+   the most connections that it may, so that more were probably waiting.  */
 bool ent_test_and_clear_backlogged (ent_t *ent);
 
-/* Its time is counted in LAG, which is not owned.  */
+/* Accounts the time spent on connections to LAG, which is not owned.  */
 void ent_set_lag (ent_t *ent, lag_t *lag);
 
-/* The port that it listens on.  */
+/* Returns the port that the server listens on.  */
 unsigned ent_get_port (const ent_t *ent);
 
 void ent_set_limits (ent_t *ent, const ent_limits_t *limits);
 
-/* Answers from now on end their connections.  */
+/* Closes each connection after its next response, from now on.  */
 void ent_drain (ent_t *ent);
-/* New connections are refused from now on.  */
+/* Closes the listening socket, so that new connections are refused.  */
 void ent_close_listener (ent_t *ent);
-/* Closes connections without a call.  */
+/* Closes the connections that have no request in progress.  */
 void ent_close_idle (ent_t *ent);
-/* To be called some times a second: closes what took too long.  */
+/* Must be called some times a second.  Enforces the time limits.  */
 void ent_tick (ent_t *ent, cfd_time_t now);
 unsigned ent_count_connections (const ent_t *ent);
-/* Connections accepted state_since the start.  */
+/* Returns the number of connections accepted since the start.  */
 unsigned ent_count_accepted (const ent_t *ent);
 
 rd_head_t *ent_get_head (ent_call_t *call);
 const GByteArray *ent_get_body (const ent_call_t *call);
-cfd_time_t
-ent_get_start_time (const ent_call_t *call); /* when its first bytes came */
-/* The user's own pointer.  */
+/* Returns when the first bytes of the request were received.  */
+cfd_time_t ent_get_start_time (const ent_call_t *call);
+/* Attaches a pointer of the user's to CALL.  */
 void ent_set_data (ent_call_t *call, void *data);
 void *ent_get_data (const ent_call_t *call);
 
-/* The connection ends with the answer to CALL.  */
+/* Closes the connection after the response to CALL.  */
 void ent_close_after (ent_call_t *call);
 
-/* FIELDS are finished header lines, or NULL.  */
+/* Sends a complete response.  FIELDS are formatted header lines, or NULL.  */
 void ent_respond (ent_call_t *call, unsigned status, const char *fields,
                   const void *body, size_t length);
 
-/* An answer in pieces; LENGTH of the whole, or -1.  */
+/* Starts a response whose body is sent in pieces.  LENGTH is that of the whole
+   body; -1 selects chunked encoding.  */
 void ent_begin_response (ent_call_t *call, unsigned status, const char *fields,
                          int64_t length);
 void ent_send_body (ent_call_t *call, const void *bytes, size_t length);
 void ent_finish_response (ent_call_t *call);
-/* Closes the connection, so that the answer doesn't look whole.  */
+/* Closes the connection at once, so that the client sees that the response is
+   incomplete.  */
 void ent_abort (ent_call_t *call);
 
-/* False when the caller has left, as the system knows already.  */
+/* Returns false when the client has closed the connection, even if that was
+   not read from the socket yet.  */
 bool ent_is_client_connected (const ent_call_t *call);
 
-/* Bytes that the caller has not taken yet.  */
+/* Returns the number of bytes that wait to be written to the socket.  */
 size_t ent_get_unsent_bytes (const ent_call_t *call);
 
 #endif
--- a/libcoltsfootdrum/relay/rd.c
+++ b/libcoltsfootdrum/relay/rd.c
@@ -1,4 +1,4 @@
-/* HTTP/1.1 messages by libhttp-parser.  */
+/* Reader: HTTP/1.1 messages, parsed by libhttp-parser.  */
 
 #include "relay/rd.h"
 
@@ -31,7 +31,7 @@
   return parser->data;
 }
 
-/* Counts bytes of the head; false when it is over its bound.  */
+/* Counts bytes of the head.  Returns false when it exceeds its limit.  */
 static bool
 count_head_bytes (rd_t *rd, size_t length)
 {
@@ -95,7 +95,8 @@
   return parser->type == HTTP_RESPONSE && parser->status_code / 100 == 1;
 }
 
-/* Requests without a length, and responses that never have a body.  */
+/* Whether a message that has neither a length nor chunked encoding has no
+   body: requests, and responses with these statuses.  */
 static bool
 has_no_body (const http_parser *parser)
 {
@@ -110,7 +111,7 @@
   rd_head_t *head = &rd->head;
 
   store_field (rd);
-  /* Neither side switches protocols; the parser would stop reading here.  */
+  /* Protocol upgrades are not supported; the parser would stop here.  */
   parser->upgrade = 0;
   if (is_interim (parser))
     return 0;
@@ -251,7 +252,7 @@
 }
 
 rd_head_t *
-rd_head (rd_t *rd)
+rd_get_head (rd_t *rd)
 {
   return &rd->head;
 }
--- a/libcoltsfootdrum/relay/rd.h
+++ b/libcoltsfootdrum/relay/rd.h
@@ -1,6 +1,7 @@
-/* Reads HTTP/1.1 messages from a stream of bytes.  The grammar is
-   libhttp-parser's; this module gathers heads and stops after each message, so
-   that bytes of the next one are never taken for this one's.  */
+/* Reader.  Reads HTTP/1.1 messages from a stream of bytes.  Parsing is done by
+   libhttp-parser; this module collects the head of each message and stops
+   after its end, so that bytes of the next message are never attributed to it.
+ */
 
 #ifndef RELAY_RD_H
 #define RELAY_RD_H
@@ -19,10 +20,10 @@
 
 typedef enum
 {
-  RD_INCOMPLETE, /* the message goes on */
-  RD_COMPLETE,   /* a message ended; what follows was not read */
-  RD_INVALID,    /* not HTTP/1.1, or refused by a callback */
-  RD_TOO_LARGE   /* the head is over its bound */
+  RD_INCOMPLETE, /* the message continues */
+  RD_COMPLETE,   /* the message ended; further bytes were not read */
+  RD_INVALID,    /* not HTTP/1.1, or rejected by a callback */
+  RD_TOO_LARGE   /* the head exceeds its limit */
 } rd_result_t;
 
 typedef struct
@@ -31,19 +32,19 @@
   const char *target; /* requests: path and query as sent */
   unsigned status;    /* responses */
   bool keep_alive;
-  bool framed;    /* the end is known before the connection's */
-  int64_t length; /* of the body; -1: not told beforehand */
+  bool framed;    /* the end does not depend on the connection's close */
+  int64_t length; /* of the body; -1: unknown */
   hdr_t fields;
 } rd_head_t;
 
 typedef struct
 {
-  /* False refuses the message.  */
+  /* Called after the head; returns false to reject the message.  */
   bool (*head) (void *user, rd_head_t *head);
   void (*body) (void *user, const char *bytes, size_t length);
 } rd_ops_t;
 
-/* HEAD_MOST bounds a message's first line and fields, in bytes.  */
+/* MAX_HEAD_BYTES limits the size of a message's start line and fields.  */
 rd_t *rd_new (rd_kind_t kind, size_t max_head_bytes, const rd_ops_t *ops,
               void *user);
 void rd_free (rd_t *rd);
@@ -51,22 +52,24 @@
 
 void rd_set_max_head_bytes (rd_t *rd, size_t max_head_bytes);
 
-/* Reads of BYTES what belongs to the message and sets *USED to its length. */
+/* Reads the part of BYTES that belongs to the message, and sets *USED to its
+   length.  */
 rd_result_t rd_feed (rd_t *rd, const char *bytes, size_t length, size_t *used);
 
-/* The connection closed in order: RD_COMPLETE when that ends the message.  */
+/* Must be called when the peer has closed the connection.  Returns RD_COMPLETE
+   when that ends the message.  */
 rd_result_t rd_finish (rd_t *rd);
 
-/* True between messages: nothing of the next one was read.  */
+/* Returns true when nothing of the next message was read yet.  */
 bool rd_is_idle (const rd_t *rd);
 
-/* Forgets the message and waits for the next one.  */
+/* Discards the message and prepares for the next one.  */
 void rd_reset (rd_t *rd);
 
-/* The next response has no body, as to a HEAD request.  */
+/* Sets whether the next response has no body, as to a HEAD request.  */
 void rd_expect_no_body (rd_t *rd, bool none);
 
-/* The head that was read last; valid until rd_reset.  */
-rd_head_t *rd_head (rd_t *rd);
+/* Returns the head of the current message, valid until rd_reset.  */
+rd_head_t *rd_get_head (rd_t *rd);
 
 #endif
--- a/libcoltsfootdrum/relay/test-ent.c
+++ b/libcoltsfootdrum/relay/test-ent.c
@@ -1,4 +1,4 @@
-/* Callers' connections under a burst.  */
+/* Tests of the clients' connections under a burst.  */
 
 #include "relay/ent.h"
 
@@ -8,10 +8,11 @@
 #include <string.h>
 #include <unistd.h>
 
-/* More than wait in the listen queue.  */
+/* More connections than fit in the accept queue.  */
 #define BURST 400
 #define WAVES 13
-/* Turns of the loop in which all who wait are accepted.  */
+/* Iterations of the event loop in which all waiting connections must be
+   accepted.  */
 #define TURNS 6
 
 typedef struct
@@ -52,8 +53,8 @@
   ev_loop_destroy (fixture->loop);
 }
 
-/* Callers come while the process is paused; the number whose connections the
-   system has established.  */
+/* Opens connections while the process is paused.  Returns the number of those
+   that the kernel has established.  */
 static unsigned
 open_connections (const fixture_t *fixture, int *fds)
 {
@@ -75,11 +76,11 @@
     close (fds[i]);
 }
 
-/* A router that lags has a long queue of connections, and those that it takes
-   were given up before; nobody can connect, though it takes some all the time.
-   Over 5,000 connections come to a process that is paused and then given few
-   turns of its loop: no connection that was established waits longer than
-   these.  */
+/* A slow router with a long accept queue accepts only connections that their
+   clients have given up already, so that no client can connect.  Over 5,000
+   connections are opened while the process is paused and then runs few
+   iterations of its event loop: every established connection is accepted
+   within these.  */
 static void
 test_burst (void)
 {
@@ -103,7 +104,7 @@
   fixture_clear (&fixture);
 }
 
-/* What readiness is judged by: connections that the last turn left.  */
+/* Readiness depends on whether the last iteration left connections waiting. */
 static void
 test_left_waiting (void)
 {
--- a/libcoltsfootdrum/relay/test-rd.c
+++ b/libcoltsfootdrum/relay/test-rd.c
@@ -1,4 +1,4 @@
-/* HTTP messages out of bytes: what belongs to one, and what is refused.  */
+/* Tests of reading HTTP messages: where they end, and which are rejected.  */
 
 #include "relay/rd.h"
 
@@ -42,9 +42,9 @@
   rd_kind_t kind;
   const char *bytes;
   rd_result_t result;
-  const char *head; /* NULL: not looked at */
+  const char *head; /* NULL: not checked */
   const char *body;
-  const char *rest; /* not read */
+  const char *rest; /* bytes that must not be read */
 } case_t;
 
 #define REQ RD_REQUESTS
@@ -61,7 +61,8 @@
     RD_COMPLETE, NULL, "ab", "" },
   { "next-request", REQ, "GET / HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n",
     RD_COMPLETE, NULL, "", "GET /2 HTTP/1.1\r\n\r\n" },
-  /* Two lengths: two readers could disagree where the next request begins.  */
+  /* Two different lengths allow request smuggling: two servers could disagree
+     about where the next request begins.  */
   { "length-and-chunked", REQ,
     "POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n"
     "\r\n0\r\n\r\n",
@@ -102,7 +103,7 @@
   return result;
 }
 
-/* In one piece, and byte by byte.  */
+/* Feeds the bytes in pieces of STEP.  */
 static void
 check_case (const case_t *one, size_t step)
 {
@@ -138,7 +139,7 @@
   check_case (data, 1);
 }
 
-/* An answer without a length ends with its connection.  */
+/* A response without a length ends when the connection is closed.  */
 static void
 test_unframed_end (void)
 {
--- a/libcoltsfootdrum/relay/ups.c
+++ b/libcoltsfootdrum/relay/ups.c
@@ -1,4 +1,4 @@
-/* Exchanges with one endpoint.  */
+/* Upstream: connections to one endpoint.  */
 
 #include "relay/ups.h"
 
@@ -7,26 +7,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of an answer's head: an endpoint's fields are few.  */
+/* Limit of a response's head: endpoints send few header fields.  */
 #define MAX_HEAD_BYTES 32768
-/* An idle connection is kept for so long where the endpoint names no time.
-   The usual least idle timeout of servers is 5 s; a request that crosses the
-   close of its connection has an unknown outcome.  */
+/* Idle time of connections to an endpoint that announces no Keep-Alive
+   timeout. Servers commonly close idle connections after 5 s or later.  A
+   request that is sent while the endpoint closes its connection has an unknown
+   outcome.  */
 #define DEFAULT_IDLE_MS 3500
-/* And so much less than a time that the endpoint does name, for the way.  */
+/* Subtracted from an announced timeout, to allow for the network delay.  */
 #define IDLE_MARGIN_MS 900
 
 struct ups
 {
   struct ev_loop *loop;
   addr_t addr;
-  list_node_t idle; /* ups_connection_t, the latest used first */
+  list_node_t idle; /* ups_connection_t, the most recently used first */
   list_node_t used;
   unsigned connection_count;
   uint64_t connects;
 };
 
-/* One connection.  */
 typedef struct
 {
   list_node_t node;
@@ -35,11 +35,11 @@
   rd_t *rd;
   ups_exchange_t *exchange; /* NULL when idle */
   cfd_time_t idle_since;
-  int64_t max_idle_ms;
-  bool stale_response; /* the answer being read belongs to another request */
-  bool in_callback;    /* bytes are being taken in; freeing waits */
+  int64_t max_idle_ms; /* from the last response */
+  bool stale_response; /* the response being read is to another request */
+  bool in_callback;    /* freeing is deferred */
   bool free_pending;
-  bool aborted; /* its request was given up */
+  bool aborted; /* its request was cancelled */
 } ups_connection_t;
 
 struct ups_exchange
@@ -49,7 +49,7 @@
   void *user;
   char *id_field;
   char *id;
-  bool response_started; /* an answer's head came */
+  bool response_started; /* the head was received */
 };
 
 static void
@@ -78,7 +78,8 @@
   g_free (exchange);
 }
 
-/* Ends the exchange of LINE and tells its user; the connection stays.  */
+/* Ends the exchange of CONNECTION and notifies its user.  The connection is
+   not freed.  */
 static void
 end_exchange (ups_connection_t *connection, ups_end_t end)
 {
@@ -91,7 +92,8 @@
   exchange_free (exchange);
 }
 
-/* "timeout=5, max=100" in milliseconds; the usual time without it.  */
+/* Returns the idle time for a Keep-Alive field such as "timeout=5, max=100",
+   or the default if there is none.  */
 static int64_t
 parse_keep_alive (const hdr_t *fields)
 {
@@ -135,12 +137,12 @@
 
 static const rd_ops_t parser_ops = { .head = on_head, .body = on_body };
 
-/* The connection may serve another request: nothing of this one is still to
-   be written, and no byte came after its answer.  */
+/* Whether the connection can be used for another request: this one was written
+   completely, and nothing was received after its response.  */
 static bool
 is_reusable (ups_connection_t *connection, bool has_excess_bytes)
 {
-  rd_head_t *head = rd_head (connection->rd);
+  rd_head_t *head = rd_get_head (connection->rd);
 
   return !has_excess_bytes && !connection->free_pending && head->keep_alive
          && head->framed && con_get_unsent_bytes (connection->con) == 0;
@@ -266,8 +268,8 @@
   return connection;
 }
 
-/* The connection that was used last: the others run into their idle timeout
-   and the pool shrinks to what is needed.  */
+/* Returns the most recently used idle connection, so that the others reach
+   their idle timeout and the pool shrinks to the size that is needed.  */
 static ups_connection_t *
 find_idle_connection (ups_t *ups, cfd_time_t now)
 {
--- a/libcoltsfootdrum/relay/ups.h
+++ b/libcoltsfootdrum/relay/ups.h
@@ -1,9 +1,10 @@
-/* Connections to one endpoint, and exchanges of one request and its answer
-   over them.
+/* Upstream.  The pool of connections to one endpoint, and exchanges of one
+   request and its response over them.
 
-   An endpoint may send a second answer late, where the next one is due; the
-   echoed request id tells it apart, and it is passed over.  A connection with
-   bytes that belong to no request is closed and never used again.  */
+   An endpoint may send a second response to a request late, on a connection
+   where the next response is expected.  It is recognized by the request id
+   that endpoints echo, and ignored.  A connection that receives bytes while it
+   has no request is closed.  */
 
 #ifndef RELAY_UPS_H
 #define RELAY_UPS_H
@@ -18,18 +19,18 @@
 
 typedef enum
 {
-  UPS_COMPLETE,       /* the whole answer came */
-  UPS_CONNECT_FAILED, /* no connection was made: the request was never sent */
-  UPS_NO_RESPONSE,    /* sent, maybe in part, and no answer response_started */
-  UPS_TRUNCATED,      /* the answer response_started and is not whole */
-  UPS_MALFORMED       /* what came is no answer */
+  UPS_COMPLETE,       /* the complete response was received */
+  UPS_CONNECT_FAILED, /* not connected; the request was not sent */
+  UPS_NO_RESPONSE,    /* sent, perhaps in part; no response began */
+  UPS_TRUNCATED,      /* the response began and is incomplete */
+  UPS_MALFORMED       /* what was received is not a response */
 } ups_end_t;
 
 typedef struct
 {
   void (*head) (void *user, rd_head_t *head);
   void (*body) (void *user, const char *bytes, size_t length);
-  /* Last call.  */
+  /* The last callback.  */
   void (*ended) (void *user, ups_end_t end);
 } ups_ops_t;
 
@@ -37,38 +38,40 @@
 {
   const char *bytes; /* head and body; copied */
   size_t length;
-  const char *id_field; /* the field in which endpoints echo ID */
+  const char *id_field; /* header field in which endpoints echo ID */
   const char *id;
-  bool no_body;        /* the answer has none, as to HEAD */
-  bool new_connection; /* on a new connection */
+  bool no_body;        /* the response has no body, as to HEAD */
+  bool new_connection; /* don't use an idle one */
 } ups_request_t;
 
 ups_t *ups_new (struct ev_loop *loop, const addr_t *addr);
-/* Exchanges under way end without a call.  */
+/* Closes all connections.  Callbacks of pending exchanges are not called.  */
 void ups_free (ups_t *ups);
 
-/* NULL when no connection can be begun.  Calls back later, never before it
-   returns.  */
+/* Sends REQUEST on an idle or a new connection.  Returns NULL when no
+   connection can be started.  The callbacks are called only after it has
+   returned.  */
 ups_exchange_t *ups_send (ups_t *ups, cfd_time_t now,
                           const ups_request_t *request, const ups_ops_t *ops,
                           void *user);
 
-/* Closes the connection, whereupon the endpoint drops the work.  No call
-   comes afterwards.  */
+/* Cancels the exchange and resets its connection, so that the endpoint stops
+   working on the request.  No callback is called afterwards.  */
 void ups_cancel (ups_exchange_t *exchange);
 
-/* True when the connection is there, so that the request may have arrived. */
+/* Returns true when the connection is established, so that the endpoint may
+   have received the request.  */
 bool ups_is_connected (const ups_exchange_t *exchange);
 
-/* Stops and restarts parsing of the answer.  */
+/* Pauses or resumes reading of the response.  */
 void ups_set_read_paused (ups_exchange_t *exchange, bool paused);
 
-/* Closes what was idle for too long.  */
+/* Closes connections that were idle for too long.  */
 void ups_close_expired (ups_t *ups, cfd_time_t now);
 
-/* Connections, used and idle.  */
+/* Returns the number of connections, used and idle.  */
 unsigned ups_count_connections (const ups_t *ups);
-/* Connections that were ever begun.  */
+/* Returns the number of connections started since ups_new.  */
 uint64_t ups_count_connects (const ups_t *ups);
 
 #endif
