--- a/libcoltsfootdrum/relay/evs.c
+++ b/libcoltsfootdrum/relay/evs.c
@@ -1,4 +1,4 @@
-/* Events of streams.  */
+/* Event streams: server-sent events.  */
 
 #include "relay/evs.h"
 
@@ -19,8 +19,8 @@
   g_clear_pointer (&stream->bytes, g_byte_array_unref);
 }
 
-/* Length of the first event in TEXT with the blank line that ends it; 0 when
-   it isn't whole.  */
+/* Returns the length of the first event in TEXT, including the blank line that
+   terminates it, or 0 when the event is incomplete.  */
 static size_t
 find_event_length (const char *text, size_t length)
 {
@@ -36,7 +36,7 @@
   return 0;
 }
 
-/* The number in the event's "id:" line; -1 without one.  */
+/* Returns the number in the event's "id:" line, or -1 if there is none.  */
 static int64_t
 parse_event_id (const char *text, size_t length)
 {
--- a/libcoltsfootdrum/relay/evs.h
+++ b/libcoltsfootdrum/relay/evs.h
@@ -1,5 +1,6 @@
-/* Events of a stream, cut out of its bytes.  Whole events alone are passed on:
-   an endpoint may stop in the middle of one, and another may go on.  */
+/* Event streams.  Splits a stream of server-sent events into events.  Only
+   complete events are passed on: an endpoint may fail in the middle of one,
+   and another endpoint may continue the stream.  */
 
 #ifndef RELAY_EVS_H
 #define RELAY_EVS_H
@@ -10,23 +11,25 @@
 
 typedef struct
 {
-  GByteArray *bytes; /* not passed on yet */
-  int64_t last_id;   /* of the events passed on; -1 before the first */
-  unsigned events;   /* passed on */
+  GByteArray *bytes; /* the start of an incomplete event */
+  int64_t last_id;   /* of the last event passed on; -1: none */
+  unsigned events;   /* number of events passed on */
 } evs_t;
 
 void evs_init (evs_t *stream);
 void evs_clear (evs_t *stream);
 
-/* Adds BYTES and appends to OUT the events that are whole by now, but those
-   with an id that was passed on before.  Returns their number.  */
+/* Adds BYTES to the stream and appends the events that are now complete to
+   OUT. Events whose id was passed on before are dropped.  Returns the number
+   of events appended.  */
 unsigned evs_feed (evs_t *stream, const char *bytes, size_t length,
                    GString *out);
 
-/* Drops the begun event, as when its stream broke off.  */
+/* Discards an incomplete event, for when the stream was interrupted.  */
 void evs_discard_partial (evs_t *stream);
 
-/* What is left at the end of a whole stream, which no blank line ended.  */
+/* Appends the remaining bytes to OUT, for when the stream is complete and its
+   last event is not terminated by a blank line.  */
 void evs_flush (evs_t *stream, GString *out);
 
 #endif
--- a/libcoltsfootdrum/relay/hdr.c
+++ b/libcoltsfootdrum/relay/hdr.c
@@ -1,4 +1,4 @@
-/* Header fields.  */
+/* Headers: the fields of an HTTP message.  */
 
 #include "relay/hdr.h"
 
@@ -76,7 +76,7 @@
   return NULL;
 }
 
-/* True when the comma-separated LIST holds WORD.  */
+/* Whether the comma-separated LIST contains ITEM, ignoring case.  */
 static bool
 list_contains (const char *list, const char *item)
 {
--- a/libcoltsfootdrum/relay/hdr.h
+++ b/libcoltsfootdrum/relay/hdr.h
@@ -1,4 +1,5 @@
-/* Header fields of one HTTP message, in order, in one block of memory.  */
+/* Headers.  The header fields of an HTTP message in their order, stored in one
+   block of memory.  */
 
 #ifndef RELAY_HDR_H
 #define RELAY_HDR_H
@@ -8,7 +9,7 @@
 
 typedef struct
 {
-  GByteArray *text; /* names and values, each NUL-ended */
+  GByteArray *text; /* names and values, each NUL-terminated */
   GArray *fields;   /* hdr_field_t */
 } hdr_t;
 
@@ -20,6 +21,7 @@
 
 void hdr_init (hdr_t *hdr);
 void hdr_clear (hdr_t *hdr);
+/* Removes all fields and keeps the memory.  */
 void hdr_reset (hdr_t *hdr);
 
 void hdr_add (hdr_t *hdr, const char *name, const char *value);
@@ -28,11 +30,12 @@
 const char *hdr_get_name (const hdr_t *hdr, guint i);
 const char *hdr_get_value (const hdr_t *hdr, guint i);
 
-/* The first value of NAME, whatever its case; NULL when there is none.  */
+/* Returns the value of the first field NAME, ignoring case, or NULL.  */
 const char *hdr_get (const hdr_t *hdr, const char *name);
 
-/* True when field I concerns one connection alone: it is one of the fixed
-   names of RFC 9110, or the message's Connection field lists it.  */
+/* Returns true when field I applies to a single connection and must not be
+   forwarded: it is one of the hop-by-hop fields of RFC 9110, or the message's
+   Connection field lists it.  */
 bool hdr_is_hop_by_hop (const hdr_t *hdr, guint i);
 
 /* Appends "Name: value\r\n".  */
--- a/libcoltsfootdrum/relay/pfx.c
+++ b/libcoltsfootdrum/relay/pfx.c
@@ -1,4 +1,4 @@
-/* Cached parts of prompts.  */
+/* Prefixes: parts of prompts in the caches of endpoints.  */
 
 #include "relay/pfx.h"
 
@@ -6,16 +6,16 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A part that was not used for this time counts as evicted.  */
+/* A part that was not used for this time is assumed to be evicted.  */
 #define CACHE_LIFETIME_MS 8000
 
-/* Half of a hash: some thousand parts hardly meet in it, and routers tell each
-   other of parts by the thousand.  */
+/* Ids are 32 bits of a 64-bit hash, since routers send each other thousands of
+   them.  Collisions among some thousand parts are rare.  */
 #define ID_MASK 0xffffffffu
 
 struct pfx
 {
-  GHashTable *entries;  /* uint64_t of part and endpoint to pfx_entry_t */
+  GHashTable *entries;  /* key of part and endpoint to pfx_entry_t */
   GArray *updates;      /* pfx_update_t, the oldest first */
   uint64_t last_number; /* given to updates */
 };
@@ -38,7 +38,8 @@
   return *(const uint64_t *)a == *(const uint64_t *)b;
 }
 
-/* One "ID:TOKENS"; the id is chained to that of the part BEFORE it.  */
+/* Parses one "ID:TOKENS".  PREVIOUS is the id of the part before it, which is
+   the seed of this part's id.  */
 static bool
 parse_part (const char *text, uint64_t previous, pfx_part_t *part)
 {
@@ -152,7 +153,6 @@
   entry->last_used = now;
 }
 
-/* All parts but the last_used, which is the request's own.  */
 void
 pfx_record (pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
             const pfx_prompt_t *prompt)
@@ -162,6 +162,7 @@
                            .number = ++pfx->last_number,
                            .at = now };
 
+  /* The last part is the request's own.  */
   for (guint i = 0; i + 1 < prompt->parts->len; i++)
     record_part (pfx, now, endpoint, get_part (prompt, i)->id);
   if (updates.part != 0)
@@ -197,13 +198,13 @@
   return entry != NULL && now - entry->last_used <= CACHE_LIFETIME_MS;
 }
 
-/* A part is cached together with all previous it.  */
 unsigned
 pfx_count_cached_tokens (const pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
                          const pfx_prompt_t *prompt)
 {
   unsigned tokens = pfx_prompt_count_shared_tokens (prompt);
 
+  /* A cached part implies that all parts before it are cached.  */
   for (guint i = prompt->parts->len - 1; i-- > 0;)
     {
       if (is_cached (pfx, now, endpoint, get_part (prompt, i)->id))
--- a/libcoltsfootdrum/relay/pfx.h
+++ b/libcoltsfootdrum/relay/pfx.h
@@ -1,5 +1,6 @@
-/* Prompt prefixes that endpoints probably cache: what routers sent there
-   lately. A wrong guess costs time alone.  */
+/* Prefixes.  Estimates which prompt prefixes are in the caches of endpoints,
+   by the prompts that routers sent to them lately.  A wrong estimate costs
+   only time.  */
 
 #ifndef RELAY_PFX_H
 #define RELAY_PFX_H
@@ -11,60 +12,66 @@
 
 typedef struct pfx pfx_t;
 
-/* One part of a prompt, in order.  */
+/* One part of a prompt.  */
 typedef struct
 {
-  uint64_t id; /* with that of all parts previous it: a part is cached
-                  together with these alone */
+  /* A hash of this part and all parts before it: a part is cached only
+     together with these.  */
+  uint64_t id;
   unsigned tokens;
 } pfx_part_t;
 
 typedef struct
 {
-  GArray *parts; /* pfx_part_t */
+  GArray *parts; /* pfx_part_t, in order */
   unsigned tokens;
 } pfx_prompt_t;
 
-/* "ID:TOKENS, ..." with hexadecimal IDs; NULL when malformed or empty.  */
+/* Parses "ID:TOKENS, ..." with hexadecimal IDs.  Returns NULL when TEXT is
+   malformed or empty.  */
 pfx_prompt_t *pfx_prompt_parse (const char *text);
 void pfx_prompt_free (pfx_prompt_t *prompt);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (pfx_prompt_t, pfx_prompt_free)
 
-/* The part that names the shared prefix: the last_used one but the request's
-   own. 0 when there is none.  */
+/* Returns the id of the prefix that the prompt may share with others, that is,
+   of the last part but one.  The last part is the request's own.  0 when there
+   is only one part.  */
 uint64_t pfx_prompt_get_shared_id (const pfx_prompt_t *prompt);
 
 pfx_t *pfx_new (void);
 void pfx_free (pfx_t *pfx);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (pfx_t, pfx_free)
 
-/* ENDPOINT is a hash of the endpoint's id and start.  */
+/* Records that PROMPT was sent to ENDPOINT, a hash of the endpoint's id and
+   start time.  */
 void pfx_record (pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
                  const pfx_prompt_t *prompt);
 
-/* What other routers are to be told: the prefix of a prompt that was noted
-   here lately.  */
+/* A recorded prefix, to be sent to the other routers.  */
 typedef struct
 {
   uint64_t endpoint;
   uint64_t part;
-  uint64_t number; /* counts up */
+  uint64_t number; /* sequence number */
   cfd_time_t at;
 } pfx_update_t;
 
-/* Updates since SINCE; valid until the next call.  */
+/* Returns the updates since SINCE and drops older ones.  The array is owned by
+   PFX and valid until the next call.  */
 const GArray *pfx_get_updates (pfx_t *pfx, cfd_time_t since);
-/* Another router sent a prompt with the prefix that ends in PART.  */
+/* Records that another router sent a prompt with the prefix that ends in PART
+   to ENDPOINT.  */
 void pfx_apply_update (pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
                        uint64_t part);
 
-/* Tokens of all parts of PROMPT but its own.  */
+/* Returns the number of tokens in all parts of PROMPT but the last.  */
 unsigned pfx_prompt_count_shared_tokens (const pfx_prompt_t *prompt);
-/* Tokens of the longest prefix of PROMPT that ENDPOINT is_cached, probably. */
+/* Returns the number of tokens in the longest prefix of PROMPT that ENDPOINT
+   probably has in its cache.  */
 unsigned pfx_count_cached_tokens (const pfx_t *pfx, cfd_time_t now,
                                   uint64_t endpoint,
                                   const pfx_prompt_t *prompt);
-/* Forgets what is expired_count.  */
+/* Removes expired entries.  */
 void pfx_evict_expired (pfx_t *pfx, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/relay/rdy.c
+++ b/libcoltsfootdrum/relay/rdy.c
@@ -1,20 +1,21 @@
-/* Readiness by load, with hysteresis.  */
+/* Readiness: by load, with hysteresis.  */
 
 #include "relay/rdy.h"
 
 #include <glib.h>
 #include <math.h>
 
-/* Connections that are left waiting for so long are no passing burst.  */
+/* Connections that are left waiting for this time are not a short burst.  */
 #define MIN_BACKLOGGED_MS 1000
-/* Not ready for the first span, and for twice as long each time that the load
-   is too high relapsed soon after.  The same callers come back with it, and
-   the platform takes some seconds to send them elsewhere: these are to be a
-   small part of the time.  */
+/* The instance is not ready for MIN_HOLD_MS, and for twice as long each time
+   that it is overloaded again within RELAPSE_MS of becoming ready.  The same
+   clients return when it is ready, and the platform takes some seconds to send
+   them elsewhere; these seconds should be a small part of the time.  */
 #define MIN_HOLD_MS 10000
 #define MAX_HOLD_MS 80000
 #define RELAPSE_MS 20000
-/* It is ready relapsed below this share of time with work.  */
+/* The instance becomes ready again when it works for this share of the time or
+   less.  */
 #define MAX_READY_BUSY 0.6
 #define SMOOTHING_MS 200.
 
--- a/libcoltsfootdrum/relay/rdy.h
+++ b/libcoltsfootdrum/relay/rdy.h
@@ -1,10 +1,11 @@
-/* Readiness: whether new callers should come to this instance.
+/* Readiness.  Decides whether this instance should get new connections.
 
-   Load pattern: callers are spread over instances by a hash, so that a small
-   one may get several times what it can serve while others of its zone are
-   idle.  Its connections then wait until their callers give up.  When it can't
-   take all that come for some time it says that it is not ready, and new
-   connections go elsewhere.  */
+   Load pattern: clients are distributed over instances by a hash, so that a
+   small instance may get several times the load that it can serve while others
+   of its availability zone are idle.  Connections to it then wait until their
+   clients give up.  When an instance can't accept all connections for some
+   time, it reports that it is not ready, and new ones go to other instances.
+ */
 
 #ifndef RELAY_RDY_H
 #define RELAY_RDY_H
@@ -14,20 +15,20 @@
 
 typedef struct
 {
-  double busy;                 /* share of time with work, smoothed */
-  cfd_time_t backlogged_since; /* connections wait; CFD_TIME_NEVER: none do */
-  cfd_time_t not_ready_until;  /* not ready until then at least */
-  cfd_time_t ready_since;      /* when it was ready relapsed */
-  int64_t hold_ms;             /* of the last time it was not ready */
-  bool not_ready;              /* not ready */
+  double busy;                 /* share of time spent working, smoothed */
+  cfd_time_t backlogged_since; /* CFD_TIME_NEVER: not backlogged */
+  cfd_time_t not_ready_until;  /* or longer */
+  cfd_time_t ready_since;      /* end of the last time not ready */
+  int64_t hold_ms;             /* minimum of the last time not ready */
+  bool not_ready;
 } rdy_t;
 
-/* What was sample backlogged_since the last update.  */
+/* Measurements since the last update.  */
 typedef struct
 {
-  double busy_ms;  /* work */
+  double busy_ms;  /* working */
   double idle_ms;  /* waiting for events */
-  bool backlogged; /* a turn of the loop ended with connections that wait */
+  bool backlogged; /* an iteration left connections waiting for accept */
 } rdy_sample_t;
 
 void rdy_init (rdy_t *rdy);
--- a/libcoltsfootdrum/relay/test-evs.c
+++ b/libcoltsfootdrum/relay/test-evs.c
@@ -1,4 +1,4 @@
-/* Events of streams, cut out of bytes that come in any pieces.  */
+/* Tests of splitting a stream into events, whatever pieces it arrives in.  */
 
 #include "relay/evs.h"
 
@@ -7,8 +7,8 @@
 typedef struct
 {
   const char *name;
-  const char *pieces[5]; /* NULL-ended */
-  const char *output;    /* what comes out */
+  const char *pieces[5]; /* NULL-terminated */
+  const char *output;
   int64_t last_id;
 } case_t;
 
@@ -48,9 +48,9 @@
   evs_clear (&stream);
 }
 
-/* The caller must see each event once and whole.  An endpoint stops in the
-   middle of event 2; another goes on after event 1 and sends it again.  Half
-   an event that was output on could not be taken back.  */
+/* The client must receive each event once and complete.  An endpoint fails in
+   the middle of event 2; another one continues after event 1 and sends event 2
+   again.  Half an event that was passed on could not be withdrawn.  */
 static void
 test_goes_on_elsewhere (void)
 {
--- a/libcoltsfootdrum/relay/test-rdy.c
+++ b/libcoltsfootdrum/relay/test-rdy.c
@@ -1,4 +1,4 @@
-/* Readiness by load.  */
+/* Tests of readiness by load.  */
 
 #include "relay/rdy.h"
 
@@ -19,8 +19,8 @@
   rdy_init (&fixture->rdy);
 }
 
-/* For MS the loop is busy for this share of the time; LEFT: connections wait
-   at the end of its turns.  */
+/* Updates readiness for MS with the share BUSY of time spent working. WAITING:
+   iterations leave connections waiting.  */
 static void
 run_load (fixture_t *fixture, double busy, bool waiting, int64_t ms)
 {
@@ -35,7 +35,7 @@
     }
 }
 
-/* An instance that works all the time and takes all callers stays ready.  */
+/* An instance that always works and accepts all connections stays ready.  */
 static void
 test_busy (void)
 {
@@ -46,8 +46,9 @@
   g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
-/* A router said that it was ready while nobody could connect.  It says no
-   before the second check of the platform, which asks once a second.  */
+/* A router must not report that it is ready while no client can connect.  It
+   becomes not ready before the platform's second check; checks are a second
+   apart.  */
 static void
 test_left_waiting (void)
 {
@@ -61,7 +62,9 @@
   g_assert_false (rdy_is_ready (&fixture.rdy));
 }
 
-/* Many short bursts, each of which is taken, don't add up.  */
+/* Short bursts, after each of which all connections are accepted, don't add
+ * up.
+ */
 static void
 test_short_bursts (void)
 {
@@ -76,8 +79,8 @@
   g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
-/* Open connections still keep it busy: it isn't ready when the time is over,
-   but as soon as they leave it room.  */
+/* While its open connections keep the instance busy, it stays not ready after
+   the hold time, until their load decreases.  */
 static void
 test_still_busy (void)
 {
@@ -91,8 +94,8 @@
   g_assert_true (rdy_is_ready (&fixture.rdy));
 }
 
-/* The same callers come back with it and take it out again, for longer each
-   time; after a calm time the first span counts again.  */
+/* When the same clients return and overload the instance again, the hold time
+   doubles.  After a time without overload it starts from the minimum.  */
 static void
 test_hysteresis (void)
 {
@@ -114,7 +117,8 @@
   g_assert_cmpint (fixture.rdy.hold_ms, ==, first);
 }
 
-/* A process that was paused and then takes the callers who waited is ready. */
+/* A process that was paused and then accepts the waiting connections is ready.
+ */
 static void
 test_pause (void)
 {
