--- a/libcoltsfootdrum/relay/con.h
+++ b/libcoltsfootdrum/relay/con.h
@@ -51,9 +51,7 @@
 
 bool con_is_connected (const con_t *con);
 
-/* Writes or buffers BYTES.  A failure is reported later, by the ended
- * callback.
- */
+/* Writes or buffers BYTES.  The ended callback reports a failure later.  */
 void con_write (con_t *con, const void *bytes, size_t length);
 
 /* Returns the number of bytes that wait to be written to the socket.  */
--- a/libcoltsfootdrum/relay/ent.c
+++ b/libcoltsfootdrum/relay/ent.c
@@ -328,10 +328,10 @@
 bool
 ent_test_and_clear_backlogged (ent_t *ent)
 {
-  bool left = ent->backlogged;
+  bool was_backlogged = ent->backlogged;
 
   ent->backlogged = false;
-  return left;
+  return was_backlogged;
 }
 
 void
--- a/libcoltsfootdrum/relay/ent.h
+++ b/libcoltsfootdrum/relay/ent.h
@@ -1,7 +1,6 @@
 /* Entry.  The HTTP server for clients: a listening socket and its connections.
    Each connection handles one call at a time, that is, one request and its
-   response.  A call is passed to the user once its request was read in full.
- */
+   response.  A call is passed to the user once its request is complete.  */
 
 #ifndef RELAY_ENT_H
 #define RELAY_ENT_H
@@ -41,7 +40,7 @@
 void ent_free (ent_t *ent);
 
 /* Returns true when, since the last call of this function, a wakeup accepted
-   the most connections that it may, so that more were probably waiting.  */
+   as many connections as it may, so that more were probably waiting.  */
 bool ent_test_and_clear_backlogged (ent_t *ent);
 
 /* Accounts the time spent on connections to LAG, which is not owned.  */
@@ -58,7 +57,7 @@
 void ent_close_listener (ent_t *ent);
 /* Closes the connections that have no request in progress.  */
 void ent_close_idle (ent_t *ent);
-/* Must be called some times a second.  Enforces the time limits.  */
+/* Must be called several times a second.  Enforces the time limits.  */
 void ent_tick (ent_t *ent, cfd_time_t now);
 unsigned ent_count_connections (const ent_t *ent);
 /* Returns the number of connections accepted since the start.  */
@@ -68,7 +67,7 @@
 const GByteArray *ent_get_body (const ent_call_t *call);
 /* Returns when the first bytes of the request were received.  */
 cfd_time_t ent_get_start_time (const ent_call_t *call);
-/* Attaches a pointer of the user's to CALL.  */
+/* Attaches the user's data to CALL.  */
 void ent_set_data (ent_call_t *call, void *data);
 void *ent_get_data (const ent_call_t *call);
 
--- a/libcoltsfootdrum/relay/pal-update.c
+++ b/libcoltsfootdrum/relay/pal-update.c
@@ -1,5 +1,4 @@
-/* Peers: changes of the platform's lists, sent by the router that read them.
- */
+/* Peers: changes of the platform's lists, from the router that read them.  */
 
 #include "relay/pal-private.h"
 
--- a/libcoltsfootdrum/relay/pal.h
+++ b/libcoltsfootdrum/relay/pal.h
@@ -93,7 +93,7 @@
                                                 const char *events),
                               void *user);
 
-/* Must be called some times a second.  Discards the state of silent routers
+/* Must be called several times a second.  Discards the state of silent routers
    and sends the full state when it is due, or else the changes.  */
 void pal_tick (pal_t *pal, cfd_time_t now);
 
--- a/libcoltsfootdrum/relay/rd.h
+++ b/libcoltsfootdrum/relay/rd.h
@@ -1,7 +1,6 @@
 /* Reader.  Reads HTTP/1.1 messages from a stream of bytes.  Parsing is done by
    libhttp-parser; this module collects the head of each message and stops
-   after its end, so that bytes of the next message are never attributed to it.
- */
+   after its end, so that bytes of the next one are never attributed to it.  */
 
 #ifndef RELAY_RD_H
 #define RELAY_RD_H
--- a/libcoltsfootdrum/relay/rdy.h
+++ b/libcoltsfootdrum/relay/rdy.h
@@ -4,8 +4,7 @@
    small instance may get several times the load that it can serve while others
    of its availability zone are idle.  Connections to it then wait until their
    clients give up.  When an instance can't accept all connections for some
-   time, it reports that it is not ready, and new ones go to other instances.
- */
+   time, it reports that it is not ready, and new ones go to another instance.  */
 
 #ifndef RELAY_RDY_H
 #define RELAY_RDY_H
@@ -17,9 +16,9 @@
 {
   double busy;                 /* share of time spent working, smoothed */
   cfd_time_t backlogged_since; /* CFD_TIME_NEVER: not backlogged */
-  cfd_time_t not_ready_until;  /* or longer */
+  cfd_time_t not_ready_until;  /* at least */
   cfd_time_t ready_since;      /* end of the last time not ready */
-  int64_t hold_ms;             /* minimum of the last time not ready */
+  int64_t hold_ms;             /* least duration of the last time not ready */
   bool not_ready;
 } rdy_t;
 
--- a/libcoltsfootdrum/relay/test-ent.c
+++ b/libcoltsfootdrum/relay/test-ent.c
@@ -10,10 +10,10 @@
 
 /* More connections than fit in the accept queue.  */
 #define BURST 400
-#define WAVES 13
+#define ROUNDS 13
 /* Iterations of the event loop in which all waiting connections must be
    accepted.  */
-#define TURNS 6
+#define ITERATIONS 6
 
 typedef struct
 {
@@ -88,17 +88,17 @@
   int fds[BURST];
 
   fixture_init (&fixture);
-  for (unsigned wave = 0; wave < WAVES; wave++)
+  for (unsigned round = 0; round < ROUNDS; round++)
     {
       unsigned before = ent_count_accepted (fixture.ent);
       unsigned established = open_connections (&fixture, fds);
 
-      for (unsigned turn = 0; turn < TURNS; turn++)
+      for (unsigned iteration = 0; iteration < ITERATIONS; iteration++)
         ev_run (fixture.loop, EVRUN_NOWAIT);
       g_assert_cmpuint (ent_count_accepted (fixture.ent) - before, >=,
                         established);
       close_connections (fds);
-      for (unsigned turn = 0; turn < BURST; turn++)
+      for (unsigned iteration = 0; iteration < BURST; iteration++)
         ev_run (fixture.loop, EVRUN_NOWAIT);
     }
   fixture_clear (&fixture);
--- a/libcoltsfootdrum/relay/test-rd.c
+++ b/libcoltsfootdrum/relay/test-rd.c
@@ -105,29 +105,29 @@
 
 /* Feeds the bytes in pieces of STEP.  */
 static void
-check_case (const case_t *one, size_t step)
+check_case (const case_t *test, size_t step)
 {
   static const rd_ops_t ops = { on_head, on_body };
   parsed_t parsed
       = { .head = g_string_new (NULL), .body = g_string_new (NULL) };
-  g_autoptr (rd_t) rd = rd_new (one->kind, MAX_HEAD_BYTES, &ops, &parsed);
+  g_autoptr (rd_t) rd = rd_new (test->kind, MAX_HEAD_BYTES, &ops, &parsed);
   size_t done;
-  rd_result_t result = feed_all (rd, one->bytes, step, &done);
+  rd_result_t result = feed_all (rd, test->bytes, step, &done);
 
-  if (g_str_equal (one->name, "interim"))
+  if (g_str_equal (test->name, "interim"))
     {
       g_assert_cmpint (result, ==, RD_COMPLETE);
       g_assert_cmpuint (parsed.status, ==, 200);
       g_assert_cmpstr (parsed.body->str, ==, "a");
     }
   else
-    g_assert_cmpint (result, ==, one->result);
-  if (one->head != NULL)
-    g_assert_cmpstr (parsed.head->str, ==, one->head);
-  if (one->body != NULL)
-    g_assert_cmpstr (parsed.body->str, ==, one->body);
-  if (one->rest != NULL)
-    g_assert_cmpstr (one->bytes + done, ==, one->rest);
+    g_assert_cmpint (result, ==, test->result);
+  if (test->head != NULL)
+    g_assert_cmpstr (parsed.head->str, ==, test->head);
+  if (test->body != NULL)
+    g_assert_cmpstr (parsed.body->str, ==, test->body);
+  if (test->rest != NULL)
+    g_assert_cmpstr (test->bytes + done, ==, test->rest);
   g_string_free (parsed.head, TRUE);
   g_string_free (parsed.body, TRUE);
 }
--- a/libcoltsfootdrum/relay/test-rdy.c
+++ b/libcoltsfootdrum/relay/test-rdy.c
@@ -62,9 +62,7 @@
   g_assert_false (rdy_is_ready (&fixture.rdy));
 }
 
-/* Short bursts, after each of which all connections are accepted, don't add
- * up.
- */
+/* Short bursts don't add up when all connections are accepted after each.  */
 static void
 test_short_bursts (void)
 {
@@ -117,8 +115,7 @@
   g_assert_cmpint (fixture.rdy.hold_ms, ==, first);
 }
 
-/* A process that was paused and then accepts the waiting connections is ready.
- */
+/* A process that was paused is ready once it accepts all connections.  */
 static void
 test_pause (void)
 {
--- a/libcoltsfootdrum/relay/ups.h
+++ b/libcoltsfootdrum/relay/ups.h
@@ -3,8 +3,8 @@
 
    An endpoint may send a second response to a request late, on a connection
    where the next response is expected.  It is recognized by the request id
-   that endpoints echo, and ignored.  A connection that receives bytes while it
-   has no request is closed.  */
+   that endpoints echo, and ignored.  A connection that receives bytes which
+   belong to no request is closed and not used again.  */
 
 #ifndef RELAY_UPS_H
 #define RELAY_UPS_H
