--- a/libcoltsfootdrum/relay/rdy.h
+++ b/libcoltsfootdrum/relay/rdy.h
@@ -4,7 +4,7 @@
    small instance may get several times the load that it can serve while others
    of its availability zone are idle.  Connections to it then wait until their
    clients give up.  When an instance can't accept all connections for some
-   time, it reports that it is not ready, and new ones go to another instance.  */
+   time, it reports that it is not ready, and new ones go elsewhere.  */
 
 #ifndef RELAY_RDY_H
 #define RELAY_RDY_H
