--- a/libcoltsfootdrum/relay/plc.c
+++ b/libcoltsfootdrum/relay/plc.c
@@ -37,13 +37,13 @@
 plc_first_token (const plc_endpoint_t *endpoint, const plc_request_t *request)
 {
   return request->base_ms + endpoint->fetch_ms
-         + request->ms_per_work * (endpoint->unread + endpoint->own);
+         + request->ms_per_work * (endpoint->pending_prefill + endpoint->own);
 }
 
 static double
 others_ms (const plc_endpoint_t *endpoint, const plc_request_t *request)
 {
-  return request->ms_per_work * endpoint->unread;
+  return request->ms_per_work * endpoint->pending_prefill;
 }
 
 static bool
@@ -63,8 +63,9 @@
 fullness (const plc_endpoint_t *endpoint)
 {
   double slots = (double)endpoint->active / endpoint->slots;
-  double memory
-      = endpoint->memory > 0. ? endpoint->context / endpoint->memory : 0.;
+  double memory = endpoint->memory > 0.
+                      ? endpoint->context_tokens / endpoint->memory
+                      : 0.;
 
   return MAX (slots, memory);
 }
@@ -78,7 +79,7 @@
   if (endpoint->slots == 0 || endpoint->active >= slots)
     return false;
   return endpoint->memory <= 0. || endpoint->active == 0
-         || endpoint->context + request->size <= memory;
+         || endpoint->context_tokens + request->size <= memory;
 }
 
 /* Too much of a shared prefix would be prefilled there again.  */
--- a/libcoltsfootdrum/relay/plc.h
+++ b/libcoltsfootdrum/relay/plc.h
@@ -15,16 +15,16 @@
 
 typedef struct
 {
-  unsigned active; /* requests that run there, of all routers */
-  unsigned slots;  /* requests that may */
-  double unread;   /* reading work sent there and not done yet */
-  double own;      /* reading work of this request there */
+  unsigned active;        /* requests that run there, of all routers */
+  unsigned slots;         /* requests that may */
+  double pending_prefill; /* reading work sent there and not done yet */
+  double own;             /* reading work of this request there */
   double missing;  /* tokens of the shared beginning that it doesn't keep */
   double fetch_ms; /* to copy what it lacks of a cached prefix */
-  double context;  /* tokens in memory by requests that run */
-  double memory;   /* tokens that it can hold; 0: not told */
-  bool home;       /* where prompts with this beginning go by choice */
-  bool far;        /* in another availability zone */
+  double context_tokens; /* tokens in memory by requests that run */
+  double memory;         /* tokens that it can hold; 0: not told */
+  bool home;             /* where prompts with this beginning go by choice */
+  bool far;              /* in another availability zone */
 } plc_endpoint_t;
 
 typedef struct
--- a/libcoltsfootdrum/relay/rly-private.h
+++ b/libcoltsfootdrum/relay/rly-private.h
@@ -46,7 +46,7 @@
 {
   struct ev_loop *loop;
   rly_names_t names;
-  rly_bounds_t bounds;
+  rly_settings_t bounds;
   edp_set_t *endpoints;
   use_t *use;
   pfx_t *pfx; /* not owned */
@@ -94,28 +94,28 @@
   bool charged;         /* to its account */
   bool ran;             /* an endpoint began to answer it */
 
-  cfd_time_t since;    /* its arrival */
-  cfd_time_t asked;    /* its caller's first try, as far as can be told */
-  cfd_time_t deadline; /* the caller's */
-  cfd_time_t timeout;  /* the route's */
-  int64_t aim_ms;      /* an answer that begins later is late */
-  cfd_time_t until;    /* it is refused when it still waits then */
-  bool late;           /* its caller came again, too late for the aim */
-  unsigned queued;     /* rounds of placement before it began to wait */
-  unsigned tries;      /* sends, and connections that failed */
-  unsigned attempts;   /* endpoints that may have got it */
-  char *last_failed;   /* id of the endpoint that failed it last */
+  cfd_time_t since;         /* its arrival */
+  cfd_time_t first_attempt; /* its caller's first try, as far as can be told */
+  cfd_time_t deadline;      /* the caller's */
+  cfd_time_t timeout;       /* the route's */
+  int64_t target_latency_ms; /* an answer that begins later is late */
+  cfd_time_t until;          /* it is refused when it still waits then */
+  bool late;                 /* its caller came again, too late for the aim */
+  unsigned queued;           /* rounds of placement before it began to wait */
+  unsigned tries;            /* sends, and connections that failed */
+  unsigned attempts;         /* endpoints that may have got it */
+  char *last_failed;         /* id of the endpoint that failed it last */
 
   edp_t *edp; /* while it runs */
   ups_exchange_t *exchange;
   cfd_time_t sent_at;
-  double ahead;      /* reading work before its first token */
-  double unread;     /* its own part of that, until the first byte */
-  double context;    /* tokens that it holds in memory */
-  double fetch_ms;   /* for its cached prefix to be copied there */
-  bool began;        /* the caller has got the head */
-  bool may_have_run; /* an endpoint got it and did not give it back */
-  bool held;         /* the answer is not read on: its caller is behind */
+  double ahead;           /* reading work before its first token */
+  double pending_prefill; /* its own part of that, until the first byte */
+  double context_tokens;  /* tokens that it holds in memory */
+  double fetch_ms;        /* for its cached prefix to be copied there */
+  bool began;             /* the caller has got the head */
+  bool may_have_run;      /* an endpoint got it and did not give it back */
+  bool held;              /* the answer is not read on: its caller is behind */
   rly_answer_t answer;
 } rly_request_t;
 
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -16,7 +16,7 @@
 static bool
 is_ours (const rly_names_t *names, const char *name)
 {
-  for (const char *const *own = names->ours; *own != NULL; own++)
+  for (const char *const *own = names->reserved_fields; *own != NULL; own++)
     if (g_ascii_strcasecmp (*own, name) == 0)
       return true;
   return g_ascii_strcasecmp (name, names->deadline_ms) == 0
@@ -86,9 +86,10 @@
 static void
 stop_reading_prompt (rly_request_t *request)
 {
-  request->edp->unread = MAX (request->edp->unread - request->unread, 0.);
+  request->edp->pending_prefill
+      = MAX (request->edp->pending_prefill - request->pending_prefill, 0.);
   request->edp->changed = true;
-  request->unread = 0.;
+  request->pending_prefill = 0.;
 }
 
 static void
@@ -120,19 +121,19 @@
 take_body (rly_request_t *request, cfd_time_t now, const char *bytes,
            size_t length)
 {
-  bool first = request->unread > 0.;
+  bool first = request->pending_prefill > 0.;
 
   request->edp->heard = now;
   if (!request->ran && is_success (&request->answer))
     {
       request->ran = true;
       if (request->key != 0)
-        ret_served (request->rly->ret, request->key);
+        ret_mark_served (request->rly->ret, request->key);
       prom_hist_add (&request->service->first_byte, now - request->since);
     }
   if (first && is_success (&request->answer))
     {
-      edp_took (request->edp);
+      edp_record_acceptance (request->edp);
       learn (request, now);
       stop_reading_prompt (request);
     }
@@ -173,7 +174,7 @@
   rly_t *rly = request->rly;
 
   INVARIANT ("at-most-once",
-             !request->may_have_run || rte_may_repeat (request->route),
+             !request->may_have_run || rte_may_retry (request->route),
              request->id);
   INVARIANT ("endpoint-open", edp_is_open (edp, now), edp->report->id);
   rly_unwait (request);
@@ -184,9 +185,9 @@
   request->tries++;
   request->attempts++;
   edp->active++;
-  edp->unread += request->unread;
-  edp->context += request->context;
-  edp_burden (edp, now);
+  edp->pending_prefill += request->pending_prefill;
+  edp->context_tokens += request->context_tokens;
+  edp_count_cold_request (edp, now);
   edp->changed = true;
   if (request->prompt != NULL)
     pfx_note (rly->pfx, now, edp->hash, request->prompt);
@@ -221,7 +222,7 @@
   request->exchange = ups_send (edp->ups, now, &wire, &exchange_ops, request);
   if (request->exchange == NULL)
     {
-      edp_failed (edp, now);
+      edp_record_failure (edp, now);
       return false;
     }
   begin (request, edp, now);
@@ -232,9 +233,9 @@
       "peers=%u ahead=%.0f own=%.0f expect_ms=%.0f waited_ms=%" G_GINT64_FORMAT
       " source=%s fetch_ms=%.0f.",
       request->id, rly_account_name (request), edp->report->id, edp->active,
-      edp->peer_active, request->ahead, request->unread, expected (request),
-      now - request->since, source != NULL ? source->report->id : "",
-      request->fetch_ms);
+      edp->peer_active, request->ahead, request->pending_prefill,
+      expected (request), now - request->since,
+      source != NULL ? source->report->id : "", request->fetch_ms);
   return true;
 }
 
@@ -263,7 +264,8 @@
   request->exchange = NULL;
   request->held = false;
   stop_reading_prompt (request);
-  edp->context = MAX (edp->context - request->context, 0.);
+  edp->context_tokens
+      = MAX (edp->context_tokens - request->context_tokens, 0.);
   INVARIANT ("running-counted", edp->active > 0, edp->report->id);
   edp->active--;
   request->rly->counts.running--;
@@ -312,7 +314,7 @@
       ups_hold (request->exchange, false);
     }
   if (request->answer.status == 0 && since_sent > silent_after (request)
-      && rte_may_repeat (request->route)
-      && request->attempts < request->route->attempts)
+      && rte_may_retry (request->route)
+      && request->attempts < request->route->max_attempts)
     give_up (request, now, UPS_BROKEN);
 }
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -49,40 +49,40 @@
      first token comes in time.  */
   { "behind-a-long-prompt",
     WISH (300., 150.),
-    { { FREE, .own = 800., .unread = 50000., .home = true },
-      { FREE, .own = 800., .unread = 2000. } },
+    { { FREE, .own = 800., .pending_prefill = 50000., .home = true },
+      { FREE, .own = 800., .pending_prefill = 2000. } },
     2,
     1 },
   /* The kept beginning saves more time than the shorter queue.  */
   { "kept-beginning",
     WISH (600., 300.),
-    { { FREE, .own = 7000., .unread = 6000. },
+    { { FREE, .own = 7000., .pending_prefill = 6000. },
       { FREE, .own = 12000., .missing = 5000. } },
     2,
     0 },
   { "kept-but-far-behind",
     WISH (600., 300.),
-    { { FREE, .own = 7000., .unread = 32000. },
+    { { FREE, .own = 7000., .pending_prefill = 32000. },
       { FREE, .own = 12000., .missing = 5000. } },
     2,
     1 },
   /* A copy of the prefix is faster than the queue where it is cached.  */
   { "copied-prefix",
     WISH (600., 300.),
-    { { FREE, .own = 7000., .unread = 28000. },
+    { { FREE, .own = 7000., .pending_prefill = 28000. },
       { FREE, .own = 7000., .fetch_ms = 20. } },
     2,
     1 },
   { "slow-copy",
     WISH (600., 300.),
-    { { FREE, .own = 7000., .unread = 3000. },
+    { { FREE, .own = 7000., .pending_prefill = 3000. },
       { FREE, .own = 7000., .fetch_ms = 90. } },
     2,
     0 },
   { "all-behind",
     WISH (300., 150.),
-    { { FREE, .own = 800., .unread = 40000. },
-      { FREE, .own = 800., .unread = 30000. } },
+    { { FREE, .own = 800., .pending_prefill = 40000. },
+      { FREE, .own = 800., .pending_prefill = 30000. } },
     2,
     WAITS },
   { "all-slots-taken",
@@ -92,7 +92,7 @@
     WAITS },
   { "memory-full",
     WISH (300., 150.),
-    { { FREE, .own = 800., .active = 9, .context = 339000. } },
+    { { FREE, .own = 800., .active = 9, .context_tokens = 339000. } },
     1,
     WAITS },
   /* Larger than all memory: an idle endpoint takes it all the same.  */
@@ -109,13 +109,13 @@
   /* It can't be in time anywhere, and goes where little is before it.  */
   { "longer-than-the-aim",
     WISH (600., 300.),
-    { { FREE, .own = 80000., .unread = 25000. },
-      { FREE, .own = 80000., .unread = 10000. } },
+    { { FREE, .own = 80000., .pending_prefill = 25000. },
+      { FREE, .own = 80000., .pending_prefill = 10000. } },
     2,
     1 },
   { "longer-than-the-aim-waits",
     WISH (600., 300.),
-    { { FREE, .own = 80000., .unread = 25000. } },
+    { { FREE, .own = 80000., .pending_prefill = 25000. } },
     1,
     WAITS },
   { "plain-least-active",
@@ -139,7 +139,7 @@
       .capacity_share = 0.75,
       .size = 2000. },
     { { FREE, .own = 800., .active = 50 },
-      { FREE, .own = 800., .active = 40, .unread = 2000. } },
+      { FREE, .own = 800., .active = 40, .pending_prefill = 2000. } },
     2,
     1 },
   { "held-back-waits",
@@ -149,7 +149,7 @@
       .max_queueing_ms = 30.,
       .capacity_share = 0.75,
       .size = 2000. },
-    { { FREE, .own = 800., .active = 40, .unread = 4000. } },
+    { { FREE, .own = 800., .active = 40, .pending_prefill = 4000. } },
     1,
     WAITS },
   /* An endpoint keeps the beginning, and is full: it is waited for, for a slot
@@ -227,12 +227,13 @@
 test_all_full (void)
 {
   plc_request_t request = WISH (300., 150.);
-  plc_endpoint_t endpoints[3] = { { .slots = 4, .active = 4 },
-                                  { FREE, .active = 1, .context = 399000. },
-                                  { FREE, .unread = 15001. } };
+  plc_endpoint_t endpoints[3]
+      = { { .slots = 4, .active = 4 },
+          { FREE, .active = 1, .context_tokens = 399000. },
+          { FREE, .pending_prefill = 15001. } };
 
   g_assert_false (plc_may_place (endpoints, 3, &request));
-  endpoints[2].unread = 15000.;
+  endpoints[2].pending_prefill = 15000.;
   g_assert_true (plc_may_place (endpoints, 3, &request));
 }
 
