--- a/libcoltsfootdrum/relay/edp.c
+++ b/libcoltsfootdrum/relay/edp.c
@@ -13,15 +13,15 @@
 /* An endpoint that failed is left alone for the first span, and for twice as
    long after each further failure, up to the second: long enough that a dead
    one costs few requests, short enough that one that is back is used.  */
-#define SUSPECT_FIRST_MS 250
-#define SUSPECT_MOST_MS 4000
+#define MIN_FAILURE_BACKOFF_MS 250
+#define MAX_FAILURE_BACKOFF_MS 4000
 
 /* An endpoint that gives requests back works for others than we know of, or
    still for callers whose connection was cut.  Each further one would be
    refused too.  By reckoning: of 64 requests that take one to two seconds each
    one ends every 15 to 30 ms.  */
-#define FULL_FIRST_MS 20
-#define FULL_MOST_MS 80
+#define MIN_FULL_BACKOFF_MS 20
+#define MAX_FULL_BACKOFF_MS 80
 
 /* Half of a hash: short in datagrams, and some hundred endpoints don't meet in
    it.  */
@@ -34,7 +34,7 @@
   list_node_t retired; /* gone or replaced, with work under way */
   GHashTable *by_id;   /* id to edp_t in use */
   GHashTable *by_hash; /* hash to edp_t in use */
-  GStrv out;           /* availability zones out of service */
+  GStrv zones_out;     /* availability zones out of service */
 };
 
 void
@@ -72,7 +72,7 @@
 }
 
 static void
-free_all (list_node_t *list)
+free_endpoints (list_node_t *list)
 {
   list_for_each_safe (node, list)
     {
@@ -85,11 +85,11 @@
 {
   if (set == NULL)
     return;
-  free_all (&set->list);
-  free_all (&set->retired);
+  free_endpoints (&set->list);
+  free_endpoints (&set->retired);
   g_hash_table_unref (set->by_id);
   g_hash_table_unref (set->by_hash);
-  g_strfreev (set->out);
+  g_strfreev (set->zones_out);
   g_free (set);
 }
 
@@ -104,15 +104,15 @@
 }
 
 static bool
-is_out (const edp_set_t *set, const char *zone)
+is_zone_out (const edp_set_t *set, const char *zone)
 {
-  return set->out != NULL
-         && g_strv_contains ((const char *const *)set->out, zone);
+  return set->zones_out != NULL
+         && g_strv_contains ((const char *const *)set->zones_out, zone);
 }
 
 /* Another process than before answers under the id, or at another address.  */
 static bool
-is_other (const edp_report_t *a, const edp_report_t *b)
+is_different_process (const edp_report_t *a, const edp_report_t *b)
 {
   return strcmp (a->address, b->address) != 0
          || (a->started_ms != 0 && b->started_ms != 0
@@ -120,7 +120,7 @@
 }
 
 static edp_t *
-add (edp_set_t *set, cfd_time_t now, edp_report_t *report)
+add_endpoint (edp_set_t *set, cfd_time_t now, edp_report_t *report)
 {
   g_autoptr (GError) error = NULL;
   addr_t addr;
@@ -143,8 +143,8 @@
   edp->cold_tokens = COLD_BURST;
   edp->ups = ups_new (set->loop, &addr);
   edp->unlisted_since = CFD_TIME_NEVER;
-  edp->withdrawn = is_out (set, report->zone);
-  edp->heard = now;
+  edp->withdrawn = is_zone_out (set, report->zone);
+  edp->last_answer_at = now;
   list_init (&edp->node);
   list_append (&set->list, &edp->node);
   g_hash_table_insert (set->by_id, report->id, edp);
@@ -159,7 +159,7 @@
 
 /* Takes over REPORT for an endpoint that is known.  */
 static void
-renew (edp_set_t *set, edp_t *edp, edp_report_t *report)
+update_report (edp_set_t *set, edp_t *edp, edp_report_t *report)
 {
   if (edp->report->leaving != report->leaving)
     log_info ("endpoints", "An endpoint changed: endpoint=%s leaving=%d.",
@@ -172,11 +172,11 @@
 }
 
 static void
-take_report (edp_set_t *set, cfd_time_t now, edp_report_t *report,
-             int64_t cold_ms, bool first)
+apply_report (edp_set_t *set, cfd_time_t now, edp_report_t *report,
+              int64_t cold_ms, bool first)
 {
   edp_t *edp = g_hash_table_lookup (set->by_id, report->id);
-  bool is_new = edp == NULL || is_other (edp->report, report);
+  bool is_new = edp == NULL || is_different_process (edp->report, report);
   int64_t cold = report->cold_ms;
 
   if (edp != NULL && is_new)
@@ -186,21 +186,22 @@
   if (is_new && !first && cold_ms > 0 && report->started_ms == 0)
     cold = MAX (cold, cold_ms);
   if (is_new)
-    edp = add (set, now, report);
+    edp = add_endpoint (set, now, report);
   else
-    renew (set, edp, report);
+    update_report (set, edp, report);
   if (edp != NULL && cold > 0 && now + cold > edp->cold_until)
     edp->cold_until = now + cold;
 }
 
 static void
-drop_missing (edp_set_t *set, cfd_time_t now, GHashTable *seen, bool settled)
+handle_unlisted (edp_set_t *set, cfd_time_t now, GHashTable *listed,
+                 bool settled)
 {
   list_for_each_safe (node, &set->list)
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
-      if (g_hash_table_contains (seen, edp->report->id))
+      if (g_hash_table_contains (listed, edp->report->id))
         continue;
       if (edp->unlisted_since == CFD_TIME_NEVER)
         {
@@ -219,7 +220,7 @@
 edp_set_update (edp_set_t *set, cfd_time_t now, GPtrArray *reports,
                 bool settled, int64_t cold_ms)
 {
-  g_autoptr (GHashTable) seen
+  g_autoptr (GHashTable) listed
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   bool first = list_is_empty (&set->list);
 
@@ -227,24 +228,24 @@
     {
       edp_report_t *report = g_ptr_array_index (reports, i);
 
-      g_hash_table_add (seen, g_strdup (report->id));
-      take_report (set, now, report, cold_ms, first);
+      g_hash_table_add (listed, g_strdup (report->id));
+      apply_report (set, now, report, cold_ms, first);
     }
   g_ptr_array_set_free_func (reports, NULL);
   g_ptr_array_unref (reports);
-  drop_missing (set, now, seen, settled);
+  handle_unlisted (set, now, listed, settled);
 }
 
 void
 edp_set_withdraw_zones (edp_set_t *set, const char *const *zones)
 {
-  g_strfreev (set->out);
-  set->out = g_strdupv ((char **)zones);
+  g_strfreev (set->zones_out);
+  set->zones_out = g_strdupv ((char **)zones);
   list_for_each (node, &set->list)
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
-      edp->withdrawn = is_out (set, edp->report->zone);
+      edp->withdrawn = is_zone_out (set, edp->report->zone);
     }
 }
 
@@ -309,13 +310,13 @@
 bool
 edp_allows_request (edp_t *edp, cfd_time_t now, double per_s)
 {
-  double gained = (double)(now - edp->cold_refilled_at) * per_s / 1000.;
+  double refill = (double)(now - edp->cold_refilled_at) * per_s / 1000.;
 
   if (now >= edp->cold_until)
     return true;
   if (per_s <= 0.)
     return false;
-  edp->cold_tokens = MIN (edp->cold_tokens + gained, COLD_BURST);
+  edp->cold_tokens = MIN (edp->cold_tokens + refill, COLD_BURST);
   edp->cold_refilled_at = now;
   return edp->cold_tokens >= 1.;
 }
@@ -332,34 +333,36 @@
 void
 edp_record_failure (edp_t *edp, cfd_time_t now)
 {
-  unsigned doublings = MIN (edp->failures, 8);
-  int64_t span = MIN ((int64_t)SUSPECT_FIRST_MS << doublings, SUSPECT_MOST_MS);
+  unsigned doublings = MIN (edp->consecutive_failures, 8);
+  int64_t backoff_ms = MIN ((int64_t)MIN_FAILURE_BACKOFF_MS << doublings,
+                            MAX_FAILURE_BACKOFF_MS);
 
-  edp->failures++;
-  edp->backoff_until = now + span;
+  edp->consecutive_failures++;
+  edp->backoff_until = now + backoff_ms;
 }
 
 void
 edp_record_success (edp_t *edp, cfd_time_t now)
 {
-  edp->failures = 0;
+  edp->consecutive_failures = 0;
   edp->backoff_until = 0;
-  edp->heard = now;
+  edp->last_answer_at = now;
 }
 
 void
 edp_record_rejection (edp_t *edp, cfd_time_t now)
 {
-  unsigned doublings = MIN (edp->given_back, 8);
-  int64_t span = MIN ((int64_t)FULL_FIRST_MS << doublings, FULL_MOST_MS);
+  unsigned doublings = MIN (edp->consecutive_rejections, 8);
+  int64_t backoff_ms
+      = MIN ((int64_t)MIN_FULL_BACKOFF_MS << doublings, MAX_FULL_BACKOFF_MS);
 
-  edp->given_back++;
-  edp->full_until = now + span;
+  edp->consecutive_rejections++;
+  edp->full_until = now + backoff_ms;
 }
 
 void
 edp_record_acceptance (edp_t *edp)
 {
-  edp->given_back = 0;
+  edp->consecutive_rejections = 0;
   edp->full_until = 0;
 }
--- a/libcoltsfootdrum/relay/edp.h
+++ b/libcoltsfootdrum/relay/edp.h
@@ -46,11 +46,11 @@
   bool has_peer_totals; /* the sums of the other routers' figures stand */
 
   bool changed; /* the figures of this router, since others were told */
-  cfd_time_t backoff_until; /* gets nothing new until then */
-  unsigned failures;        /* in a row */
-  cfd_time_t full_until;    /* the same: it gave requests back */
-  unsigned given_back;      /* in a row */
-  cfd_time_t heard;         /* an answer's bytes came */
+  cfd_time_t backoff_until;        /* gets nothing new until then */
+  unsigned consecutive_failures;   /* in a row */
+  cfd_time_t full_until;           /* the same: it gave requests back */
+  unsigned consecutive_rejections; /* in a row */
+  cfd_time_t last_answer_at;       /* an answer's bytes came */
 } edp_t;
 
 typedef struct edp_set edp_set_t;
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -123,7 +123,7 @@
 {
   bool first = request->pending_prefill > 0.;
 
-  request->edp->heard = now;
+  request->edp->last_answer_at = now;
   if (!request->ran && is_success (&request->answer))
     {
       request->ran = true;
--- a/libcoltsfootdrum/relay/test-edp.c
+++ b/libcoltsfootdrum/relay/test-edp.c
@@ -53,7 +53,7 @@
 /* An endpoint that started again under its id holds nothing of before: its
    counts begin anew, and what runs at the former one ends by itself.  */
 static void
-test_born_again (void)
+test_restarted (void)
 {
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
@@ -72,7 +72,7 @@
 
 /* A cold endpoint bears few requests a second, however many wait.  */
 static void
-test_cold (void)
+test_warm_up_rate (void)
 {
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
@@ -99,13 +99,13 @@
 static void
 test_zone_out (void)
 {
-  static const char *const out[] = { "z", NULL };
+  static const char *const zones_out[] = { "z", NULL };
   static const char *const none[] = { NULL };
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
 
   update (set, NOW, report ("e1", 1, 0), true);
-  edp_set_withdraw_zones (set, out);
+  edp_set_withdraw_zones (set, zones_out);
   g_assert_false (edp_is_open (edp_set_find (set, "e1"), NOW));
   /* Also one that is listed later.  */
   update (set, NOW, report ("e2", 1, 0), true);
@@ -146,7 +146,7 @@
    request a little later, and later again with each that it gives back; all
    at once when it takes one.  */
 static void
-test_gives_back (void)
+test_rejections (void)
 {
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
@@ -180,7 +180,7 @@
   double per_s;
   /* Of ten routers so many hear no other one and count all ten; the rest hear
      each other, and take the cut-off ones for dead.  */
-  unsigned cut_off_in_ten;
+  unsigned isolated_in_ten;
 } cold_case_t;
 
 static const cold_case_t cold_cases[] = {
@@ -194,20 +194,20 @@
 /* The rules' bound on one second, of all routers together: half above the
    rate, and five requests.  */
 #define COLD_MULTIPLIER 1.5
-#define COLD_SLACK 5.
+#define COLD_SLACK_REQUESTS 5.
 
 static bool
-is_cut_off (const cold_case_t *one, unsigned router)
+is_isolated (const cold_case_t *one, unsigned router)
 {
-  return router % 10 < one->cut_off_in_ten;
+  return router % 10 < one->isolated_in_ten;
 }
 
 /* What ROUTER knows of the others: how many it counts, and its rank.  */
 static double
-rate_of (const cold_case_t *one, unsigned router, uint64_t endpoint)
+compute_rate (const cold_case_t *one, unsigned router, uint64_t endpoint)
 {
   g_autofree char *own = g_strdup_printf ("router-%u", router);
-  bool all = is_cut_off (one, router);
+  bool sees_all = is_isolated (one, router);
   unsigned count = 1;
   unsigned rank = 0;
 
@@ -215,7 +215,7 @@
     {
       g_autofree char *name = g_strdup_printf ("router-%u", i);
 
-      if (i == router || (!all && is_cut_off (one, i)))
+      if (i == router || (!sees_all && is_isolated (one, i)))
         continue;
       count++;
       rank += cold_ranks_before (name, own, endpoint);
@@ -238,20 +238,20 @@
    gets no more in any second than it bears, and most of that when all hear
    each other: a limit that each router keeps by itself would add up.  */
 static void
-test_cold_fleet (const void *data)
+test_warm_up_rate_of_fleet (const void *data)
 {
   const cold_case_t *one = data;
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   unsigned sent[COLD_MS] = { 0 };
-  unsigned most = 0;
-  unsigned all = 0;
+  unsigned max_per_second = 0;
+  unsigned total = 0;
 
   for (unsigned router = 0; router < one->routers; router++)
     {
       edp_set_t *set = edp_set_new (loop);
       uint64_t hash;
       edp_t *edp = cold_endpoint (set, &hash);
-      double rate = rate_of (one, router, hash);
+      double rate = compute_rate (one, router, hash);
 
       for (unsigned ms = 0; ms < COLD_MS; ms++)
         if (edp_allows_request (edp, NOW + ms, rate))
@@ -267,13 +267,14 @@
 
       for (unsigned i = ms; i < MIN (ms + 1000, COLD_MS); i++)
         sum += sent[i];
-      most = MAX (most, sum);
-      all += sent[ms];
+      max_per_second = MAX (max_per_second, sum);
+      total += sent[ms];
     }
-  g_test_message ("most in a second %u, in all %u", most, all);
-  g_assert_cmpfloat (most, <=, one->per_s * COLD_MULTIPLIER + COLD_SLACK);
-  if (one->cut_off_in_ten == 0)
-    g_assert_cmpfloat (all, >=, one->per_s * COLD_MS / 1000. * 0.7);
+  g_test_message ("most in a second %u, in all %u", max_per_second, total);
+  g_assert_cmpfloat (max_per_second, <=,
+                     one->per_s * COLD_MULTIPLIER + COLD_SLACK_REQUESTS);
+  if (one->isolated_in_ten == 0)
+    g_assert_cmpfloat (total, >=, one->per_s * COLD_MS / 1000. * 0.7);
   ev_loop_destroy (loop);
 }
 
@@ -282,17 +283,17 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/edp/missing", test_missing);
-  g_test_add_func ("/edp/born-again", test_born_again);
-  g_test_add_func ("/edp/cold", test_cold);
+  g_test_add_func ("/edp/born-again", test_restarted);
+  g_test_add_func ("/edp/cold", test_warm_up_rate);
   for (unsigned i = 0; i < G_N_ELEMENTS (cold_cases); i++)
     {
       g_autofree char *path
           = g_strdup_printf ("/edp/cold-fleet/%s", cold_cases[i].name);
 
-      g_test_add_data_func (path, &cold_cases[i], test_cold_fleet);
+      g_test_add_data_func (path, &cold_cases[i], test_warm_up_rate_of_fleet);
     }
   g_test_add_func ("/edp/zone-out", test_zone_out);
   g_test_add_func ("/edp/failures", test_failures);
-  g_test_add_func ("/edp/gives-back", test_gives_back);
+  g_test_add_func ("/edp/gives-back", test_rejections);
   return g_test_run ();
 }
