--- a/libcoltsfootdrum/relay/plc.h
+++ b/libcoltsfootdrum/relay/plc.h
@@ -18,44 +18,45 @@
   unsigned active;        /* requests that run there, of all routers */
   unsigned slots;         /* requests that may */
   double pending_prefill; /* reading work sent there and not done yet */
-  double own;             /* reading work of this request there */
-  double missing;  /* tokens of the shared beginning that it doesn't keep */
-  double fetch_ms; /* to copy what it lacks of a cached prefix */
-  double context_tokens; /* tokens in memory by requests that run */
-  double memory;         /* tokens that it can hold; 0: not told */
-  bool home;             /* where prompts with this beginning go by choice */
-  bool far;              /* in another availability zone */
+  double own_prefill;     /* reading work of this request there */
+  double
+      missing_tokens; /* tokens of the shared beginning that it doesn't keep */
+  double fetch_ms;    /* to copy what it lacks of a cached prefix */
+  double context_tokens;     /* tokens in memory by requests that run */
+  double kv_capacity_tokens; /* tokens that it can hold; 0: not told */
+  bool is_home;       /* where prompts with this beginning go by choice */
+  bool in_other_zone; /* in another availability zone */
 } plc_endpoint_t;
 
 typedef struct
 {
   double base_ms;         /* until the first token with nothing to be read */
-  double ms_per_work;     /* and for each unit of reading work */
-  double left_ms;         /* until the first token is late */
+  double ms_per_token;    /* and for each unit of reading work */
+  double time_left_ms;    /* until the first token is late */
   double max_queueing_ms; /* of others' reading before its own */
   double
-      capacity_share;  /* of slots and memory, up to which it may fill them */
-  double size;         /* tokens that it will hold in memory */
-  double missing_most; /* of the shared beginning, where it may go */
-  double far_ms;       /* what another availability zone is as bad as */
-  double draw;         /* from 0 to 1, breaks ties */
+      capacity_share;   /* of slots and memory, up to which it may fill them */
+  double needed_tokens; /* tokens that it will hold in memory */
+  double max_missing_tokens; /* of the shared beginning, where it may go */
+  double other_zone_cost_ms; /* what another availability zone is as bad as */
+  double tie_break;          /* from 0 to 1, breaks ties */
 } plc_request_t;
 
 /* Work of reading a prompt of TOKENS of which KEPT are there already, in
    tokens: each is read together with all before it.  */
-double plc_reading (double tokens, double kept);
+double plc_compute_prefill_work (double tokens, double cached);
 
 /* Milliseconds until the first token of REQUEST at ENDPOINT.  */
-double plc_first_token (const plc_endpoint_t *endpoint,
-                        const plc_request_t *request);
+double plc_estimate_first_token_ms (const plc_endpoint_t *endpoint,
+                                    const plc_request_t *request);
 
 /* Whether some of COUNT endpoints may have room for REQUEST, whatever they
    cache: false says that plc_choose would find none.  */
-bool plc_may_place (const plc_endpoint_t *endpoints, guint count,
-                    const plc_request_t *request);
+bool plc_has_candidate (const plc_endpoint_t *endpoints, guint count,
+                        const plc_request_t *request);
 
 /* Index of the chosen one of COUNT endpoints; -1 when it has to wait.  */
-int plc_choose (const plc_endpoint_t *endpoints, guint count,
-                const plc_request_t *request);
+int plc_choose_endpoint (const plc_endpoint_t *endpoints, guint count,
+                         const plc_request_t *request);
 
 #endif
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -75,12 +75,12 @@
       = { .active = edp->active + edp->peer_active,
           .pending_prefill = edp->pending_prefill + edp->peer_pending_prefill,
           .context_tokens = edp->context_tokens + edp->peer_context_tokens,
-          .far = is_far (round, edp) };
+          .in_other_zone = is_far (round, edp) };
 
   if (edp_allows_request (edp, round->now, cold_rate_of (round, edp)))
     figures.slots = slots_of (edp, round->terms);
   if (round->terms != NULL)
-    figures.memory = (double)round->terms->memory_tokens;
+    figures.kv_capacity_tokens = (double)round->terms->memory_tokens;
   return figures;
 }
 
@@ -93,7 +93,7 @@
   round->terms = rte_find_service (rly->table, service->name);
   round->now = now;
   round->base_ms = fit_base (&service->first_token);
-  round->ms_per_work = fit_slope (&service->first_token);
+  round->ms_per_token = fit_slope (&service->first_token);
   round->count = 0;
   round->has_room = false;
   list_for_each (node, edp_set_endpoints (rly->endpoints))
@@ -113,7 +113,7 @@
 
 /* What it is as bad as that REQUEST and its answer cross between zones.  */
 static double
-far_ms (const rly_request_t *request)
+estimate_zone_cost_ms (const rly_request_t *request)
 {
   double bytes
       = ent_get_body (request->call)->len + request->output * BYTES_A_TOKEN;
@@ -170,14 +170,15 @@
   double cached = round->cached[i];
   double most = round->cached[round->source];
   double copy_ms = transfer_ms (round, most - cached);
-  double left = plc_reading (prompt->tokens, most);
+  double left = plc_compute_prefill_work (prompt->tokens, most);
 
-  figures->own = plc_reading (prompt->tokens, cached);
+  figures->own_prefill = plc_compute_prefill_work (prompt->tokens, cached);
   figures->fetch_ms = 0.;
   if (copy_ms <= 0.
-      || copy_ms >= round->ms_per_work * (figures->own - left) * COPY_WORTH)
+      || copy_ms >= round->ms_per_token * (figures->own_prefill - left)
+                        * COPY_WORTH)
     return;
-  figures->own = left;
+  figures->own_prefill = left;
   figures->fetch_ms = copy_ms;
 }
 
@@ -202,8 +203,9 @@
   for (guint i = 0; i < round->count; i++)
     {
       add_work (round, prompt, i);
-      round->figures[i].missing = affinity ? shared - round->cached[i] : 0.;
-      round->figures[i].home = round->edps[i] == home;
+      round->figures[i].missing_tokens
+          = affinity ? shared - round->cached[i] : 0.;
+      round->figures[i].is_home = round->edps[i] == home;
     }
   return round->count > 0
          && round->cached[round->source] >= shared * (1. - MISSING_SHARE);
@@ -214,7 +216,7 @@
    free anywhere would else be taken by whoever waits, and each beginning be
    read everywhere.  */
 static double
-missing_most (const rly_request_t *request)
+compute_max_missing_tokens (const rly_request_t *request)
 {
   if (request->tries > 0 || request->line->behind
       || !rly_has (request->rly, MECH_PREFIX_WAIT))
@@ -231,13 +233,13 @@
   double allowed
       = request->late ? request->line->late_allowed : request->line->allowed;
   plc_request_t constraints
-      = { .left_ms
+      = { .time_left_ms
           = (double)request->target_latency_ms * AIM_SHARE - (double)waited,
           .max_queueing_ms = HUGE_VAL,
-          .missing_most = HUGE_VAL,
+          .max_missing_tokens = HUGE_VAL,
           .capacity_share = 1.,
-          .far_ms = far_ms (request),
-          .draw = g_random_double () };
+          .other_zone_cost_ms = estimate_zone_cost_ms (request),
+          .tie_break = g_random_double () };
 
   if (request->prompt == NULL)
     return constraints;
@@ -247,8 +249,8 @@
   if (request->late)
     constraints.capacity_share = LATE_CAPACITY_SHARE;
   constraints.base_ms = round->base_ms;
-  constraints.ms_per_work = round->ms_per_work;
-  constraints.size = request->prompt->tokens + request->output;
+  constraints.ms_per_token = round->ms_per_token;
+  constraints.needed_tokens = request->prompt->tokens + request->output;
   return constraints;
 }
 
@@ -270,7 +272,7 @@
       slots = round->figures[failed].slots;
       round->figures[failed].slots = 0;
     }
-  chosen = plc_choose (round->figures, round->count, constraints);
+  chosen = plc_choose_endpoint (round->figures, round->count, constraints);
   if (failed < round->count && round->count > 1)
     round->figures[failed].slots = slots;
   return chosen;
@@ -290,10 +292,10 @@
   constraints = constraints_of (round, request);
   /* At high load most requests find all endpoints full: nothing is looked up
      for these.  */
-  if (!plc_may_place (round->figures, round->count, &constraints))
+  if (!plc_has_candidate (round->figures, round->count, &constraints))
     return false;
   if (request->prompt != NULL && add_prompt (round, request))
-    constraints.missing_most = missing_most (request);
+    constraints.max_missing_tokens = compute_max_missing_tokens (request);
   chosen = choose (round, request, &constraints);
   /* A process that is behind reads a request, and the end of its connection a
      turn later: by then an endpoint would work for a caller who left.  */
@@ -301,9 +303,10 @@
     return false;
   edp = round->edps[chosen];
   figures = &round->figures[chosen];
-  request->ahead = figures->pending_prefill + figures->own;
-  request->pending_prefill = request->prompt != NULL ? figures->own : 0.;
-  request->context_tokens = constraints.size;
+  request->ahead = figures->pending_prefill + figures->own_prefill;
+  request->pending_prefill
+      = request->prompt != NULL ? figures->own_prefill : 0.;
+  request->context_tokens = constraints.needed_tokens;
   request->fetch_ms = request->prompt != NULL ? figures->fetch_ms : 0.;
   if (request->fetch_ms > 0.)
     source = round->edps[round->source];
@@ -326,8 +329,8 @@
 
   if (prompt == NULL)
     return (int64_t)(aim * RLY_PLAIN_PATIENCE);
-  reading
-      = plc_reading (prompt->tokens, pfx_prompt_count_shared_tokens (prompt));
+  reading = plc_compute_prefill_work (prompt->tokens,
+                                      pfx_prompt_count_shared_tokens (prompt));
   return (int64_t)MAX (aim - fit_base (line) - fit_slope (line) * reading,
                        aim * RLY_LONG_PATIENCE);
 }
--- a/libcoltsfootdrum/relay/rly-private.h
+++ b/libcoltsfootdrum/relay/rly-private.h
@@ -148,7 +148,7 @@
   const rte_service_t *terms; /* NULL when the configuration lacks it */
   cfd_time_t now;
   double base_ms; /* the service's first tokens */
-  double ms_per_work;
+  double ms_per_token;
   bool has_room; /* some endpoint has a free slot */
   guint count;
   edp_t *edps[RLY_ENDPOINTS_MOST];
--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -8,8 +8,8 @@
 
 /* Until endpoints' answers show how fast they read prompts; slow, so that a
    fresh router sends them too little rather than too much.  */
-#define FIRST_BASE_MS 50.
-#define FIRST_MS_PER_WORK (1. / 80.)
+#define INITIAL_BASE_MS 50.
+#define INITIAL_MS_PER_TOKEN (1. / 80.)
 /* Until the configuration is known, callers are told to come back so soon.  */
 #define NO_TABLE_RETRY_MS 500
 /* Of a caller that names no deadline.  */
@@ -171,7 +171,7 @@
     }
   service = g_new0 (rly_service_t, 1);
   service->name = g_strdup (name);
-  fit_init (&service->first_token, FIRST_BASE_MS, FIRST_MS_PER_WORK);
+  fit_init (&service->first_token, INITIAL_BASE_MS, INITIAL_MS_PER_TOKEN);
   list_init (&service->lines);
   bud_init (&service->repeats, rly->bounds.repeat_window_ms,
             rly->bounds.repeat_ratio * REPEAT_SAFETY,
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -4,7 +4,7 @@
 
 #include <math.h>
 
-#define WAITS (-1)
+#define NO_ENDPOINT (-1)
 
 typedef struct
 {
@@ -16,169 +16,182 @@
 } case_t;
 
 /* 50 ms to the first token, 100 tokens read a millisecond.  */
-#define WISH(left, bear)                                                      \
+#define REQUEST(time_left, max_queueing)                                      \
   {                                                                           \
-    .base_ms = 50., .ms_per_work = 0.01, .left_ms = left,                     \
-    .max_queueing_ms = bear, .capacity_share = 1., .size = 2000.,             \
-    .far_ms = 20., .missing_most = HUGE_VAL                                   \
+    .base_ms = 50., .ms_per_token = 0.01, .time_left_ms = time_left,          \
+    .max_queueing_ms = max_queueing, .capacity_share = 1.,                    \
+    .needed_tokens = 2000., .other_zone_cost_ms = 20.,                        \
+    .max_missing_tokens = HUGE_VAL                                            \
   }
 
-#define FREE .slots = 64, .memory = 400000.
+#define FREE_ENDPOINT .slots = 64, .kv_capacity_tokens = 400000.
 
 static const case_t cases[] = {
   { "idle-home",
-    WISH (300., 150.),
-    { { FREE, .own = 800. }, { FREE, .own = 800., .home = true } },
+    REQUEST (300., 150.),
+    { { FREE_ENDPOINT, .own_prefill = 800. },
+      { FREE_ENDPOINT, .own_prefill = 800., .is_home = true } },
     2,
     1 },
   /* Bytes between availability zones are paid for.  */
   { "near-first",
-    WISH (300., 150.),
-    { { FREE, .own = 800., .far = true, .home = true },
-      { FREE, .own = 800. } },
+    REQUEST (300., 150.),
+    { { FREE_ENDPOINT, .own_prefill = 800., .in_other_zone = true,
+        .is_home = true },
+      { FREE_ENDPOINT, .own_prefill = 800. } },
     2,
     1 },
   /* A long beginning that is kept far away is not read again for that.  */
   { "kept-far-away",
-    WISH (600., 300.),
-    { { FREE, .own = 7000., .far = true },
-      { FREE, .own = 12000., .missing = 5000. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 7000., .in_other_zone = true },
+      { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     0 },
   /* A long prompt is being read at the home: a short request goes where its
      first token comes in time.  */
   { "behind-a-long-prompt",
-    WISH (300., 150.),
-    { { FREE, .own = 800., .pending_prefill = 50000., .home = true },
-      { FREE, .own = 800., .pending_prefill = 2000. } },
+    REQUEST (300., 150.),
+    { { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 50000.,
+        .is_home = true },
+      { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 2000. } },
     2,
     1 },
   /* The kept beginning saves more time than the shorter queue.  */
   { "kept-beginning",
-    WISH (600., 300.),
-    { { FREE, .own = 7000., .pending_prefill = 6000. },
-      { FREE, .own = 12000., .missing = 5000. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 7000., .pending_prefill = 6000. },
+      { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     0 },
   { "kept-but-far-behind",
-    WISH (600., 300.),
-    { { FREE, .own = 7000., .pending_prefill = 32000. },
-      { FREE, .own = 12000., .missing = 5000. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 7000., .pending_prefill = 32000. },
+      { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     1 },
   /* A copy of the prefix is faster than the queue where it is cached.  */
   { "copied-prefix",
-    WISH (600., 300.),
-    { { FREE, .own = 7000., .pending_prefill = 28000. },
-      { FREE, .own = 7000., .fetch_ms = 20. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 7000., .pending_prefill = 28000. },
+      { FREE_ENDPOINT, .own_prefill = 7000., .fetch_ms = 20. } },
     2,
     1 },
   { "slow-copy",
-    WISH (600., 300.),
-    { { FREE, .own = 7000., .pending_prefill = 3000. },
-      { FREE, .own = 7000., .fetch_ms = 90. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 7000., .pending_prefill = 3000. },
+      { FREE_ENDPOINT, .own_prefill = 7000., .fetch_ms = 90. } },
     2,
     0 },
   { "all-behind",
-    WISH (300., 150.),
-    { { FREE, .own = 800., .pending_prefill = 40000. },
-      { FREE, .own = 800., .pending_prefill = 30000. } },
+    REQUEST (300., 150.),
+    { { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 40000. },
+      { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 30000. } },
     2,
-    WAITS },
+    NO_ENDPOINT },
   { "all-slots-taken",
-    WISH (300., 150.),
-    { { FREE, .own = 800., .active = 64 } },
+    REQUEST (300., 150.),
+    { { FREE_ENDPOINT, .own_prefill = 800., .active = 64 } },
     1,
-    WAITS },
+    NO_ENDPOINT },
   { "memory-full",
-    WISH (300., 150.),
-    { { FREE, .own = 800., .active = 9, .context_tokens = 339000. } },
+    REQUEST (300., 150.),
+    { { FREE_ENDPOINT, .own_prefill = 800., .active = 9,
+        .context_tokens = 339000. } },
     1,
-    WAITS },
+    NO_ENDPOINT },
   /* Larger than all memory: an idle endpoint takes it all the same.  */
   { "memory-alone",
     { .base_ms = 50.,
-      .ms_per_work = 0.01,
-      .left_ms = 600.,
+      .ms_per_token = 0.01,
+      .time_left_ms = 600.,
       .max_queueing_ms = 300.,
       .capacity_share = 1.,
-      .size = 900000. },
-    { { FREE, .own = 800. } },
+      .needed_tokens = 900000. },
+    { { FREE_ENDPOINT, .own_prefill = 800. } },
     1,
     0 },
   /* It can't be in time anywhere, and goes where little is before it.  */
   { "longer-than-the-aim",
-    WISH (600., 300.),
-    { { FREE, .own = 80000., .pending_prefill = 25000. },
-      { FREE, .own = 80000., .pending_prefill = 10000. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 80000., .pending_prefill = 25000. },
+      { FREE_ENDPOINT, .own_prefill = 80000., .pending_prefill = 10000. } },
     2,
     1 },
   { "longer-than-the-aim-waits",
-    WISH (600., 300.),
-    { { FREE, .own = 80000., .pending_prefill = 25000. } },
+    REQUEST (600., 300.),
+    { { FREE_ENDPOINT, .own_prefill = 80000., .pending_prefill = 25000. } },
     1,
-    WAITS },
+    NO_ENDPOINT },
   { "plain-least-active",
-    { .left_ms = 150., .max_queueing_ms = HUGE_VAL, .capacity_share = 1. },
+    { .time_left_ms = 150.,
+      .max_queueing_ms = HUGE_VAL,
+      .capacity_share = 1. },
     { { .active = 3, .slots = 6 },
       { .active = 1, .slots = 6 },
       { .active = 2, .slots = 6 } },
     3,
     1 },
   { "plain-full",
-    { .left_ms = 150., .max_queueing_ms = HUGE_VAL, .capacity_share = 1. },
+    { .time_left_ms = 150.,
+      .max_queueing_ms = HUGE_VAL,
+      .capacity_share = 1. },
     { { .active = 6, .slots = 6 } },
     1,
-    WAITS },
+    NO_ENDPOINT },
   /* An account above its share leaves a part of the slots to others.  */
   { "held-back",
     { .base_ms = 50.,
-      .ms_per_work = 0.01,
-      .left_ms = 300.,
+      .ms_per_token = 0.01,
+      .time_left_ms = 300.,
       .max_queueing_ms = 30.,
       .capacity_share = 0.75,
-      .size = 2000. },
-    { { FREE, .own = 800., .active = 50 },
-      { FREE, .own = 800., .active = 40, .pending_prefill = 2000. } },
+      .needed_tokens = 2000. },
+    { { FREE_ENDPOINT, .own_prefill = 800., .active = 50 },
+      { FREE_ENDPOINT, .own_prefill = 800., .active = 40,
+        .pending_prefill = 2000. } },
     2,
     1 },
   { "held-back-waits",
     { .base_ms = 50.,
-      .ms_per_work = 0.01,
-      .left_ms = 300.,
+      .ms_per_token = 0.01,
+      .time_left_ms = 300.,
       .max_queueing_ms = 30.,
       .capacity_share = 0.75,
-      .size = 2000. },
-    { { FREE, .own = 800., .active = 40, .pending_prefill = 4000. } },
+      .needed_tokens = 2000. },
+    { { FREE_ENDPOINT, .own_prefill = 800., .active = 40,
+        .pending_prefill = 4000. } },
     1,
-    WAITS },
+    NO_ENDPOINT },
   /* An endpoint keeps the beginning, and is full: it is waited for, for a slot
      elsewhere would cost reading the beginning there.  */
   { "waits-for-its-beginning",
     { .base_ms = 50.,
-      .ms_per_work = 0.01,
-      .left_ms = 600.,
+      .ms_per_token = 0.01,
+      .time_left_ms = 600.,
       .max_queueing_ms = 300.,
       .capacity_share = 1.,
-      .size = 2000.,
-      .missing_most = 500. },
-    { { FREE, .own = 7000., .active = 64 },
-      { FREE, .own = 12000., .missing = 5000., .active = 30 } },
+      .needed_tokens = 2000.,
+      .max_missing_tokens = 500. },
+    { { FREE_ENDPOINT, .own_prefill = 7000., .active = 64 },
+      { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000.,
+        .active = 30 } },
     2,
-    WAITS },
+    NO_ENDPOINT },
   { "nearly-idle-instead",
     { .base_ms = 50.,
-      .ms_per_work = 0.01,
-      .left_ms = 600.,
+      .ms_per_token = 0.01,
+      .time_left_ms = 600.,
       .max_queueing_ms = 300.,
       .capacity_share = 1.,
-      .size = 2000.,
-      .missing_most = 500. },
-    { { FREE, .own = 7000., .active = 64 },
-      { FREE, .own = 12000., .missing = 5000., .active = 2 } },
+      .needed_tokens = 2000.,
+      .max_missing_tokens = 500. },
+    { { FREE_ENDPOINT, .own_prefill = 7000., .active = 64 },
+      { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000.,
+        .active = 2 } },
     2,
     1 },
-  { "none", WISH (300., 150.), { { 0 } }, 0, WAITS },
+  { "none", REQUEST (300., 150.), { { 0 } }, 0, NO_ENDPOINT },
 };
 
 static void
@@ -186,10 +199,12 @@
 {
   const case_t *one = data;
 
-  g_assert_cmpint (plc_choose (one->endpoints, one->count, &one->request), ==,
-                   one->chosen);
-  if (one->chosen != WAITS)
-    g_assert_true (plc_may_place (one->endpoints, one->count, &one->request));
+  g_assert_cmpint (
+      plc_choose_endpoint (one->endpoints, one->count, &one->request), ==,
+      one->chosen);
+  if (one->chosen != NO_ENDPOINT)
+    g_assert_true (
+        plc_has_candidate (one->endpoints, one->count, &one->request));
 }
 
 /* Routers that know the same choose among equal endpoints at random, so that a
@@ -198,27 +213,27 @@
 test_ties (void)
 {
   plc_endpoint_t endpoints[4];
-  plc_request_t request = WISH (300., 150.);
+  plc_request_t request = REQUEST (300., 150.);
   unsigned chosen = 0;
 
   for (guint i = 0; i < 4; i++)
-    endpoints[i] = (plc_endpoint_t){ FREE, .own = 800. };
+    endpoints[i] = (plc_endpoint_t){ FREE_ENDPOINT, .own_prefill = 800. };
   for (guint i = 0; i < 4; i++)
     {
-      request.draw = (i + 0.5) / 4.;
-      chosen |= 1u << plc_choose (endpoints, 4, &request);
+      request.tie_break = (i + 0.5) / 4.;
+      chosen |= 1u << plc_choose_endpoint (endpoints, 4, &request);
     }
   g_assert_cmpuint (chosen, ==, 0xf);
 }
 
 static void
-test_reading (void)
+test_prefill_work (void)
 {
-  g_assert_cmpfloat (plc_reading (1000., 1000.), ==, 0.);
-  g_assert_cmpfloat (plc_reading (1000., 0.), >, 1000.);
+  g_assert_cmpfloat (plc_compute_prefill_work (1000., 1000.), ==, 0.);
+  g_assert_cmpfloat (plc_compute_prefill_work (1000., 0.), >, 1000.);
   /* The end of a long prompt is read together with all before it.  */
-  g_assert_cmpfloat (plc_reading (50000., 49000.), >,
-                     2. * plc_reading (1000., 0.));
+  g_assert_cmpfloat (plc_compute_prefill_work (50000., 49000.), >,
+                     2. * plc_compute_prefill_work (1000., 0.));
 }
 
 /* Full slots, full memory and work before its own are seen without a look at
@@ -226,15 +241,15 @@
 static void
 test_all_full (void)
 {
-  plc_request_t request = WISH (300., 150.);
+  plc_request_t request = REQUEST (300., 150.);
   plc_endpoint_t endpoints[3]
       = { { .slots = 4, .active = 4 },
-          { FREE, .active = 1, .context_tokens = 399000. },
-          { FREE, .pending_prefill = 15001. } };
+          { FREE_ENDPOINT, .active = 1, .context_tokens = 399000. },
+          { FREE_ENDPOINT, .pending_prefill = 15001. } };
 
-  g_assert_false (plc_may_place (endpoints, 3, &request));
+  g_assert_false (plc_has_candidate (endpoints, 3, &request));
   endpoints[2].pending_prefill = 15000.;
-  g_assert_true (plc_may_place (endpoints, 3, &request));
+  g_assert_true (plc_has_candidate (endpoints, 3, &request));
 }
 
 int
@@ -248,7 +263,7 @@
       g_test_add_data_func (path, &cases[i], test_case);
     }
   g_test_add_func ("/plc/ties", test_ties);
-  g_test_add_func ("/plc/reading", test_reading);
+  g_test_add_func ("/plc/reading", test_prefill_work);
   g_test_add_func ("/plc/all-full", test_all_full);
   return g_test_run ();
 }
