--- a/libcoltsfootdrum/relay/bud.c
+++ b/libcoltsfootdrum/relay/bud.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 void
-bud_init (bud_t *bud, int64_t window_ms, double ratio, double slack)
+bud_init (bud_t *bud, int64_t window_ms, double ratio, double min_retries)
 {
   memset (bud, 0, sizeof *bud);
   bud->window_ms = window_ms;
   bud->ratio = ratio;
-  bud->slack = slack;
+  bud->min_retries = min_retries;
 }
 
 /* Moves the window on; returns the newest part's place.  */
@@ -25,7 +25,7 @@
     {
       bud->part++;
       bud->requests[bud->part % BUD_BUCKETS] = 0.;
-      bud->repeats[bud->part % BUD_BUCKETS] = 0.;
+      bud->retries[bud->part % BUD_BUCKETS] = 0.;
     }
   return (int)(bud->part % BUD_BUCKETS);
 }
@@ -51,8 +51,9 @@
 {
   int part = advance (bud, now);
 
-  if (sum (bud->repeats) + 1. > bud->ratio * sum (bud->requests) + bud->slack)
+  if (sum (bud->retries) + 1.
+      > bud->ratio * sum (bud->requests) + bud->min_retries)
     return false;
-  bud->repeats[part] += 1.;
+  bud->retries[part] += 1.;
   return true;
 }
--- a/libcoltsfootdrum/relay/bud.h
+++ b/libcoltsfootdrum/relay/bud.h
@@ -17,14 +17,15 @@
 typedef struct
 {
   int64_t window_ms;
-  double ratio; /* repeats for each request */
-  double slack; /* repeats that are always allowed in a window */
+  double ratio;       /* repeats for each request */
+  double min_retries; /* repeats that are always allowed in a window */
   double requests[BUD_BUCKETS];
-  double repeats[BUD_BUCKETS];
+  double retries[BUD_BUCKETS];
   int64_t part; /* number of the newest part */
 } bud_t;
 
-void bud_init (bud_t *bud, int64_t window_ms, double ratio, double slack);
+void bud_init (bud_t *bud, int64_t window_ms, double ratio,
+               double min_retries);
 void bud_count_request (bud_t *bud, cfd_time_t now);
 /* Counts a repeat and returns true when the budget has room for it.  */
 bool bud_try_retry (bud_t *bud, cfd_time_t now);
--- a/libcoltsfootdrum/relay/rly-metrics.c
+++ b/libcoltsfootdrum/relay/rly-metrics.c
@@ -13,16 +13,16 @@
 } counter_t;
 
 static void
-put_counters (const rly_counts_t *c, GString *out)
+append_counters (const rly_counts_t *counts, GString *out)
 {
   const counter_t counters[] = {
-    { "cfd_relay_requests_total", NULL, c->requests },
-    { "cfd_relay_ended_total", "outcome=\"answered\"", c->answered },
-    { "cfd_relay_ended_total", "outcome=\"refused\"", c->refused },
-    { "cfd_relay_ended_total", "outcome=\"failed\"", c->failed },
-    { "cfd_relay_ended_total", "outcome=\"left\"", c->departed },
-    { "cfd_relay_repeats_total", NULL, c->repeats },
-    { "cfd_relay_resumed_total", NULL, c->resumed },
+    { "cfd_relay_requests_total", NULL, counts->requests },
+    { "cfd_relay_ended_total", "outcome=\"answered\"", counts->answered },
+    { "cfd_relay_ended_total", "outcome=\"refused\"", counts->refused },
+    { "cfd_relay_ended_total", "outcome=\"failed\"", counts->failed },
+    { "cfd_relay_ended_total", "outcome=\"left\"", counts->disconnected },
+    { "cfd_relay_repeats_total", NULL, counts->retries },
+    { "cfd_relay_resumed_total", NULL, counts->resumed },
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (counters); i++)
@@ -43,7 +43,7 @@
 }
 
 static void
-put_state (const rly_t *rly, cfd_time_t now, GString *out)
+append_state (const rly_t *rly, cfd_time_t now, GString *out)
 {
   uint64_t version = rly->table != NULL ? rte_table_version (rly->table) : 0;
 
@@ -59,23 +59,24 @@
 }
 
 static void
-put_latencies (const rly_service_t *service, GString *out)
+append_latencies (const rly_service_t *service, GString *out)
 {
   g_autofree char *name = g_strescape (service->name, NULL);
   g_autofree char *labels = g_strdup_printf ("service=\"%s\"", name);
 
-  prom_hist_put (&service->wait, out, "cfd_relay_wait_ms", labels);
-  prom_hist_put (&service->first_byte, out, "cfd_relay_first_byte_ms", labels);
-  prom_hist_put (&service->whole, out, "cfd_relay_answer_ms", labels);
+  prom_hist_put (&service->wait_ms, out, "cfd_relay_wait_ms", labels);
+  prom_hist_put (&service->first_byte_ms, out, "cfd_relay_first_byte_ms",
+                 labels);
+  prom_hist_put (&service->total_ms, out, "cfd_relay_answer_ms", labels);
 }
 
 void
 rly_append_metrics (const rly_t *rly, cfd_time_t now, GString *out)
 {
-  put_counters (&rly->counts, out);
-  put_state (rly, now, out);
+  append_counters (&rly->counts, out);
+  append_state (rly, now, out);
   list_for_each (node, &rly->services)
     {
-      put_latencies (list_entry (node, rly_service_t, node), out);
+      append_latencies (list_entry (node, rly_service_t, node), out);
     }
 }
--- a/libcoltsfootdrum/relay/rly-queue.c
+++ b/libcoltsfootdrum/relay/rly-queue.c
@@ -14,53 +14,53 @@
 
 /* Accounts that got the first part of the fair level begin to be held back,
    and are down to the least allowance at the second.  */
-#define OVER_FIRST 0.9
-#define OVER_LAST 1.2
-#define OVER_ALLOWANCE 0.2
+#define THROTTLE_START_LEVEL 0.9
+#define THROTTLE_FULL_LEVEL 1.2
+#define MIN_ALLOWANCE 0.2
 /* An account that got less than this part of what it is due is behind.  */
-#define BEHIND 0.7
+#define UNDERSERVED_RATIO 0.7
 /* Of the usual work before their own, for requests past their latency
    objective.  */
-#define LATE_ALLOWANCE 0.1
+#define MAX_LATE_ALLOWANCE 0.1
 /* A request is refused on arrival when at least this number of its account
    wait before it, for longer by this factor than it may wait: the rate at
    which an account is served changes within seconds.  */
-#define EARLY_QUEUE 4
-#define EARLY_MARGIN 2.
+#define EARLY_REFUSAL_MIN_QUEUE 4
+#define EARLY_REFUSAL_FACTOR 2.
 /* Without an aim.  */
-#define USUAL_AIM_MS 1000
+#define DEFAULT_TARGET_LATENCY_MS 1000
 /* Lines looked at in one round when their requests find no room.  */
-#define PASSED_MOST 8
+#define MAX_SKIPPED_QUEUES 8
 /* And requests of a line.  */
-#define TRIED_MOST 6
+#define MAX_TRIES_PER_QUEUE 6
 /* Who is refused is told to come back after a share of the aim, drawn anew for
    each.  */
-#define RETRY_LEAST 0.2
-#define RETRY_MOST 0.6
+#define MIN_RETRY_SHARE 0.2
+#define MAX_RETRY_SHARE 0.6
 
-static rly_line_t *
-line_of (rly_request_t *request)
+static rly_queue_t *
+find_or_add_queue (rly_request_t *request)
 {
-  const char *account = rly_account_name (request);
-  rly_line_t *line;
+  const char *account = rly_get_account_name (request);
+  rly_queue_t *queue;
 
-  list_for_each (node, &request->service->lines)
+  list_for_each (node, &request->service->queues)
     {
-      line = list_entry (node, rly_line_t, node);
-      if (g_str_equal (line->account, account))
-        return line;
+      queue = list_entry (node, rly_queue_t, node);
+      if (g_str_equal (queue->account, account))
+        return queue;
     }
-  line = g_new0 (rly_line_t, 1);
-  line->service = request->service;
-  line->account = g_strdup (account);
-  list_init (&line->requests);
-  list_init (&line->node);
-  list_append (&request->service->lines, &line->node);
-  return line;
+  queue = g_new0 (rly_queue_t, 1);
+  queue->service = request->service;
+  queue->account = g_strdup (account);
+  list_init (&queue->requests);
+  list_init (&queue->node);
+  list_append (&request->service->queues, &queue->node);
+  return queue;
 }
 
 static int
-rank_of (const rly_request_t *request)
+get_rank (const rly_request_t *request)
 {
   if (request->account != NULL && request->account->rank >= 0)
     return request->account->rank;
@@ -69,15 +69,15 @@
 
 /* A stream that was begun goes before all others: its caller sees the gap.  */
 static bool
-goes_before (const rly_request_t *a, const rly_request_t *b)
+is_more_urgent (const rly_request_t *a, const rly_request_t *b)
 {
-  if (a->began != b->began)
-    return a->began;
-  if (rank_of (a) != rank_of (b))
-    return rank_of (a) < rank_of (b);
-  if (a->late != b->late)
-    return b->late;
-  return a->since < b->since;
+  if (a->head_sent != b->head_sent)
+    return a->head_sent;
+  if (get_rank (a) != get_rank (b))
+    return get_rank (a) < get_rank (b);
+  if (a->is_late != b->is_late)
+    return b->is_late;
+  return a->arrived_at < b->arrived_at;
 }
 
 /* How long REQUEST may wait at its first time here.  One that can still be in
@@ -85,62 +85,64 @@
    wait: it takes spare capacity, if there is any, or its caller is told at
    once.  */
 static void
-set_patience (rly_request_t *request, cfd_time_t end)
+set_wait_deadline (rly_request_t *request, cfd_time_t request_deadline)
 {
-  cfd_time_t latest = request->first_attempt + rly_longest_wait (request);
-
-  request->late
-      = latest <= request->since && rly_has (request->rly, MECH_LATE_LAST);
-  if (request->late)
-    latest = request->since;
-  request->until = MIN (latest, end);
+  cfd_time_t latest_start
+      = request->first_attempt + rly_compute_max_wait_ms (request);
+
+  request->is_late = latest_start <= request->arrived_at
+                     && rly_is_enabled (request->rly, MECH_LATE_LAST);
+  if (request->is_late)
+    latest_start = request->arrived_at;
+  request->wait_deadline = MIN (latest_start, request_deadline);
 }
 
 void
-rly_wait (rly_request_t *request)
+rly_enqueue (rly_request_t *request)
 {
-  rly_line_t *line = line_of (request);
-  list_node_t *before = line->requests.prev;
-  cfd_time_t end = MIN (request->deadline, request->timeout);
+  rly_queue_t *queue = find_or_add_queue (request);
+  list_node_t *before = queue->requests.prev;
+  cfd_time_t request_deadline
+      = MIN (request->deadline, request->route_deadline);
 
   request->target_latency_ms = request->route->target_latency_ms > 0
                                    ? request->route->target_latency_ms
-                                   : USUAL_AIM_MS;
-  request->until = end;
-  request->late = false;
+                                   : DEFAULT_TARGET_LATENCY_MS;
+  request->wait_deadline = request_deadline;
+  request->is_late = false;
   /* One that failed elsewhere has lost its time by no fault of its own.  */
   if (request->tries == 0)
-    set_patience (request, end);
-  while (before != &line->requests
-         && goes_before (request, list_entry (before, rly_request_t, node)))
+    set_wait_deadline (request, request_deadline);
+  while (before != &queue->requests
+         && is_more_urgent (request, list_entry (before, rly_request_t, node)))
     before = before->prev;
   list_prepend (before, &request->node);
-  request->line = line;
-  request->queued = request->service->rounds;
+  request->queue = queue;
+  request->enqueued_round = request->service->rounds;
   request->service->waiting++;
   request->rly->counts.waiting++;
 }
 
 void
-rly_unwait (rly_request_t *request)
+rly_dequeue (rly_request_t *request)
 {
-  rly_line_t *line = request->line;
+  rly_queue_t *queue = request->queue;
 
-  request->line = NULL;
+  request->queue = NULL;
   request->service->waiting--;
   request->rly->counts.waiting--;
   list_remove (&request->node);
-  if (!list_is_empty (&line->requests))
+  if (!list_is_empty (&queue->requests))
     return;
-  list_remove (&line->node);
-  g_free (line->account);
-  g_free (line);
+  list_remove (&queue->node);
+  g_free (queue->account);
+  g_free (queue);
 }
 
 static void
-give_up (rly_request_t *request, cfd_time_t now, const char *reason)
+refuse_with_retry (rly_request_t *request, cfd_time_t now, const char *reason)
 {
-  double share = g_random_double_range (RETRY_LEAST, RETRY_MOST);
+  double share = g_random_double_range (MIN_RETRY_SHARE, MAX_RETRY_SHARE);
 
   rly_refuse (request, now, reason,
               (int64_t)(share * (double)request->target_latency_ms));
@@ -150,25 +152,25 @@
 static bool
 was_tried (const rly_request_t *request)
 {
-  return request->queued != request->service->rounds;
+  return request->enqueued_round != request->service->rounds;
 }
 
 /* Refuses one request that waited too long; false when there is none.  What no
    round has tried yet may find room, also when its time is over.  */
 static bool
-expire_one (rly_service_t *service, cfd_time_t now)
+refuse_one_expired (rly_service_t *service, cfd_time_t now)
 {
-  list_for_each (node, &service->lines)
+  list_for_each (node, &service->queues)
     {
-      rly_line_t *line = list_entry (node, rly_line_t, node);
+      rly_queue_t *queue = list_entry (node, rly_queue_t, node);
 
-      list_for_each (inner, &line->requests)
+      list_for_each (inner, &queue->requests)
         {
           rly_request_t *request = list_entry (inner, rly_request_t, node);
 
-          if (now < request->until || !was_tried (request))
+          if (now < request->wait_deadline || !was_tried (request))
             continue;
-          give_up (request, now, "no-room");
+          refuse_with_retry (request, now, "no-room");
           return true;
         }
     }
@@ -179,14 +181,14 @@
    rate at which the account was served here lately.  Those that no round of
    placement has passed over yet may find room at once.  */
 static double
-queue_delay_ms (const rly_request_t *request, cfd_time_t now)
+estimate_queue_delay_ms (const rly_request_t *request, cfd_time_t now)
 {
   const rly_t *rly = request->rly;
-  double rate = use_own_rate (rly->use, now, rly_account_name (request));
+  double rate = use_own_rate (rly->use, now, rly_get_account_name (request));
   double cost = 0.;
   unsigned count = 0;
 
-  list_for_each (node, &request->line->requests)
+  list_for_each (node, &request->queue->requests)
     {
       const rly_request_t *other = list_entry (node, rly_request_t, node);
 
@@ -197,7 +199,7 @@
       cost += other->cost;
       count++;
     }
-  if (count < EARLY_QUEUE)
+  if (count < EARLY_REFUSAL_MIN_QUEUE)
     return 0.;
   return rate > 0. ? cost / rate : HUGE_VAL;
 }
@@ -207,26 +209,28 @@
 {
   double delay_ms;
 
-  if (request->prompt == NULL || !rly_has (request->rly, MECH_EARLY_REJECT))
+  if (request->prompt == NULL
+      || !rly_is_enabled (request->rly, MECH_EARLY_REJECT))
     return false;
-  delay_ms = queue_delay_ms (request, now);
-  if (delay_ms <= EARLY_MARGIN * (double)(request->until - now))
+  delay_ms = estimate_queue_delay_ms (request, now);
+  if (delay_ms
+      <= EARLY_REFUSAL_FACTOR * (double)(request->wait_deadline - now))
     return false;
-  give_up (request, now, "queue");
+  refuse_with_retry (request, now, "queue");
   return true;
 }
 
-static rly_line_t *
-least_served (rly_service_t *service)
+static rly_queue_t *
+find_least_served (rly_service_t *service)
 {
-  rly_line_t *best = NULL;
+  rly_queue_t *best = NULL;
 
-  list_for_each (node, &service->lines)
+  list_for_each (node, &service->queues)
     {
-      rly_line_t *line = list_entry (node, rly_line_t, node);
+      rly_queue_t *queue = list_entry (node, rly_queue_t, node);
 
-      if (!line->passed && (best == NULL || line->use < best->use))
-        best = line;
+      if (!queue->is_skipped && (best == NULL || queue->usage < best->usage))
+        best = queue;
     }
   return best;
 }
@@ -236,104 +240,107 @@
    so that those who got less find room at the endpoints which keep their
    prompts. A large account fills what they leave.  */
 static double
-allowance (const use_t *use, cfd_time_t now, const char *account)
+compute_allowance (const use_t *use, cfd_time_t now, const char *account)
 {
-  double over = use_level_ratio (use, now, account);
-  double part = (over - OVER_FIRST) / (OVER_LAST - OVER_FIRST);
+  double level_ratio = use_level_ratio (use, now, account);
+  double part = (level_ratio - THROTTLE_START_LEVEL)
+                / (THROTTLE_FULL_LEVEL - THROTTLE_START_LEVEL);
 
-  return 1. - (1. - OVER_ALLOWANCE) * CLAMP (part, 0., 1.);
+  return 1. - (1. - MIN_ALLOWANCE) * CLAMP (part, 0., 1.);
 }
 
 static void
-begin_lines (rly_t *rly, rly_service_t *service, cfd_time_t now)
+update_queues (rly_t *rly, rly_service_t *service, cfd_time_t now)
 {
-  list_for_each (node, &service->lines)
+  list_for_each (node, &service->queues)
     {
-      rly_line_t *line = list_entry (node, rly_line_t, node);
-
-      line->passed = false;
-      line->use = use_total (rly->use, now, line->account).served;
-      line->allowed = rly_has (rly, MECH_THROTTLE)
-                          ? allowance (rly->use, now, line->account)
-                          : 1.;
-      line->behind = use_due_ratio (rly->use, now, line->account) < BEHIND;
-      line->late_allowed = MIN (line->allowed, LATE_ALLOWANCE);
+      rly_queue_t *queue = list_entry (node, rly_queue_t, node);
+
+      queue->is_skipped = false;
+      queue->usage = use_total (rly->use, now, queue->account).served;
+      queue->allowance
+          = rly_is_enabled (rly, MECH_THROTTLE)
+                ? compute_allowance (rly->use, now, queue->account)
+                : 1.;
+      queue->is_underserved
+          = use_due_ratio (rly->use, now, queue->account) < UNDERSERVED_RATIO;
+      queue->late_allowance = MIN (queue->allowance, MAX_LATE_ALLOWANCE);
     }
 }
 
 /* An account that got far less than it is due has lost its time by no fault of
    its own.  */
 static bool
-goes_last (const rly_request_t *request)
+is_deferred (const rly_request_t *request)
 {
-  return request->late && !request->line->behind;
+  return request->is_late && !request->queue->is_underserved;
 }
 
 /* Places one request of LINE, of those past their latency objective or of the
    others: of the first few the first that finds room.  A long one that has to
    wait does not hold up the short ones behind it.  */
 static bool
-place_one (rly_round_t *round, rly_line_t *line, bool late)
+place_one (rly_round_t *round, rly_queue_t *queue, bool deferred)
 {
   unsigned tried = 0;
 
-  list_for_each (node, &line->requests)
+  list_for_each (node, &queue->requests)
     {
       rly_request_t *request = list_entry (node, rly_request_t, node);
       double cost = request->cost;
 
-      if (goes_last (request) != late)
+      if (is_deferred (request) != deferred)
         continue;
-      if (tried++ == TRIED_MOST)
+      if (tried++ == MAX_TRIES_PER_QUEUE)
         return false;
       /* Before the request is sent, for that may free the line.  */
-      line->use += cost;
-      if (rly_round_place (round, request))
+      queue->usage += cost;
+      if (rly_place (round, request))
         return true;
-      line->use -= cost;
+      queue->usage -= cost;
     }
   return false;
 }
 
 /* Places what finds room, the least served account first.  */
 static void
-place_all (rly_round_t *round, bool late)
+place_all (rly_round_t *round, bool deferred)
 {
-  unsigned passed = 0;
+  unsigned skipped = 0;
 
-  begin_lines (round->rly, round->service, round->now);
-  while (passed < PASSED_MOST)
+  update_queues (round->rly, round->service, round->now);
+  while (skipped < MAX_SKIPPED_QUEUES)
     {
-      rly_line_t *line = least_served (round->service);
+      rly_queue_t *queue = find_least_served (round->service);
 
-      if (line == NULL)
+      if (queue == NULL)
         return;
-      if (place_one (round, line, late))
+      if (place_one (round, queue, deferred))
         continue;
-      line->passed = true;
-      passed++;
+      queue->is_skipped = true;
+      skipped++;
     }
 }
 
 void
-rly_pump (rly_t *rly, rly_service_t *service, cfd_time_t now)
+rly_dispatch (rly_t *rly, rly_service_t *service, cfd_time_t now)
 {
   rly_round_t round;
 
-  service->due = false;
+  service->dispatch_scheduled = false;
   service->rounds++;
   if (service->waiting == 0)
     return;
-  rly_round_begin (&round, rly, service, now);
-  if (!round.has_room)
+  rly_begin_round (&round, rly, service, now);
+  if (!round.has_free_slot)
     return;
   place_all (&round, false);
   place_all (&round, true);
 }
 
 void
-rly_expire (rly_service_t *service, cfd_time_t now)
+rly_refuse_expired (rly_service_t *service, cfd_time_t now)
 {
-  while (expire_one (service, now))
+  while (refuse_one_expired (service, now))
     ;
 }
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -8,13 +8,13 @@
 /* An endpoint that accepts no connection for so long is passed over: nothing
    was sent, so that another may have the request.  Several round trips of the
    widest region, and less than a caller's shortest aim.  */
-#define CONNECT_MS 350
+#define CONNECT_TIMEOUT_MS 350
 /* No first byte for this long beyond what was expected: the endpoint is
    silent. A request that may be repeated goes elsewhere.  */
-#define SILENT_MS 1500
+#define SILENCE_TIMEOUT_MS 1500
 
 static bool
-is_ours (const rly_names_t *names, const char *name)
+is_reserved (const rly_names_t *names, const char *name)
 {
   for (const char *const *own = names->reserved_fields; *own != NULL; own++)
     if (g_ascii_strcasecmp (*own, name) == 0)
@@ -27,32 +27,32 @@
 }
 
 static void
-put_callers_fields (const rly_request_t *request, GString *text)
+append_client_fields (const rly_request_t *request, GString *text)
 {
   const rly_names_t *names = &request->rly->names;
   const hdr_t *fields = &ent_get_head (request->call)->fields;
-  bool goes_on = request->answer.events.last_id >= 0;
+  bool is_resumed = request->answer.events.last_id >= 0;
 
   for (guint i = 0; i < hdr_count (fields); i++)
     {
       const char *name = hdr_get_name (fields, i);
 
-      if (is_ours (names, name) || hdr_is_hop_by_hop (fields, i)
-          || (goes_on && g_ascii_strcasecmp (name, names->last_event) == 0))
+      if (is_reserved (names, name) || hdr_is_hop_by_hop (fields, i)
+          || (is_resumed && g_ascii_strcasecmp (name, names->last_event) == 0))
         continue;
       hdr_append_line (text, name, hdr_get_value (fields, i));
     }
 }
 
 static int64_t
-time_left (const rly_request_t *request, cfd_time_t now)
+compute_time_left_ms (const rly_request_t *request, cfd_time_t now)
 {
-  return MAX (MIN (request->deadline, request->timeout) - now, 1);
+  return MAX (MIN (request->deadline, request->route_deadline) - now, 1);
 }
 
 static GString *
-request_text (const rly_request_t *request, const edp_t *edp,
-              const edp_t *source, cfd_time_t now)
+format_request (const rly_request_t *request, const edp_t *edp,
+                const edp_t *source, cfd_time_t now)
 {
   const rly_names_t *names = &request->rly->names;
   const rd_head_t *head = ent_get_head (request->call);
@@ -62,9 +62,10 @@
 
   g_string_append_printf (text, "%s %s HTTP/1.1\r\n", head->method,
                           head->target);
-  put_callers_fields (request, text);
+  append_client_fields (request, text);
   g_string_append_printf (text, "%s: %" G_GINT64_FORMAT "\r\n",
-                          names->deadline_ms, time_left (request, now));
+                          names->deadline_ms,
+                          compute_time_left_ms (request, now));
   hdr_append_line (text, names->expect_endpoint, edp->report->id);
   if (source != NULL)
     hdr_append_line (text, names->fetch_from, source->report->address);
@@ -84,7 +85,7 @@
 
 /* Once: the first byte came, or the request is off its endpoint.  */
 static void
-stop_reading_prompt (rly_request_t *request)
+clear_pending_prefill (rly_request_t *request)
 {
   request->edp->pending_prefill
       = MAX (request->edp->pending_prefill - request->pending_prefill, 0.);
@@ -93,9 +94,9 @@
 }
 
 static void
-learn (rly_request_t *request, cfd_time_t now)
+record_first_token (rly_request_t *request, cfd_time_t now)
 {
-  fit_add (&request->service->first_token, request->ahead,
+  fit_add (&request->service->first_token_fit, request->prefill_ahead,
            (double)(now - request->sent_at) - request->fetch_ms);
 }
 
@@ -106,7 +107,7 @@
   lag_t *lag = request->rly->lag;
   lag_kind_t before = lag_enter (lag, LAG_ENDPOINTS);
 
-  rly_take_head (request, head);
+  rly_handle_head (request, head);
   lag_leave (lag, before, 0);
 }
 
@@ -114,32 +115,33 @@
 static bool
 is_success (const rly_answer_t *answer)
 {
-  return answer->sound && !answer->not_run && answer->status / 100 == 2;
+  return answer->is_valid && !answer->not_run && answer->status / 100 == 2;
 }
 
 static void
-take_body (rly_request_t *request, cfd_time_t now, const char *bytes,
-           size_t length)
+handle_body (rly_request_t *request, cfd_time_t now, const char *bytes,
+             size_t length)
 {
   bool first = request->pending_prefill > 0.;
 
   request->edp->last_answer_at = now;
-  if (!request->ran && is_success (&request->answer))
+  if (!request->started && is_success (&request->answer))
     {
-      request->ran = true;
-      if (request->key != 0)
-        ret_mark_served (request->rly->ret, request->key);
-      prom_hist_add (&request->service->first_byte, now - request->since);
+      request->started = true;
+      if (request->retry_key != 0)
+        ret_mark_served (request->rly->ret, request->retry_key);
+      prom_hist_add (&request->service->first_byte_ms,
+                     now - request->arrived_at);
     }
   if (first && is_success (&request->answer))
     {
       edp_record_acceptance (request->edp);
-      learn (request, now);
-      stop_reading_prompt (request);
+      record_first_token (request, now);
+      clear_pending_prefill (request);
     }
-  rly_take_body (request, bytes, length);
+  rly_handle_body (request, bytes, length);
   if (first)
-    rly_pump_later (request->service);
+    rly_schedule_dispatch (request->service);
 }
 
 static void
@@ -149,7 +151,7 @@
   lag_t *lag = request->rly->lag;
   lag_kind_t before = lag_enter (lag, LAG_ENDPOINTS);
 
-  take_body (request, clock_now (), bytes, length);
+  handle_body (request, clock_now (), bytes, length);
   lag_leave (lag, before, 1);
 }
 
@@ -161,7 +163,7 @@
   lag_kind_t before = lag_enter (lag, LAG_ENDPOINTS);
 
   request->exchange = NULL;
-  rly_take_end (request, end, clock_now ());
+  rly_handle_end (request, end, clock_now ());
   lag_leave (lag, before, 0);
 }
 
@@ -169,7 +171,7 @@
     = { .head = on_head, .body = on_body, .ended = on_ended };
 
 static void
-begin (rly_request_t *request, edp_t *edp, cfd_time_t now)
+start_exchange (rly_request_t *request, edp_t *edp, cfd_time_t now)
 {
   rly_t *rly = request->rly;
 
@@ -177,7 +179,7 @@
              !request->may_have_run || rte_may_retry (request->route),
              request->id);
   INVARIANT ("endpoint-open", edp_is_open (edp, now), edp->report->id);
-  rly_unwait (request);
+  rly_dequeue (request);
   list_append (&rly->running, &request->node);
   rly->counts.running++;
   request->edp = edp;
@@ -191,18 +193,19 @@
   edp->changed = true;
   if (request->prompt != NULL)
     pfx_record (rly->pfx, now, edp->hash, request->prompt);
-  if (!request->charged)
-    use_add_served (rly->use, now, rly_account_name (request), request->cost);
-  request->charged = true;
+  if (!request->is_charged)
+    use_add_served (rly->use, now, rly_get_account_name (request),
+                    request->cost);
+  request->is_charged = true;
 }
 
 /* Milliseconds until the first byte.  */
 static double
-expected (const rly_request_t *request)
+estimate_first_byte_ms (const rly_request_t *request)
 {
-  const fit_t *line = &request->service->first_token;
+  const fit_t *fit = &request->service->first_token_fit;
 
-  return fit_base (line) + fit_slope (line) * request->ahead
+  return fit_base (fit) + fit_slope (fit) * request->prefill_ahead
          + request->fetch_ms;
 }
 
@@ -211,7 +214,7 @@
           cfd_time_t now)
 {
   const rly_names_t *names = &request->rly->names;
-  g_autoptr (GString) text = request_text (request, edp, source, now);
+  g_autoptr (GString) text = format_request (request, edp, source, now);
   ups_request_t wire = { .bytes = text->str,
                          .length = text->len,
                          .id_field = names->request_id,
@@ -225,17 +228,18 @@
       edp_record_failure (edp, now);
       return false;
     }
-  begin (request, edp, now);
-  prom_hist_add (&request->service->wait, now - request->since);
+  start_exchange (request, edp, now);
+  prom_hist_add (&request->service->wait_ms, now - request->arrived_at);
   log_info (
       "relay",
       "A request was sent: request=%s account=%s endpoint=%s active=%u "
       "peers=%u ahead=%.0f own=%.0f expect_ms=%.0f waited_ms=%" G_GINT64_FORMAT
       " source=%s fetch_ms=%.0f.",
-      request->id, rly_account_name (request), edp->report->id, edp->active,
-      edp->peer_active, request->ahead, request->pending_prefill,
-      expected (request), now - request->since,
-      source != NULL ? source->report->id : "", request->fetch_ms);
+      request->id, rly_get_account_name (request), edp->report->id,
+      edp->active, edp->peer_active, request->prefill_ahead,
+      request->pending_prefill, estimate_first_byte_ms (request),
+      now - request->arrived_at, source != NULL ? source->report->id : "",
+      request->fetch_ms);
   return true;
 }
 
@@ -243,17 +247,17 @@
    requests a second would else make the account that sent them seem the best
    served one, and it would wait while the others are served.  */
 static void
-take_back_charge (rly_request_t *request, cfd_time_t now)
+refund_charge (rly_request_t *request, cfd_time_t now)
 {
-  if (!request->charged || request->ran)
+  if (!request->is_charged || request->started)
     return;
-  use_add_served (request->rly->use, now, rly_account_name (request),
+  use_add_served (request->rly->use, now, rly_get_account_name (request),
                   -request->cost);
-  request->charged = false;
+  request->is_charged = false;
 }
 
 void
-rly_leave (rly_request_t *request, bool cancel)
+rly_detach (rly_request_t *request, bool cancel)
 {
   edp_t *edp = request->edp;
 
@@ -262,8 +266,8 @@
   if (cancel && request->exchange != NULL)
     ups_cancel (request->exchange);
   request->exchange = NULL;
-  request->held = false;
-  stop_reading_prompt (request);
+  request->read_paused = false;
+  clear_pending_prefill (request);
   edp->context_tokens
       = MAX (edp->context_tokens - request->context_tokens, 0.);
   INVARIANT ("running-counted", edp->active > 0, edp->report->id);
@@ -271,50 +275,51 @@
   request->rly->counts.running--;
   request->edp = NULL;
   list_remove (&request->node);
-  take_back_charge (request, clock_now ());
+  refund_charge (request, clock_now ());
 }
 
 /* What was expected of the first byte, and a span in which an endpoint that
    works would have answered.  */
 static int64_t
-silent_after (const rly_request_t *request)
+compute_silence_timeout_ms (const rly_request_t *request)
 {
-  return SILENT_MS + (int64_t)(2. * expected (request));
+  return SILENCE_TIMEOUT_MS + (int64_t)(2. * estimate_first_byte_ms (request));
 }
 
 static void
-give_up (rly_request_t *request, cfd_time_t now, ups_end_t end)
+abort_exchange (rly_request_t *request, cfd_time_t now, ups_end_t end)
 {
   ups_exchange_t *exchange = request->exchange;
 
   request->exchange = NULL;
   ups_cancel (exchange);
-  rly_take_end (request, end, now);
+  rly_handle_end (request, end, now);
 }
 
 void
-rly_check_running (rly_request_t *request, cfd_time_t now)
+rly_check_timeouts (rly_request_t *request, cfd_time_t now)
 {
   int64_t since_sent = now - request->sent_at;
 
-  if (now >= MIN (request->deadline, request->timeout))
+  if (now >= MIN (request->deadline, request->route_deadline))
     {
       rly_fail (request, 504, "timeout");
       return;
     }
   if (!ups_is_connected (request->exchange))
     {
-      if (since_sent > CONNECT_MS)
-        give_up (request, now, UPS_CONNECT_FAILED);
+      if (since_sent > CONNECT_TIMEOUT_MS)
+        abort_exchange (request, now, UPS_CONNECT_FAILED);
       return;
     }
-  if (request->held && ent_get_unsent_bytes (request->call) == 0)
+  if (request->read_paused && ent_get_unsent_bytes (request->call) == 0)
     {
-      request->held = false;
+      request->read_paused = false;
       ups_set_read_paused (request->exchange, false);
     }
-  if (request->answer.status == 0 && since_sent > silent_after (request)
+  if (request->answer.status == 0
+      && since_sent > compute_silence_timeout_ms (request)
       && rte_may_retry (request->route)
       && request->attempts < request->route->max_attempts)
-    give_up (request, now, UPS_NO_RESPONSE);
+    abort_exchange (request, now, UPS_NO_RESPONSE);
 }
--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -11,20 +11,20 @@
 #define INITIAL_BASE_MS 50.
 #define INITIAL_MS_PER_TOKEN (1. / 80.)
 /* Until the configuration is known, callers are told to come back so soon.  */
-#define NO_TABLE_RETRY_MS 500
+#define NO_CONFIG_RETRY_MS 500
 /* Of a caller that names no deadline.  */
-#define USUAL_DEADLINE_MS 60000
+#define DEFAULT_DEADLINE_MS 60000
 /* A generated token counts as so many prompt tokens.  */
 #define OUTPUT_WEIGHT 2.
 /* What a request of a plain service counts.  */
-#define PLAIN_COST 100.
+#define PLAIN_REQUEST_COST 100.
 /* Accounts' level is computed anew so often.  */
-#define LEVEL_MS 100
+#define LEVEL_UPDATE_INTERVAL_MS 100
 /* Sweeps of caches and idle connections.  */
-#define SWEEP_MS 500
+#define SWEEP_INTERVAL_MS 500
 /* Of the budget of repeats a router takes a part for itself that keeps the sum
    within the bound when work is spread unevenly.  */
-#define REPEAT_SAFETY 0.7
+#define RETRY_BUDGET_SHARE 0.7
 
 static void
 service_free (rly_service_t *service)
@@ -35,14 +35,14 @@
 }
 
 void
-rly_pump_later (rly_service_t *service)
+rly_schedule_dispatch (rly_service_t *service)
 {
-  service->due = true;
+  service->dispatch_scheduled = true;
 }
 
 /* Services whose requests may have found room.  */
 static void
-pump_due (rly_t *rly, cfd_time_t now)
+run_scheduled_dispatches (rly_t *rly, cfd_time_t now)
 {
   lag_kind_t before = lag_enter (rly->lag, LAG_PLACEMENT);
 
@@ -50,8 +50,8 @@
     {
       rly_service_t *service = list_entry (node, rly_service_t, node);
 
-      if (service->due)
-        rly_pump (rly, service, now);
+      if (service->dispatch_scheduled)
+        rly_dispatch (rly, service, now);
     }
   lag_leave (rly->lag, before, 1);
 }
@@ -59,26 +59,26 @@
 /* What waited too long is refused; for the others time alone may have made
    room, or what other routers told.  */
 static void
-tick_waiting (rly_t *rly, cfd_time_t now)
+update_waiting (rly_t *rly, cfd_time_t now)
 {
   list_for_each (node, &rly->services)
     {
       rly_service_t *service = list_entry (node, rly_service_t, node);
 
-      rly_expire (service, now);
-      rly_pump_later (service);
+      rly_refuse_expired (service, now);
+      rly_schedule_dispatch (service);
     }
 }
 
 /* Once for all that happened in a turn: a round over all that wait is dear,
    and under high load a turn brings many events.  */
 static void
-on_turn (struct ev_loop *loop, ev_prepare *watcher, int events)
+on_before_poll (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
   rly_t *rly = watcher->data;
 
   if (rly->table != NULL)
-    pump_due (rly, clock_now ());
+    run_scheduled_dispatches (rly, clock_now ());
 }
 
 rly_t *
@@ -90,7 +90,7 @@
 
   rly->loop = loop;
   rly->names = *names;
-  rly->bounds = *bounds;
+  rly->settings = *bounds;
   rly->endpoints = endpoints;
   rly->use = use;
   rly->pfx = pfx;
@@ -98,11 +98,11 @@
   list_init (&rly->services);
   list_init (&rly->running);
   rly->routers = 1;
-  ev_prepare_init (&rly->turn, on_turn);
-  rly->turn.data = rly;
+  ev_prepare_init (&rly->before_poll, on_before_poll);
+  rly->before_poll.data = rly;
   /* Before the other routers are told what this turn changed.  */
-  ev_set_priority (&rly->turn, EV_MAXPRI);
-  ev_prepare_start (loop, &rly->turn);
+  ev_set_priority (&rly->before_poll, EV_MAXPRI);
+  ev_prepare_start (loop, &rly->before_poll);
   return rly;
 }
 
@@ -117,15 +117,15 @@
 
 /* A line goes with its last request, so that they are gathered first.  */
 static void
-free_lines (rly_service_t *service)
+free_queues (rly_service_t *service)
 {
   g_autoptr (GPtrArray) requests = g_ptr_array_new ();
 
-  list_for_each (node, &service->lines)
+  list_for_each (node, &service->queues)
     {
-      rly_line_t *line = list_entry (node, rly_line_t, node);
+      rly_queue_t *queue = list_entry (node, rly_queue_t, node);
 
-      list_for_each (inner, &line->requests)
+      list_for_each (inner, &queue->requests)
         {
           g_ptr_array_add (requests, list_entry (inner, rly_request_t, node));
         }
@@ -139,13 +139,13 @@
 {
   if (rly == NULL)
     return;
-  ev_prepare_stop (rly->loop, &rly->turn);
+  ev_prepare_stop (rly->loop, &rly->before_poll);
   free_requests (&rly->running);
   list_for_each_safe (node, &rly->services)
     {
       rly_service_t *service = list_entry (node, rly_service_t, node);
 
-      free_lines (service);
+      free_queues (service);
       service_free (service);
     }
   rte_table_unref (rly->table);
@@ -159,7 +159,7 @@
 }
 
 rly_service_t *
-rly_service (rly_t *rly, const char *name)
+rly_find_or_add_service (rly_t *rly, const char *name)
 {
   rly_service_t *service;
 
@@ -171,24 +171,24 @@
     }
   service = g_new0 (rly_service_t, 1);
   service->name = g_strdup (name);
-  fit_init (&service->first_token, INITIAL_BASE_MS, INITIAL_MS_PER_TOKEN);
-  list_init (&service->lines);
-  bud_init (&service->repeats, rly->bounds.repeat_window_ms,
-            rly->bounds.repeat_ratio * REPEAT_SAFETY,
-            rly->bounds.repeat_slack * REPEAT_SAFETY / rly->routers);
+  fit_init (&service->first_token_fit, INITIAL_BASE_MS, INITIAL_MS_PER_TOKEN);
+  list_init (&service->queues);
+  bud_init (&service->retry_budget, rly->settings.repeat_window_ms,
+            rly->settings.repeat_ratio * RETRY_BUDGET_SHARE,
+            rly->settings.repeat_slack * RETRY_BUDGET_SHARE / rly->routers);
   list_init (&service->node);
   list_append (&rly->services, &service->node);
   return service;
 }
 
 bool
-rly_has (const rly_t *rly, mech_t mechanism)
+rly_is_enabled (const rly_t *rly, mech_t mechanism)
 {
-  return (rly->bounds.disabled & mechanism) == 0;
+  return (rly->settings.disabled & mechanism) == 0;
 }
 
 const char *
-rly_account_name (const rly_request_t *request)
+rly_get_account_name (const rly_request_t *request)
 {
   return request->account != NULL ? request->account->name : "";
 }
@@ -219,15 +219,15 @@
   rly->routers = MAX (routers, 1);
   list_for_each (node, &rly->services)
     {
-      list_entry (node, rly_service_t, node)->repeats.slack
-          = rly->bounds.repeat_slack * REPEAT_SAFETY / rly->routers;
+      list_entry (node, rly_service_t, node)->retry_budget.min_retries
+          = rly->settings.repeat_slack * RETRY_BUDGET_SHARE / rly->routers;
     }
 }
 
 void
 rly_stop_accepting (rly_t *rly)
 {
-  rly->closed = true;
+  rly->is_draining = true;
 }
 
 const rly_counts_t *
@@ -240,21 +240,21 @@
 rly_request_free (rly_request_t *request)
 {
   if (request->edp != NULL)
-    rly_leave (request, true);
-  if (request->line != NULL)
-    rly_unwait (request);
+    rly_detach (request, true);
+  if (request->queue != NULL)
+    rly_dequeue (request);
   list_remove (&request->node);
   rly_answer_clear (&request->answer);
   pfx_prompt_free (request->prompt);
   rte_table_unref (request->table);
-  g_free (request->last_failed);
+  g_free (request->last_failed_id);
   g_free (request->id);
   g_free (request);
 }
 
 /* The key of "SCHEME KEY"; NULL when there is none.  */
 static const char *
-key_of (const rly_t *rly, const hdr_t *fields)
+parse_key (const rly_t *rly, const hdr_t *fields)
 {
   const char *text = hdr_get (fields, "Authorization");
   size_t scheme = strlen (rly->names.key_scheme);
@@ -268,18 +268,18 @@
 
 /* A number in a field; MISSING without one.  */
 static double
-number (const hdr_t *fields, const char *name, double missing)
+parse_number (const hdr_t *fields, const char *name, double default_value)
 {
   const char *text = hdr_get (fields, name);
   char *end = NULL;
-  double value = text != NULL ? g_ascii_strtod (text, &end) : missing;
+  double value = text != NULL ? g_ascii_strtod (text, &end) : default_value;
 
-  return end != text && value >= 0. ? value : missing;
+  return end != text && value >= 0. ? value : default_value;
 }
 
 /* "PROMPT,MOST": the most tokens that may be generated.  */
 static double
-most_output (const hdr_t *fields, const char *name)
+parse_max_output_tokens (const hdr_t *fields, const char *name)
 {
   const char *text = hdr_get (fields, name);
   const char *comma = text != NULL ? strchr (text, ',') : NULL;
@@ -288,29 +288,30 @@
 }
 
 static void
-read_work (rly_request_t *request, const hdr_t *fields)
+parse_prompt_fields (rly_request_t *request, const hdr_t *fields)
 {
   const rly_names_t *names = &request->rly->names;
   const char *prompt = hdr_get (fields, names->prompt);
 
   if (prompt != NULL)
     request->prompt = pfx_prompt_parse (prompt);
-  request->output = number (fields, names->length_hint,
-                            most_output (fields, names->token_counts));
+  request->output_tokens
+      = parse_number (fields, names->length_hint,
+                      parse_max_output_tokens (fields, names->token_counts));
 }
 
 /* What REQUEST counts in its account's share.  */
 static double
-cost_of (const rly_request_t *request)
+compute_cost (const rly_request_t *request)
 {
   if (request->prompt == NULL)
-    return PLAIN_COST;
-  return request->prompt->tokens + OUTPUT_WEIGHT * request->output;
+    return PLAIN_REQUEST_COST;
+  return request->prompt->tokens + OUTPUT_WEIGHT * request->output_tokens;
 }
 
 static void
-answer_plainly (rly_t *rly, ent_call_t *call, unsigned status,
-                const char *reason)
+refuse_on_arrival (rly_t *rly, ent_call_t *call, unsigned status,
+                   const char *reason)
 {
   const char *id
       = hdr_get (&ent_get_head (call)->fields, rly->names.request_id);
@@ -321,24 +322,24 @@
             id != NULL ? id : "", status, reason);
   rly->counts.refused++;
   if (status == 503)
-    fields
-        = g_strdup_printf ("Retry-After: %.3f\r\n", NO_TABLE_RETRY_MS / 1000.);
+    fields = g_strdup_printf ("Retry-After: %.3f\r\n",
+                              NO_CONFIG_RETRY_MS / 1000.);
   ent_respond (call, status, fields, NULL, 0);
 }
 
 /* When the caller of REQUEST first first_attempt.  */
 static cfd_time_t
-first_asked (rly_request_t *request, const hdr_t *fields)
+find_first_attempt (rly_request_t *request, const hdr_t *fields)
 {
   const char *prompt = hdr_get (fields, request->rly->names.prompt);
   const GByteArray *body = ent_get_body (request->call);
 
   if (request->prompt == NULL)
-    return request->since;
-  request->key = ret_request_key (rly_account_name (request), prompt,
-                                  body->data, body->len);
-  return ret_take_first_attempt (request->rly->ret, request->since,
-                                 request->key);
+    return request->arrived_at;
+  request->retry_key = ret_request_key (rly_get_account_name (request), prompt,
+                                        body->data, body->len);
+  return ret_take_first_attempt (request->rly->ret, request->arrived_at,
+                                 request->retry_key);
 }
 
 static rly_request_t *
@@ -347,7 +348,8 @@
 {
   const hdr_t *fields = &ent_get_head (call)->fields;
   rly_request_t *request = g_new0 (rly_request_t, 1);
-  double deadline = number (fields, rly->names.deadline_ms, USUAL_DEADLINE_MS);
+  double deadline
+      = parse_number (fields, rly->names.deadline_ms, DEFAULT_DEADLINE_MS);
 
   request->rly = rly;
   request->call = call;
@@ -355,18 +357,18 @@
   request->route = route;
   request->account = account;
   request->id = g_strdup (hdr_get (fields, rly->names.request_id));
-  request->since = ent_get_start_time (call);
-  request->deadline = request->since + (int64_t)deadline;
-  request->timeout = CFD_TIME_NEVER;
+  request->arrived_at = ent_get_start_time (call);
+  request->deadline = request->arrived_at + (int64_t)deadline;
+  request->route_deadline = CFD_TIME_NEVER;
   if (route->timeout_ms > 0)
-    request->timeout = request->since + route->timeout_ms;
+    request->route_deadline = request->arrived_at + route->timeout_ms;
   list_init (&request->node);
   evs_init (&request->answer.events);
   request->answer.fields = g_string_new (NULL);
   request->answer.body = g_string_new (NULL);
-  read_work (request, fields);
-  request->cost = cost_of (request);
-  request->first_attempt = first_asked (request, fields);
+  parse_prompt_fields (request, fields);
+  request->cost = compute_cost (request);
+  request->first_attempt = find_first_attempt (request, fields);
   return request;
 }
 
@@ -376,24 +378,24 @@
   rly_t *rly = user;
   rd_head_t *head = ent_get_head (call);
   const char *host = hdr_get (&head->fields, "Host");
-  const char *key = key_of (rly, &head->fields);
+  const char *key = parse_key (rly, &head->fields);
   const rte_account_t *account = NULL;
   const rte_route_t *route;
   rly_request_t *request;
   cfd_time_t now = clock_now ();
 
   rly->counts.requests++;
-  if (rly->table == NULL || rly->closed)
+  if (rly->table == NULL || rly->is_draining)
     {
-      answer_plainly (rly, call, 503,
-                      rly->closed ? "shutdown" : "no-configuration");
+      refuse_on_arrival (rly, call, 503,
+                         rly->is_draining ? "shutdown" : "no-configuration");
       return;
     }
   route
       = host != NULL ? rte_find_route (rly->table, host, head->target) : NULL;
   if (route == NULL)
     {
-      answer_plainly (rly, call, 404, "no-route");
+      refuse_on_arrival (rly, call, 404, "no-route");
       return;
     }
   if (key != NULL)
@@ -401,18 +403,19 @@
   if (account == NULL && !route->allows_anonymous
       && rte_table_has_accounts (rly->table))
     {
-      answer_plainly (rly, call, 401, "unknown-key");
+      refuse_on_arrival (rly, call, 401, "unknown-key");
       return;
     }
   request = request_new (rly, call, route, account);
   ent_set_data (call, request);
-  request->service
-      = rly_service (rly, rte_choose_service (route, g_random_double ()));
-  bud_count_request (&request->service->repeats, now);
-  use_add_demand (rly->use, now, rly_account_name (request), request->cost);
-  rly_wait (request);
+  request->service = rly_find_or_add_service (
+      rly, rte_choose_service (route, g_random_double ()));
+  bud_count_request (&request->service->retry_budget, now);
+  use_add_demand (rly->use, now, rly_get_account_name (request),
+                  request->cost);
+  rly_enqueue (request);
   if (!rly_refuse_early (request, now))
-    rly_pump_later (request->service);
+    rly_schedule_dispatch (request->service);
 }
 
 void
@@ -424,35 +427,35 @@
 
   if (request == NULL)
     return;
-  rly->counts.departed++;
+  rly->counts.disconnected++;
   service = request->service;
   rly_request_free (request);
-  rly_pump_later (service);
+  rly_schedule_dispatch (service);
 }
 
 static void
-tick_running (rly_t *rly, cfd_time_t now)
+update_running (rly_t *rly, cfd_time_t now)
 {
   list_for_each_safe (node, &rly->running)
     {
-      rly_check_running (list_entry (node, rly_request_t, node), now);
+      rly_check_timeouts (list_entry (node, rly_request_t, node), now);
     }
 }
 
 void
 rly_tick (rly_t *rly, cfd_time_t now)
 {
-  if (now - rly->levelled >= LEVEL_MS)
+  if (now - rly->last_level_update >= LEVEL_UPDATE_INTERVAL_MS)
     {
-      rly->levelled = now;
+      rly->last_level_update = now;
       use_update_level (rly->use, now);
     }
-  tick_running (rly, now);
+  update_running (rly, now);
   if (rly->table != NULL)
-    tick_waiting (rly, now);
-  if (now - rly->swept < SWEEP_MS)
+    update_waiting (rly, now);
+  if (now - rly->last_sweep < SWEEP_INTERVAL_MS)
     return;
-  rly->swept = now;
+  rly->last_sweep = now;
   edp_set_sweep (rly->endpoints, now);
   pfx_evict_expired (rly->pfx, now);
   ret_sweep (rly->ret, now);
--- a/libcoltsfootdrum/relay/rly.h
+++ b/libcoltsfootdrum/relay/rly.h
@@ -48,12 +48,12 @@
 typedef struct
 {
   uint64_t requests;
-  uint64_t answered; /* an endpoint's answer, whole */
-  uint64_t refused;  /* not run */
-  uint64_t failed;   /* unknown outcome, or broken off */
-  uint64_t departed; /* the caller left */
-  uint64_t repeats;  /* sent once more */
-  uint64_t resumed;  /* streams that went on at another endpoint */
+  uint64_t answered;     /* an endpoint's answer, whole */
+  uint64_t refused;      /* not run */
+  uint64_t failed;       /* unknown outcome, or broken off */
+  uint64_t disconnected; /* the caller left */
+  uint64_t retries;      /* sent once more */
+  uint64_t resumed;      /* streams that went on at another endpoint */
   unsigned waiting;
   unsigned running;
 } rly_counts_t;
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -347,7 +347,7 @@
 static bool
 has_departed (void *user)
 {
-  return rly_counts (((scene_t *)user)->rly)->departed > 0;
+  return rly_counts (((scene_t *)user)->rly)->disconnected > 0;
 }
 
 /* The router is behind: when it comes to read a request, its caller has given
