--- a/libcoltsfootdrum/relay/bud.c
+++ b/libcoltsfootdrum/relay/bud.c
@@ -15,45 +15,45 @@
 
 /* Moves the window on; returns the newest part's place.  */
 static int
-advance (bud_t *bud, cfd_time_t now)
+advance_window (bud_t *bud, cfd_time_t now)
 {
-  int64_t part = now / (bud->window_ms / BUD_BUCKETS);
+  int64_t bucket = now / (bud->window_ms / BUD_BUCKETS);
 
-  if (part - bud->part > BUD_BUCKETS)
-    bud->part = part - BUD_BUCKETS;
-  while (bud->part < part)
+  if (bucket - bud->bucket > BUD_BUCKETS)
+    bud->bucket = bucket - BUD_BUCKETS;
+  while (bud->bucket < bucket)
     {
-      bud->part++;
-      bud->requests[bud->part % BUD_BUCKETS] = 0.;
-      bud->retries[bud->part % BUD_BUCKETS] = 0.;
+      bud->bucket++;
+      bud->requests[bud->bucket % BUD_BUCKETS] = 0.;
+      bud->retries[bud->bucket % BUD_BUCKETS] = 0.;
     }
-  return (int)(bud->part % BUD_BUCKETS);
+  return (int)(bud->bucket % BUD_BUCKETS);
 }
 
 static double
-sum (const double *parts)
+sum (const double *buckets)
 {
-  double all = 0.;
+  double total = 0.;
 
   for (int i = 0; i < BUD_BUCKETS; i++)
-    all += parts[i];
-  return all;
+    total += buckets[i];
+  return total;
 }
 
 void
 bud_count_request (bud_t *bud, cfd_time_t now)
 {
-  bud->requests[advance (bud, now)] += 1.;
+  bud->requests[advance_window (bud, now)] += 1.;
 }
 
 bool
 bud_try_retry (bud_t *bud, cfd_time_t now)
 {
-  int part = advance (bud, now);
+  int bucket = advance_window (bud, now);
 
   if (sum (bud->retries) + 1.
       > bud->ratio * sum (bud->requests) + bud->min_retries)
     return false;
-  bud->retries[part] += 1.;
+  bud->retries[bucket] += 1.;
   return true;
 }
--- a/libcoltsfootdrum/relay/bud.h
+++ b/libcoltsfootdrum/relay/bud.h
@@ -21,7 +21,7 @@
   double min_retries; /* repeats that are always allowed in a window */
   double requests[BUD_BUCKETS];
   double retries[BUD_BUCKETS];
-  int64_t part; /* number of the newest part */
+  int64_t bucket; /* number of the newest part */
 } bud_t;
 
 void bud_init (bud_t *bud, int64_t window_ms, double ratio,
--- a/libcoltsfootdrum/relay/fit.c
+++ b/libcoltsfootdrum/relay/fit.c
@@ -5,10 +5,10 @@
 #include <math.h>
 
 /* Each sample leaves so much of the former ones: some hundred count.  */
-#define KEEP 0.99
+#define DECAY 0.99
 /* What the first line weighs, in samples, and where it was seen.  */
-#define FIRST_WEIGHT 10.
-#define FIRST_X 10000.
+#define PRIOR_WEIGHT 10.
+#define PRIOR_X 10000.
 
 void
 fit_init (fit_t *fit, double base, double slope)
@@ -16,25 +16,25 @@
   *fit = (fit_t){ 0 };
   for (int i = 0; i < 2; i++)
     {
-      double x = i * FIRST_X;
+      double x = i * PRIOR_X;
       double y = base + slope * x;
 
-      fit->weight += FIRST_WEIGHT / 2;
-      fit->x += FIRST_WEIGHT / 2 * x;
-      fit->y += FIRST_WEIGHT / 2 * y;
-      fit->xx += FIRST_WEIGHT / 2 * x * x;
-      fit->xy += FIRST_WEIGHT / 2 * x * y;
+      fit->weight += PRIOR_WEIGHT / 2;
+      fit->x += PRIOR_WEIGHT / 2 * x;
+      fit->y += PRIOR_WEIGHT / 2 * y;
+      fit->xx += PRIOR_WEIGHT / 2 * x * x;
+      fit->xy += PRIOR_WEIGHT / 2 * x * y;
     }
 }
 
 void
 fit_add (fit_t *fit, double x, double y)
 {
-  fit->weight = fit->weight * KEEP + 1.;
-  fit->x = fit->x * KEEP + x;
-  fit->y = fit->y * KEEP + y;
-  fit->xx = fit->xx * KEEP + x * x;
-  fit->xy = fit->xy * KEEP + x * y;
+  fit->weight = fit->weight * DECAY + 1.;
+  fit->x = fit->x * DECAY + x;
+  fit->y = fit->y * DECAY + y;
+  fit->xx = fit->xx * DECAY + x * x;
+  fit->xy = fit->xy * DECAY + x * y;
 }
 
 double
--- a/libcoltsfootdrum/relay/lag.c
+++ b/libcoltsfootdrum/relay/lag.c
@@ -16,14 +16,14 @@
   int64_t total_us[LAG_KINDS]; /* since the start */
 };
 
-static const char *const names[]
+static const char *const kind_names[]
     = { "idle",      "accept",    "datagrams", "callers",
         "endpoints", "placement", "tick",      "other" };
 
-G_STATIC_ASSERT (G_N_ELEMENTS (names) == LAG_KINDS);
+G_STATIC_ASSERT (G_N_ELEMENTS (kind_names) == LAG_KINDS);
 
 static void
-change (lag_t *lag, lag_kind_t kind)
+switch_kind (lag_t *lag, lag_kind_t kind)
 {
   int64_t now = clock_now_us ();
 
@@ -39,13 +39,13 @@
   lag_t *lag = watcher->data;
 
   lag->sums.turns++;
-  change (lag, LAG_IDLE);
+  switch_kind (lag, LAG_IDLE);
 }
 
 static void
 on_poll_ended (struct ev_loop *loop, ev_check *watcher, int events)
 {
-  change (watcher->data, LAG_OTHER);
+  switch_kind (watcher->data, LAG_OTHER);
 }
 
 lag_t *
@@ -87,7 +87,7 @@
     return LAG_OTHER;
   before = lag->kind;
   if (before != kind)
-    change (lag, kind);
+    switch_kind (lag, kind);
   return before;
 }
 
@@ -98,7 +98,7 @@
     return;
   lag->sums.count[lag->kind] += count;
   if (before != lag->kind)
-    change (lag, before);
+    switch_kind (lag, before);
 }
 
 lag_sums_t
@@ -106,7 +106,7 @@
 {
   lag_sums_t sums;
 
-  change (lag, lag->kind);
+  switch_kind (lag, lag->kind);
   sums = lag->sums;
   lag->sums = (lag_sums_t){ 0 };
   return sums;
@@ -117,7 +117,7 @@
 {
   for (unsigned i = 0; i < LAG_KINDS; i++)
     {
-      g_autofree char *labels = g_strdup_printf ("work=\"%s\"", names[i]);
+      g_autofree char *labels = g_strdup_printf ("work=\"%s\"", kind_names[i]);
 
       prom_sample (out, "cfd_relay_loop_seconds_total", "counter", labels,
                    (double)lag->total_us[i] / G_USEC_PER_SEC);
@@ -132,10 +132,10 @@
   g_string_append_printf (text, "turns=%u", sums->turns);
   for (unsigned i = 0; i < LAG_KINDS; i++)
     {
-      g_string_append_printf (text, " %s_ms=%" G_GINT64_FORMAT, names[i],
+      g_string_append_printf (text, " %s_ms=%" G_GINT64_FORMAT, kind_names[i],
                               sums->us[i] / 1000);
       if (sums->count[i] > 0)
-        g_string_append_printf (text, " %s_count=%u", names[i],
+        g_string_append_printf (text, " %s_count=%u", kind_names[i],
                                 sums->count[i]);
     }
   return g_string_free (text, FALSE);
--- a/libcoltsfootdrum/relay/mech.c
+++ b/libcoltsfootdrum/relay/mech.c
@@ -8,10 +8,10 @@
 {
   const char *name;
   mech_t bit;
-  const char *what;
+  const char *description;
 } mech_row_t;
 
-static const mech_row_t rows[] = {
+static const mech_row_t mechanisms[] = {
   { "prefix-fetch", MECH_PREFIX_FETCH,
     "an endpoint copies a cached prefix from another one" },
   { "prefix-affinity", MECH_PREFIX_AFFINITY,
@@ -36,11 +36,11 @@
 };
 
 static const mech_row_t *
-find (const char *name)
+find_mechanism (const char *name)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
-    if (g_str_equal (rows[i].name, name))
-      return &rows[i];
+  for (guint i = 0; i < G_N_ELEMENTS (mechanisms); i++)
+    if (g_str_equal (mechanisms[i].name, name))
+      return &mechanisms[i];
   return NULL;
 }
 
@@ -52,7 +52,7 @@
   *bits = 0;
   for (char **word = words; *word != NULL; word++)
     {
-      const mech_row_t *row = find (g_strstrip (*word));
+      const mech_row_t *row = find_mechanism (g_strstrip (*word));
 
       if (row == NULL)
         {
@@ -72,7 +72,8 @@
 {
   GString *text = g_string_new (NULL);
 
-  for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
-    g_string_append_printf (text, "  %s: %s\n", rows[i].name, rows[i].what);
+  for (guint i = 0; i < G_N_ELEMENTS (mechanisms); i++)
+    g_string_append_printf (text, "  %s: %s\n", mechanisms[i].name,
+                            mechanisms[i].description);
   return g_string_free (text, FALSE);
 }
--- a/libcoltsfootdrum/relay/ret.c
+++ b/libcoltsfootdrum/relay/ret.c
@@ -7,32 +7,32 @@
 #include <xxhash.h>
 
 /* A caller who comes back does so within this time.  */
-#define RETURN_MS 8000
+#define MAX_RETURN_MS 8000
 /* Bounds the memory under a flood of refusals.  */
-#define CALLERS_MOST 16384
+#define MAX_CALLERS 16384
 /* Keys are short in datagrams; among some thousand refusals two hardly meet.
  */
 #define KEY_MASK UINT64_C (0xffffffffff)
 
 /* Clocks of routers and the way back differ by less; and a caller may come a
    little before its time.  */
-#define EARLY_SLACK_MS 20
+#define EARLY_RETURN_SLACK_MS 20
 
 typedef struct
 {
   list_node_t node;
   uint64_t key;
   cfd_time_t first_attempt;
-  cfd_time_t refused;
+  cfd_time_t refused_at;
   cfd_time_t retry_at;
 } ret_caller_t;
 
 struct ret
 {
-  GHashTable *callers; /* key to ret_caller_t */
-  list_node_t order;   /* the same, who was refused first comes first */
-  GArray *updates;     /* ret_update_t, the oldest first */
-  uint64_t numbers;    /* given to updates */
+  GHashTable *callers;  /* key to ret_caller_t */
+  list_node_t order;    /* the same, who was refused first comes first */
+  GArray *updates;      /* ret_update_t, the oldest first */
+  uint64_t last_number; /* given to updates */
 };
 
 static void
@@ -77,7 +77,7 @@
 }
 
 static ret_caller_t *
-oldest (const ret_t *ret)
+get_oldest (const ret_t *ret)
 {
   return list_is_empty (&ret->order)
              ? NULL
@@ -85,7 +85,7 @@
 }
 
 static void
-forget (ret_t *ret, const ret_caller_t *caller)
+remove_caller (ret_t *ret, const ret_caller_t *caller)
 {
   g_hash_table_remove (ret->callers, &caller->key);
 }
@@ -96,11 +96,11 @@
 {
   ret_caller_t *caller = g_new0 (ret_caller_t, 1);
 
-  if (g_hash_table_size (ret->callers) >= CALLERS_MOST)
-    forget (ret, oldest (ret));
+  if (g_hash_table_size (ret->callers) >= MAX_CALLERS)
+    remove_caller (ret, get_oldest (ret));
   caller->key = key;
   caller->first_attempt = first_attempt;
-  caller->refused = now;
+  caller->refused_at = now;
   caller->retry_at = retry_at;
   list_init (&caller->node);
   g_hash_table_replace (ret->callers, &caller->key, caller);
@@ -111,14 +111,14 @@
 ret_add_refusal (ret_t *ret, cfd_time_t now, uint64_t key,
                  cfd_time_t first_attempt, cfd_time_t retry_at)
 {
-  ret_update_t updates = { .key = key,
-                           .first_attempt = first_attempt,
-                           .retry_at = retry_at,
-                           .number = ++ret->numbers,
-                           .at = now };
+  ret_update_t update = { .key = key,
+                          .first_attempt = first_attempt,
+                          .retry_at = retry_at,
+                          .number = ++ret->last_number,
+                          .at = now };
 
   ret_add_peer_refusal (ret, now, key, first_attempt, retry_at);
-  g_array_append_val (ret->updates, updates);
+  g_array_append_val (ret->updates, update);
 }
 
 cfd_time_t
@@ -127,11 +127,11 @@
   const ret_caller_t *caller = g_hash_table_lookup (ret->callers, &key);
   cfd_time_t first_attempt = now;
 
-  if (caller == NULL || now < caller->retry_at - EARLY_SLACK_MS)
+  if (caller == NULL || now < caller->retry_at - EARLY_RETURN_SLACK_MS)
     return now;
-  if (now - caller->refused <= RETURN_MS)
+  if (now - caller->refused_at <= MAX_RETURN_MS)
     first_attempt = MIN (caller->first_attempt, now);
-  forget (ret, caller);
+  remove_caller (ret, caller);
   return first_attempt;
 }
 
@@ -157,11 +157,11 @@
 void
 ret_sweep (ret_t *ret, cfd_time_t now)
 {
-  const ret_caller_t *caller = oldest (ret);
+  const ret_caller_t *caller = get_oldest (ret);
 
-  while (caller != NULL && now - caller->refused > RETURN_MS)
+  while (caller != NULL && now - caller->refused_at > MAX_RETURN_MS)
     {
-      forget (ret, caller);
-      caller = oldest (ret);
+      remove_caller (ret, caller);
+      caller = get_oldest (ret);
     }
 }
--- a/libcoltsfootdrum/relay/rte.c
+++ b/libcoltsfootdrum/relay/rte.c
@@ -80,7 +80,7 @@
 }
 
 static void
-clear_share (void *data)
+clear_traffic_share (void *data)
 {
   rte_traffic_share_t *share = data;
 
@@ -94,7 +94,7 @@
 
   route->traffic_shares
       = g_array_new (FALSE, FALSE, sizeof (rte_traffic_share_t));
-  g_array_set_clear_func (route->traffic_shares, clear_share);
+  g_array_set_clear_func (route->traffic_shares, clear_traffic_share);
   route->max_attempts = 1;
   return route;
 }
@@ -199,24 +199,25 @@
 
 /* The path of TARGET without its query.  */
 static size_t
-path_length (const char *target)
+get_path_length (const char *target)
 {
   return strcspn (target, "?#");
 }
 
 static bool
-is_under (const char *target, size_t length, const char *prefix)
+has_prefix (const char *target, size_t length, const char *prefix)
 {
-  size_t need = strlen (prefix);
+  size_t prefix_length = strlen (prefix);
 
-  return length >= need && strncmp (target, prefix, need) == 0;
+  return length >= prefix_length
+         && strncmp (target, prefix, prefix_length) == 0;
 }
 
 const rte_route_t *
 rte_find_route (const rte_table_t *table, const char *host, const char *target)
 {
   g_autofree char *name = g_ascii_strdown (host, -1);
-  size_t length = path_length (target);
+  size_t length = get_path_length (target);
   const rte_route_t *best = NULL;
   const GPtrArray *routes;
   char *port = strrchr (name, ':');
@@ -228,7 +229,7 @@
     {
       const rte_route_t *route = g_ptr_array_index (routes, i);
 
-      if (is_under (target, length, route->prefix)
+      if (has_prefix (target, length, route->prefix)
           && (best == NULL || strlen (route->prefix) > strlen (best->prefix)))
         best = route;
     }
@@ -252,11 +253,11 @@
 {
   const rte_traffic_share_t *traffic_shares
       = (const rte_traffic_share_t *)route->traffic_shares->data;
-  double whole = 0.;
+  double total_weight = 0.;
 
   for (guint i = 0; i < route->traffic_shares->len; i++)
-    whole += traffic_shares[i].weight;
-  draw *= whole;
+    total_weight += traffic_shares[i].weight;
+  draw *= total_weight;
   for (guint i = 0; i + 1 < route->traffic_shares->len; i++)
     {
       if (draw < traffic_shares[i].weight)
--- a/libcoltsfootdrum/relay/test-lag.c
+++ b/libcoltsfootdrum/relay/test-lag.c
@@ -5,12 +5,12 @@
 #include "base/clock.h"
 #include <string.h>
 
-#define SPAN_US 3000
+#define WORK_US 3000
 
 static void
-work (void)
+spin (void)
 {
-  int64_t end = clock_now_us () + SPAN_US;
+  int64_t end = clock_now_us () + WORK_US;
 
   while (clock_now_us () < end)
     ;
@@ -26,15 +26,15 @@
   lag_kind_t inner;
   lag_sums_t sums;
 
-  work ();
+  spin ();
   inner = lag_enter (lag, LAG_PLACEMENT);
   g_assert_cmpint (inner, ==, LAG_CALLERS);
-  work ();
+  spin ();
   lag_leave (lag, inner, 2);
   lag_leave (lag, outer, 1);
   sums = lag_take_sums (lag);
-  g_assert_cmpint (sums.us[LAG_CALLERS], >=, SPAN_US);
-  g_assert_cmpint (sums.us[LAG_PLACEMENT], >=, SPAN_US);
+  g_assert_cmpint (sums.us[LAG_CALLERS], >=, WORK_US);
+  g_assert_cmpint (sums.us[LAG_PLACEMENT], >=, WORK_US);
   g_assert_cmpint (sums.us[LAG_ACCEPT], ==, 0);
   g_assert_cmpuint (sums.count[LAG_CALLERS], ==, 1);
   g_assert_cmpuint (sums.count[LAG_PLACEMENT], ==, 2);
@@ -63,7 +63,7 @@
 }
 
 static void
-test_none (void)
+test_null (void)
 {
   g_assert_cmpint (lag_enter (NULL, LAG_ACCEPT), ==, LAG_OTHER);
   lag_leave (NULL, LAG_OTHER, 1);
@@ -75,6 +75,6 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/lag/nested", test_nested);
   g_test_add_func ("/lag/turns", test_turns);
-  g_test_add_func ("/lag/not-counted", test_none);
+  g_test_add_func ("/lag/not-counted", test_null);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/relay/test-parts.c
+++ b/libcoltsfootdrum/relay/test-parts.c
@@ -111,17 +111,18 @@
 /* What was sent to an endpoint is kept there for a while; a part alone,
    without those before it, is another one.  */
 static void
-test_kept (void)
+test_cached (void)
 {
   g_autoptr (pfx_t) pfx = pfx_new ();
   g_autoptr (pfx_prompt_t) first = pfx_prompt_parse ("a:100,b:50,c:7");
   g_autoptr (pfx_prompt_t) same = pfx_prompt_parse ("a:100,b:50,d:9");
-  g_autoptr (pfx_prompt_t) begins = pfx_prompt_parse ("a:100,x:50,d:9");
+  g_autoptr (pfx_prompt_t) shares_first = pfx_prompt_parse ("a:100,x:50,d:9");
   g_autoptr (pfx_prompt_t) moved = pfx_prompt_parse ("z:1,b:50,d:9");
 
   pfx_record (pfx, NOW, 1, first);
   g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, same), ==, 150);
-  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, begins), ==, 100);
+  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, shares_first), ==,
+                    100);
   g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, moved), ==, 0);
   g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 2, same), ==, 0);
   g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW + 3600000, 1, same), ==,
@@ -131,18 +132,19 @@
 /* Another router's word: the last shared part alone, which stands for all
    before it.  */
 static void
-test_news (void)
+test_peer_update (void)
 {
   g_autoptr (pfx_t) here = pfx_new ();
   g_autoptr (pfx_t) there = pfx_new ();
   g_autoptr (pfx_prompt_t) prompt = pfx_prompt_parse ("a:100,b:50,c:7");
-  const GArray *news;
+  const GArray *updates;
 
   pfx_record (here, NOW, 1, prompt);
-  news = pfx_get_updates (here, NOW);
-  g_assert_cmpuint (news->len, ==, 1);
-  pfx_apply_update (there, NOW, g_array_index (news, pfx_update_t, 0).endpoint,
-                    g_array_index (news, pfx_update_t, 0).part);
+  updates = pfx_get_updates (here, NOW);
+  g_assert_cmpuint (updates->len, ==, 1);
+  pfx_apply_update (there, NOW,
+                    g_array_index (updates, pfx_update_t, 0).endpoint,
+                    g_array_index (updates, pfx_update_t, 0).part);
   g_assert_cmpuint (pfx_count_cached_tokens (there, NOW, 1, prompt), ==, 150);
   g_assert_cmpuint (pfx_get_updates (here, NOW + 1)->len, ==, 0);
 }
@@ -150,7 +152,7 @@
 /* Load pattern: every request fails.  Of 1,000 in a window a fifth and the
    fixed part may be sent again, and no more however long it lasts.  */
 static void
-test_budget (void)
+test_retry_budget (void)
 {
   bud_t bud;
   unsigned repeats = 0;
@@ -171,7 +173,7 @@
 /* Load pattern: callers who were refused come back, with other deadlines and
    ids than before.  */
 static void
-test_returns (void)
+test_returning_caller (void)
 {
   g_autoptr (ret_t) ret = ret_new ();
   uint64_t key = ret_request_key ("mill", "a:1,b:2", "text", 4);
@@ -196,7 +198,7 @@
 /* Two callers of one account ask the same.  One was refused, and one is being
    served: who asks it next has not come back.  */
 static void
-test_served_meanwhile (void)
+test_served_request (void)
 {
   g_autoptr (ret_t) ret = ret_new ();
   uint64_t key = ret_request_key ("mill", "a:1,b:2", "text", 4);
@@ -210,7 +212,7 @@
 /* In a flood of refusals those are forgotten who were refused first: they have
    come back already, or won't.  */
 static void
-test_many_refused (void)
+test_evicts_oldest_refusal (void)
 {
   g_autoptr (ret_t) ret = ret_new ();
 
@@ -225,7 +227,7 @@
 }
 
 static void
-test_line (void)
+test_fit (void)
 {
   fit_t fit;
 
@@ -287,13 +289,13 @@
   g_test_add_func ("/rte/accounts", test_accounts);
   g_test_add_func ("/rte/shares", test_shares);
   g_test_add_func ("/pfx/prompts", test_prompts);
-  g_test_add_func ("/pfx/kept", test_kept);
-  g_test_add_func ("/pfx/news", test_news);
-  g_test_add_func ("/bud/storm", test_budget);
-  g_test_add_func ("/ret/returns", test_returns);
-  g_test_add_func ("/parts/served-meanwhile", test_served_meanwhile);
-  g_test_add_func ("/parts/many-refused", test_many_refused);
-  g_test_add_func ("/fit/line", test_line);
+  g_test_add_func ("/pfx/kept", test_cached);
+  g_test_add_func ("/pfx/news", test_peer_update);
+  g_test_add_func ("/bud/storm", test_retry_budget);
+  g_test_add_func ("/ret/returns", test_returning_caller);
+  g_test_add_func ("/parts/served-meanwhile", test_served_request);
+  g_test_add_func ("/parts/many-refused", test_evicts_oldest_refusal);
+  g_test_add_func ("/fit/line", test_fit);
   g_test_add_func ("/mech/names", test_mechanisms);
   g_test_add_func ("/hdr/hop", test_hop_fields);
   return g_test_run ();
--- a/libcoltsfootdrum/relay/test-rly-scene.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -9,18 +9,18 @@
 #include <unistd.h>
 
 /* A condition that isn't met by then never will be.  */
-#define LIMIT_S 30.
-#define HEAD_MOST 16384
+#define TIMEOUT_S 30.
+#define MAX_HEAD_BYTES 16384
 
 /* A connection at an endpoint.  */
 typedef struct
 {
-  scene_endpoint_t *back;
+  scene_server_t *server;
   con_t *con;
   rd_t *rd;
   GString *body;
   char *id;
-} line_t;
+} server_con_t;
 
 static const char *const reserved_fields[] = { "X-Hold", NULL };
 
@@ -41,27 +41,28 @@
 };
 
 static void
-line_free (line_t *line)
+server_con_free (server_con_t *server_con)
 {
-  g_ptr_array_remove_fast (line->back->scene->lines, line);
-  con_free (line->con);
-  rd_free (line->rd);
-  g_string_free (line->body, TRUE);
-  g_free (line->id);
-  g_free (line);
+  g_ptr_array_remove_fast (server_con->server->scene->server_cons, server_con);
+  con_free (server_con->con);
+  rd_free (server_con->rd);
+  g_string_free (server_con->body, TRUE);
+  g_free (server_con->id);
+  g_free (server_con);
 }
 
 static bool
 on_head (void *user, rd_head_t *head)
 {
-  line_t *line = user;
-  GString *last = line->back->scene->last;
+  server_con_t *server_con = user;
+  GString *last_request = server_con->server->scene->last_request;
 
-  g_free (line->id);
-  line->id = g_strdup (hdr_get (&head->fields, "X-Id"));
-  g_string_printf (last, "%s %s", head->method, head->target);
+  g_free (server_con->id);
+  server_con->id = g_strdup (hdr_get (&head->fields, "X-Id"));
+  g_string_printf (last_request, "%s %s", head->method, head->target);
   for (guint i = 0; i < hdr_count (&head->fields); i++)
-    g_string_append_printf (last, "|%s=%s", hdr_get_name (&head->fields, i),
+    g_string_append_printf (last_request, "|%s=%s",
+                            hdr_get_name (&head->fields, i),
                             hdr_get_value (&head->fields, i));
   return true;
 }
@@ -69,60 +70,61 @@
 static void
 on_body (void *user, const char *bytes, size_t length)
 {
-  g_string_append_len (((line_t *)user)->body, bytes, (gssize)length);
+  g_string_append_len (((server_con_t *)user)->body, bytes, (gssize)length);
 }
 
 static void
-reply (line_t *line)
+reply (server_con_t *server_con)
 {
-  scene_t *scene = line->back->scene;
-  unsigned turn = MIN (scene->arrived, scene->reply_count - 1);
+  scene_t *scene = server_con->server->scene;
+  unsigned turn = MIN (scene->requests_received, scene->reply_count - 1);
   const scene_reply_t *next = &scene->replies[turn];
   g_autofree char *text = NULL;
   g_auto (GStrv) parts = NULL;
 
-  scene->arrived++;
-  line->back->requests++;
+  scene->requests_received++;
+  server_con->server->requests++;
   if (next->bytes == NULL)
     return;
   parts = g_strsplit (next->bytes, "%I", -1);
-  text = g_strjoinv (line->id != NULL ? line->id : "", parts);
-  con_write (line->con, text, strlen (text));
-  if (next->then == SCENE_CLOSES)
-    con_shutdown_after_flush (line->con);
+  text = g_strjoinv (server_con->id != NULL ? server_con->id : "", parts);
+  con_write (server_con->con, text, strlen (text));
+  if (next->then == SCENE_CLOSE)
+    con_shutdown_after_flush (server_con->con);
 }
 
 static bool
-resets (const scene_t *scene)
+must_reset (const scene_t *scene)
 {
-  unsigned turn = MIN (scene->arrived - 1, scene->reply_count - 1);
+  unsigned turn = MIN (scene->requests_received - 1, scene->reply_count - 1);
 
-  return scene->replies[turn].then == SCENE_RESETS;
+  return scene->replies[turn].then == SCENE_RESET;
 }
 
 static void
 on_bytes (void *user, const char *bytes, size_t length)
 {
-  line_t *line = user;
-  scene_t *scene = line->back->scene;
+  server_con_t *server_con = user;
+  scene_t *scene = server_con->server->scene;
 
   while (length > 0)
     {
       size_t used = 0;
 
-      if (rd_feed (line->rd, bytes, length, &used) != RD_COMPLETE)
+      if (rd_feed (server_con->rd, bytes, length, &used) != RD_COMPLETE)
         return;
       bytes += used;
       length -= used;
-      g_string_append_printf (scene->last, "|body=%s", line->body->str);
-      g_string_truncate (line->body, 0);
-      reply (line);
-      rd_reset (line->rd);
-      if (!resets (scene))
+      g_string_append_printf (scene->last_request, "|body=%s",
+                              server_con->body->str);
+      g_string_truncate (server_con->body, 0);
+      reply (server_con);
+      rd_reset (server_con->rd);
+      if (!must_reset (scene))
         continue;
-      con_abort (line->con);
-      line->con = NULL;
-      line_free (line);
+      con_abort (server_con->con);
+      server_con->con = NULL;
+      server_con_free (server_con);
       return;
     }
 }
@@ -130,10 +132,10 @@
 static void
 on_ended (void *user, con_end_t end)
 {
-  line_t *line = user;
+  server_con_t *server_con = user;
 
-  line->back->scene->lost++;
-  line_free (line);
+  server_con->server->scene->closed_connections++;
+  server_con_free (server_con);
 }
 
 static void
@@ -142,20 +144,20 @@
   static const con_ops_t wire = { .bytes = on_bytes, .ended = on_ended };
   static const rd_ops_t reader = { on_head, on_body };
   int fd = accept4 (watcher->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  line_t *line;
+  server_con_t *server_con;
 
   if (fd < 0)
     return;
-  line = g_new0 (line_t, 1);
-  line->back = watcher->data;
-  line->body = g_string_new (NULL);
-  line->rd = rd_new (RD_REQUESTS, HEAD_MOST, &reader, line);
-  line->con = con_new_accepted (loop, fd, &wire, line);
-  g_ptr_array_add (line->back->scene->lines, line);
+  server_con = g_new0 (server_con_t, 1);
+  server_con->server = watcher->data;
+  server_con->body = g_string_new (NULL);
+  server_con->rd = rd_new (RD_REQUESTS, MAX_HEAD_BYTES, &reader, server_con);
+  server_con->con = con_new_accepted (loop, fd, &wire, server_con);
+  g_ptr_array_add (server_con->server->scene->server_cons, server_con);
 }
 
 static void
-open_back (scene_t *scene, scene_endpoint_t *back)
+open_server (scene_t *scene, scene_server_t *server)
 {
   struct sockaddr_in addr = { 0 };
   socklen_t length = sizeof addr;
@@ -163,11 +165,11 @@
 
   g_assert_cmpint (fd, >=, 0);
   g_assert_cmpint (getsockname (fd, (struct sockaddr *)&addr, &length), ==, 0);
-  back->scene = scene;
-  back->port = ntohs (addr.sin_port);
-  ev_io_init (&back->listener, on_accept, fd, EV_READ);
-  back->listener.data = back;
-  ev_io_start (scene->loop, &back->listener);
+  server->scene = scene;
+  server->port = ntohs (addr.sin_port);
+  ev_io_init (&server->listener, on_accept, fd, EV_READ);
+  server->listener.data = server;
+  ev_io_start (scene->loop, &server->listener);
 }
 
 static edp_report_t *
@@ -185,7 +187,7 @@
 
 /* A port on which nobody listens.  */
 static unsigned
-dead_port (void)
+find_unused_port (void)
 {
   struct sockaddr_in addr = { 0 };
   socklen_t length = sizeof addr;
@@ -197,7 +199,8 @@
 }
 
 void
-scene_list (scene_t *scene, unsigned hidden, bool dead, unsigned slots)
+scene_list_endpoints (scene_t *scene, unsigned hidden, bool dead,
+                      unsigned slots)
 {
   GPtrArray *reports = g_ptr_array_new ();
 
@@ -205,10 +208,10 @@
     {
       g_autofree char *id = g_strdup_printf ("e%u", i);
 
-      g_ptr_array_add (reports, report (id, scene->backs[i].port, slots));
+      g_ptr_array_add (reports, report (id, scene->servers[i].port, slots));
     }
   if (dead)
-    g_ptr_array_add (reports, report ("dead", dead_port (), slots));
+    g_ptr_array_add (reports, report ("dead", find_unused_port (), slots));
   edp_set_update (scene->endpoints, clock_now (), reports, true, 0);
 }
 
@@ -282,9 +285,9 @@
 }
 
 static void
-on_limit (struct ev_loop *loop, ev_timer *timer, int events)
+on_timeout (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  ((scene_t *)timer->data)->late = true;
+  ((scene_t *)timer->data)->timed_out = true;
 }
 
 scene_t *
@@ -301,8 +304,8 @@
   scene->loop = ev_loop_new (EVFLAG_AUTO);
   scene->replies = replies;
   scene->reply_count = count;
-  scene->last = g_string_new (NULL);
-  scene->lines = g_ptr_array_new ();
+  scene->last_request = g_string_new (NULL);
+  scene->server_cons = g_ptr_array_new ();
   scene->endpoints = edp_set_new (scene->loop);
   scene->use = use_new (bounds.share_window_ms);
   scene->pfx = pfx_new ();
@@ -312,9 +315,9 @@
   scene->ent = ent_new (scene->loop, "127.0.0.1:0", &front, scene->rly, NULL);
   g_assert_nonnull (scene->ent);
   for (unsigned i = 0; i < SCENE_ENDPOINTS; i++)
-    open_back (scene, &scene->backs[i]);
+    open_server (scene, &scene->servers[i]);
   rly_set_table (scene->rly, table);
-  scene_list (scene, 0, false, slots);
+  scene_list_endpoints (scene, 0, false, slots);
   ev_timer_init (&scene->tick, on_tick, 0., RLY_TICK_MS / 1000.);
   scene->tick.data = scene;
   ev_timer_start (scene->loop, &scene->tick);
@@ -324,27 +327,27 @@
 void
 scene_free (scene_t *scene)
 {
-  g_autoptr (GPtrArray) lines = NULL;
+  g_autoptr (GPtrArray) server_cons = NULL;
 
   ev_timer_stop (scene->loop, &scene->tick);
   rly_free (scene->rly);
   ent_free (scene->ent);
   edp_set_free (scene->endpoints);
-  lines = g_steal_pointer (&scene->lines);
-  scene->lines = g_ptr_array_new ();
-  for (guint i = 0; i < lines->len; i++)
-    line_free (g_ptr_array_index (lines, i));
+  server_cons = g_steal_pointer (&scene->server_cons);
+  scene->server_cons = g_ptr_array_new ();
+  for (guint i = 0; i < server_cons->len; i++)
+    server_con_free (g_ptr_array_index (server_cons, i));
   for (unsigned i = 0; i < SCENE_ENDPOINTS; i++)
     {
-      ev_io_stop (scene->loop, &scene->backs[i].listener);
-      close (scene->backs[i].listener.fd);
+      ev_io_stop (scene->loop, &scene->servers[i].listener);
+      close (scene->servers[i].listener.fd);
     }
   use_free (scene->use);
   pfx_free (scene->pfx);
   ret_free (scene->ret);
   ev_loop_destroy (scene->loop);
-  g_ptr_array_unref (scene->lines);
-  g_string_free (scene->last, TRUE);
+  g_ptr_array_unref (scene->server_cons);
+  g_string_free (scene->last_request, TRUE);
   g_free (scene);
 }
 
@@ -361,7 +364,7 @@
 }
 
 scene_caller_t *
-scene_call (scene_t *scene, const char *bytes)
+scene_send_request (scene_t *scene, const char *bytes)
 {
   static const con_ops_t wire
       = { .bytes = on_caller_bytes, .ended = on_caller_ended };
@@ -389,37 +392,37 @@
 void
 scene_run (scene_t *scene, bool (*done) (void *user), void *user)
 {
-  scene->late = false;
-  ev_timer_init (&scene->limit, on_limit, LIMIT_S, 0.);
-  scene->limit.data = scene;
-  ev_timer_start (scene->loop, &scene->limit);
-  while (!done (user) && !scene->late)
+  scene->timed_out = false;
+  ev_timer_init (&scene->timeout, on_timeout, TIMEOUT_S, 0.);
+  scene->timeout.data = scene;
+  ev_timer_start (scene->loop, &scene->timeout);
+  while (!done (user) && !scene->timed_out)
     ev_run (scene->loop, EVRUN_ONCE);
-  ev_timer_stop (scene->loop, &scene->limit);
-  g_assert_false (scene->late);
+  ev_timer_stop (scene->loop, &scene->timeout);
+  g_assert_false (scene->timed_out);
 }
 
 typedef struct
 {
   scene_caller_t *caller;
   const char *text;
-} wish_t;
+} expectation_t;
 
 static bool
-has_come (void *user)
+has_text_or_ended (void *user)
 {
-  const wish_t *wish = user;
+  const expectation_t *expectation = user;
 
-  if (wish->text == NULL)
-    return wish->caller->ended;
-  return strstr (wish->caller->text->str, wish->text) != NULL
-         || wish->caller->ended;
+  if (expectation->text == NULL)
+    return expectation->caller->ended;
+  return strstr (expectation->caller->text->str, expectation->text) != NULL
+         || expectation->caller->ended;
 }
 
 void
 scene_wait_for (scene_t *scene, scene_caller_t *caller, const char *text)
 {
-  wish_t wish = { caller, text };
+  expectation_t expectation = { caller, text };
 
-  scene_run (scene, has_come, &wish);
+  scene_run (scene, has_text_or_ended, &expectation);
 }
--- a/libcoltsfootdrum/relay/test-rly-scene.h
+++ b/libcoltsfootdrum/relay/test-rly-scene.h
@@ -15,9 +15,9 @@
   const char *bytes; /* NULL: silence */
   enum
   {
-    SCENE_STAYS,
-    SCENE_CLOSES,
-    SCENE_RESETS
+    SCENE_KEEP_OPEN,
+    SCENE_CLOSE,
+    SCENE_RESET
   } then;
 } scene_reply_t;
 
@@ -29,27 +29,28 @@
   struct ev_io listener;
   unsigned port;
   unsigned requests;
-} scene_endpoint_t;
+} scene_server_t;
 
 struct scene
 {
   struct ev_loop *loop;
   ev_timer tick;
-  ev_timer limit;
+  ev_timer timeout;
   edp_set_t *endpoints;
   use_t *use;
   pfx_t *pfx;
   ret_t *ret;
   rly_t *rly;
   ent_t *ent;
-  scene_endpoint_t backs[SCENE_ENDPOINTS];
+  scene_server_t servers[SCENE_ENDPOINTS];
   const scene_reply_t *replies;
-  unsigned reply_count; /* the last one is used again and again */
-  unsigned arrived;     /* requests at endpoints */
-  unsigned lost;        /* connections that endpoints saw end */
-  GString *last;    /* the request that came last, as its endpoint saw it */
-  GPtrArray *lines; /* of the endpoints */
-  bool late;
+  unsigned reply_count;        /* the last one is used again and again */
+  unsigned requests_received;  /* requests at endpoints */
+  unsigned closed_connections; /* connections that endpoints saw end */
+  GString
+      *last_request; /* the request that came last, as its endpoint saw it */
+  GPtrArray *server_cons; /* of the endpoints */
+  bool timed_out;
 };
 
 typedef struct
@@ -65,9 +66,10 @@
 void scene_free (scene_t *scene);
 /* Lists the endpoints but the first HIDDEN, and an address without a listener
    when DEAD.  */
-void scene_list (scene_t *scene, unsigned hidden, bool dead, unsigned slots);
+void scene_list_endpoints (scene_t *scene, unsigned hidden, bool dead,
+                           unsigned slots);
 
-scene_caller_t *scene_call (scene_t *scene, const char *bytes);
+scene_caller_t *scene_send_request (scene_t *scene, const char *bytes);
 void scene_caller_free (scene_caller_t *caller);
 
 /* Runs the loop until DONE says so; fails after many seconds.  */
--- a/libcoltsfootdrum/relay/test-rly-share.c
+++ b/libcoltsfootdrum/relay/test-rly-share.c
@@ -15,26 +15,26 @@
   "Content-Length: 0\r\n\r\n"
 
 /* Tokens that others get, far more than all requests of a test.  */
-#define MUCH 1e8
+#define LARGE_USAGE_TOKENS 1e8
 /* A request in time waits here for seconds.  */
-#define AT_ONCE_MS 1500
+#define MAX_REFUSAL_MS 1500
 
 static bool
-has_one (void *user)
+has_received_one (void *user)
 {
-  return ((scene_t *)user)->arrived >= 1;
+  return ((scene_t *)user)->requests_received >= 1;
 }
 
 static bool
-has_two (void *user)
+has_received_two (void *user)
 {
-  return ((scene_t *)user)->arrived >= 2;
+  return ((scene_t *)user)->requests_received >= 2;
 }
 
 static bool
-has_three (void *user)
+has_received_three (void *user)
 {
-  return ((scene_t *)user)->arrived >= 3;
+  return ((scene_t *)user)->requests_received >= 3;
 }
 
 static bool
@@ -44,9 +44,9 @@
 }
 
 static bool
-has_twelve (void *user)
+has_received_twelve (void *user)
 {
-  return ((scene_t *)user)->arrived >= 12;
+  return ((scene_t *)user)->requests_received >= 12;
 }
 
 static bool
@@ -68,10 +68,10 @@
 static void
 test_given_back (void)
 {
-  static const scene_reply_t replies[] = { { NOT_RUN, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NOT_RUN, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller
-      = scene_call (scene, CALL ("/once/", "1", "a:100,b:900"));
+      = scene_send_request (scene, CALL ("/once/", "1", "a:100,b:900"));
   use_sum_t sum;
 
   scene_wait_for (scene, caller, "\r\n\r\n");
@@ -91,24 +91,27 @@
 static void
 test_behind (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *callers[3];
   cfd_time_t now;
 
-  callers[0] = scene_call (scene, CALL ("/slow/", "1", "a:20000,b:200000"));
-  scene_run (scene, has_one, scene);
-  callers[1] = scene_call (scene, CALL ("/slow/", "2", "c:30000,d:10"));
-  scene_run (scene, has_two, scene);
-  callers[2] = scene_call (scene, CALL ("/slow/", "3", "a:20000,e:10"));
+  callers[0]
+      = scene_send_request (scene, CALL ("/slow/", "1", "a:20000,b:200000"));
+  scene_run (scene, has_received_one, scene);
+  callers[1]
+      = scene_send_request (scene, CALL ("/slow/", "2", "c:30000,d:10"));
+  scene_run (scene, has_received_two, scene);
+  callers[2]
+      = scene_send_request (scene, CALL ("/slow/", "3", "a:20000,e:10"));
   scene_run (scene, has_waiting, scene);
-  g_assert_cmpuint (scene->arrived, ==, 2);
+  g_assert_cmpuint (scene->requests_received, ==, 2);
   now = clock_now ();
-  use_add_demand (scene->use, now, "mill", 2. * MUCH);
-  use_add_demand (scene->use, now, "press", 2. * MUCH);
-  use_add_served (scene->use, now, "press", MUCH);
-  scene_run (scene, has_three, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=3|"));
+  use_add_demand (scene->use, now, "mill", 2. * LARGE_USAGE_TOKENS);
+  use_add_demand (scene->use, now, "press", 2. * LARGE_USAGE_TOKENS);
+  use_add_served (scene->use, now, "press", LARGE_USAGE_TOKENS);
+  scene_run (scene, has_received_three, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
   scene_free (scene);
@@ -120,22 +123,24 @@
 static void
 test_prefix_fetched (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 1);
   scene_caller_t *callers[2];
   g_autofree char *source = NULL;
   unsigned first;
 
-  callers[0] = scene_call (scene, CALL ("/slow/", "1", "a:20000,b:10"));
-  scene_run (scene, has_one, scene);
-  g_assert_null (strstr (scene->last->str, "|X-Fetch="));
-  first = scene->backs[0].requests > 0 ? 0 : 1;
+  callers[0]
+      = scene_send_request (scene, CALL ("/slow/", "1", "a:20000,b:10"));
+  scene_run (scene, has_received_one, scene);
+  g_assert_null (strstr (scene->last_request->str, "|X-Fetch="));
+  first = scene->servers[0].requests > 0 ? 0 : 1;
   source
-      = g_strdup_printf ("|X-Fetch=127.0.0.1:%u|", scene->backs[first].port);
-  callers[1] = scene_call (scene, CALL ("/slow/", "2", "a:20000,c:10"));
-  scene_run (scene, has_two, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=2|"));
-  g_assert_nonnull (strstr (scene->last->str, source));
+      = g_strdup_printf ("|X-Fetch=127.0.0.1:%u|", scene->servers[first].port);
+  callers[1]
+      = scene_send_request (scene, CALL ("/slow/", "2", "a:20000,c:10"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=2|"));
+  g_assert_nonnull (strstr (scene->last_request->str, source));
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
   scene_free (scene);
@@ -168,24 +173,24 @@
 test_late_told_at_once (void)
 {
   static const scene_reply_t replies[]
-      = { { NULL, SCENE_STAYS }, { NULL, SCENE_STAYS } };
+      = { { NULL, SCENE_KEEP_OPEN }, { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 2, 1);
   scene_caller_t *callers[3];
   cfd_time_t now;
 
-  scene_list (scene, 1, false, 1);
-  callers[0] = scene_call (scene, CALL ("/slow/", "1", "a:20,b:10"));
-  scene_run (scene, has_one, scene);
+  scene_list_endpoints (scene, 1, false, 1);
+  callers[0] = scene_send_request (scene, CALL ("/slow/", "1", "a:20,b:10"));
+  scene_run (scene, has_received_one, scene);
   now = clock_now ();
   note_refused (scene, "c:20,d:10");
-  callers[1] = scene_call (scene, CALL ("/slow/", "2", "c:20,d:10"));
-  callers[2] = scene_call (scene, CALL ("/slow/", "3", "e:20,f:10"));
+  callers[1] = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
+  callers[2] = scene_send_request (scene, CALL ("/slow/", "3", "e:20,f:10"));
   scene_run (scene, is_refused, callers[1]);
-  g_assert_cmpint (clock_now () - now, <, AT_ONCE_MS);
-  g_assert_cmpuint (scene->arrived, ==, 1);
+  g_assert_cmpint (clock_now () - now, <, MAX_REFUSAL_MS);
+  g_assert_cmpuint (scene->requests_received, ==, 1);
   scene_caller_free (callers[0]);
-  scene_run (scene, has_two, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=3|"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
   scene_caller_free (callers[1]);
   scene_caller_free (callers[2]);
   scene_free (scene);
@@ -196,13 +201,13 @@
 static void
 test_late_takes_spare (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller;
 
   note_refused (scene, "c:20,d:10");
-  caller = scene_call (scene, CALL ("/slow/", "2", "c:20,d:10"));
-  scene_run (scene, has_one, scene);
+  caller = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
+  scene_run (scene, has_received_one, scene);
   scene_caller_free (caller);
   scene_free (scene);
 }
@@ -213,28 +218,29 @@
 static void
 test_early_reject (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 1);
   scene_caller_t *callers[8];
   guint count = 0;
   cfd_time_t later;
 
-  scene_list (scene, 1, false, 1);
+  scene_list_endpoints (scene, 1, false, 1);
   for (; count < 6; count++)
     {
       g_autofree char *call = g_strdup_printf (
           CALL ("/slow/", "%u", "a%u:2000,b:10"), count + 1, count);
 
-      callers[count] = scene_call (scene, call);
+      callers[count] = scene_send_request (scene, call);
       if (count == 0)
-        scene_run (scene, has_one, scene);
+        scene_run (scene, has_received_one, scene);
     }
   scene_run (scene, has_four_waiting, scene);
   /* A round of placement has passed over them.  */
   later = clock_now () + 2 * RLY_TICK_MS;
   scene_run (scene, is_later, &later);
   /* What it got so far would take this queue a minute.  */
-  callers[count] = scene_call (scene, CALL ("/slow/", "9", "c:2000,d:10"));
+  callers[count]
+      = scene_send_request (scene, CALL ("/slow/", "9", "c:2000,d:10"));
   scene_run (scene, is_refused, callers[count]);
   g_assert_cmpuint (rly_counts (scene->rly)->waiting, >=, 4);
   for (guint i = 0; i <= count; i++)
@@ -248,7 +254,7 @@
 static void
 test_burst_of_idle_account (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 16);
   scene_caller_t *callers[12];
 
@@ -257,9 +263,9 @@
       g_autofree char *call
           = g_strdup_printf (CALL ("/slow/", "%u", "a%u:20,b:10"), i + 1, i);
 
-      callers[i] = scene_call (scene, call);
+      callers[i] = scene_send_request (scene, call);
     }
-  scene_run (scene, has_twelve, scene);
+  scene_run (scene, has_received_twelve, scene);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
   scene_free (scene);
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -33,16 +33,16 @@
   const char *call;
   scene_reply_t replies[3];
   unsigned reply_count;
-  const char *answer; /* its beginning */
-  const char *holds;  /* further in it; NULL: not looked at */
-  unsigned arrivals;  /* requests at all endpoints */
-  bool broken;        /* the connection ends without the answer's end */
+  const char *answer;         /* its beginning */
+  const char *contains;       /* further in it; NULL: not looked at */
+  unsigned expected_requests; /* requests at all endpoints */
+  bool is_truncated; /* the connection ends without the answer's end */
 } case_t;
 
 static const case_t cases[] = {
   { "whole",
     CALL ("/once/", "1"),
-    { { OK ("3", "abc"), SCENE_STAYS } },
+    { { OK ("3", "abc"), SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "Content-Length: 3\r\n\r\nabc",
@@ -52,7 +52,7 @@
      route lets two endpoints try.  */
   { "not-run-elsewhere",
     CALL ("/twice/", "1"),
-    { { NOT_RUN, SCENE_STAYS }, { OK ("1", "x"), SCENE_STAYS } },
+    { { NOT_RUN, SCENE_KEEP_OPEN }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nx",
@@ -60,7 +60,7 @@
     false },
   { "not-run-once",
     CALL ("/once/", "1"),
-    { { NOT_RUN, SCENE_STAYS } },
+    { { NOT_RUN, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 503 ",
     "Retry-After: 0.",
@@ -69,7 +69,7 @@
   /* Closed without an answer: it may have run, and runs once at most.  */
   { "broken-once",
     CALL ("/once/", "1"),
-    { { "", SCENE_RESETS }, { OK ("1", "x"), SCENE_STAYS } },
+    { { "", SCENE_RESET }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 502 ",
     NULL,
@@ -77,7 +77,7 @@
     false },
   { "broken-twice",
     CALL ("/twice/", "1"),
-    { { "", SCENE_RESETS }, { OK ("1", "x"), SCENE_STAYS } },
+    { { "", SCENE_RESET }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nx",
@@ -87,7 +87,7 @@
   { "busy-without-word",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 503 Busy\r\nX-Id: %I\r\nContent-Length: 0\r\n\r\n",
-        SCENE_STAYS } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -98,7 +98,7 @@
     { { "HTTP/1.1 500 No\r\nX-Id: %I\r\nX-Stamp: s\r\nContent-Length: "
         "2\r\n\r\n"
         "no",
-        SCENE_STAYS } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 500 ",
     "X-Stamp: s",
@@ -107,7 +107,7 @@
   { "no-stamp-once",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nContent-Length: 1\r\n\r\nx",
-        SCENE_STAYS } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -117,8 +117,8 @@
     CALL ("/twice/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nX-Stamp: s\r\nContent-Length: "
         "9\r\n\r\nab",
-        SCENE_CLOSES },
-      { OK ("1", "x"), SCENE_STAYS } },
+        SCENE_CLOSE },
+      { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nx",
@@ -126,7 +126,7 @@
     false },
   { "no-http-once",
     CALL ("/once/", "1"),
-    { { "\x01\x02 what\r\n\r\n", SCENE_STAYS } },
+    { { "\x01\x02 what\r\n\r\n", SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -138,7 +138,7 @@
     { { "HTTP/1.1 200 OK\r\nX-Id: 77\r\nX-Stamp: s\r\nContent-Length: "
         "3\r\n\r\n"
         "old" OK ("3", "new"),
-        SCENE_STAYS } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nnew",
@@ -147,7 +147,7 @@
   { "unframed",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nX-Stamp: s\r\n\r\nabc",
-        SCENE_CLOSES } },
+        SCENE_CLOSE } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "Content-Length: 3\r\n\r\nabc",
@@ -156,7 +156,7 @@
   { "unframed-reset",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nX-Stamp: s\r\n\r\nabc",
-        SCENE_RESETS } },
+        SCENE_RESET } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -164,7 +164,7 @@
     false },
   { "events",
     CALL ("/events/", "1"),
-    { { EVENTS E1 E2 END, SCENE_STAYS } },
+    { { EVENTS E1 E2 END, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "data: b\n\n\r\n0\r\n\r\n",
@@ -172,8 +172,8 @@
     false },
   { "events-go-on-elsewhere",
     CALL ("/events/", "1"),
-    { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSES },
-      { EVENTS E2 E3 END, SCENE_STAYS } },
+    { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE },
+      { EVENTS E2 E3 END, SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "data: c\n\n\r\n0\r\n\r\n",
@@ -181,7 +181,7 @@
     false },
   { "events-break-off",
     CALL ("/events-once/", "1"),
-    { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSES } },
+    { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "data: a\n\n",
@@ -189,7 +189,7 @@
     true },
   { "no-route",
     CALL ("/none/", "1"),
-    { { NULL, SCENE_STAYS } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 404 ",
     NULL,
@@ -197,7 +197,7 @@
     false },
   { "unknown-key",
     "GET /once/ HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer x\r\n\r\n",
-    { { NULL, SCENE_STAYS } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 401 ",
     NULL,
@@ -205,7 +205,7 @@
     false },
   { "no-key",
     "GET /once/ HTTP/1.1\r\nHost: h\r\n\r\n",
-    { { NULL, SCENE_STAYS } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 401 ",
     NULL,
@@ -213,7 +213,7 @@
     false },
   { "malformed",
     "GET\r\n\r\n",
-    { { NULL, SCENE_STAYS } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 400 ",
     NULL,
@@ -226,17 +226,17 @@
 {
   const case_t *one = data;
   scene_t *scene = scene_new (one->replies, one->reply_count, 4);
-  scene_caller_t *caller = scene_call (scene, one->call);
+  scene_caller_t *caller = scene_send_request (scene, one->call);
 
-  scene_wait_for (scene, caller, one->broken ? NULL : "\r\n\r\n");
-  if (one->holds != NULL)
-    scene_wait_for (scene, caller, one->holds);
+  scene_wait_for (scene, caller, one->is_truncated ? NULL : "\r\n\r\n");
+  if (one->contains != NULL)
+    scene_wait_for (scene, caller, one->contains);
   g_assert_true (g_str_has_prefix (caller->text->str, one->answer));
-  if (one->holds != NULL)
-    g_assert_nonnull (strstr (caller->text->str, one->holds));
-  if (one->broken)
+  if (one->contains != NULL)
+    g_assert_nonnull (strstr (caller->text->str, one->contains));
+  if (one->is_truncated)
     g_assert_null (strstr (caller->text->str, "0\r\n\r\n"));
-  g_assert_cmpuint (scene->arrived, ==, one->arrivals);
+  g_assert_cmpuint (scene->requests_received, ==, one->expected_requests);
   scene_caller_free (caller);
   scene_free (scene);
 }
@@ -246,7 +246,8 @@
 static void
 test_fields (void)
 {
-  static const scene_reply_t replies[] = { { OK ("1", "x"), SCENE_STAYS } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   static const char call[]
       = "POST /once/a?b=c HTTP/1.1\r\nHost: h\r\nX-Id: 9\r\nX-Own: o\r\n"
         "X-Account: other\r\nX-Hold: 5\r\nX-Expect: e9\r\n"
@@ -254,22 +255,24 @@
         "Connection: keep-alive, X-Gone\r\nX-Gone: g\r\nX-Deadline: 2000\r\n"
         "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
   scene_t *scene = scene_new (replies, 1, 4);
-  scene_caller_t *caller = scene_call (scene, call);
+  scene_caller_t *caller = scene_send_request (scene, call);
   const char *deadline;
 
   scene_wait_for (scene, caller, "\r\n\r\nx");
-  g_assert_true (g_str_has_prefix (scene->last->str, "POST /once/a?b=c|"));
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=9|"));
-  g_assert_nonnull (strstr (scene->last->str, "|X-Own=o|"));
-  g_assert_nonnull (strstr (scene->last->str, "|X-Account=mill|"));
-  g_assert_nonnull (strstr (scene->last->str, "|X-Expect=e"));
-  g_assert_nonnull (strstr (scene->last->str, "|Content-Length=2|body=hi"));
-  g_assert_null (strstr (scene->last->str, "other"));
-  g_assert_null (strstr (scene->last->str, "e9"));
-  g_assert_null (strstr (scene->last->str, "X-Hold"));
-  g_assert_null (strstr (scene->last->str, "X-Gone"));
-  g_assert_null (strstr (scene->last->str, "key-of-the-mill"));
-  deadline = strstr (scene->last->str, "|X-Deadline=");
+  g_assert_true (
+      g_str_has_prefix (scene->last_request->str, "POST /once/a?b=c|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=9|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Own=o|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Account=mill|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Expect=e"));
+  g_assert_nonnull (
+      strstr (scene->last_request->str, "|Content-Length=2|body=hi"));
+  g_assert_null (strstr (scene->last_request->str, "other"));
+  g_assert_null (strstr (scene->last_request->str, "e9"));
+  g_assert_null (strstr (scene->last_request->str, "X-Hold"));
+  g_assert_null (strstr (scene->last_request->str, "X-Gone"));
+  g_assert_null (strstr (scene->last_request->str, "key-of-the-mill"));
+  deadline = strstr (scene->last_request->str, "|X-Deadline=");
   g_assert_nonnull (deadline);
   g_assert_cmpint (atoi (deadline + strlen ("|X-Deadline=")), <=, 2000);
   scene_caller_free (caller);
@@ -282,15 +285,15 @@
 test_last_event (void)
 {
   static const scene_reply_t replies[]
-      = { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSES },
-          { EVENTS E2 END, SCENE_STAYS } };
+      = { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE },
+          { EVENTS E2 END, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 2, 4);
-  scene_caller_t *caller = scene_call (scene, CALL ("/events/", "1"));
+  scene_caller_t *caller = scene_send_request (scene, CALL ("/events/", "1"));
 
   scene_wait_for (scene, caller, "\r\n0\r\n\r\n");
-  g_assert_nonnull (strstr (scene->last->str, "|Last-Event-Id=1|"));
-  g_assert_cmpuint (scene->backs[0].requests, ==, 1);
-  g_assert_cmpuint (scene->backs[1].requests, ==, 1);
+  g_assert_nonnull (strstr (scene->last_request->str, "|Last-Event-Id=1|"));
+  g_assert_cmpuint (scene->servers[0].requests, ==, 1);
+  g_assert_cmpuint (scene->servers[1].requests, ==, 1);
   scene_caller_free (caller);
   scene_free (scene);
 }
@@ -300,13 +303,15 @@
 static void
 test_unreached (void)
 {
-  static const scene_reply_t replies[] = { { OK ("1", "x"), SCENE_STAYS } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
 
-  scene_list (scene, 1, true, 4);
+  scene_list_endpoints (scene, 1, true, 4);
   for (unsigned i = 0; i < 6; i++)
     {
-      scene_caller_t *caller = scene_call (scene, CALL ("/once/", "1"));
+      scene_caller_t *caller
+          = scene_send_request (scene, CALL ("/once/", "1"));
 
       scene_wait_for (scene, caller, "\r\n\r\n");
       g_assert_true (
@@ -317,15 +322,15 @@
 }
 
 static bool
-has_lost (void *user)
+has_closed_connection (void *user)
 {
-  return ((scene_t *)user)->lost > 0;
+  return ((scene_t *)user)->closed_connections > 0;
 }
 
 static bool
-has_arrived (void *user)
+has_received_one (void *user)
 {
-  return ((scene_t *)user)->arrived > 0;
+  return ((scene_t *)user)->requests_received > 0;
 }
 
 /* The caller leaves while its request runs: the connection to the endpoint
@@ -333,13 +338,13 @@
 static void
 test_caller_leaves (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
-  scene_caller_t *caller = scene_call (scene, CALL ("/once/", "1"));
+  scene_caller_t *caller = scene_send_request (scene, CALL ("/once/", "1"));
 
-  scene_run (scene, has_arrived, scene);
+  scene_run (scene, has_received_one, scene);
   scene_caller_free (caller);
-  scene_run (scene, has_lost, scene);
+  scene_run (scene, has_closed_connection, scene);
   g_assert_cmpuint (rly_counts (scene->rly)->running, ==, 0);
   scene_free (scene);
 }
@@ -356,7 +361,8 @@
 static void
 test_left_before_read (void)
 {
-  static const scene_reply_t replies[] = { { OK ("1", "x"), SCENE_STAYS } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   static const char call[] = CALL ("/once/", "1");
   scene_t *scene = scene_new (replies, 1, 4);
   struct sockaddr_in addr = { .sin_family = AF_INET,
@@ -370,7 +376,7 @@
   g_assert_cmpint (sent, ==, strlen (call));
   close (fd);
   scene_run (scene, has_departed, scene);
-  g_assert_cmpuint (scene->arrived, ==, 0);
+  g_assert_cmpuint (scene->requests_received, ==, 0);
   scene_free (scene);
 }
 
@@ -380,22 +386,22 @@
 static void
 test_refused_in_time (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 1);
   scene_caller_t *first;
   scene_caller_t *second;
   int64_t begun;
 
-  scene_list (scene, 1, false, 1);
-  first = scene_call (scene, CALL ("/once/", "1"));
-  scene_run (scene, has_arrived, scene);
+  scene_list_endpoints (scene, 1, false, 1);
+  first = scene_send_request (scene, CALL ("/once/", "1"));
+  scene_run (scene, has_received_one, scene);
   begun = clock_now ();
-  second = scene_call (scene, CALL ("/once/", "2"));
+  second = scene_send_request (scene, CALL ("/once/", "2"));
   scene_wait_for (scene, second, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (second->text->str, "HTTP/1.1 503 "));
   g_assert_nonnull (strstr (second->text->str, "Retry-After: 0."));
   g_assert_cmpint (clock_now () - begun, <, 4000);
-  g_assert_cmpuint (scene->arrived, ==, 1);
+  g_assert_cmpuint (scene->requests_received, ==, 1);
   /* Callers ask again on a new connection; this one would stay open, idle.  */
   scene_wait_for (scene, second, NULL);
   scene_caller_free (first);
@@ -415,9 +421,9 @@
 }
 
 static bool
-has_two (void *user)
+has_received_two (void *user)
 {
-  return ((scene_t *)user)->arrived >= 2;
+  return ((scene_t *)user)->requests_received >= 2;
 }
 
 /* Load pattern: a long request before short ones.  The endpoint is reading a
@@ -427,18 +433,18 @@
 static void
 test_short_past_long (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 8);
   scene_caller_t *callers[3];
 
-  scene_list (scene, 1, false, 8);
-  callers[0] = scene_call (scene, PROMPT_CALL ("1", "a:100000"));
-  scene_run (scene, has_arrived, scene);
-  callers[1] = scene_call (scene, PROMPT_CALL ("2", "b:160000"));
+  scene_list_endpoints (scene, 1, false, 8);
+  callers[0] = scene_send_request (scene, PROMPT_CALL ("1", "a:100000"));
+  scene_run (scene, has_received_one, scene);
+  callers[1] = scene_send_request (scene, PROMPT_CALL ("2", "b:160000"));
   scene_run (scene, has_waiting, scene);
-  callers[2] = scene_call (scene, PROMPT_CALL ("3", "c:100"));
-  scene_run (scene, has_two, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=3|"));
+  callers[2] = scene_send_request (scene, PROMPT_CALL ("3", "c:100"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
   g_assert_cmpuint (rly_counts (scene->rly)->refused, ==, 0);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
@@ -451,7 +457,8 @@
 static void
 test_idle_connections (void)
 {
-  static const scene_reply_t replies[] = { { OK ("1", "x"), SCENE_STAYS } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   static const ent_limits_t limits
       = { .head_bytes = 16384, .idle_ms = 60000, .connections = 4 };
   scene_t *scene = scene_new (replies, 1, 4);
@@ -459,7 +466,7 @@
 
   ent_set_limits (scene->ent, &limits);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    callers[i] = scene_call (scene, "");
+    callers[i] = scene_send_request (scene, "");
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_wait_for (scene, callers[i], i < 2 ? NULL : "");
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
@@ -473,13 +480,13 @@
 test_silent_endpoint (void)
 {
   static const scene_reply_t replies[]
-      = { { NULL, SCENE_STAYS }, { OK ("1", "x"), SCENE_STAYS } };
+      = { { NULL, SCENE_KEEP_OPEN }, { OK ("1", "x"), SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 2, 4);
-  scene_caller_t *caller = scene_call (scene, CALL ("/twice/", "1"));
+  scene_caller_t *caller = scene_send_request (scene, CALL ("/twice/", "1"));
 
   scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 200 OK\r\n"));
-  g_assert_cmpuint (scene->arrived, ==, 2);
+  g_assert_cmpuint (scene->requests_received, ==, 2);
   scene_caller_free (caller);
   scene_free (scene);
 }
@@ -489,10 +496,11 @@
 test_pipelined (void)
 {
   static const scene_reply_t replies[]
-      = { { OK ("3", "one"), SCENE_STAYS }, { OK ("3", "two"), SCENE_STAYS } };
+      = { { OK ("3", "one"), SCENE_KEEP_OPEN },
+          { OK ("3", "two"), SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 2, 4);
   scene_caller_t *caller
-      = scene_call (scene, CALL ("/once/", "1") CALL ("/once/", "2"));
+      = scene_send_request (scene, CALL ("/once/", "1") CALL ("/once/", "2"));
 
   scene_wait_for (scene, caller, "two");
   g_assert_nonnull (strstr (caller->text->str, "\r\n\r\noneHTTP/1.1 200 OK"));
@@ -505,12 +513,12 @@
 static void
 test_closed (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller;
 
   rly_stop_accepting (scene->rly);
-  caller = scene_call (scene, CALL ("/none/", "1"));
+  caller = scene_send_request (scene, CALL ("/none/", "1"));
   scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 503 "));
   scene_caller_free (caller);
@@ -521,7 +529,7 @@
 static void
 test_table_never_older (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   rte_limits_t limits = { 0 };
   g_autoptr (rte_table_t) newer = rte_table_new (9, &limits);
--- a/libcoltsfootdrum/relay/test-use.c
+++ b/libcoltsfootdrum/relay/test-use.c
@@ -15,8 +15,8 @@
     const char *account;
     double demand;
     double served;
-    double over; /* parts of the level */
-    double of_due;
+    double level_ratio; /* parts of the level */
+    double due_ratio;
   } rows[5];
 } case_t;
 
@@ -57,14 +57,14 @@
       const char *account = one->rows[i].account;
 
       g_assert_cmpfloat_with_epsilon (use_level_ratio (use, NOW, account),
-                                      one->rows[i].over, 1e-6);
+                                      one->rows[i].level_ratio, 1e-6);
       g_assert_cmpfloat_with_epsilon (use_due_ratio (use, NOW, account),
-                                      one->rows[i].of_due, 1e-6);
+                                      one->rows[i].due_ratio, 1e-6);
     }
 }
 
 static void
-test_fades (void)
+test_decay (void)
 {
   g_autoptr (use_t) use = use_new (WINDOW_MS);
 
@@ -76,7 +76,7 @@
 /* What other routers served counts for an account's share here; a router that
    fell silent is forgotten, and a newer word takes an older one's place.  */
 static void
-test_hears (void)
+test_peer_updates (void)
 {
   g_autoptr (use_t) use = use_new (WINDOW_MS);
 
@@ -137,8 +137,8 @@
 
       g_test_add_data_func (path, &cases[i], test_case);
     }
-  g_test_add_func ("/use/fades", test_fades);
-  g_test_add_func ("/use/hears", test_hears);
+  g_test_add_func ("/use/fades", test_decay);
+  g_test_add_func ("/use/hears", test_peer_updates);
   g_test_add_func ("/use/differences", test_differences);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/relay/use.c
+++ b/libcoltsfootdrum/relay/use.c
@@ -10,7 +10,7 @@
 #define EMPTY_SUM_TOKENS 1.
 /* With this share of all demand served nobody is held back: what waits right
    now is demanded and not served yet.  */
-#define ALL_SERVED 0.95
+#define ALL_SERVED_SHARE 0.95
 
 /* A sum as of a moment; after the window it is down to 1/e.  */
 typedef struct
@@ -64,7 +64,7 @@
 }
 
 static use_account_t *
-account_of (use_t *use, const char *name)
+find_or_add_account (use_t *use, const char *name)
 {
   use_account_t *account = g_hash_table_lookup (use->accounts, name);
 
@@ -78,38 +78,39 @@
 }
 
 static use_sum_t
-decayed (const use_t *use, const use_decayed_t *figure, cfd_time_t now)
+decay (const use_t *use, const use_decayed_t *decayed, cfd_time_t now)
 {
-  double keep = exp (-(double)MAX (now - figure->at, 0) / use->window_ms);
+  double remaining
+      = exp (-(double)MAX (now - decayed->at, 0) / use->window_ms);
 
-  return (use_sum_t){ .demand = figure->sum.demand * keep,
-                      .served = figure->sum.served * keep };
+  return (use_sum_t){ .demand = decayed->sum.demand * remaining,
+                      .served = decayed->sum.served * remaining };
 }
 
 static void
-add_to (const use_t *use, use_decayed_t *figure, cfd_time_t now, double demand,
-        double served)
+add_to (const use_t *use, use_decayed_t *decayed, cfd_time_t now,
+        double demand, double served)
 {
-  use_sum_t sum = decayed (use, figure, now);
+  use_sum_t sum = decay (use, decayed, now);
 
-  figure->sum.demand = MAX (sum.demand + demand, 0.);
-  figure->sum.served = MAX (sum.served + served, 0.);
-  figure->at = now;
+  decayed->sum.demand = MAX (sum.demand + demand, 0.);
+  decayed->sum.served = MAX (sum.served + served, 0.);
+  decayed->at = now;
 }
 
 static void
 add (use_t *use, cfd_time_t now, const char *name, double demand,
      double served)
 {
-  add_to (use, &account_of (use, name)->own, now, demand, served);
+  add_to (use, &find_or_add_account (use, name)->own, now, demand, served);
 }
 
 /* All figures decay at one rate, so that their sum does too.  */
 static void
-take_off (const use_t *use, use_account_t *account,
-          const use_decayed_t *figure, cfd_time_t now)
+subtract_peer (const use_t *use, use_account_t *account,
+               const use_decayed_t *decayed, cfd_time_t now)
 {
-  use_sum_t old = decayed (use, figure, now);
+  use_sum_t old = decay (use, decayed, now);
 
   add_to (use, &account->others, now, -old.demand, -old.served);
 }
@@ -130,25 +131,25 @@
 use_update_peer (use_t *use, cfd_time_t now, const char *router,
                  const char *name, const use_sum_t *own)
 {
-  use_account_t *account = account_of (use, name);
-  use_decayed_t *figure = g_hash_table_lookup (account->peers, router);
+  use_account_t *account = find_or_add_account (use, name);
+  use_decayed_t *decayed = g_hash_table_lookup (account->peers, router);
 
-  if (figure == NULL)
+  if (decayed == NULL)
     {
-      figure = g_new0 (use_decayed_t, 1);
-      g_hash_table_insert (account->peers, g_strdup (router), figure);
+      decayed = g_new0 (use_decayed_t, 1);
+      g_hash_table_insert (account->peers, g_strdup (router), decayed);
     }
-  take_off (use, account, figure, now);
-  figure->sum = *own;
-  figure->at = now;
+  subtract_peer (use, account, decayed, now);
+  decayed->sum = *own;
+  decayed->at = now;
   add_to (use, &account->others, now, own->demand, own->served);
 }
 
 static use_sum_t
-sum_of (const use_t *use, const use_account_t *account, cfd_time_t now)
+sum_account (const use_t *use, const use_account_t *account, cfd_time_t now)
 {
-  use_sum_t own = decayed (use, &account->own, now);
-  use_sum_t others = decayed (use, &account->others, now);
+  use_sum_t own = decay (use, &account->own, now);
+  use_sum_t others = decay (use, &account->others, now);
 
   return (use_sum_t){ .demand = own.demand + others.demand,
                       .served = own.served + others.served };
@@ -159,7 +160,7 @@
 {
   const use_account_t *account = g_hash_table_lookup (use->accounts, name);
 
-  return account != NULL ? sum_of (use, account, now) : (use_sum_t){ 0 };
+  return account != NULL ? sum_account (use, account, now) : (use_sum_t){ 0 };
 }
 
 double
@@ -168,7 +169,7 @@
   const use_account_t *account = g_hash_table_lookup (use->accounts, name);
 
   return account != NULL
-             ? decayed (use, &account->own, now).served / use->window_ms
+             ? decay (use, &account->own, now).served / use->window_ms
              : 0.;
 }
 
@@ -185,7 +186,7 @@
   g_hash_table_iter_init (&each, use->accounts);
   while (g_hash_table_iter_next (&each, &name, &account))
     {
-      use_sum_t own = decayed (use, &((use_account_t *)account)->own, now);
+      use_sum_t own = decay (use, &((use_account_t *)account)->own, now);
 
       if (own.demand >= EMPTY_SUM_TOKENS || own.served >= EMPTY_SUM_TOKENS)
         callback (user, name, &own);
@@ -202,18 +203,18 @@
   while (g_hash_table_iter_next (&each, NULL, &data))
     {
       use_account_t *account = data;
-      const use_decayed_t *figure
+      const use_decayed_t *decayed
           = g_hash_table_lookup (account->peers, router);
 
-      if (figure == NULL)
+      if (decayed == NULL)
         continue;
-      take_off (use, account, figure, now);
+      subtract_peer (use, account, decayed, now);
       g_hash_table_remove (account->peers, router);
     }
 }
 
 static int
-compare (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -224,15 +225,15 @@
 /* The level at which COUNT accounts with these DEMANDs, least first, take
    WHOLE together.  */
 static double
-fill (const double *demand, guint count, double whole)
+compute_level (const double *demand, guint count, double total)
 {
   for (guint i = 0; i < count; i++)
     {
-      double even = whole / (count - i);
+      double equal_share = total / (count - i);
 
-      if (demand[i] >= even)
-        return even;
-      whole -= demand[i];
+      if (demand[i] >= equal_share)
+        return equal_share;
+      total -= demand[i];
     }
   return INFINITY;
 }
@@ -249,7 +250,7 @@
   g_hash_table_iter_init (&each, use->accounts);
   while (g_hash_table_iter_next (&each, NULL, &account))
     {
-      use_sum_t sum = sum_of (use, account, now);
+      use_sum_t sum = sum_account (use, account, now);
 
       if (sum.demand < EMPTY_SUM_TOKENS && sum.served < EMPTY_SUM_TOKENS)
         {
@@ -261,10 +262,11 @@
       g_array_append_val (demand, sum.demand);
     }
   use->level = INFINITY;
-  if (all_served >= all_demand * ALL_SERVED)
+  if (all_served >= all_demand * ALL_SERVED_SHARE)
     return;
-  qsort (demand->data, demand->len, sizeof (double), compare);
-  use->level = fill ((const double *)demand->data, demand->len, all_served);
+  qsort (demand->data, demand->len, sizeof (double), compare_doubles);
+  use->level
+      = compute_level ((const double *)demand->data, demand->len, all_served);
 }
 
 double
