--- a/libcoltsfootdrum/relay/cold.c
+++ b/libcoltsfootdrum/relay/cold.c
@@ -1,4 +1,4 @@
-/* Shares of the warm-up rate.  */
+/* Cold endpoints: each router's part of the warm-up rate.  */
 
 #include "relay/cold.h"
 
@@ -7,11 +7,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Part of the rate that is used: clocks and ways differ, and routers that
-   don't receive each other's datagrams may both count themselves in.  */
+/* Share of the rate that is used.  The rest is a margin for differences of
+   clocks and network delays, and for routers that don't receive each other's
+   datagrams and so both take a part.  */
 #define USED_RATE_SHARE 0.8
-/* Routers that share an endpoint, per request a second of its rate, and at
-   least.  */
+/* Number of routers that share the rate of an endpoint: in proportion to the
+   rate in requests a second, but no fewer than the minimum.  */
 #define ROUTERS_PER_RATE 0.25
 #define MIN_SHARING_ROUTERS 4.
 
--- a/libcoltsfootdrum/relay/edp.c
+++ b/libcoltsfootdrum/relay/edp.c
@@ -1,4 +1,4 @@
-/* The set of endpoints.  */
+/* Endpoints: the set of endpoints and the state of each.  */
 
 #include "relay/edp.h"
 
@@ -7,31 +7,32 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Requests that a cold endpoint may get at once from one router.  */
+/* Largest burst that one router sends to a cold endpoint.  */
 #define COLD_BURST 1.
 
-/* An endpoint that failed is left alone for the first span, and for twice as
-   long after each further failure, up to the second: long enough that a dead
-   one costs few requests, short enough that one that is back is used.  */
+/* Backoff after a failure, doubled with each consecutive one up to the
+   maximum: long enough that a dead endpoint costs few requests, short enough
+   that a recovered one is soon used again.  */
 #define MIN_FAILURE_BACKOFF_MS 250
 #define MAX_FAILURE_BACKOFF_MS 4000
 
-/* An endpoint that gives requests back works for others than we know of, or
-   still for callers whose connection was cut.  Each further one would be
-   refused too.  By reckoning: of 64 requests that take one to two seconds each
-   one ends every 15 to 30 ms.  */
+/* Backoff after a rejection, doubled likewise.  An endpoint that rejects
+   requests runs some that this router doesn't know of, or some whose callers'
+   connections were cut, and would reject the next request too.  With 64
+   concurrent requests of one to two seconds each, a slot becomes free every 15
+   to 30 ms.  */
 #define MIN_FULL_BACKOFF_MS 20
 #define MAX_FULL_BACKOFF_MS 80
 
-/* Half of a hash: short in datagrams, and some hundred endpoints don't meet in
-   it.  */
+/* 32 bits keep datagrams short, and are enough to tell some hundred endpoints
+   apart.  */
 #define HASH_MASK 0xffffffffu
 
 struct edp_set
 {
   struct ev_loop *loop;
   list_node_t list;    /* edp_t in use */
-  list_node_t retired; /* gone or replaced, with work under way */
+  list_node_t retired; /* edp_t no longer in use, until their requests end */
   GHashTable *by_id;   /* id to edp_t in use */
   GHashTable *by_hash; /* hash to edp_t in use */
   GStrv zones_out;     /* availability zones out of service */
@@ -110,7 +111,7 @@
          && g_strv_contains ((const char *const *)set->zones_out, zone);
 }
 
-/* Another process than before answers under the id, or at another address.  */
+/* Returns whether the endpoint was restarted or moved to another address.  */
 static bool
 is_different_process (const edp_report_t *a, const edp_report_t *b)
 {
@@ -129,7 +130,7 @@
   if (!addr_parse (report->address, &addr, &error))
     {
       log_warn ("endpoints",
-                "An endpoint was left out: endpoint=%s "
+                "An endpoint was ignored: endpoint=%s "
                 "problem=%s.",
                 report->id, error->message);
       edp_report_free (report);
@@ -157,7 +158,7 @@
   return edp;
 }
 
-/* Takes over REPORT for an endpoint that is known.  */
+/* Replaces the report about a known endpoint by REPORT.  */
 static void
 update_report (edp_set_t *set, edp_t *edp, edp_report_t *report)
 {
@@ -173,7 +174,7 @@
 
 static void
 apply_report (edp_set_t *set, cfd_time_t now, edp_report_t *report,
-              int64_t cold_ms, bool first)
+              int64_t cold_ms, bool is_first_list)
 {
   edp_t *edp = g_hash_table_lookup (set->by_id, report->id);
   bool is_new = edp == NULL || is_different_process (edp->report, report);
@@ -181,9 +182,9 @@
 
   if (edp != NULL && is_new)
     retire (set, edp);
-  /* A start that was seen happen: the endpoint is as cold as it can be,
-     whatever a report from before its start says.  */
-  if (is_new && !first && cold_ms > 0 && report->started_ms == 0)
+  /* A start that this router observed: the full warm-up time is ahead, even
+     when the report was written before the start.  */
+  if (is_new && !is_first_list && cold_ms > 0 && report->started_ms == 0)
     cold = MAX (cold, cold_ms);
   if (is_new)
     edp = add_endpoint (set, now, report);
@@ -222,14 +223,14 @@
 {
   g_autoptr (GHashTable) listed
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  bool first = list_is_empty (&set->list);
+  bool is_first_list = list_is_empty (&set->list);
 
   for (guint i = 0; i < reports->len; i++)
     {
       edp_report_t *report = g_ptr_array_index (reports, i);
 
       g_hash_table_add (listed, g_strdup (report->id));
-      apply_report (set, now, report, cold_ms, first);
+      apply_report (set, now, report, cold_ms, is_first_list);
     }
   g_ptr_array_set_free_func (reports, NULL);
   g_ptr_array_unref (reports);
--- a/libcoltsfootdrum/relay/edp.h
+++ b/libcoltsfootdrum/relay/edp.h
@@ -1,6 +1,6 @@
-/* The endpoints that requests may go to: what the platform reports of each,
-   what this router has under way there, and what the other routers say they
-   have.  */
+/* Endpoints.  The set of endpoints that requests may be sent to, with what the
+   platform reports about each, this router's load on it, and the load that
+   other routers report for it.  */
 
 #ifndef RELAY_EDP_H
 #define RELAY_EDP_H
@@ -9,17 +9,17 @@
 #include "base/list.h"
 #include "relay/ups.h"
 
-/* What the platform says of one endpoint.  */
+/* The platform's report about one endpoint.  */
 typedef struct
 {
   char *id;
   char *service;
   char *address; /* IP:PORT */
   char *zone;
-  unsigned slots;     /* requests that it runs at once; 0: not told */
-  bool leaving;       /* takes no new work */
-  int64_t started_ms; /* wall time of its start; 0: not told */
-  int64_t cold_ms;    /* how much longer it is cold */
+  unsigned slots;     /* concurrent requests; 0: not reported */
+  bool leaving;       /* accepts no new requests */
+  int64_t started_ms; /* wall time of its start; 0: not reported */
+  int64_t cold_ms;    /* remaining time until it is warm */
 } edp_report_t;
 
 void edp_report_free (edp_report_t *report);
@@ -28,29 +28,31 @@
 {
   list_node_t node;
   edp_report_t *report;
-  uint64_t hash; /* of its id and start */
+  uint64_t hash; /* of its id and start time */
   ups_t *ups;
   bool withdrawn;            /* its availability zone is out of service */
   cfd_time_t unlisted_since; /* CFD_TIME_NEVER while it is listed */
   cfd_time_t cold_until;
   double cold_tokens; /* token bucket of the warm-up rate limit */
-  unsigned cold_rank; /* of this router among those that share its rate */
+  unsigned cold_rank; /* this router's rank among those that share the rate */
   cfd_time_t cold_refilled_at;
 
-  unsigned active;        /* requests of this router that run there */
-  double pending_prefill; /* reading work of those with no answer yet */
-  double context_tokens;  /* tokens that those hold in memory, about */
-  unsigned peer_active;   /* the same of the other routers */
+  /* Load of this router.  */
+  unsigned active;        /* running requests */
+  double pending_prefill; /* prefill work of requests without a first byte */
+  double context_tokens;  /* KV cache used by running requests, estimated */
+  /* The same figures, summed over the other routers.  */
+  unsigned peer_active;
   double peer_pending_prefill;
   double peer_context_tokens;
-  bool has_peer_totals; /* the sums of the other routers' figures stand */
-
-  bool changed; /* the figures of this router, since others were told */
-  cfd_time_t backoff_until;        /* gets nothing new until then */
-  unsigned consecutive_failures;   /* in a row */
-  cfd_time_t full_until;           /* the same: it gave requests back */
-  unsigned consecutive_rejections; /* in a row */
-  cfd_time_t last_answer_at;       /* an answer's bytes came */
+  bool has_peer_totals; /* the sums over the other routers are valid */
+
+  bool changed; /* own load changed since it was last sent to other routers */
+  cfd_time_t backoff_until; /* no new requests until then, after failures */
+  unsigned consecutive_failures;
+  cfd_time_t full_until; /* no new requests until then, after rejections */
+  unsigned consecutive_rejections;
+  cfd_time_t last_answer_at; /* when it last sent part of an answer */
 } edp_t;
 
 typedef struct edp_set edp_set_t;
@@ -58,17 +60,18 @@
 edp_set_t *edp_set_new (struct ev_loop *loop);
 void edp_set_free (edp_set_t *set);
 
-/* Takes in the whole list REPORTS (edp_report_t, taken over).  An endpoint
-   that it lacks is gone when the list is SETTLED; else it stays for now, for
-   after an outage of the platform live endpoints take some time to report
-   again.  */
+/* Applies REPORTS, a complete list of edp_report_t, and takes ownership of it.
+   COLD_MS is the assumed warm-up time of an endpoint without a known start
+   time.  When the list is SETTLED, an endpoint that it lacks is retired.
+   Otherwise the endpoint stays in use: after an outage of the platform, live
+   endpoints take some time to report again.  */
 void edp_set_update (edp_set_t *set, cfd_time_t now, GPtrArray *reports,
                      bool settled, int64_t cold_ms);
 
-/* Availability zones out of service; names are copied.  */
+/* Sets the availability zones that are out of service.  ZONES is copied.  */
 void edp_set_withdraw_zones (edp_set_t *set, const char *const *zones);
 
-/* Frees endpoints that are gone and have nothing under way.  Never call it
+/* Frees retired endpoints that have no running requests.  Must not be called
    from a callback of an exchange.  */
 void edp_set_sweep (edp_set_t *set, cfd_time_t now);
 
@@ -76,23 +79,25 @@
 edp_t *edp_set_find (edp_set_t *set, const char *id);
 edp_t *edp_set_find_by_hash (edp_set_t *set, uint64_t hash);
 guint edp_set_count (const edp_set_t *set);
-/* Some endpoint is used though the platform's list lacks it.  */
+/* Returns whether an endpoint is in use that the platform no longer lists.  */
 bool edp_set_has_unlisted (const edp_set_t *set);
 
-/* New work may go to it now, as far as its state says.  */
+/* Returns whether new requests may be sent to EDP, apart from its load and
+   the warm-up rate limit.  */
 bool edp_is_open (const edp_t *edp, cfd_time_t now);
 
-/* A cold endpoint takes few requests a second, of all routers together, and
-   crashes well above.  PER_S is this router's part.  True when it takes one
-   now; always when it is warm.  */
+/* Returns whether the warm-up rate limit allows another request to EDP now;
+   always true for a warm endpoint.  A cold endpoint takes few requests a
+   second from all routers together and crashes well above that rate.  PER_S is
+   this router's part of the rate.  */
 bool edp_allows_request (edp_t *edp, cfd_time_t now, double per_s);
-/* One was sent.  */
+/* Counts a request that was sent against the warm-up rate limit.  */
 void edp_count_cold_request (edp_t *edp, cfd_time_t now);
 
-/* An exchange with it failed, or went well.  */
+/* Record the outcome of an exchange.  */
 void edp_record_failure (edp_t *edp, cfd_time_t now);
 void edp_record_success (edp_t *edp, cfd_time_t now);
-/* It gave a request back, for it has no room; or it took one.  */
+/* Record that EDP rejected a request for lack of capacity, or accepted one. */
 void edp_record_rejection (edp_t *edp, cfd_time_t now);
 void edp_record_acceptance (edp_t *edp);
 
--- a/libcoltsfootdrum/relay/test-edp.c
+++ b/libcoltsfootdrum/relay/test-edp.c
@@ -1,4 +1,5 @@
-/* The set of endpoints: what the platform's list says, and what follows.  */
+/* The set of endpoints: updates from the platform's list, the warm-up rate
+   limit and backoff.  */
 
 #include "relay/cold.h"
 #include "relay/edp.h"
@@ -31,8 +32,8 @@
   edp_set_update (set, now, reports, settled, COLD_MS);
 }
 
-/* The store is back from an outage and lacks an entry: it stays until live
-   endpoints have had the time to report again.  */
+/* After an outage of the store its list may lack a live endpoint.  The
+   endpoint must stay in use until the list is settled.  */
 static void
 test_missing (void)
 {
@@ -50,8 +51,8 @@
   ev_loop_destroy (loop);
 }
 
-/* An endpoint that started again under its id holds nothing of before: its
-   counts begin anew, and what runs at the former one ends by itself.  */
+/* An endpoint that restarts under the same id has none of the former requests.
+   Its counts must start at zero and its hash must change.  */
 static void
 test_restarted (void)
 {
@@ -70,7 +71,8 @@
   ev_loop_destroy (loop);
 }
 
-/* A cold endpoint bears few requests a second, however many wait.  */
+/* A cold endpoint gets no more requests than the warm-up rate allows, however
+   often the limit is asked.  */
 static void
 test_warm_up_rate (void)
 {
@@ -89,7 +91,7 @@
       }
   g_assert_cmpuint (sent, >=, 7);
   g_assert_cmpuint (sent, <=, 9);
-  /* Warm: no bound.  */
+  /* A warm endpoint has no limit.  */
   g_assert_true (edp_allows_request (edp, NOW + COLD_MS, 4.));
   g_assert_true (edp_allows_request (edp, NOW + COLD_MS, 4.));
   edp_set_free (set);
@@ -107,7 +109,7 @@
   update (set, NOW, report ("e1", 1, 0), true);
   edp_set_withdraw_zones (set, zones_out);
   g_assert_false (edp_is_open (edp_set_find (set, "e1"), NOW));
-  /* Also one that is listed later.  */
+  /* The same holds for an endpoint that is listed later.  */
   update (set, NOW, report ("e2", 1, 0), true);
   g_assert_false (edp_is_open (edp_set_find (set, "e2"), NOW));
   edp_set_withdraw_zones (set, none);
@@ -116,8 +118,8 @@
   ev_loop_destroy (loop);
 }
 
-/* An endpoint that fails time after time gets less and less, and all again
-   once it works.  */
+/* Consecutive failures lengthen the backoff up to its maximum; a success ends
+   it.  */
 static void
 test_failures (void)
 {
@@ -142,9 +144,9 @@
   ev_loop_destroy (loop);
 }
 
-/* An endpoint that has no room, though its figures say so, gets the next
-   request a little later, and later again with each that it gives back; all
-   at once when it takes one.  */
+/* An endpoint may reject requests although its load figures show free slots.
+   Consecutive rejections lengthen the pause before the next request; an
+   accepted request ends it.  */
 static void
 test_rejections (void)
 {
@@ -162,7 +164,8 @@
       g_assert_cmpint (edp->full_until - NOW, >=, last);
       last = edp->full_until - NOW;
     }
-  /* Well below callers' aims: room that is there is not left unused.  */
+  /* Well below the target latencies, so that free slots are not left unused.
+   */
   g_assert_cmpint (last, <=, 100);
   g_assert_true (edp_is_open (edp, NOW + last));
   edp_record_acceptance (edp);
@@ -171,15 +174,16 @@
   ev_loop_destroy (loop);
 }
 
-/* Routers press an endpoint that turned cold, each with a request for every
-   millisecond.  */
+/* Load pattern: routers with waiting requests and one cold endpoint; each
+   router has a request ready every millisecond.  */
 typedef struct
 {
   const char *name;
   unsigned routers;
   double per_s;
-  /* Of ten routers so many hear no other one and count all ten; the rest hear
-     each other, and take the cut-off ones for dead.  */
+  /* Of each ten routers, how many receive no datagrams.  These still count all
+     routers; the others receive each other's datagrams and count the isolated
+     ones as gone.  */
   unsigned isolated_in_ten;
 } cold_case_t;
 
@@ -191,8 +195,8 @@
   { "100-cut", 100, 12., 4 },  { "300-cut", 300, 23., 4 },
 };
 
-/* The rules' bound on one second, of all routers together: half above the
-   rate, and five requests.  */
+/* Most requests that an endpoint may get within a second from all routers:
+   1.5 times the rate, plus five.  */
 #define COLD_MULTIPLIER 1.5
 #define COLD_SLACK_REQUESTS 5.
 
@@ -202,7 +206,8 @@
   return router % 10 < one->isolated_in_ten;
 }
 
-/* What ROUTER knows of the others: how many it counts, and its rank.  */
+/* The rate that ROUTER may use, from the number of routers that it counts and
+   its rank among them.  */
 static double
 compute_rate (const cold_case_t *one, unsigned router, uint64_t endpoint)
 {
@@ -234,9 +239,10 @@
   return edp;
 }
 
-/* However many routers there are, and whoever hears whom, the cold endpoint
-   gets no more in any second than it bears, and most of that when all hear
-   each other: a limit that each router keeps by itself would add up.  */
+/* Limits that routers keep independently would add up.  In any second, all
+   routers together must stay below the bound, for any number of routers and
+   with some of them isolated; when none is, they must use at least 70
+   percent of the rate.  */
 static void
 test_warm_up_rate_of_fleet (const void *data)
 {
@@ -270,7 +276,8 @@
       max_per_second = MAX (max_per_second, sum);
       total += sent[ms];
     }
-  g_test_message ("most in a second %u, in all %u", max_per_second, total);
+  g_test_message ("at most %u requests in a second, %u in total",
+                  max_per_second, total);
   g_assert_cmpfloat (max_per_second, <=,
                      one->per_s * COLD_MULTIPLIER + COLD_SLACK_REQUESTS);
   if (one->isolated_in_ten == 0)
@@ -283,7 +290,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/edp/missing", test_missing);
-  g_test_add_func ("/edp/born-again", test_restarted);
+  g_test_add_func ("/edp/restarted", test_restarted);
   g_test_add_func ("/edp/cold", test_warm_up_rate);
   for (unsigned i = 0; i < G_N_ELEMENTS (cold_cases); i++)
     {
