--- a/libcoltsfootdrum/relay/plc.c
+++ b/libcoltsfootdrum/relay/plc.c
@@ -1,28 +1,28 @@
-/* Placement.  */
+/* Placement: constraints and cost of each endpoint.  */
 
 #include "relay/plc.h"
 
-/* So many pairs of a prompt's tokens take as long as one token by itself: 4 x
-   layers x width operations a pair against 2 x parameters a token, for dense
-   models of some billion parameters.  */
+/* Pairs of tokens whose attention takes as long as one token does without
+   attention: 4 x layers x width operations a pair against 2 x parameters a
+   token, for dense models of some billion parameters.  */
 #define ATTENTION_PAIRS_PER_TOKEN 25000.
-/* An endpoint that is not the home of a prompt must be better by so much, so
-   that routers which know nothing yet choose the same one.  */
+/* Added for an endpoint that is not the home of a prompt, so that routers
+   without information about caches choose the same endpoint.  */
 #define NOT_HOME_COST_MS 8.
-/* What running requests add to the time of a new one, at full memory: their
-   tokens are made between the parts of its prompt.  */
+/* Added for running requests, in proportion to the load: engines generate
+   their tokens between the chunks of a new request's prompt.  */
 #define FULL_LOAD_COST_MS 60.
-/* A beginning that is read again costs its own time, and the same again for
-   what it pushes out of the cache.  */
+/* Weight of the time to prefill a missing prefix, added to the time itself:
+   the prefix evicts others from the cache, which are then prefilled again.  */
 #define MISSING_PREFIX_WEIGHT 15.
-/* A prompt that takes longer to read than there is time may still go where it
-   waits for no more than this share of the time left.  */
+/* A prompt whose own prefill takes longer than the time left may go to an
+   endpoint where it waits for no more than this share of the time left.  */
 #define LONG_PROMPT_QUEUEING_SHARE 0.4
-/* An endpoint filled no more than this has room to spare: a beginning that is
-   read there too takes nothing from others.  */
+/* Up to this load an endpoint has spare capacity: prefilling a prefix there as
+   well delays no other request.  */
 #define SPARE_CAPACITY_LOAD 0.15
-/* Of an endpoint's memory, running requests get so much; the rest keeps shared
-   beginnings.  */
+/* Share of an endpoint's KV cache for running requests.  The rest caches
+   shared prefixes.  */
 #define RUNNING_KV_SHARE 0.85
 
 double
@@ -43,27 +43,33 @@
                * (endpoint->pending_prefill + endpoint->own_prefill);
 }
 
+/* Time to prefill the prompts that are before REQUEST.  */
 static double
-queueing_ms (const plc_endpoint_t *endpoint, const plc_request_t *request)
+estimate_queueing_ms (const plc_endpoint_t *endpoint,
+                      const plc_request_t *request)
 {
   return request->ms_per_token * endpoint->pending_prefill;
 }
 
+/* Returns whether the first token is in time; for a prompt that can't be in
+   time anywhere, whether it waits for a small share of the time left.  */
 static bool
 meets_target (const plc_endpoint_t *endpoint, const plc_request_t *request)
 {
   double first = plc_estimate_first_token_ms (endpoint, request);
-  double others = queueing_ms (endpoint, request);
+  double queueing_ms = estimate_queueing_ms (endpoint, request);
 
-  if (others > request->max_queueing_ms)
+  if (queueing_ms > request->max_queueing_ms)
     return false;
   return first <= request->time_left_ms
-         || (first - others > request->time_left_ms
-             && others <= request->time_left_ms * LONG_PROMPT_QUEUEING_SHARE);
+         || (first - queueing_ms > request->time_left_ms
+             && queueing_ms
+                    <= request->time_left_ms * LONG_PROMPT_QUEUEING_SHARE);
 }
 
+/* Load as the larger used share of slots and of KV cache.  */
 static double
-get_load (const plc_endpoint_t *endpoint)
+compute_load (const plc_endpoint_t *endpoint)
 {
   double slots = (double)endpoint->active / endpoint->slots;
   double memory = endpoint->kv_capacity_tokens > 0.
@@ -86,12 +92,13 @@
          || endpoint->context_tokens + request->needed_tokens <= memory;
 }
 
-/* Too much of a shared prefix would be prefilled there again.  */
+/* Returns whether too much of a shared prefix would be prefilled there again.
+ */
 static bool
 lacks_prefix (const plc_endpoint_t *endpoint, const plc_request_t *request)
 {
   return endpoint->missing_tokens > request->max_missing_tokens
-         && get_load (endpoint) > SPARE_CAPACITY_LOAD;
+         && compute_load (endpoint) > SPARE_CAPACITY_LOAD;
 }
 
 bool
@@ -100,18 +107,20 @@
 {
   for (guint i = 0; i < count; i++)
     if (has_capacity (&endpoints[i], request)
-        && queueing_ms (&endpoints[i], request) <= request->max_queueing_ms)
+        && estimate_queueing_ms (&endpoints[i], request)
+               <= request->max_queueing_ms)
       return true;
   return false;
 }
 
+/* Cost of placing REQUEST at ENDPOINT, in milliseconds.  */
 static double
 compute_cost (const plc_endpoint_t *endpoint, const plc_request_t *request)
 {
   return plc_estimate_first_token_ms (endpoint, request)
          + MISSING_PREFIX_WEIGHT * request->ms_per_token
                * endpoint->missing_tokens
-         + get_load (endpoint) * FULL_LOAD_COST_MS
+         + compute_load (endpoint) * FULL_LOAD_COST_MS
          + (endpoint->is_home ? 0. : NOT_HOME_COST_MS)
          + (endpoint->in_other_zone ? request->other_zone_cost_ms : 0.);
 }
--- a/libcoltsfootdrum/relay/plc.h
+++ b/libcoltsfootdrum/relay/plc.h
@@ -1,11 +1,12 @@
-/* Where a request goes: a choice among endpoints, from plain figures.
+/* Placement.  Chooses the endpoint for a request from load figures alone.
 
    Load pattern: long prompts before many short ones, on engines that admit in
-   order of arrival.  What is sent to an engine waits behind all prompts that
-   it has still to read, so that a request goes where its first token comes in
-   time, and waits here while that is nowhere.  Prompts that share a beginning
-   stay together while that costs little: each engine that reads the beginning
-   anew loses the time of reading, and the memory to keep it.  */
+   order of arrival.  A request sent to an engine waits until all prompts
+   before it are prefilled.  It is therefore sent where its first token is
+   expected in time, and stays in the router's queue while there is no such
+   endpoint.  Prompts with a common prefix go to the same endpoints while that
+   costs little: each engine that prefills the prefix again spends the time for
+   it, and the memory to cache it.  */
 
 #ifndef RELAY_PLC_H
 #define RELAY_PLC_H
@@ -13,49 +14,52 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/* The load of one endpoint, and what the request would cost there.  Prefill
+   work is in tokens, as computed by plc_compute_prefill_work.  */
 typedef struct
 {
-  unsigned active;        /* requests that run there, of all routers */
-  unsigned slots;         /* requests that may */
-  double pending_prefill; /* reading work sent there and not done yet */
-  double own_prefill;     /* reading work of this request there */
-  double
-      missing_tokens; /* tokens of the shared beginning that it doesn't keep */
-  double fetch_ms;    /* to copy what it lacks of a cached prefix */
-  double context_tokens;     /* tokens in memory by requests that run */
-  double kv_capacity_tokens; /* tokens that it can hold; 0: not told */
-  bool is_home;       /* where prompts with this beginning go by choice */
-  bool in_other_zone; /* in another availability zone */
+  unsigned active;           /* running requests of all routers */
+  unsigned slots;            /* concurrent requests that it runs; 0: none */
+  double pending_prefill;    /* prefill work sent there and not done yet */
+  double own_prefill;        /* prefill work of this request */
+  double missing_tokens;     /* tokens of the shared prefix not cached there */
+  double fetch_ms;           /* time to copy a cached prefix from elsewhere */
+  double context_tokens;     /* KV cache used by running requests */
+  double kv_capacity_tokens; /* size of the KV cache; 0: unknown */
+  bool is_home; /* preferred by all routers for prompts with this prefix */
+  bool in_other_zone; /* not in the router's availability zone */
 } plc_endpoint_t;
 
+/* The constraints and cost factors of one request.  */
 typedef struct
 {
-  double base_ms;         /* until the first token with nothing to be read */
-  double ms_per_token;    /* and for each unit of reading work */
-  double time_left_ms;    /* until the first token is late */
-  double max_queueing_ms; /* of others' reading before its own */
-  double
-      capacity_share;   /* of slots and memory, up to which it may fill them */
-  double needed_tokens; /* tokens that it will hold in memory */
-  double max_missing_tokens; /* of the shared beginning, where it may go */
-  double other_zone_cost_ms; /* what another availability zone is as bad as */
-  double tie_break;          /* from 0 to 1, breaks ties */
+  double base_ms;            /* time to first token without prefill */
+  double ms_per_token;       /* time for each token of prefill work */
+  double time_left_ms;       /* until the first token is late */
+  double max_queueing_ms;    /* longest prefill of other requests before it */
+  double capacity_share;     /* share of slots and KV cache it may fill */
+  double needed_tokens;      /* KV cache that it will use */
+  double max_missing_tokens; /* of the shared prefix, where it may go */
+  double other_zone_cost_ms; /* cost of another availability zone */
+  double tie_break;          /* random, from 0 to 1 */
 } plc_request_t;
 
-/* Work of reading a prompt of TOKENS of which KEPT are there already, in
-   tokens: each is read together with all before it.  */
+/* Returns the work to prefill a prompt of TOKENS, of which the first CACHED
+   are cached, in tokens of an empty context.  Each token attends to all tokens
+   before it, so the work grows faster than the number of tokens.  */
 double plc_compute_prefill_work (double tokens, double cached);
 
-/* Milliseconds until the first token of REQUEST at ENDPOINT.  */
+/* Returns the expected time to the first token of REQUEST at ENDPOINT.  */
 double plc_estimate_first_token_ms (const plc_endpoint_t *endpoint,
                                     const plc_request_t *request);
 
-/* Whether some of COUNT endpoints may have room for REQUEST, whatever they
-   cache: false says that plc_choose would find none.  */
+/* Returns whether any of COUNT endpoints may have capacity for REQUEST,
+   whatever they cache.  When false, plc_choose_endpoint would return -1.  */
 bool plc_has_candidate (const plc_endpoint_t *endpoints, guint count,
                         const plc_request_t *request);
 
-/* Index of the chosen one of COUNT endpoints; -1 when it has to wait.  */
+/* Returns the index of the best of COUNT endpoints; -1 when the request has to
+   wait.  */
 int plc_choose_endpoint (const plc_endpoint_t *endpoints, guint count,
                          const plc_request_t *request);
 
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -1,4 +1,4 @@
-/* Placement, by tables of the load patterns it answers.  */
+/* Placement: tables of load patterns and the endpoint that must be chosen.  */
 
 #include "relay/plc.h"
 
@@ -15,7 +15,7 @@
   int chosen;
 } case_t;
 
-/* 50 ms to the first token, 100 tokens read a millisecond.  */
+/* 50 ms to the first token, 100 tokens of prefill a millisecond.  */
 #define REQUEST(time_left, max_queueing)                                      \
   {                                                                           \
     .base_ms = 50., .ms_per_token = 0.01, .time_left_ms = time_left,          \
@@ -33,23 +33,24 @@
       { FREE_ENDPOINT, .own_prefill = 800., .is_home = true } },
     2,
     1 },
-  /* Bytes between availability zones are paid for.  */
-  { "near-first",
+  /* Traffic between availability zones is billed.  */
+  { "own-zone-first",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800., .in_other_zone = true,
         .is_home = true },
       { FREE_ENDPOINT, .own_prefill = 800. } },
     2,
     1 },
-  /* A long beginning that is kept far away is not read again for that.  */
-  { "kept-far-away",
+  /* The cost of another availability zone does not outweigh the prefill of a
+     long prefix.  */
+  { "cached-in-other-zone",
     REQUEST (600., 300.),
     { { FREE_ENDPOINT, .own_prefill = 7000., .in_other_zone = true },
       { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     0 },
-  /* A long prompt is being read at the home: a short request goes where its
-     first token comes in time.  */
+  /* The home is prefilling a long prompt: a short request goes where its first
+     token is in time.  */
   { "behind-a-long-prompt",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 50000.,
@@ -57,14 +58,14 @@
       { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 2000. } },
     2,
     1 },
-  /* The kept beginning saves more time than the shorter queue.  */
-  { "kept-beginning",
+  /* The cached prefix saves more time than the shorter queue.  */
+  { "cached-prefix",
     REQUEST (600., 300.),
     { { FREE_ENDPOINT, .own_prefill = 7000., .pending_prefill = 6000. },
       { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     0 },
-  { "kept-but-far-behind",
+  { "cached-behind-long-queue",
     REQUEST (600., 300.),
     { { FREE_ENDPOINT, .own_prefill = 7000., .pending_prefill = 32000. },
       { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
@@ -83,7 +84,7 @@
       { FREE_ENDPOINT, .own_prefill = 7000., .fetch_ms = 90. } },
     2,
     0 },
-  { "all-behind",
+  { "all-queues-too-long",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 40000. },
       { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 30000. } },
@@ -100,8 +101,8 @@
         .context_tokens = 339000. } },
     1,
     NO_ENDPOINT },
-  /* Larger than all memory: an idle endpoint takes it all the same.  */
-  { "memory-alone",
+  /* An idle endpoint gets even a request larger than its KV cache.  */
+  { "memory-of-an-idle-endpoint",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 600.,
@@ -111,14 +112,14 @@
     { { FREE_ENDPOINT, .own_prefill = 800. } },
     1,
     0 },
-  /* It can't be in time anywhere, and goes where little is before it.  */
-  { "longer-than-the-aim",
+  /* The prompt can't be in time anywhere and goes to a short queue.  */
+  { "longer-than-the-target",
     REQUEST (600., 300.),
     { { FREE_ENDPOINT, .own_prefill = 80000., .pending_prefill = 25000. },
       { FREE_ENDPOINT, .own_prefill = 80000., .pending_prefill = 10000. } },
     2,
     1 },
-  { "longer-than-the-aim-waits",
+  { "longer-than-the-target-waits",
     REQUEST (600., 300.),
     { { FREE_ENDPOINT, .own_prefill = 80000., .pending_prefill = 25000. } },
     1,
@@ -139,8 +140,8 @@
     { { .active = 6, .slots = 6 } },
     1,
     NO_ENDPOINT },
-  /* An account above its share leaves a part of the slots to others.  */
-  { "held-back",
+  /* An account above its fair share leaves some of the slots to others.  */
+  { "throttled",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 300.,
@@ -152,7 +153,7 @@
         .pending_prefill = 2000. } },
     2,
     1 },
-  { "held-back-waits",
+  { "throttled-waits",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 300.,
@@ -163,9 +164,9 @@
         .pending_prefill = 4000. } },
     1,
     NO_ENDPOINT },
-  /* An endpoint keeps the beginning, and is full: it is waited for, for a slot
-     elsewhere would cost reading the beginning there.  */
-  { "waits-for-its-beginning",
+  /* The endpoint that caches the prefix is full.  The request waits for it,
+     since any other endpoint would have to prefill the prefix again.  */
+  { "waits-for-its-prefix",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 600.,
@@ -191,7 +192,7 @@
         .active = 2 } },
     2,
     1 },
-  { "none", REQUEST (300., 150.), { { 0 } }, 0, NO_ENDPOINT },
+  { "no-endpoints", REQUEST (300., 150.), { { 0 } }, 0, NO_ENDPOINT },
 };
 
 static void
@@ -207,8 +208,8 @@
         plc_has_candidate (one->endpoints, one->count, &one->request));
 }
 
-/* Routers that know the same choose among equal endpoints at random, so that a
-   burst doesn't meet the first of the list.  */
+/* Ties are broken at random, so that routers with the same information don't
+   all send a burst to the first endpoint of the list.  */
 static void
 test_ties (void)
 {
@@ -231,13 +232,13 @@
 {
   g_assert_cmpfloat (plc_compute_prefill_work (1000., 1000.), ==, 0.);
   g_assert_cmpfloat (plc_compute_prefill_work (1000., 0.), >, 1000.);
-  /* The end of a long prompt is read together with all before it.  */
+  /* Tokens at the end of a long prompt attend to all tokens before them.  */
   g_assert_cmpfloat (plc_compute_prefill_work (50000., 49000.), >,
                      2. * plc_compute_prefill_work (1000., 0.));
 }
 
-/* Full slots, full memory and work before its own are seen without a look at
-   what endpoints cache.  */
+/* plc_has_candidate rejects full slots, a full KV cache and a long queue
+   without information about cached prefixes.  */
 static void
 test_all_full (void)
 {
