--- a/libcoltsfootdrum/relay/rly-private.h
+++ b/libcoltsfootdrum/relay/rly-private.h
@@ -1,4 +1,4 @@
-/* State that the relay's files share.  */
+/* The relay of requests: state and functions shared by its files.  */
 
 #ifndef RELAY_RLY_PRIVATE_H
 #define RELAY_RLY_PRIVATE_H
@@ -18,29 +18,28 @@
   list_node_t node;
   char *name;
   bud_t retry_budget;
-  fit_t first_token_fit;     /* milliseconds by the reading work before it */
-  prom_hist_t wait_ms;       /* from the arrival until it was sent */
-  prom_hist_t first_byte_ms; /* until the first byte of a success */
-  prom_hist_t total_ms;      /* until a success was whole */
-  list_node_t queues;        /* rly_line_t with requests that wait */
+  fit_t first_token_fit;     /* time to first token by prefill work, in ms */
+  prom_hist_t wait_ms;       /* from arrival until sent */
+  prom_hist_t first_byte_ms; /* from arrival to the first byte; successes */
+  prom_hist_t total_ms;      /* from arrival to the last byte; successes */
+  list_node_t queues;        /* rly_queue_t, none of them empty */
   unsigned waiting;
-  bool dispatch_scheduled; /* something may have found room in this turn of the
-                              loop */
-  unsigned rounds;         /* of placement, since the start */
+  bool dispatch_scheduled; /* at the end of this loop iteration */
+  unsigned rounds;         /* placement rounds since the start */
 } rly_service_t;
 
-/* The waiting requests of one account at one service.  */
+/* The waiting requests of one client account for one service.  */
 typedef struct
 {
   list_node_t node;
   rly_service_t *service;
   char *account;
-  list_node_t requests;  /* the most urgent first, then the oldest */
-  double usage;          /* of the account, as of this round */
-  double allowance;      /* part of the usual room that it may use */
-  double late_allowance; /* and its requests that are late already */
-  bool is_underserved;   /* its account got far less than it is due */
-  bool is_skipped;       /* its first request found no room this round */
+  list_node_t requests;  /* rly_request_t, the most urgent first */
+  double usage;          /* of the account, updated each round */
+  double allowance;      /* share of the usual capacity it may use */
+  double late_allowance; /* the same for its late requests */
+  bool is_underserved;   /* the account got far less than its fair share */
+  bool is_skipped;       /* nothing more can be placed this round */
 } rly_queue_t;
 
 struct rly
@@ -58,132 +57,140 @@
   list_node_t running;  /* rly_request_t */
   rly_counts_t counts;
   unsigned routers;
-  bool is_draining; /* takes no new requests */
+  bool is_draining; /* refuses new requests */
   ev_prepare before_poll;
   cfd_time_t last_sweep;
   cfd_time_t last_level_update;
 };
 
-/* An answer on its way back.  */
+/* The answer to a request.  */
 typedef struct
 {
   unsigned status;
-  GString *fields; /* finished lines for the caller */
-  GString *body;   /* gathered, or events not passed on yet */
+  GString *fields; /* header lines for the caller */
+  GString *body;   /* bytes not forwarded to the caller yet */
   evs_t events;
-  bool is_stream; /* passed on as it comes */
-  bool not_run;   /* the endpoint gave the request back */
-  bool is_valid;  /* the head may be passed on */
-  bool framed;    /* the end is known before the connection's */
+  bool is_stream; /* forwarded event by event as it arrives */
+  bool not_run;   /* the endpoint rejected the request */
+  bool is_valid;  /* may be forwarded to the caller */
+  bool framed;    /* has a length or chunks, so truncation is detected */
 } rly_answer_t;
 
 typedef struct
 {
-  list_node_t node; /* in a line, or in running */
+  list_node_t node; /* in a queue, or in rly_t.running */
   rly_t *rly;
   ent_call_t *call;
   rte_table_t *table;
   const rte_route_t *route;
   rly_service_t *service;
-  rly_queue_t *queue;           /* while it waits */
-  const rte_account_t *account; /* NULL on open routes */
+  rly_queue_t *queue;           /* NULL unless it waits */
+  const rte_account_t *account; /* NULL: anonymous */
   char *id;
-  uint64_t retry_key;   /* by which it is known when it comes again; 0: none */
-  pfx_prompt_t *prompt; /* NULL for plain services */
-  double output_tokens; /* tokens expected */
-  double cost;          /* in the unit of accounts' shares */
-  bool is_charged;      /* to its account */
-  bool started;         /* an endpoint began to answer it */
-
-  cfd_time_t arrived_at;    /* its arrival */
-  cfd_time_t first_attempt; /* its caller's first try, as far as can be told */
-  cfd_time_t deadline;      /* the caller's */
-  cfd_time_t route_deadline; /* the route's */
-  int64_t target_latency_ms; /* an answer that begins later is late */
-  cfd_time_t wait_deadline;  /* it is refused when it still waits then */
-  bool is_late;              /* its caller came again, too late for the aim */
-  unsigned enqueued_round;   /* rounds of placement before it began to wait */
-  unsigned tries;            /* sends, and connections that failed */
-  unsigned attempts;         /* endpoints that may have got it */
-  char *last_failed_id;      /* id of the endpoint that failed it last */
-
-  edp_t *edp; /* while it runs */
+  uint64_t retry_key;   /* identifies the caller's retries; 0: none */
+  pfx_prompt_t *prompt; /* NULL: no prompt parts given */
+  double output_tokens; /* expected */
+  double cost;          /* in tokens, see use.h */
+  bool is_charged;      /* the cost is counted as served */
+  bool started;         /* an endpoint began a successful answer */
+
+  cfd_time_t arrived_at;
+  cfd_time_t first_attempt;  /* of its caller, as far as is known */
+  cfd_time_t deadline;       /* from the caller */
+  cfd_time_t route_deadline; /* from the route's time-out */
+  int64_t target_latency_ms; /* for the first byte */
+  cfd_time_t wait_deadline;  /* refused if still waiting then */
+  bool is_late;              /* a retry that can't meet the target latency */
+  unsigned enqueued_round;   /* value of the service's rounds at that time */
+  unsigned tries;            /* exchanges begun, with failed connections */
+  unsigned attempts;         /* exchanges that may have reached an endpoint */
+  char *last_failed_id;      /* endpoint of the last failed exchange */
+
+  edp_t *edp; /* NULL unless it runs */
   ups_exchange_t *exchange;
   cfd_time_t sent_at;
-  double prefill_ahead;   /* reading work before its first token */
-  double pending_prefill; /* its own part of that, until the first byte */
-  double context_tokens;  /* tokens that it holds in memory */
-  double fetch_ms;        /* for its cached prefix to be copied there */
-  bool head_sent;         /* the caller has got the head */
-  bool may_have_run;      /* an endpoint got it and did not give it back */
-  bool read_paused;       /* the answer is not read on: its caller is behind */
+  double prefill_ahead;   /* prefill work before its first token */
+  double pending_prefill; /* its own part of it; 0 after the first byte */
+  double context_tokens;  /* KV cache that it uses */
+  double fetch_ms;        /* time to copy a cached prefix to the endpoint */
+  bool head_sent;         /* the answer's head was sent to the caller */
+  bool may_have_run;      /* sent to an endpoint that did not reject it */
+  bool read_paused;       /* the caller reads too slowly */
   rly_answer_t answer;
 } rly_request_t;
 
 /* rly.c */
 rly_service_t *rly_find_or_add_service (rly_t *rly, const char *name);
-/* The mechanism is not switched off.  */
+/* Returns whether MECHANISM is not disabled.  */
 bool rly_is_enabled (const rly_t *rly, mech_t mechanism);
 const char *rly_get_account_name (const rly_request_t *request);
-/* Ends REQUEST; its call must have been answered or gone.  */
+/* Detaches REQUEST from its queue or endpoint and frees it.  Its call must
+   have been answered, or its caller disconnected.  */
 void rly_request_free (rly_request_t *request);
 
-/* rly-queue.c: waiting.  */
+/* rly-queue.c: waiting requests.  */
 void rly_enqueue (rly_request_t *request);
-/* REQUEST, which just came, can't be in time behind those of its account that
-   wait: it is refused now, and true is returned.  */
+/* Refuses REQUEST, which was just enqueued, when the requests of its account
+   before it would take too long.  Returns whether it was refused.  */
 bool rly_refuse_early (rly_request_t *request, cfd_time_t now);
 void rly_dequeue (rly_request_t *request);
-/* Places what finds room.  */
+/* Runs a placement round: sends the waiting requests for which an endpoint has
+   capacity.  */
 void rly_dispatch (rly_t *rly, rly_service_t *service, cfd_time_t now);
-/* Refuses what waited too long.  */
+/* Refuses requests that are past their wait deadline.  */
 void rly_refuse_expired (rly_service_t *service, cfd_time_t now);
 
-/* rly-place.c: one round of placement.  */
+/* rly-place.c: placement of one request.  */
 #define RLY_MAX_ENDPOINTS 256
 
+/* State of a placement round of one service.  */
 typedef struct
 {
   rly_t *rly;
   rly_service_t *service;
-  const rte_service_t *config; /* NULL when the configuration lacks it */
+  const rte_service_t *config; /* NULL: not in the configuration */
   cfd_time_t now;
-  double base_ms; /* the service's first tokens */
+  double base_ms; /* time to first token without prefill */
   double ms_per_token;
-  bool has_free_slot; /* some endpoint has a free slot */
+  bool has_free_slot; /* at any endpoint */
   guint count;
   edp_t *endpoints[RLY_MAX_ENDPOINTS];
   plc_endpoint_t loads[RLY_MAX_ENDPOINTS];
-  double cached_tokens[RLY_MAX_ENDPOINTS]; /* tokens of the present prompt */
-  guint source; /* the endpoint that caches most of them */
+  double cached_tokens[RLY_MAX_ENDPOINTS]; /* of the current prompt */
+  guint source; /* index of the endpoint that caches most */
 } rly_round_t;
 
-/* Of the aim, a request of a plain service may wait here for so long.  */
+/* Share of the target latency for which a request without prompt parts may
+   wait.  */
 #define RLY_PLAIN_MAX_WAIT_SHARE 0.65
-/* And one whose prompt takes all of it to be read, for so long.  */
+/* Smallest such share for a request with a prompt, however long its prefill
+   takes.  */
 #define RLY_LONG_MAX_WAIT_SHARE 0.25
 
 void rly_begin_round (rly_round_t *round, rly_t *rly, rly_service_t *service,
                       cfd_time_t now);
-/* Sends REQUEST where it finds room; false when it has to wait.  */
+/* Sends REQUEST to the best endpoint.  Returns false when it has to wait.  */
 bool rly_place (rly_round_t *round, rly_request_t *request);
-/* How long REQUEST may wait from its arrival, in milliseconds: until its
-   prompt, read at once where its beginning is kept, would come too late.  */
+/* Returns for how long REQUEST may wait from its arrival.  After that its
+   first token would be late even at an idle endpoint that caches its shared
+   prefix.  */
 int64_t rly_compute_max_wait_ms (const rly_request_t *request);
 
-/* rly.c: a pump of SERVICE at the end of this turn of the loop.  */
+/* rly.c: schedules a placement round of SERVICE for the end of this loop
+   iteration.  */
 void rly_schedule_dispatch (rly_service_t *service);
 
 /* rly-send.c: one exchange with an endpoint.  */
-/* SOURCE, unless NULL, is where EDP copies the cached prefix from.  */
+/* Sends REQUEST to EDP, which copies a cached prefix from SOURCE unless that
+   is NULL.  Returns false when no connection can be opened.  */
 bool rly_send (rly_request_t *request, edp_t *edp, const edp_t *source,
                cfd_time_t now);
-/* Takes REQUEST off its endpoint; CANCEL closes the connection.  */
+/* Ends the exchange of REQUEST; CANCEL closes the connection.  */
 void rly_detach (rly_request_t *request, bool cancel);
-/* Time-outs of REQUEST while it runs.  */
+/* Applies the time-outs of a running REQUEST.  */
 void rly_check_timeouts (rly_request_t *request, cfd_time_t now);
 
-/* rly-answer.c: what the caller gets.  */
+/* rly-answer.c: answers to the caller.  */
 void rly_refuse (rly_request_t *request, cfd_time_t now, const char *reason,
                  int64_t retry_ms);
 void rly_fail (rly_request_t *request, unsigned status, const char *reason);
--- a/libcoltsfootdrum/relay/rly-queue.c
+++ b/libcoltsfootdrum/relay/rly-queue.c
@@ -1,40 +1,42 @@
-/* Waiting: whose request goes next.
+/* The relay of requests: queues, and the order in which requests are placed.
 
-   Load pattern: more work than the endpoints can do, from a few large accounts
-   beside many small ones.  Engines know no priorities, so that what waits,
-   waits here.  The account that got least over the last seconds goes first;
-   with enough to do each gets the same, and what a small one leaves is shared
-   by the others.  Within an account the more urgent routes go first, then the
-   oldest requests.  */
+   Load pattern: more work than the endpoints can do, from a few large client
+   accounts beside many small ones.  Engines have no priorities, so requests
+   wait in the router.  The account that was served least over the last seconds
+   goes first: accounts with enough demand get equal shares, and the others
+   share what a small account leaves.  Within an account the more urgent routes
+   go first, then the oldest requests.  */
 
 #include "relay/rly-private.h"
 
 #include "base/log.h"
 #include <math.h>
 
-/* Accounts that got the first part of the fair level begin to be held back,
-   and are down to the least allowance at the second.  */
+/* Throttling begins for an account whose usage reaches the first ratio to the
+   fair level; at the second its allowance is at the minimum.  */
 #define THROTTLE_START_LEVEL 0.9
 #define THROTTLE_FULL_LEVEL 1.2
 #define MIN_ALLOWANCE 0.2
-/* An account that got less than this part of what it is due is behind.  */
+/* An account that was served less than this ratio of its fair share is
+   underserved.  */
 #define UNDERSERVED_RATIO 0.7
-/* Of the usual work before their own, for requests past their latency
-   objective.  */
+/* Largest allowance of requests that are past their target latency.  */
 #define MAX_LATE_ALLOWANCE 0.1
-/* A request is refused on arrival when at least this number of its account
-   wait before it, for longer by this factor than it may wait: the rate at
-   which an account is served changes within seconds.  */
+/* A request is refused on arrival when at least this number of requests of its
+   account wait before it, and are expected to take this factor of the time
+   that it may wait.  The margin is for the rate at which an account is served,
+   which changes within seconds.  */
 #define EARLY_REFUSAL_MIN_QUEUE 4
 #define EARLY_REFUSAL_FACTOR 2.
-/* Without an aim.  */
+/* Target latency of routes that set none.  */
 #define DEFAULT_TARGET_LATENCY_MS 1000
-/* Lines looked at in one round when their requests find no room.  */
+/* Most queues in one round that are skipped because none of their requests
+   could be placed.  */
 #define MAX_SKIPPED_QUEUES 8
-/* And requests of a line.  */
+/* Most requests of a queue that are tried for one placement.  */
 #define MAX_TRIES_PER_QUEUE 6
-/* Who is refused is told to come back after a share of the aim, drawn anew for
-   each.  */
+/* Retry-After is a random share of the target latency within these bounds, so
+   that refused callers don't return all at once.  */
 #define MIN_RETRY_SHARE 0.2
 #define MAX_RETRY_SHARE 0.6
 
@@ -67,7 +69,8 @@
   return request->route->rank;
 }
 
-/* A stream that was begun goes before all others: its caller sees the gap.  */
+/* Returns whether A goes before B.  A stream that has begun goes before all
+   others, since its caller sees the gap.  */
 static bool
 is_more_urgent (const rly_request_t *a, const rly_request_t *b)
 {
@@ -80,10 +83,10 @@
   return a->arrived_at < b->arrived_at;
 }
 
-/* How long REQUEST may wait at its first time here.  One that can still be in
-   time waits as long as that holds.  One that came again too late doesn't
-   wait: it takes spare capacity, if there is any, or its caller is told at
-   once.  */
+/* Sets for how long REQUEST may wait before its first exchange.  A request
+   waits while it can still meet the target latency.  A retry of the caller
+   that can't meet it is late and doesn't wait: it takes spare capacity or is
+   refused at once.  */
 static void
 set_wait_deadline (rly_request_t *request, cfd_time_t request_deadline)
 {
@@ -101,7 +104,7 @@
 rly_enqueue (rly_request_t *request)
 {
   rly_queue_t *queue = find_or_add_queue (request);
-  list_node_t *before = queue->requests.prev;
+  list_node_t *position = queue->requests.prev;
   cfd_time_t request_deadline
       = MIN (request->deadline, request->route_deadline);
 
@@ -110,13 +113,15 @@
                                    : DEFAULT_TARGET_LATENCY_MS;
   request->wait_deadline = request_deadline;
   request->is_late = false;
-  /* One that failed elsewhere has lost its time by no fault of its own.  */
+  /* A request that failed at an endpoint may wait until its deadline, since
+     the delay is not its caller's fault.  */
   if (request->tries == 0)
     set_wait_deadline (request, request_deadline);
-  while (before != &queue->requests
-         && is_more_urgent (request, list_entry (before, rly_request_t, node)))
-    before = before->prev;
-  list_prepend (before, &request->node);
+  while (
+      position != &queue->requests
+      && is_more_urgent (request, list_entry (position, rly_request_t, node)))
+    position = position->prev;
+  list_prepend (position, &request->node);
   request->queue = queue;
   request->enqueued_round = request->service->rounds;
   request->service->waiting++;
@@ -142,21 +147,23 @@
 static void
 refuse_with_retry (rly_request_t *request, cfd_time_t now, const char *reason)
 {
-  double share = g_random_double_range (MIN_RETRY_SHARE, MAX_RETRY_SHARE);
+  double retry_share
+      = g_random_double_range (MIN_RETRY_SHARE, MAX_RETRY_SHARE);
 
   rly_refuse (request, now, reason,
-              (int64_t)(share * (double)request->target_latency_ms));
+              (int64_t)(retry_share * (double)request->target_latency_ms));
 }
 
-/* A round of placement has passed REQUEST over.  */
+/* Returns whether a placement round has run since REQUEST was enqueued.  */
 static bool
 was_tried (const rly_request_t *request)
 {
   return request->enqueued_round != request->service->rounds;
 }
 
-/* Refuses one request that waited too long; false when there is none.  What no
-   round has tried yet may find room, also when its time is over.  */
+/* Refuses one request that is past its wait deadline.  Returns false when
+   there is none.  A request that no round has tried yet is kept, as there may
+   be capacity for it.  */
 static bool
 refuse_one_expired (rly_service_t *service, cfd_time_t now)
 {
@@ -164,9 +171,10 @@
     {
       rly_queue_t *queue = list_entry (node, rly_queue_t, node);
 
-      list_for_each (inner, &queue->requests)
+      list_for_each (inner_node, &queue->requests)
         {
-          rly_request_t *request = list_entry (inner, rly_request_t, node);
+          rly_request_t *request
+              = list_entry (inner_node, rly_request_t, node);
 
           if (now < request->wait_deadline || !was_tried (request))
             continue;
@@ -177,9 +185,10 @@
   return false;
 }
 
-/* How long REQUEST waits for those of its account that go before it, at the
-   rate at which the account was served here lately.  Those that no round of
-   placement has passed over yet may find room at once.  */
+/* Estimates how long REQUEST waits for the requests of its account before it,
+   at the rate at which this router served the account lately.  Requests that
+   no placement round has tried yet don't count: there may be capacity for
+   them at once.  */
 static double
 estimate_queue_delay_ms (const rly_request_t *request, cfd_time_t now)
 {
@@ -235,18 +244,19 @@
   return best;
 }
 
-/* How much of the usual wait behind others, and of the room at endpoints, the
-   requests of an account may use: all below its fair share, little above it,
-   so that those who got less find room at the endpoints which keep their
-   prompts. A large account fills what they leave.  */
+/* Returns the share of the usual queueing time and of the endpoints' capacity
+   that the requests of an account may use: 1 below its fair share, little
+   above it.  Accounts that were served less then find capacity at the
+   endpoints that cache their prompts; a large account fills what they leave.
+ */
 static double
 compute_allowance (const use_t *use, cfd_time_t now, const char *account)
 {
   double level_ratio = use_level_ratio (use, now, account);
-  double part = (level_ratio - THROTTLE_START_LEVEL)
-                / (THROTTLE_FULL_LEVEL - THROTTLE_START_LEVEL);
+  double throttling = (level_ratio - THROTTLE_START_LEVEL)
+                      / (THROTTLE_FULL_LEVEL - THROTTLE_START_LEVEL);
 
-  return 1. - (1. - MIN_ALLOWANCE) * CLAMP (part, 0., 1.);
+  return 1. - (1. - MIN_ALLOWANCE) * CLAMP (throttling, 0., 1.);
 }
 
 static void
@@ -268,17 +278,18 @@
     }
 }
 
-/* An account that got far less than it is due has lost its time by no fault of
-   its own.  */
+/* Returns whether REQUEST is placed after all requests that are not late.  A
+   late request of an underserved account is not deferred, since the delay is
+   not the account's fault.  */
 static bool
 is_deferred (const rly_request_t *request)
 {
   return request->is_late && !request->queue->is_underserved;
 }
 
-/* Places one request of LINE, of those past their latency objective or of the
-   others: of the first few the first that finds room.  A long one that has to
-   wait does not hold up the short ones behind it.  */
+/* Places one request of QUEUE, of the deferred ones or of the others: the
+   first of the first few for which an endpoint has capacity.  So a long
+   request that has to wait doesn't block the short ones behind it.  */
 static bool
 place_one (rly_round_t *round, rly_queue_t *queue, bool deferred)
 {
@@ -293,7 +304,7 @@
         continue;
       if (tried++ == MAX_TRIES_PER_QUEUE)
         return false;
-      /* Before the request is sent, for that may free the line.  */
+      /* Added before the request is sent, which may free the queue.  */
       queue->usage += cost;
       if (rly_place (round, request))
         return true;
@@ -302,7 +313,8 @@
   return false;
 }
 
-/* Places what finds room, the least served account first.  */
+/* Places all requests for which endpoints have capacity, the least served
+   account first.  */
 static void
 place_all (rly_round_t *round, bool deferred)
 {
--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -1,4 +1,5 @@
-/* The relay: a request from its arrival until it waits, and the tick.  */
+/* The relay of requests: arrival of a request, configuration, periodic work.
+ */
 
 #include "relay/rly-private.h"
 
@@ -6,24 +7,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Until endpoints' answers show how fast they read prompts; slow, so that a
-   fresh router sends them too little rather than too much.  */
+/* Assumed time to first token until answers show how fast endpoints prefill.
+   A slow estimate makes a new router send too little rather than too much.  */
 #define INITIAL_BASE_MS 50.
 #define INITIAL_MS_PER_TOKEN (1. / 80.)
-/* Until the configuration is known, callers are told to come back so soon.  */
+/* Retry-After while there is no configuration.  */
 #define NO_CONFIG_RETRY_MS 500
-/* Of a caller that names no deadline.  */
+/* Deadline of a request that gives none.  */
 #define DEFAULT_DEADLINE_MS 60000
-/* A generated token counts as so many prompt tokens.  */
+/* Cost of a generated token, in prompt tokens.  */
 #define OUTPUT_WEIGHT 2.
-/* What a request of a plain service counts.  */
+/* Cost of a request without prompt parts, in prompt tokens.  */
 #define PLAIN_REQUEST_COST 100.
-/* Accounts' level is computed anew so often.  */
+/* Interval at which the fair level of accounts is recomputed.  */
 #define LEVEL_UPDATE_INTERVAL_MS 100
-/* Sweeps of caches and idle connections.  */
+/* Interval at which unused endpoints, idle connections and expired cache
+   entries are removed.  */
 #define SWEEP_INTERVAL_MS 500
-/* Of the budget of repeats a router takes a part for itself that keeps the sum
-   within the bound when work is spread unevenly.  */
+/* Share of the configured retry budget that is used, so that all routers
+   together stay within it when the load is spread unevenly.  */
 #define RETRY_BUDGET_SHARE 0.7
 
 static void
@@ -40,7 +42,7 @@
   service->dispatch_scheduled = true;
 }
 
-/* Services whose requests may have found room.  */
+/* Runs a placement round for each service that has one scheduled.  */
 static void
 run_scheduled_dispatches (rly_t *rly, cfd_time_t now)
 {
@@ -56,8 +58,9 @@
   lag_leave (rly->lag, before, 1);
 }
 
-/* What waited too long is refused; for the others time alone may have made
-   room, or what other routers told.  */
+/* Refuses expired requests.  For the others a round is scheduled, since the
+   passing of time or updates from other routers may have made capacity
+   available.  */
 static void
 update_waiting (rly_t *rly, cfd_time_t now)
 {
@@ -70,8 +73,8 @@
     }
 }
 
-/* Once for all that happened in a turn: a round over all that wait is dear,
-   and under high load a turn brings many events.  */
+/* Runs once per loop iteration: a round over all waiting requests is
+   expensive, and under high load an iteration handles many events.  */
 static void
 on_before_poll (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -83,14 +86,14 @@
 
 rly_t *
 rly_new (struct ev_loop *loop, const rly_names_t *names,
-         const rly_settings_t *bounds, edp_set_t *endpoints, use_t *use,
+         const rly_settings_t *settings, edp_set_t *endpoints, use_t *use,
          pfx_t *pfx, ret_t *ret)
 {
   rly_t *rly = g_new0 (rly_t, 1);
 
   rly->loop = loop;
   rly->names = *names;
-  rly->settings = *bounds;
+  rly->settings = *settings;
   rly->endpoints = endpoints;
   rly->use = use;
   rly->pfx = pfx;
@@ -100,7 +103,7 @@
   rly->routers = 1;
   ev_prepare_init (&rly->before_poll, on_before_poll);
   rly->before_poll.data = rly;
-  /* Before the other routers are told what this turn changed.  */
+  /* Before the changes of this iteration are sent to the other routers.  */
   ev_set_priority (&rly->before_poll, EV_MAXPRI);
   ev_prepare_start (loop, &rly->before_poll);
   return rly;
@@ -115,7 +118,8 @@
     }
 }
 
-/* A line goes with its last request, so that they are gathered first.  */
+/* A queue is freed together with its last request, so the requests are
+   collected first.  */
 static void
 free_queues (rly_service_t *service)
 {
@@ -252,7 +256,7 @@
   g_free (request);
 }
 
-/* The key of "SCHEME KEY"; NULL when there is none.  */
+/* Returns the key of "SCHEME KEY"; NULL when there is none.  */
 static const char *
 parse_key (const rly_t *rly, const hdr_t *fields)
 {
@@ -266,7 +270,7 @@
   return text + scheme + 1 + strspn (text + scheme + 1, " ");
 }
 
-/* A number in a field; MISSING without one.  */
+/* Returns the number in a field; DEFAULT_VALUE when there is none.  */
 static double
 parse_number (const hdr_t *fields, const char *name, double default_value)
 {
@@ -277,7 +281,8 @@
   return end != text && value >= 0. ? value : default_value;
 }
 
-/* "PROMPT,MOST": the most tokens that may be generated.  */
+/* Parses "PROMPT,OUTPUT" and returns OUTPUT, the maximum of generated tokens.
+ */
 static double
 parse_max_output_tokens (const hdr_t *fields, const char *name)
 {
@@ -300,7 +305,7 @@
                       parse_max_output_tokens (fields, names->token_counts));
 }
 
-/* What REQUEST counts in its account's share.  */
+/* Returns the cost of REQUEST in its account's usage.  */
 static double
 compute_cost (const rly_request_t *request)
 {
@@ -318,7 +323,8 @@
   g_autofree char *fields = NULL;
 
   log_info ("relay",
-            "A request was turned away: request=%s status=%u reason=%s.",
+            "A request was refused on arrival: request=%s status=%u "
+            "reason=%s.",
             id != NULL ? id : "", status, reason);
   rly->counts.refused++;
   if (status == 503)
@@ -327,7 +333,7 @@
   ent_respond (call, status, fields, NULL, 0);
 }
 
-/* When the caller of REQUEST first first_attempt.  */
+/* Returns when the caller of REQUEST first sent it.  */
 static cfd_time_t
 find_first_attempt (rly_request_t *request, const hdr_t *fields)
 {
--- a/libcoltsfootdrum/relay/rly.h
+++ b/libcoltsfootdrum/relay/rly.h
@@ -1,8 +1,9 @@
-/* The relay: takes callers' requests, lets them wait for room, sends each to
-   an endpoint and its answer back unchanged.
+/* The relay of requests.  Accepts callers' requests, queues them until an
+   endpoint has capacity, sends each to an endpoint and returns the answer
+   unchanged.
 
-   What a refusal says is true: "not run" is said of requests alone that were
-   never sent, or that their endpoint gave back unstarted.  */
+   A caller is told that its request was not run only when the request was
+   never sent, or when the endpoint rejected it before starting it.  */
 
 #ifndef RELAY_RLY_H
 #define RELAY_RLY_H
@@ -14,46 +15,48 @@
 #include "relay/rte.h"
 #include "relay/use.h"
 
-/* Names of the fields that callers and endpoints use; the platform's adapter
-   gives them.  */
+/* Names of the header fields that callers and endpoints use, from the
+   platform's adapter.  */
 typedef struct
 {
   const char *request_id;
-  const char *deadline_ms;     /* how long the caller waits, from now */
-  const char *account;         /* set by us for endpoints */
-  const char *expect_endpoint; /* another than that refuses */
-  const char *not_run;         /* an answer with it says: not run */
-  const char *response_stamp;  /* an endpoint's mark on its answers */
+  const char *deadline_ms;     /* how long the caller waits */
+  const char *account;         /* client account, told to endpoints */
+  const char *expect_endpoint; /* id; any other endpoint refuses */
+  const char *not_run;         /* in an answer: the request was not run */
+  const char *response_stamp;  /* in an answer: it is from an endpoint */
   const char *prompt;          /* parts of the prompt */
-  const char *token_counts;    /* prompt tokens, most generated ones */
-  const char *length_hint;     /* generated tokens, about */
-  const char *fetch_from; /* address that a cached prefix is copied from */
-  const char *last_event; /* a stream goes on after that event */
-  const char *key_scheme; /* of the Authorization field */
-  const char *const
-      *reserved_fields; /* a caller must not set these; NULL-ended */
+  const char *token_counts;    /* prompt tokens and most generated tokens */
+  const char *length_hint;     /* expected number of generated tokens */
+  const char *fetch_from;      /* address to copy a cached prefix from */
+  const char *last_event;      /* event after which a stream resumes */
+  const char *key_scheme;      /* of the Authorization field */
+  /* Fields that are dropped from callers' requests; NULL-terminated.  */
+  const char *const *reserved_fields;
 } rly_names_t;
 
-/* Bounds that the deployment sets.  */
+/* Settings of the deployment.  */
 typedef struct
 {
-  int64_t repeat_window_ms; /* budget of repeats, of the whole fleet */
+  /* Retry budget of the whole fleet.  */
+  int64_t repeat_window_ms;
   double repeat_ratio;
   double repeat_slack;
-  int64_t share_window_ms; /* over which accounts' shares are compared */
-  const char *zone;        /* the router's own; NULL: not told */
-  unsigned disabled;       /* mech_t bits that are switched off */
+
+  int64_t share_window_ms; /* window for the usage of client accounts */
+  const char *zone;        /* the router's availability zone; NULL: unknown */
+  unsigned disabled;       /* mech_t bits of disabled mechanisms */
 } rly_settings_t;
 
 typedef struct
 {
   uint64_t requests;
-  uint64_t answered;     /* an endpoint's answer, whole */
+  uint64_t answered;     /* complete answers of endpoints */
   uint64_t refused;      /* not run */
-  uint64_t failed;       /* unknown outcome, or broken off */
-  uint64_t disconnected; /* the caller left */
-  uint64_t retries;      /* sent once more */
-  uint64_t resumed;      /* streams that went on at another endpoint */
+  uint64_t failed;       /* unknown outcome, or answer truncated */
+  uint64_t disconnected; /* the caller disconnected */
+  uint64_t retries;      /* requests sent again */
+  uint64_t resumed;      /* streams resumed at another endpoint */
   unsigned waiting;
   unsigned running;
 } rly_counts_t;
@@ -61,26 +64,25 @@
 typedef struct rly rly_t;
 
 rly_t *rly_new (struct ev_loop *loop, const rly_names_t *names,
-                const rly_settings_t *bounds, edp_set_t *endpoints, use_t *use,
-                pfx_t *pfx, ret_t *ret);
+                const rly_settings_t *settings, edp_set_t *endpoints,
+                use_t *use, pfx_t *pfx, ret_t *ret);
 void rly_free (rly_t *rly);
 
-/* Its time is counted in LAG, which is not owned.  */
+/* Counts the relay's time in LAG, which is not owned.  */
 void rly_set_lag (rly_t *rly, lag_t *lag);
 
-/* Callbacks for the callers' side; USER is the relay.  */
+/* Callbacks for ent_ops_t; USER is the relay.  */
 void rly_on_request (void *user, ent_call_t *call);
 void rly_on_disconnect (void *user, ent_call_t *call);
 
-/* A newer table comes into force; an older one is passed over.  */
+/* Applies TABLE, unless it is older than the current one.  */
 void rly_set_table (rly_t *rly, rte_table_t *table);
 const rte_table_t *rly_table (const rly_t *rly);
 
-/* New requests are refused from now on, not run; those that are here go on.
- */
+/* Refuses new requests from now on; accepted requests are completed.  */
 void rly_stop_accepting (rly_t *rly);
 
-/* How many routers there are, this one included.  */
+/* Sets the number of routers of the fleet, this one included.  */
 void rly_set_router_count (rly_t *rly, unsigned routers);
 
 /* To be called every RLY_TICK_MS.  */
@@ -89,7 +91,7 @@
 
 const rly_counts_t *rly_counts (const rly_t *rly);
 
-/* Appends counters and latencies in Prometheus' text format.  */
+/* Appends counters and latencies to OUT in Prometheus' text format.  */
 void rly_append_metrics (const rly_t *rly, cfd_time_t now, GString *out);
 
 #endif
