--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -177,9 +177,9 @@
   service->name = g_strdup (name);
   fit_init (&service->first_token_fit, INITIAL_BASE_MS, INITIAL_MS_PER_TOKEN);
   list_init (&service->queues);
-  bud_init (&service->retry_budget, rly->settings.repeat_window_ms,
-            rly->settings.repeat_ratio * RETRY_BUDGET_SHARE,
-            rly->settings.repeat_slack * RETRY_BUDGET_SHARE / rly->routers);
+  bud_init (&service->retry_budget, rly->settings.retry_window_ms,
+            rly->settings.retry_ratio * RETRY_BUDGET_SHARE,
+            rly->settings.retry_slack * RETRY_BUDGET_SHARE / rly->routers);
   list_init (&service->node);
   list_append (&rly->services, &service->node);
   return service;
@@ -224,7 +224,7 @@
   list_for_each (node, &rly->services)
     {
       list_entry (node, rly_service_t, node)->retry_budget.min_retries
-          = rly->settings.repeat_slack * RETRY_BUDGET_SHARE / rly->routers;
+          = rly->settings.retry_slack * RETRY_BUDGET_SHARE / rly->routers;
     }
 }
 
--- a/libcoltsfootdrum/relay/rly.h
+++ b/libcoltsfootdrum/relay/rly.h
@@ -39,9 +39,9 @@
 typedef struct
 {
   /* Retry budget of the whole fleet.  */
-  int64_t repeat_window_ms;
-  double repeat_ratio;
-  double repeat_slack;
+  int64_t retry_window_ms;
+  double retry_ratio;
+  double retry_slack;
 
   int64_t share_window_ms; /* window for the usage of client accounts */
   const char *zone;        /* the router's availability zone; NULL: unknown */
