--- a/libcoltsfootdrum/relay/rly-answer.c
+++ b/libcoltsfootdrum/relay/rly-answer.c
@@ -1,21 +1,22 @@
-/* What the caller gets: an endpoint's answer unchanged, another attempt, or a
-   failure that says what is known.  */
+/* The relay of requests: answers.  The caller gets the endpoint's answer
+   unchanged, or a refusal or failure when no retry is possible.  */
 
 #include "relay/rly-private.h"
 
 #include "base/log.h"
 #include <string.h>
 
-/* Connections that may fail before a request is given up on; nothing was sent
-   over them.  */
+/* Most exchanges for a request, with those whose connection failed before
+   anything was sent.  */
 #define MAX_TRIES 5
-/* Of a gathered answer; above, the endpoint's answer can't be checked before
-   it is passed on.  */
+/* Largest body of an answer that is not a stream.  These are buffered, so that
+   the answer is checked before it is forwarded.  */
 #define MAX_BODY_BYTES 8388608
-/* A caller that takes its stream slowly: reading stops above this and goes on
-   once all is written.  */
+/* Limit for a caller that reads its stream slowly.  With more unsent bytes,
+   reading from the endpoint pauses until all are sent.  */
 #define MAX_UNSENT_BYTES 1048576
-/* Endpoints that gave a request back are full for about as long.  */
+/* Retry-After of a request that its endpoint rejected: about the time until
+   the endpoint has a free slot.  */
 #define REJECTED_RETRY_MS 150
 
 void
@@ -39,7 +40,7 @@
   evs_clear (&answer->events);
 }
 
-/* Ends REQUEST after its call was answered, and gives its place to others.  */
+/* Frees REQUEST and schedules a placement round for its slot.  */
 static void
 finish_request (rly_request_t *request)
 {
@@ -57,8 +58,9 @@
   ent_call_t *call = request->call;
   char retry_after[G_ASCII_DTOSTR_BUF_SIZE];
 
-  /* It was to go on elsewhere: its caller has a part of it, or an endpoint may
-     have run it, so that a refusal would not be true.  */
+  /* A refusal promises that the request was not run.  This one waited for a
+     retry: its caller has a part of the answer, or an endpoint may have run
+     it.  */
   if (request->head_sent || request->may_have_run)
     {
       rly_fail (request, 502, reason);
@@ -79,7 +81,7 @@
                    (double)retry_ms / 1000.);
   fields = g_strdup_printf ("Retry-After: %s\r\n", retry_after);
   rly_request_free (request);
-  /* Callers ask again on a new connection.  */
+  /* Callers send a retry on a new connection.  */
   ent_close_after (call);
   ent_respond (call, 503, fields, NULL, 0);
 }
@@ -104,6 +106,7 @@
     ent_respond (call, status, NULL, NULL, 0);
 }
 
+/* Returns whether STATUS tells the caller that the request was not run.  */
 static bool
 implies_not_run (unsigned status)
 {
@@ -121,8 +124,9 @@
                        hdr_get_value (fields, i));
 }
 
-/* A success counts only with the endpoint's mark, and in plain coding, for
-   that is what the caller first_attempt for.  */
+/* Returns whether the answer may be forwarded.  A success must have the
+   endpoint's stamp and no content encoding, since the caller asked for none.
+ */
 static bool
 is_valid_head (const rly_request_t *request, const rd_head_t *head)
 {
@@ -154,7 +158,7 @@
     }
 }
 
-/* Passes on what is in the answer's body: whole events.  */
+/* Forwards the buffered bytes of a stream, which are complete events.  */
 static void
 forward_body (rly_request_t *request)
 {
@@ -194,7 +198,8 @@
   ups_set_read_paused (request->exchange, true);
 }
 
-/* REQUEST may go to one more endpoint.  Nothing is said of budget and time. */
+/* Returns whether REQUEST may be sent to another endpoint, apart from the
+   retry budget and its deadline.  */
 static bool
 has_attempt_left (const rly_request_t *request)
 {
@@ -202,7 +207,7 @@
          && request->tries < MAX_TRIES;
 }
 
-/* Puts REQUEST back among those that wait.  */
+/* Puts REQUEST back into its queue.  */
 static void
 retry (rly_request_t *request, cfd_time_t now, const char *reason)
 {
@@ -221,6 +226,8 @@
   rly_schedule_dispatch (service);
 }
 
+/* Takes a retry of REQUEST out of the budget.  Returns false when none is
+   left.  */
 static bool
 consume_retry (rly_request_t *request, cfd_time_t now)
 {
@@ -231,7 +238,7 @@
   return true;
 }
 
-/* The endpoint gave the request back: it did not run.  */
+/* Handles an answer that says that the request was not run.  */
 static void
 handle_not_run (rly_request_t *request, cfd_time_t now)
 {
@@ -251,7 +258,8 @@
   rly_refuse (request, now, "endpoint-full", REJECTED_RETRY_MS);
 }
 
-/* The answer is not whole, or no answer came: the request may have run.  */
+/* Handles a missing, truncated or invalid answer, after which the request may
+   have run.  */
 static void
 handle_unknown_outcome (rly_request_t *request, cfd_time_t now,
                         const char *reason)
@@ -267,11 +275,12 @@
   rly_fail (request, 502, reason);
 }
 
+/* Handles a connection that could not be opened.  */
 static void
 handle_unreached (rly_request_t *request, cfd_time_t now)
 {
   edp_record_failure (request->edp, now);
-  /* Nothing was sent, so that no endpoint's attempt is spent.  */
+  /* Nothing was sent, so this is no attempt.  */
   request->attempts--;
   if (request->tries < MAX_TRIES)
     {
@@ -346,7 +355,7 @@
       retry (request, now, "endpoint-error");
       return;
     }
-  /* Such a status would promise that the request did not run, which its
+  /* The status would tell the caller that the request was not run, which its
      endpoint did not say.  */
   if (implies_not_run (answer->status))
     {
--- a/libcoltsfootdrum/relay/rly-metrics.c
+++ b/libcoltsfootdrum/relay/rly-metrics.c
@@ -1,5 +1,5 @@
-/* The relay's counters and latencies as text.  docs/RELAY-METRICS.md lists
-   them.  */
+/* The relay of requests: counters and latencies in Prometheus' text format.
+   docs/RELAY-METRICS.md lists them.  */
 
 #include "relay/rly-private.h"
 
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -1,5 +1,5 @@
-/* Placement of requests that wait: what all of one round share is gathered
-   once, the choice itself is plc.h's.  */
+/* The relay of requests: placement of a waiting request.  The load of the
+   endpoints is collected once for each round; plc.h makes the choice.  */
 
 #include "relay/rly-private.h"
 
@@ -8,35 +8,39 @@
 #include <math.h>
 #include <xxhash.h>
 
-/* The aim is the caller's; the rest goes on the way and in estimates.  */
+/* Share of the caller's target latency that placement plans with.  The rest is
+   for the network and for errors of the estimates.  */
 #define TARGET_LATENCY_SHARE 0.8
-/* Share of the latency objective that may pass behind others' prefill.  What
-   would wait longer waits here, where the order is ours.  */
+/* Share of the target latency that may pass behind the prefill of other
+   requests.  A request that would wait longer stays in the router, which can
+   still change the order.  */
 #define MAX_QUEUEING_SHARE 0.5
-/* Share of an endpoint's slots and memory that is kept from accounts that are
-   held back wholly: a slot that gets free is taken at once, by whoever waits.
- */
+/* Share of an endpoint's slots and KV cache that is reserved from fully
+   throttled accounts.  Without it, any waiting request would take a free slot
+   at once.  */
 #define THROTTLED_RESERVE_SHARE 0.3
-/* Of slots and memory, for requests that are past their latency objective: an
-   endpoint below this is as fast for the others as one that is idle.  */
+/* Share of slots and KV cache that late requests may fill: below this load an
+   endpoint is as fast for the other requests as an idle one.  */
 #define LATE_CAPACITY_SHARE 0.4
-/* An endpoint keeps a beginning when no more than this share is missing.  */
+/* An endpoint counts as caching a prefix when no more than this share of it is
+   missing.  */
 #define MAX_MISSING_SHARE 0.1
-/* Bytes between availability zones are paid for, and links between them are
-   slower.  A kilobyte that has to cross is as bad as so much delay: less
-   than reading some hundred tokens again.  With 4 ms more is read again than
-   crossings save.  */
+/* Cost of a kilobyte sent between availability zones, in milliseconds of
+   delay: that traffic is billed, and the links are slower.  The cost is less
+   than that of prefilling some hundred tokens again.  With 4 ms the additional
+   prefill costs more than the avoided traffic.  */
 #define OTHER_ZONE_MS_PER_KB 1.5
-/* Of an event stream.  */
+/* Size of a generated token in an event stream.  */
 #define STREAM_BYTES_PER_TOKEN 8.
-/* Longest copy, in times of the prefill that it saves: the prefill
-   would delay all other requests at the endpoint.  */
+/* Longest copy of a cached prefix, as a multiple of the prefill time that it
+   saves.  It may take longer than the prefill, which would delay all other
+   requests at the endpoint.  */
 #define MAX_COPY_TIME_FACTOR 3.
-/* From the order to copy a cached prefix until its first byte.  */
+/* Time from the command to copy a cached prefix until its first byte.  */
 #define TRANSFER_SETUP_MS 3.
-/* Of all routers, to an endpoint whose service names no warm-up rate.  */
+/* Warm-up rate of services that set none, for all routers together.  */
 #define DEFAULT_COLD_PER_S 4.
-/* Slots of an endpoint that doesn't tell.  */
+/* Slots of an endpoint when neither its report nor its service gives them.  */
 #define DEFAULT_SLOTS 8
 
 static unsigned
@@ -47,7 +51,8 @@
   return config != NULL && config->slots > 0 ? config->slots : DEFAULT_SLOTS;
 }
 
-/* Requests a second that EDP takes from this router while it is cold.  */
+/* Returns the requests a second that this router may send to EDP while it is
+   cold.  */
 static double
 compute_cold_rate (const rly_round_t *round, const edp_t *edp)
 {
@@ -67,7 +72,7 @@
          && !g_str_equal (zone, edp->report->zone);
 }
 
-/* What holds for all requests.  */
+/* Collects the load figures of EDP that are the same for all requests.  */
 static plc_endpoint_t
 collect_load (const rly_round_t *round, edp_t *edp)
 {
@@ -111,7 +116,8 @@
     }
 }
 
-/* What it is as bad as that REQUEST and its answer cross between zones.  */
+/* Returns the cost of sending REQUEST and its answer between availability
+   zones.  */
 static double
 estimate_zone_cost_ms (const rly_request_t *request)
 {
@@ -123,8 +129,8 @@
   return bytes / 1024. * OTHER_ZONE_MS_PER_KB;
 }
 
-/* The endpoint that all routers choose for prompts with this beginning, while
-   nothing speaks against it: rendezvous hashing.  */
+/* Returns the endpoint that all routers prefer for prompts with this shared
+   prefix, by rendezvous hashing.  */
 static const edp_t *
 find_home (const rly_round_t *round, const pfx_prompt_t *prompt)
 {
@@ -147,8 +153,8 @@
   return home;
 }
 
-/* Milliseconds in which an endpoint copies TOKENS of a cached prefix from
-   another one; 0 when the service has no transfers.  */
+/* Returns the milliseconds that an endpoint needs to copy TOKENS of a cached
+   prefix from another one; 0 when the service has no transfers.  */
 static double
 estimate_transfer_ms (const rly_round_t *round, double tokens)
 {
@@ -161,8 +167,9 @@
          + tokens * config->bytes_per_token * 8. / (config->link_mbps * 1000.);
 }
 
-/* The prefill work of PROMPT at endpoint I, or what is left of it after a copy
-   of the cached prefix from another endpoint, where that is worth its time. */
+/* Sets the prefill work of PROMPT at endpoint I.  Where copying the cached
+   prefix from another endpoint is worth its time, sets the work that is left
+   after the copy.  */
 static void
 set_prefill_work (rly_round_t *round, const pfx_prompt_t *prompt, guint i)
 {
@@ -182,8 +189,8 @@
   load->fetch_ms = copy_ms;
 }
 
-/* What prefilling the prompt costs at each endpoint; true when one caches most
-   of its shared parts.  */
+/* Sets the prefill work of REQUEST at each endpoint.  Returns whether an
+   endpoint caches most of its shared prefix.  */
 static bool
 set_prompt_work (rly_round_t *round, const rly_request_t *request)
 {
@@ -212,10 +219,10 @@
                 >= shared * (1. - MAX_MISSING_SHARE);
 }
 
-/* The most that may be missing of its beginning where REQUEST goes now.  It
-   waits for an endpoint that keeps it: with all of them full, a slot that gets
-   free anywhere would else be taken by whoever waits, and each beginning be
-   read everywhere.  */
+/* Returns how many tokens of its shared prefix may be missing at the endpoint
+   of REQUEST.  The request waits for an endpoint that caches the prefix.
+   Otherwise, with all endpoints full, any waiting request would take the next
+   free slot, and each prefix would be prefilled at every endpoint.  */
 static double
 compute_max_missing_tokens (const rly_request_t *request)
 {
@@ -228,7 +235,8 @@
 static plc_request_t
 make_constraints (const rly_round_t *round, const rly_request_t *request)
 {
-  /* What is late already goes where one that came just now would.  */
+  /* A late request, or one that failed, is placed as if it had just arrived.
+   */
   bool restarts_clock = request->tries > 0 || request->is_late;
   int64_t waited = restarts_clock ? 0 : round->now - request->first_attempt;
   double allowed = request->is_late ? request->queue->late_allowance
@@ -256,8 +264,8 @@
   return constraints;
 }
 
-/* Where REQUEST failed last it isn't sent again, as long as there is another
-   endpoint.  */
+/* Chooses an endpoint for REQUEST, other than the one of its last failure when
+   there is another.  */
 static int
 choose_endpoint (rly_round_t *round, const rly_request_t *request,
                  const plc_request_t *constraints)
@@ -292,15 +300,16 @@
   if (!round->has_free_slot)
     return false;
   constraints = make_constraints (round, request);
-  /* At high load most requests find all endpoints full: nothing is looked up
-     for these.  */
+  /* At high load all endpoints are full for most requests.  For these the
+     lookup of cached prefixes is skipped.  */
   if (!plc_has_candidate (round->loads, round->count, &constraints))
     return false;
   if (request->prompt != NULL && set_prompt_work (round, request))
     constraints.max_missing_tokens = compute_max_missing_tokens (request);
   chosen = choose_endpoint (round, request, &constraints);
-  /* A process that is behind reads a request, and the end of its connection a
-     turn later: by then an endpoint would work for a caller who left.  */
+  /* A busy router reads a request and, an iteration later, the end of its
+     connection.  Without this check, an endpoint would already work for a
+     caller who has disconnected.  */
   if (chosen < 0 || !ent_is_client_connected (request->call))
     return false;
   edp = round->endpoints[chosen];
--- a/libcoltsfootdrum/relay/rly-queue.c
+++ b/libcoltsfootdrum/relay/rly-queue.c
@@ -72,7 +72,7 @@
 /* Returns whether A goes before B.  A stream that has begun goes before all
    others, since its caller sees the gap.  */
 static bool
-is_more_urgent (const rly_request_t *a, const rly_request_t *b)
+precedes (const rly_request_t *a, const rly_request_t *b)
 {
   if (a->head_sent != b->head_sent)
     return a->head_sent;
@@ -117,9 +117,8 @@
      the delay is not its caller's fault.  */
   if (request->tries == 0)
     set_wait_deadline (request, request_deadline);
-  while (
-      position != &queue->requests
-      && is_more_urgent (request, list_entry (position, rly_request_t, node)))
+  while (position != &queue->requests
+         && precedes (request, list_entry (position, rly_request_t, node)))
     position = position->prev;
   list_prepend (position, &request->node);
   request->queue = queue;
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -1,16 +1,16 @@
-/* One exchange of a request with an endpoint.  */
+/* The relay of requests: the exchange of a request with an endpoint.  */
 
 #include "relay/rly-private.h"
 
 #include "base/log.h"
 #include <string.h>
 
-/* An endpoint that accepts no connection for so long is passed over: nothing
-   was sent, so that another may have the request.  Several round trips of the
-   widest region, and less than a caller's shortest aim.  */
+/* Time for a connection to open.  After that another endpoint gets the
+   request, of which nothing was sent.  Several round trips across the widest
+   region, and less than the shortest target latency.  */
 #define CONNECT_TIMEOUT_MS 350
-/* No first byte for this long beyond what was expected: the endpoint is
-   silent. A request that may be repeated goes elsewhere.  */
+/* Time beyond the expected one without a first byte.  After that a request
+   that may be retried is sent to another endpoint.  */
 #define SILENCE_TIMEOUT_MS 1500
 
 static bool
@@ -83,7 +83,9 @@
   return text;
 }
 
-/* Once: the first byte came, or the request is off its endpoint.  */
+/* Subtracts the pending prefill work of REQUEST from its endpoint's.  To be
+   called after the first byte or at the end of the exchange; further calls do
+   nothing.  */
 static void
 clear_pending_prefill (rly_request_t *request)
 {
@@ -111,7 +113,8 @@
   lag_leave (lag, before, 0);
 }
 
-/* Anything else says nothing of how fast prompts are read.  */
+/* Returns whether the answer is a success.  Only these show how fast an
+   endpoint prefills.  */
 static bool
 is_success (const rly_answer_t *answer)
 {
@@ -199,7 +202,7 @@
   request->is_charged = true;
 }
 
-/* Milliseconds until the first byte.  */
+/* Returns the expected milliseconds until the first byte.  */
 static double
 estimate_first_byte_ms (const rly_request_t *request)
 {
@@ -243,9 +246,9 @@
   return true;
 }
 
-/* What never began to run was not got.  Endpoints that give back hundreds of
-   requests a second would else make the account that sent them seem the best
-   served one, and it would wait while the others are served.  */
+/* Undoes the charge for a request that did not start.  Otherwise an account
+   with hundreds of rejected requests a second would seem the best served one,
+   and would wait while the others are served.  */
 static void
 refund_charge (rly_request_t *request, cfd_time_t now)
 {
@@ -278,8 +281,8 @@
   refund_charge (request, clock_now ());
 }
 
-/* What was expected of the first byte, and a span in which an endpoint that
-   works would have answered.  */
+/* Returns the time without a first byte after which an endpoint counts as
+   failed: twice the expected time, plus a fixed one.  */
 static int64_t
 compute_silence_timeout_ms (const rly_request_t *request)
 {
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -102,7 +102,7 @@
     1,
     NO_ENDPOINT },
   /* An idle endpoint gets even a request larger than its KV cache.  */
-  { "memory-of-an-idle-endpoint",
+  { "larger-than-memory",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 600.,
