--- a/libcoltsfootdrum/relay/test-rly-scene.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -1,4 +1,4 @@
-/* The scene of the relay's tests.  */
+/* Test fixture of the relay.  */
 
 #include "test-rly-scene.h"
 
@@ -8,7 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A condition that isn't met by then never will be.  */
+/* Time after which a test fails.  */
 #define TIMEOUT_S 30.
 #define MAX_HEAD_BYTES 16384
 
@@ -185,7 +185,7 @@
   return one;
 }
 
-/* A port on which nobody listens.  */
+/* Returns a port without a listener.  */
 static unsigned
 find_unused_port (void)
 {
@@ -234,7 +234,8 @@
   return route;
 }
 
-/* Engines that copy 1,000 token_counts of cache in about a millisecond.  */
+/* Adds a service whose engines copy 1,000 tokens of cache in about a
+   millisecond.  */
 static void
 add_service (rte_table_t *table)
 {
--- a/libcoltsfootdrum/relay/test-rly-scene.h
+++ b/libcoltsfootdrum/relay/test-rly-scene.h
@@ -1,4 +1,5 @@
-/* A relay between raw callers and scripted endpoints, all on one loop.  */
+/* Test fixture: a relay between callers and scripted endpoints, all on one
+   event loop.  */
 
 #ifndef RELAY_TEST_RLY_SCENE_H
 #define RELAY_TEST_RLY_SCENE_H
@@ -8,11 +9,11 @@
 
 #define SCENE_ENDPOINTS 2
 
-/* The next reply of the endpoints, whichever gets the request.  In BYTES "%I"
-   stands for the request's id.  */
+/* A reply of the endpoints.  Replies are sent in order, by whichever endpoint
+   gets the request.  In BYTES "%I" stands for the request's id.  */
 typedef struct
 {
-  const char *bytes; /* NULL: silence */
+  const char *bytes; /* NULL: no reply */
   enum
   {
     SCENE_KEEP_OPEN,
@@ -44,37 +45,37 @@
   ent_t *ent;
   scene_server_t servers[SCENE_ENDPOINTS];
   const scene_reply_t *replies;
-  unsigned reply_count;        /* the last one is used again and again */
-  unsigned requests_received;  /* requests at endpoints */
-  unsigned closed_connections; /* connections that endpoints saw end */
-  GString
-      *last_request; /* the request that came last, as its endpoint saw it */
-  GPtrArray *server_cons; /* of the endpoints */
+  unsigned reply_count;        /* the last one is repeated */
+  unsigned requests_received;  /* by all endpoints */
+  unsigned closed_connections; /* as seen by endpoints */
+  GString *last_request;       /* as its endpoint received it */
+  GPtrArray *server_cons;      /* open connections at endpoints */
   bool timed_out;
 };
 
 typedef struct
 {
   con_t *con;
-  GString *text; /* what came */
+  GString *text; /* received */
   bool ended;
 } scene_caller_t;
 
-/* SLOTS: of each endpoint.  */
+/* Each endpoint has SLOTS.  */
 scene_t *scene_new (const scene_reply_t *replies, unsigned count,
                     unsigned slots);
 void scene_free (scene_t *scene);
-/* Lists the endpoints but the first HIDDEN, and an address without a listener
-   when DEAD.  */
+/* Lists the endpoints except the first HIDDEN ones, and when DEAD also an
+   address without a listener.  */
 void scene_list_endpoints (scene_t *scene, unsigned hidden, bool dead,
                            unsigned slots);
 
 scene_caller_t *scene_send_request (scene_t *scene, const char *bytes);
 void scene_caller_free (scene_caller_t *caller);
 
-/* Runs the loop until DONE says so; fails after many seconds.  */
+/* Runs the loop until DONE returns true; fails after a time-out.  */
 void scene_run (scene_t *scene, bool (*done) (void *user), void *user);
-/* Until TEXT came; or the connection's end when TEXT is NULL.  */
+/* Runs the loop until CALLER has received TEXT, or until its connection has
+   ended.  With NULL, waits for the end alone.  */
 void scene_wait_for (scene_t *scene, scene_caller_t *caller, const char *text);
 
 #endif
--- a/libcoltsfootdrum/relay/test-rly-share.c
+++ b/libcoltsfootdrum/relay/test-rly-share.c
@@ -1,5 +1,6 @@
-/* The relay's part in accounts' shares, over real connections: who counts as
-   served, and what an account that is behind may do.  */
+/* Fair shares of client accounts in the relay, over real connections: which
+   requests count as served, and how underserved accounts and late requests are
+   placed.  */
 
 #include "test-rly-scene.h"
 
@@ -14,9 +15,10 @@
   "\r\nX-Deadline: 20000\r\nAuthorization: Bearer key-of-the-mill\r\n"        \
   "Content-Length: 0\r\n\r\n"
 
-/* Tokens that others get, far more than all requests of a test.  */
+/* Usage of another account, far more than all requests of a test.  */
 #define LARGE_USAGE_TOKENS 1e8
-/* A request in time waits here for seconds.  */
+/* Time for an immediate refusal; a request that is not late would wait for
+   seconds.  */
 #define MAX_REFUSAL_MS 1500
 
 static bool
@@ -61,12 +63,11 @@
   return rly_counts (((scene_t *)user)->rly)->waiting >= 4;
 }
 
-/* Endpoints give back what they get.  The caller sees refusals, and its
-   account got nothing.  Were they counted, it would pass for the best served
-   one, and its other requests would wait behind those of accounts that are
-   served.  */
+/* Rejected requests must not count as served.  Otherwise the account would
+   seem the best served one, and its other requests would wait behind those of
+   accounts that are really served.  */
 static void
-test_given_back (void)
+test_rejected_not_served (void)
 {
   static const scene_reply_t replies[] = { { NOT_RUN, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
@@ -83,13 +84,13 @@
   scene_free (scene);
 }
 
-/* All callers of an account come to one router, and what they ask begins
-   alike.  The endpoint that keeps the beginning reads a long prompt; the other
-   one is free but would read the beginning anew.  The request waits, until the
-   account is far behind the others: with one endpoint alone it could never
+/* All requests of an account come to one router and share a prefix.  The
+   endpoint that caches the prefix is busy with a long prompt; the other is
+   free but would have to prefill the prefix again.  The request waits until
+   its account is underserved: with a single endpoint the account could never
    catch up.  */
 static void
-test_behind (void)
+test_underserved (void)
 {
   static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
@@ -118,8 +119,9 @@
 }
 
 /* The endpoint that caches a prefix has no free slot.  The other endpoint gets
-   the request with the address to copy the prefix from, and doesn't prefill it
-   anew.  Its own prefix, cached where it goes, is not copied.  */
+   the request with the address to copy the prefix from, instead of prefilling
+   it again.  The first request, with nothing cached elsewhere, has no such
+   address.  */
 static void
 test_prefix_fetched (void)
 {
@@ -155,10 +157,10 @@
          && strstr (caller->text->str, "Retry-After: ") != NULL;
 }
 
-/* The caller of this call was refused elsewhere, and is past its latency
-   objective by now.  */
+/* Records that the caller of PROMPT was refused elsewhere and is past its
+   target latency.  */
 static void
-note_refused (scene_t *scene, const char *prompt)
+add_refusal (scene_t *scene, const char *prompt)
 {
   cfd_time_t now = clock_now ();
 
@@ -166,11 +168,11 @@
                    now - 15000, now);
 }
 
-/* A caller who was refused comes back past its latency objective, with no free
-   slot.  It is told at once; the slot that gets free goes to a new caller,
+/* A refused caller returns past its target latency while no slot is free.  It
+   must be refused at once, and the next free slot must go to a new caller,
    whose answer can still be in time.  */
 static void
-test_late_told_at_once (void)
+test_late_refused_at_once (void)
 {
   static const scene_reply_t replies[]
       = { { NULL, SCENE_KEEP_OPEN }, { NULL, SCENE_KEEP_OPEN } };
@@ -182,7 +184,7 @@
   callers[0] = scene_send_request (scene, CALL ("/slow/", "1", "a:20,b:10"));
   scene_run (scene, has_received_one, scene);
   now = clock_now ();
-  note_refused (scene, "c:20,d:10");
+  add_refusal (scene, "c:20,d:10");
   callers[1] = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
   callers[2] = scene_send_request (scene, CALL ("/slow/", "3", "e:20,f:10"));
   scene_run (scene, is_refused, callers[1]);
@@ -196,25 +198,25 @@
   scene_free (scene);
 }
 
-/* With capacity to spare a late caller is served: a late answer is better than
+/* With spare capacity a late caller is served: a late answer is better than
    none.  */
 static void
-test_late_takes_spare (void)
+test_late_uses_spare_capacity (void)
 {
   static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller;
 
-  note_refused (scene, "c:20,d:10");
+  add_refusal (scene, "c:20,d:10");
   caller = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
   scene_run (scene, has_received_one, scene);
   scene_caller_free (caller);
   scene_free (scene);
 }
 
-/* An account floods the router: the queue before its next request is longer
-   than that may wait, at the rate at which the account is served.  Its caller
-   is told on arrival, while those before it still wait.  */
+/* An account floods the router.  At the rate at which the account is served,
+   its next request would wait for too long.  It must be refused on arrival,
+   while the requests before it still wait.  */
 static void
 test_early_reject (void)
 {
@@ -235,10 +237,10 @@
         scene_run (scene, has_received_one, scene);
     }
   scene_run (scene, has_four_waiting, scene);
-  /* A round of placement has passed over them.  */
+  /* Time for a placement round to try them.  */
   later = clock_now () + 2 * RLY_TICK_MS;
   scene_run (scene, is_later, &later);
-  /* What it got so far would take this queue a minute.  */
+  /* At the rate so far, this queue would take a minute.  */
   callers[count]
       = scene_send_request (scene, CALL ("/slow/", "9", "c:2000,d:10"));
   scene_run (scene, is_refused, callers[count]);
@@ -248,9 +250,9 @@
   scene_free (scene);
 }
 
-/* An account that was idle sends many requests in one turn of the loop.  They
-   have not been passed over yet, and all are placed: none is rejected for a
-   queue that is none.  */
+/* An idle account sends many requests in one loop iteration.  No placement
+   round has tried them yet, so none may be refused for the queue before it;
+   all are placed.  */
 static void
 test_burst_of_idle_account (void)
 {
@@ -275,10 +277,12 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/rly-share/given-back", test_given_back);
-  g_test_add_func ("/rly-share/behind", test_behind);
-  g_test_add_func ("/rly-share/late-told-at-once", test_late_told_at_once);
-  g_test_add_func ("/rly-share/late-takes-spare", test_late_takes_spare);
+  g_test_add_func ("/rly-share/rejected-not-served", test_rejected_not_served);
+  g_test_add_func ("/rly-share/underserved", test_underserved);
+  g_test_add_func ("/rly-share/late-refused-at-once",
+                   test_late_refused_at_once);
+  g_test_add_func ("/rly-share/late-uses-spare-capacity",
+                   test_late_uses_spare_capacity);
   g_test_add_func ("/rly-share/early-reject", test_early_reject);
   g_test_add_func ("/rly-share/burst-of-idle-account",
                    test_burst_of_idle_account);
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -1,5 +1,5 @@
-/* The relay between callers and endpoints over real connections: what a caller
-   gets for each thing that an endpoint may do, and what endpoints get.  */
+/* The relay over real connections: the answer that a caller gets for each
+   behaviour of an endpoint, and the requests that endpoints get.  */
 
 #include "test-rly-scene.h"
 
@@ -33,9 +33,9 @@
   const char *call;
   scene_reply_t replies[3];
   unsigned reply_count;
-  const char *answer;         /* its beginning */
-  const char *contains;       /* further in it; NULL: not looked at */
-  unsigned expected_requests; /* requests at all endpoints */
+  const char *answer;         /* its first bytes */
+  const char *contains;       /* found in the answer; NULL: not checked */
+  unsigned expected_requests; /* at all endpoints */
   bool is_truncated; /* the connection ends without the answer's end */
 } case_t;
 
@@ -48,8 +48,8 @@
     "Content-Length: 3\r\n\r\nabc",
     1,
     false },
-  /* The endpoint's own word that nothing ran: another may have it, where the
-     route lets two endpoints try.  */
+  /* The endpoint rejected the request: another one may get it, on a route that
+     allows two attempts.  */
   { "not-run-elsewhere",
     CALL ("/twice/", "1"),
     { { NOT_RUN, SCENE_KEEP_OPEN }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
@@ -66,7 +66,8 @@
     "Retry-After: 0.",
     1,
     false },
-  /* Closed without an answer: it may have run, and runs once at most.  */
+  /* Closed without an answer: the request may have run, and must not be sent
+     again on an at-most-once route.  */
   { "broken-once",
     CALL ("/once/", "1"),
     { { "", SCENE_RESET }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
@@ -83,8 +84,9 @@
     "\r\n\r\nx",
     2,
     false },
-  /* A status that promises "not run", which the endpoint did not say.  */
-  { "busy-without-word",
+  /* A status that would tell the caller "not run", which the endpoint did not
+     say.  */
+  { "busy-without-not-run",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 503 Busy\r\nX-Id: %I\r\nContent-Length: 0\r\n\r\n",
         SCENE_KEEP_OPEN } },
@@ -93,7 +95,7 @@
     NULL,
     1,
     false },
-  { "own-error",
+  { "endpoint-error",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 500 No\r\nX-Id: %I\r\nX-Stamp: s\r\nContent-Length: "
         "2\r\n\r\n"
@@ -132,7 +134,7 @@
     NULL,
     1,
     false },
-  /* A second answer to an earlier request comes where this one's is due.  */
+  /* A second answer to an earlier request arrives before this one's.  */
   { "other-answer-first",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: 77\r\nX-Stamp: s\r\nContent-Length: "
@@ -170,7 +172,7 @@
     "data: b\n\n\r\n0\r\n\r\n",
     1,
     false },
-  { "events-go-on-elsewhere",
+  { "events-resume-elsewhere",
     CALL ("/events/", "1"),
     { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE },
       { EVENTS E2 E3 END, SCENE_KEEP_OPEN } },
@@ -179,7 +181,7 @@
     "data: c\n\n\r\n0\r\n\r\n",
     2,
     false },
-  { "events-break-off",
+  { "events-truncated",
     CALL ("/events-once/", "1"),
     { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE } },
     1,
@@ -241,8 +243,8 @@
   scene_free (scene);
 }
 
-/* Fields that the endpoint gets: the caller's own but its key and those that
-   only the router may set; the account, the endpoint's id, the time left.  */
+/* The endpoint gets the caller's fields except for the key and the reserved
+   ones, and the client account, the endpoint's id and the time left.  */
 static void
 test_fields (void)
 {
@@ -279,8 +281,8 @@
   scene_free (scene);
 }
 
-/* A stream goes on at another endpoint, which is told the last event that the
-   caller has: not the half one that came after it.  */
+/* A stream resumes at another endpoint after the last complete event that the
+   caller has, not after the partial one that followed it.  */
 static void
 test_last_event (void)
 {
@@ -298,8 +300,8 @@
   scene_free (scene);
 }
 
-/* An address on which nobody listens got nothing, so that a request which may
-   run once goes on to another endpoint.  */
+/* A request that can't reach an endpoint was not sent, so it goes to another
+   one even on an at-most-once route.  */
 static void
 test_unreached (void)
 {
@@ -333,8 +335,8 @@
   return ((scene_t *)user)->requests_received > 0;
 }
 
-/* The caller leaves while its request runs: the connection to the endpoint
-   ends, whereupon the endpoint drops the work.  */
+/* The caller disconnects while its request runs.  The connection to the
+   endpoint must be closed, so that the endpoint drops the work.  */
 static void
 test_caller_leaves (void)
 {
@@ -355,9 +357,9 @@
   return rly_counts (((scene_t *)user)->rly)->disconnected > 0;
 }
 
-/* The router is behind: when it comes to read a request, its caller has given
-   up and closed the connection.  The end lies behind the request's bytes; no
-   endpoint may get it.  */
+/* A busy router reads a request after its caller has closed the connection.
+   The end of the connection is read after the request's bytes; no endpoint may
+   get the request.  */
 static void
 test_left_before_read (void)
 {
@@ -380,9 +382,9 @@
   scene_free (scene);
 }
 
-/* Load pattern: more requests than slots.  The second waits here, since the
-   endpoint is full, and is refused when its answer could no longer be in time,
-   long before its deadline; the endpoint never hears of it.  */
+/* Load pattern: more requests than slots.  The second request waits, since the
+   endpoint is full.  It must be refused when its answer could no longer be in
+   time, long before its deadline, and never be sent to the endpoint.  */
 static void
 test_refused_in_time (void)
 {
@@ -402,7 +404,7 @@
   g_assert_nonnull (strstr (second->text->str, "Retry-After: 0."));
   g_assert_cmpint (clock_now () - begun, <, 4000);
   g_assert_cmpuint (scene->requests_received, ==, 1);
-  /* Callers ask again on a new connection; this one would stay open, idle.  */
+  /* Callers send a retry on a new connection; this one would stay open.  */
   scene_wait_for (scene, second, NULL);
   scene_caller_free (first);
   scene_caller_free (second);
@@ -426,10 +428,9 @@
   return ((scene_t *)user)->requests_received >= 2;
 }
 
-/* Load pattern: a long request before short ones.  The endpoint is reading a
-   long prompt; the next long one of the account would come too late behind it
-   and waits.  The short one that came after it is sent all the same, and
-   first.  */
+/* Load pattern: a long request before short ones.  The endpoint prefills a
+   long prompt; the next long one of the account would be late behind it and
+   waits.  The short request that arrives after it must be sent first.  */
 static void
 test_short_past_long (void)
 {
@@ -451,9 +452,8 @@
   scene_free (scene);
 }
 
-/* Callers connect and stay idle until the most connections are open: the idle
-   ones end, though the configuration lets them stay for a minute, so that
-   others can connect.  */
+/* Idle callers reach the limit of connections.  Idle connections must be
+   closed before their configured time-out, so that others can connect.  */
 static void
 test_idle_connections (void)
 {
@@ -474,8 +474,8 @@
   scene_free (scene);
 }
 
-/* An endpoint accepts and stays silent: a request that may run twice is sent
-   to the other one.  */
+/* An endpoint accepts a request and doesn't answer: an idempotent request is
+   sent to the other endpoint.  */
 static void
 test_silent_endpoint (void)
 {
@@ -491,7 +491,7 @@
   scene_free (scene);
 }
 
-/* Two requests on one connection, sent together: two answers, in order.  */
+/* Two pipelined requests get two answers, in order.  */
 static void
 test_pipelined (void)
 {
@@ -508,8 +508,9 @@
   scene_free (scene);
 }
 
-/* Before the first configuration nothing can be said of a route or a key: the
-   caller is told to come back, never that they don't exist.  */
+/* A relay that refuses new requests, for shutdown or for want of a
+   configuration, can't tell whether a route or key exists.  It must answer
+   503, never 404 or 401.  */
 static void
 test_closed (void)
 {
@@ -525,7 +526,7 @@
   scene_free (scene);
 }
 
-/* An older configuration never comes back.  */
+/* An older configuration doesn't replace a newer one.  */
 static void
 test_table_never_older (void)
 {
