--- a/libcoltsfootdrum/relay/test-edp.c
+++ b/libcoltsfootdrum/relay/test-edp.c
@@ -290,7 +290,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/edp/missing", test_missing);
-  g_test_add_func ("/edp/restarted", test_restarted);
+  g_test_add_func ("/edp/born-again", test_restarted);
   g_test_add_func ("/edp/cold", test_warm_up_rate);
   for (unsigned i = 0; i < G_N_ELEMENTS (cold_cases); i++)
     {
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -141,7 +141,7 @@
     1,
     NO_ENDPOINT },
   /* An account above its fair share leaves some of the slots to others.  */
-  { "throttled",
+  { "held-back",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 300.,
@@ -153,7 +153,7 @@
         .pending_prefill = 2000. } },
     2,
     1 },
-  { "throttled-waits",
+  { "held-back-waits",
     { .base_ms = 50.,
       .ms_per_token = 0.01,
       .time_left_ms = 300.,
--- a/libcoltsfootdrum/relay/test-rly-share.c
+++ b/libcoltsfootdrum/relay/test-rly-share.c
@@ -277,8 +277,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/rly-share/rejected-not-served", test_rejected_not_served);
-  g_test_add_func ("/rly-share/underserved", test_underserved);
+  g_test_add_func ("/rly-share/given-back", test_rejected_not_served);
+  g_test_add_func ("/rly-share/behind", test_underserved);
   g_test_add_func ("/rly-share/late-refused-at-once",
                    test_late_refused_at_once);
   g_test_add_func ("/rly-share/late-uses-spare-capacity",
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -86,7 +86,7 @@
     false },
   /* A status that would tell the caller "not run", which the endpoint did not
      say.  */
-  { "busy-without-not-run",
+  { "busy-without-word",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 503 Busy\r\nX-Id: %I\r\nContent-Length: 0\r\n\r\n",
         SCENE_KEEP_OPEN } },
@@ -181,7 +181,7 @@
     "data: c\n\n\r\n0\r\n\r\n",
     2,
     false },
-  { "events-truncated",
+  { "events-break-off",
     CALL ("/events-once/", "1"),
     { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE } },
     1,
