--- a/libcoltsfootdrum/relay/bud.c
+++ b/libcoltsfootdrum/relay/bud.c
@@ -1,4 +1,4 @@
-/* Budget of repeats.  */
+/* Retry budget: counts over a sliding window.  */
 
 #include "relay/bud.h"
 
@@ -13,7 +13,7 @@
   bud->min_retries = min_retries;
 }
 
-/* Moves the window on; returns the newest part's place.  */
+/* Advances the window to NOW; returns the index of the newest bucket.  */
 static int
 advance_window (bud_t *bud, cfd_time_t now)
 {
--- a/libcoltsfootdrum/relay/bud.h
+++ b/libcoltsfootdrum/relay/bud.h
@@ -1,9 +1,9 @@
-/* Budget of repeats: how often a service's requests may be sent once more.
+/* Retry budget.  Limits how often a service's requests are sent again.
 
    Load pattern: endpoints that fail or refuse many requests at once.  Without
-   a bound each failure brings another send, and the load grows as capacity
-   falls.  The budget is a share of the requests that came lately, and a fixed
-   part for quiet times.  */
+   a limit each failure causes another send, and the load grows as the capacity
+   falls.  The budget is a share of the recent requests, plus a fixed number
+   for times of low load.  */
 
 #ifndef RELAY_BUD_H
 #define RELAY_BUD_H
@@ -13,21 +13,21 @@
 
 #define BUD_BUCKETS 10
 
-/* Counts over a sliding window, in BUD_BUCKETS parts.  */
+/* Counts over a sliding window of BUD_BUCKETS buckets.  */
 typedef struct
 {
   int64_t window_ms;
-  double ratio;       /* repeats for each request */
-  double min_retries; /* repeats that are always allowed in a window */
+  double ratio;       /* retries per request */
+  double min_retries; /* retries per window allowed without requests */
   double requests[BUD_BUCKETS];
   double retries[BUD_BUCKETS];
-  int64_t bucket; /* number of the newest part */
+  int64_t bucket; /* number of the newest bucket since time 0 */
 } bud_t;
 
 void bud_init (bud_t *bud, int64_t window_ms, double ratio,
                double min_retries);
 void bud_count_request (bud_t *bud, cfd_time_t now);
-/* Counts a repeat and returns true when the budget has room for it.  */
+/* Counts a retry and returns true when the budget allows it.  */
 bool bud_try_retry (bud_t *bud, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/relay/fit.c
+++ b/libcoltsfootdrum/relay/fit.c
@@ -1,12 +1,14 @@
-/* Least squares with forgetting.  */
+/* Linear fit: least squares with exponential decay.  */
 
 #include "relay/fit.h"
 
 #include <math.h>
 
-/* Each sample leaves so much of the former ones: some hundred count.  */
+/* Factor applied to the weight of older samples at each new one; about the
+   last hundred samples count.  */
 #define DECAY 0.99
-/* What the first line weighs, in samples, and where it was seen.  */
+/* Weight of the initial line in samples, and the x of the second of its two
+   points.  The first is at 0.  */
 #define PRIOR_WEIGHT 10.
 #define PRIOR_X 10000.
 
--- a/libcoltsfootdrum/relay/fit.h
+++ b/libcoltsfootdrum/relay/fit.h
@@ -1,20 +1,21 @@
-/* A straight line through samples that come one after the other, old ones
-   fading out: how long a first token takes, by the work before it.  */
+/* Linear fit.  Fits a line through a stream of samples by least squares, with
+   exponentially decreasing weights for older ones.  The relay estimates the
+   time to first token with it, from the prefill work.  */
 
 #ifndef RELAY_FIT_H
 #define RELAY_FIT_H
 
+/* Weighted sums over all samples.  */
 typedef struct
 {
-  double weight; /* of all samples */
-  double x;      /* weighted sums */
+  double weight;
+  double x;
   double y;
   double xx;
   double xy;
 } fit_t;
 
-/* Begins with the line BASE + SLOPE * x, as if that had been seen some times.
- */
+/* Starts with the line BASE + SLOPE * x, which counts as several samples.  */
 void fit_init (fit_t *fit, double base, double slope);
 void fit_add (fit_t *fit, double x, double y);
 double fit_slope (const fit_t *fit);
--- a/libcoltsfootdrum/relay/lag.c
+++ b/libcoltsfootdrum/relay/lag.c
@@ -1,4 +1,4 @@
-/* Sums of time by kind of work.  */
+/* Loop lag: sums of time by kind of work.  */
 
 #include "relay/lag.h"
 
@@ -10,8 +10,8 @@
   struct ev_loop *loop;
   ev_prepare before_poll;
   ev_check after_poll;
-  lag_kind_t kind; /* of the present work */
-  int64_t since;   /* microseconds */
+  lag_kind_t kind; /* of the current work */
+  int64_t since;   /* when it started, in microseconds */
   lag_sums_t sums;
   int64_t total_us[LAG_KINDS]; /* since the start */
 };
@@ -60,7 +60,7 @@
   ev_check_init (&lag->after_poll, on_poll_ended);
   lag->before_poll.data = lag;
   lag->after_poll.data = lag;
-  /* The last before the wait, and the first after it.  */
+  /* The last callback before the wait for events, the first after it.  */
   ev_set_priority (&lag->before_poll, EV_MINPRI);
   ev_set_priority (&lag->after_poll, EV_MAXPRI);
   ev_prepare_start (loop, &lag->before_poll);
--- a/libcoltsfootdrum/relay/lag.h
+++ b/libcoltsfootdrum/relay/lag.h
@@ -1,9 +1,10 @@
-/* Loop lag: on what the turns of the event loop spend their time.
+/* Loop lag.  Measures the time that the event loop spends on each kind of
+   work.
 
    Load pattern: an instance with a small share of a processor and more
-   connections and datagrams than it can take.  Its loop then turns a few times
-   a second, and all that it does comes late; the figures tell which kind of
-   work takes the time.  */
+   connections and datagrams than it can handle.  Its loop then runs only a few
+   iterations a second, and everything it does is late; the sums show which
+   kind of work takes the time.  */
 
 #ifndef RELAY_LAG_H
 #define RELAY_LAG_H
@@ -15,43 +16,43 @@
 typedef enum
 {
   LAG_IDLE,      /* waiting for events */
-  LAG_ACCEPT,    /* new connections of callers */
-  LAG_DATAGRAMS, /* of the other routers */
-  LAG_CALLERS,   /* reading requests, and refusing them */
-  LAG_ENDPOINTS, /* reading answers and passing them on */
+  LAG_ACCEPT,    /* accepting callers' connections */
+  LAG_DATAGRAMS, /* reading other routers' datagrams */
+  LAG_CALLERS,   /* reading and refusing requests */
+  LAG_ENDPOINTS, /* reading and forwarding answers */
   LAG_PLACEMENT, /* choosing endpoints and sending requests */
-  LAG_TICK,      /* what is done at set times */
+  LAG_TICK,      /* periodic work */
   LAG_OTHER,
   LAG_KINDS
 } lag_kind_t;
 
 typedef struct
 {
-  unsigned turns;
+  unsigned turns;            /* iterations of the loop */
   int64_t us[LAG_KINDS];     /* microseconds */
   unsigned count[LAG_KINDS]; /* units of work: connections, datagrams, ... */
 } lag_sums_t;
 
 typedef struct lag lag_t;
 
-/* Counts the turns of LOOP from now on; NOW_US as of clock_now_us.  */
+/* Starts to measure LOOP.  NOW_US is the time from clock_now_us.  */
 lag_t *lag_new (struct ev_loop *loop, int64_t now_us);
 void lag_free (lag_t *lag);
 
-/* Work of KIND begins; what was under way is returned, for lag_leave.  LAG may
-   be NULL in both: nothing is counted then.  */
+/* Starts work of KIND.  Returns the kind of work that it interrupts, to be
+   given to lag_leave.  Both functions do nothing when LAG is NULL.  */
 lag_kind_t lag_enter (lag_t *lag, lag_kind_t kind);
-/* The work ends, after COUNT units of it.  */
+/* Ends the work, after COUNT units, and continues the kind BEFORE.  */
 void lag_leave (lag_t *lag, lag_kind_t before, unsigned count);
 
-/* The sums since the last call; they begin anew.  */
+/* Returns the sums since the last call and resets them.  */
 lag_sums_t lag_take_sums (lag_t *lag);
 
-/* Appends the time of each kind since the start, in Prometheus' text format.
- */
+/* Appends the time spent on each kind since the start to OUT, in Prometheus'
+   text format.  */
 void lag_append_metrics (const lag_t *lag, GString *out);
 
-/* "turns=3 idle_ms=1 accept_ms=..."; free with g_free.  */
+/* Returns SUMS as "turns=3 idle_ms=1 accept_ms=..."; free with g_free.  */
 char *lag_format (const lag_sums_t *sums);
 
 #endif
--- a/libcoltsfootdrum/relay/mech.c
+++ b/libcoltsfootdrum/relay/mech.c
@@ -1,4 +1,4 @@
-/* Names of mechanisms.  */
+/* Mechanisms: names and descriptions.  */
 
 #include "relay/mech.h"
 
@@ -19,20 +19,21 @@
   { "prefix-wait", MECH_PREFIX_WAIT,
     "a request waits for an endpoint that caches its prefix" },
   { "throttle", MECH_THROTTLE,
-    "accounts above the fair level leave a part of the capacity" },
+    "accounts above the fair level leave part of the capacity to others" },
   { "late-last", MECH_LATE_LAST,
-    "requests past their latency objective go last" },
+    "requests past their target latency go last" },
   { "early-reject", MECH_EARLY_REJECT,
-    "what can't be in time behind its account's queue is rejected on "
-    "arrival" },
+    "a request that can't be in time behind its account's queue is refused "
+    "on arrival" },
   { "zone-cost", MECH_ZONE_COST,
-    "endpoints of the own availability zone are preferred" },
+    "endpoints in the router's own availability zone are preferred" },
   { "reject-pause", MECH_REJECT_PAUSE,
     "an endpoint that rejects requests gets a short pause" },
   { "load-readiness", MECH_LOAD_READINESS,
-    "a router that can't accept all connections says that it isn't ready" },
+    "a router that can't accept all connections reports that it isn't "
+    "ready" },
   { "peer-updates", MECH_PEER_UPDATES,
-    "changes of the store's lists are taken from the router that read them" },
+    "changes of the store's lists come from the router that read them" },
 };
 
 static const mech_row_t *
--- a/libcoltsfootdrum/relay/mech.h
+++ b/libcoltsfootdrum/relay/mech.h
@@ -1,5 +1,5 @@
-/* Mechanisms: parts of the relay's decisions that can be switched off one by
-   one, to measure what each is worth.  */
+/* Mechanisms.  Parts of the relay's decisions that can be disabled one by one,
+   to measure the effect of each.  */
 
 #ifndef RELAY_MECH_H
 #define RELAY_MECH_H
@@ -21,11 +21,11 @@
   MECH_PEER_UPDATES = 1u << 9
 } mech_t;
 
-/* The bits of NAMES, separated by commas; NULL names none.  False with
-   CFD_ERROR_SETTING when a name isn't known.  */
+/* Parses NAMES, separated by commas, into BITS; NULL stands for none.  Returns
+   false with CFD_ERROR_SETTING when a name is unknown.  */
 bool mech_parse (const char *names, unsigned *bits, GError **error);
 
-/* A line for each mechanism, "NAME: what it does".  Free with g_free.  */
+/* Returns a line "NAME: description" for each mechanism; free with g_free.  */
 char *mech_help (void);
 
 #endif
--- a/libcoltsfootdrum/relay/ret.c
+++ b/libcoltsfootdrum/relay/ret.c
@@ -1,4 +1,4 @@
-/* Callers who were refused.  */
+/* Returning callers: refusals of this router and of others.  */
 
 #include "relay/ret.h"
 
@@ -6,16 +6,16 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A caller who comes back does so within this time.  */
+/* Callers who retry do so within this time after the refusal.  */
 #define MAX_RETURN_MS 8000
-/* Bounds the memory under a flood of refusals.  */
+/* Limits the memory under a flood of refusals.  */
 #define MAX_CALLERS 16384
-/* Keys are short in datagrams; among some thousand refusals two hardly meet.
- */
+/* 40 bits keep datagrams short; among some thousand refusals collisions are
+   unlikely.  */
 #define KEY_MASK UINT64_C (0xffffffffff)
 
-/* Clocks of routers and the way back differ by less; and a caller may come a
-   little before its time.  */
+/* A retry may arrive this much before its time: the routers' clocks and the
+   network delays differ by less, and a caller may be slightly early.  */
 #define EARLY_RETURN_SLACK_MS 20
 
 typedef struct
@@ -30,9 +30,9 @@
 struct ret
 {
   GHashTable *callers;  /* key to ret_caller_t */
-  list_node_t order;    /* the same, who was refused first comes first */
+  list_node_t order;    /* the same, the earliest refusal first */
   GArray *updates;      /* ret_update_t, the oldest first */
-  uint64_t last_number; /* given to updates */
+  uint64_t last_number; /* of the updates */
 };
 
 static void
--- a/libcoltsfootdrum/relay/ret.h
+++ b/libcoltsfootdrum/relay/ret.h
@@ -1,10 +1,11 @@
-/* Returning callers: who was refused and asks again, at whichever router.
+/* Returning callers.  Recognizes callers who retry after a refusal, at any
+   router.
 
-   Load pattern: callers who were refused all come back.  An answer's time
-   counts from their first try, so that most of them are past their latency
-   objective; where capacity is short it does more good to a caller who just
-   came.  A prompt's last part is the request's own, so that the same prompt of
-   the same account within some seconds is the same request.  */
+   Load pattern: all refused callers retry.  The latency of an answer counts
+   from the first attempt, so most of them are past their target latency;
+   scarce capacity does more good to a caller who has just arrived.  The last
+   part of a prompt is specific to the request, so the same prompt of the same
+   account within some seconds is taken for the same request.  */
 
 #ifndef RELAY_RET_H
 #define RELAY_RET_H
@@ -20,42 +21,44 @@
 void ret_free (ret_t *ret);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (ret_t, ret_free)
 
-/* By which a request is known again: its account, the text of its prompt's
-   parts and its body.  */
+/* Returns the key that identifies a request and its retries: a hash of its
+   account, its prompt field and its body.  */
 uint64_t ret_request_key (const char *account, const char *prompt,
                           const void *body, size_t length);
 
-/* The caller of KEY, who first first_attempt at ASKED, was refused and told to
-   come back at BACK_AT.  */
+/* Records that the caller of KEY was refused and told to retry at RETRY_AT.
+   FIRST_ATTEMPT is the time of its first attempt.  */
 void ret_add_refusal (ret_t *ret, cfd_time_t now, uint64_t key,
                       cfd_time_t first_attempt, cfd_time_t retry_at);
 
-/* When the caller of KEY, who asks now, first first_attempt.  One refusal
-   stands for one return, and a caller who asks before it was told to is
-   another one with the same request.  */
+/* Returns when the caller of KEY, whose request arrives now, made its first
+   attempt, and removes the refusal: each refusal accounts for one retry.  A
+   request that arrives before the time given to the refused caller is from
+   another caller with the same request.  */
 cfd_time_t ret_take_first_attempt (ret_t *ret, cfd_time_t now, uint64_t key);
 
-/* A caller of KEY is being served: who asks the same later has not come back
-   from a refusal before that.  */
+/* Removes the refusal of KEY, since a caller with that request is being
+   served. A later request with this key is no retry of an earlier refusal.  */
 void ret_mark_served (ret_t *ret, uint64_t key);
 
-/* A refusal that the other routers are to be told of.  */
+/* A refusal to send to the other routers.  */
 typedef struct
 {
   uint64_t key;
   cfd_time_t first_attempt;
   cfd_time_t retry_at;
-  uint64_t number; /* counts up */
+  uint64_t number; /* sequence number */
   cfd_time_t at;
 } ret_update_t;
 
-/* Refusals since SINCE; valid until the next call.  */
+/* Returns the refusals at this router since SINCE, valid until the next call.
+   Drops older ones.  */
 const GArray *ret_updates (ret_t *ret, cfd_time_t since);
-/* Another router refused the caller of KEY.  */
+/* Records that another router refused the caller of KEY.  */
 void ret_add_peer_refusal (ret_t *ret, cfd_time_t now, uint64_t key,
                            cfd_time_t first_attempt, cfd_time_t retry_at);
 
-/* Forgets callers who didn't come back.  */
+/* Removes refusals whose callers didn't retry.  */
 void ret_sweep (ret_t *ret, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/relay/rte.c
+++ b/libcoltsfootdrum/relay/rte.c
@@ -1,4 +1,4 @@
-/* The routing table.  */
+/* Routes: the routing table.  */
 
 #include "relay/rte.h"
 
@@ -197,7 +197,7 @@
   return longest;
 }
 
-/* The path of TARGET without its query.  */
+/* Returns the length of TARGET's path, without the query.  */
 static size_t
 get_path_length (const char *target)
 {
--- a/libcoltsfootdrum/relay/test-lag.c
+++ b/libcoltsfootdrum/relay/test-lag.c
@@ -1,4 +1,4 @@
-/* Where the loop's time goes.  */
+/* Loop lag: the time of the loop by kind of work.  */
 
 #include "relay/lag.h"
 
@@ -16,7 +16,7 @@
     ;
 }
 
-/* Work inside other work counts for itself alone.  */
+/* The time of nested work counts for the inner kind alone.  */
 static void
 test_nested (void)
 {
--- a/libcoltsfootdrum/relay/test-parts.c
+++ b/libcoltsfootdrum/relay/test-parts.c
@@ -1,5 +1,5 @@
-/* Small parts of the relay: the routing table, prompts' parts, the budget of
-   repeats, the line through first tokens.  */
+/* Small modules of the relay: routes, prompt prefixes, the retry budget,
+   returning callers, the linear fit, header fields and mechanisms.  */
 
 #include "relay/bud.h"
 #include "relay/fit.h"
@@ -59,7 +59,7 @@
   { "no-host", "nobody.org", "/a/", NULL },
   { "no-prefix", "example.org", "/b/", NULL },
   { "not-whole-segment", "example.org", "/ab/", NULL },
-  /* A slash in the query is none of the path.  */
+  /* A slash in the query is not part of the path.  */
   { "query", "example.org", "/a/?x=/b/", "/a/" },
 };
 
@@ -108,8 +108,8 @@
     g_assert_null (pfx_prompt_parse (bad[i]));
 }
 
-/* What was sent to an endpoint is kept there for a while; a part alone,
-   without those before it, is another one.  */
+/* The prefix of a prompt counts as cached for a while at the endpoint that got
+   it.  A part matches only together with all parts before it.  */
 static void
 test_cached (void)
 {
@@ -129,8 +129,8 @@
                     0);
 }
 
-/* Another router's word: the last shared part alone, which stands for all
-   before it.  */
+/* An update from another router has only the last part of the shared prefix,
+   which identifies all parts before it.  */
 static void
 test_peer_update (void)
 {
@@ -149,8 +149,8 @@
   g_assert_cmpuint (pfx_get_updates (here, NOW + 1)->len, ==, 0);
 }
 
-/* Load pattern: every request fails.  Of 1,000 in a window a fifth and the
-   fixed part may be sent again, and no more however long it lasts.  */
+/* Load pattern: every request fails.  Of 1,000 requests in a window, a fifth
+   and the fixed number may be sent again, and no more.  */
 static void
 test_retry_budget (void)
 {
@@ -166,12 +166,12 @@
   g_assert_cmpuint (repeats, >=, 200);
   g_assert_cmpuint (repeats, <=, 250);
   g_assert_false (bud_try_retry (&bud, NOW + 9999));
-  /* An hour later all is forgotten.  */
+  /* An hour later the window is empty.  */
   g_assert_true (bud_try_retry (&bud, NOW + 3600000));
 }
 
-/* Load pattern: callers who were refused come back, with other deadlines and
-   ids than before.  */
+/* Load pattern: refused callers retry, with other deadlines and ids than
+   before.  */
 static void
 test_returning_caller (void)
 {
@@ -187,7 +187,7 @@
   g_assert_cmpint (ret_take_first_attempt (ret, NOW + 500, key), ==, NOW);
   g_assert_cmpint (ret_take_first_attempt (ret, NOW + 600, key), ==,
                    NOW + 600);
-  /* A caller who doesn't come back is forgotten.  */
+  /* The refusal of a caller who doesn't retry expires.  */
   ret_add_refusal (ret, NOW + 300, key, NOW, NOW + 400);
   ret_sweep (ret, NOW + 60000);
   g_assert_cmpint (ret_take_first_attempt (ret, NOW + 60000, key), ==,
@@ -195,8 +195,8 @@
   g_assert_cmpuint (ret_updates (ret, NOW + 60000)->len, ==, 0);
 }
 
-/* Two callers of one account ask the same.  One was refused, and one is being
-   served: who asks it next has not come back.  */
+/* Two callers of an account send the same request.  One is refused and one is
+   served: the next one with this request is not a retry.  */
 static void
 test_served_request (void)
 {
@@ -209,8 +209,8 @@
                    NOW + 500);
 }
 
-/* In a flood of refusals those are forgotten who were refused first: they have
-   come back already, or won't.  */
+/* In a flood of refusals the earliest are evicted: their callers have retried
+   already, or won't.  */
 static void
 test_evicts_oldest_refusal (void)
 {
@@ -289,8 +289,8 @@
   g_test_add_func ("/rte/accounts", test_accounts);
   g_test_add_func ("/rte/shares", test_shares);
   g_test_add_func ("/pfx/prompts", test_prompts);
-  g_test_add_func ("/pfx/kept", test_cached);
-  g_test_add_func ("/pfx/news", test_peer_update);
+  g_test_add_func ("/pfx/cached", test_cached);
+  g_test_add_func ("/pfx/peer-update", test_peer_update);
   g_test_add_func ("/bud/storm", test_retry_budget);
   g_test_add_func ("/ret/returns", test_returning_caller);
   g_test_add_func ("/parts/served-meanwhile", test_served_request);
--- a/libcoltsfootdrum/relay/test-use.c
+++ b/libcoltsfootdrum/relay/test-use.c
@@ -1,4 +1,4 @@
-/* Accounts' shares: the level, and who is above it.  */
+/* Usage of client accounts: the fair level and the ratios of usage to it.  */
 
 #include "relay/use.h"
 
@@ -15,13 +15,13 @@
     const char *account;
     double demand;
     double served;
-    double level_ratio; /* parts of the level */
+    double level_ratio;
     double due_ratio;
   } rows[5];
 } case_t;
 
-/* Load pattern: many small accounts beside a few large, several times over
-   capacity.  */
+/* Load pattern: many small accounts beside a few large ones, with several
+   times as much demand as capacity.  */
 static const case_t cases[] = {
   { "all-served", { { "a", 900, 900, 0, 1. }, { "b", 10, 10, 0, 1. } } },
   { "one-waits-a-moment",
@@ -32,8 +32,8 @@
     { { "a", 900, 400, 400. / 300., 400. / 300. },
       { "b", 900, 200, 200. / 300., 200. / 300. },
       { "c", 30, 30, 0.1, 1. } } },
-  /* An account that asks for less than the level is not held back for the
-     others, and counts in full.  */
+  /* An account with less demand than the level is served in full and not
+     throttled for the others.  */
   { "between",
     { { "a", 1000, 300, 1.5, 1.5 },
       { "b", 1000, 100, 0.5, 0.5 },
@@ -73,8 +73,8 @@
                                   100. / G_E, 1e-6);
 }
 
-/* What other routers served counts for an account's share here; a router that
-   fell silent is forgotten, and a newer word takes an older one's place.  */
+/* Usage at other routers counts for an account here.  A newer report replaces
+   an older one, and the reports of a removed router no longer count.  */
 static void
 test_peer_updates (void)
 {
@@ -92,8 +92,8 @@
   g_assert_cmpfloat (use_total (use, NOW, "a").served, ==, 15.);
 }
 
-/* Sums kept by differences stay equal to the sums added up anew, however often
-   routers speak, fall silent and speak again.  */
+/* Incrementally updated sums must stay equal to freshly added ones while
+   routers report, are removed and report again.  */
 static void
 test_differences (void)
 {
@@ -137,8 +137,8 @@
 
       g_test_add_data_func (path, &cases[i], test_case);
     }
-  g_test_add_func ("/use/fades", test_decay);
-  g_test_add_func ("/use/hears", test_peer_updates);
+  g_test_add_func ("/use/decay", test_decay);
+  g_test_add_func ("/use/peer-updates", test_peer_updates);
   g_test_add_func ("/use/differences", test_differences);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/relay/use.c
+++ b/libcoltsfootdrum/relay/use.c
@@ -1,4 +1,4 @@
-/* Usage of client accounts: sums with exponential decay, and the fair level.
+/* Usage of client accounts: sums with exponential decay and the fair level.
  */
 
 #include "relay/use.h"
@@ -6,13 +6,13 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Smaller sums of an account count as none.  */
+/* Smaller sums count as 0.  */
 #define EMPTY_SUM_TOKENS 1.
-/* With this share of all demand served nobody is held back: what waits right
-   now is demanded and not served yet.  */
+/* From this share on, all demand counts as served and no account is throttled:
+   requests that wait at the moment are demand that is not served yet.  */
 #define ALL_SERVED_SHARE 0.95
 
-/* A sum as of a moment; after the window it is down to 1/e.  */
+/* Sums as of the time AT.  They decay to 1/e within the window.  */
 typedef struct
 {
   use_sum_t sum;
@@ -22,7 +22,7 @@
 typedef struct
 {
   use_decayed_t own;
-  use_decayed_t others; /* the sum over PEERS, kept by differences */
+  use_decayed_t others; /* the sum over PEERS, updated incrementally */
   GHashTable *peers;    /* router to use_decayed_t */
 } use_account_t;
 
@@ -105,7 +105,8 @@
   add_to (use, &find_or_add_account (use, name)->own, now, demand, served);
 }
 
-/* All figures decay at one rate, so that their sum does too.  */
+/* Subtracts the sums of one router from those of all other routers.  All sums
+   decay at the same rate, and so does their total.  */
 static void
 subtract_peer (const use_t *use, use_account_t *account,
                const use_decayed_t *decayed, cfd_time_t now)
@@ -222,8 +223,8 @@
   return (x > y) - (x < y);
 }
 
-/* The level at which COUNT accounts with these DEMANDs, least first, take
-   WHOLE together.  */
+/* Returns the level at which COUNT accounts are served TOTAL together.  DEMAND
+   is sorted in ascending order.  */
 static double
 compute_level (const double *demand, guint count, double total)
 {
