--- a/libcoltsfootdrum/relay/test-rly-fixture.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -1,6 +1,6 @@
 /* Test fixture of the relay.  */
 
-#include "test-rly-fixture.h"
+#include "test-rly-scene.h"
 
 #include "base/list.h"
 #include <netinet/in.h>
@@ -15,7 +15,7 @@
 /* A connection at an endpoint.  */
 typedef struct
 {
-  fixture_server_t *server;
+  scene_server_t *server;
   con_t *con;
   rd_t *rd;
   GString *body;
@@ -43,8 +43,7 @@
 static void
 server_con_free (server_con_t *server_con)
 {
-  g_ptr_array_remove_fast (server_con->server->fixture->server_cons,
-                           server_con);
+  g_ptr_array_remove_fast (server_con->server->scene->server_cons, server_con);
   con_free (server_con->con);
   rd_free (server_con->rd);
   g_string_free (server_con->body, TRUE);
@@ -56,7 +55,7 @@
 on_head (void *user, rd_head_t *head)
 {
   server_con_t *server_con = user;
-  GString *last_request = server_con->server->fixture->last_request;
+  GString *last_request = server_con->server->scene->last_request;
 
   g_free (server_con->id);
   server_con->id = g_strdup (hdr_get (&head->fields, "X-Id"));
@@ -77,37 +76,36 @@
 static void
 reply (server_con_t *server_con)
 {
-  fixture_t *fixture = server_con->server->fixture;
-  unsigned turn = MIN (fixture->requests_received, fixture->reply_count - 1);
-  const fixture_reply_t *next = &fixture->replies[turn];
+  scene_t *scene = server_con->server->scene;
+  unsigned turn = MIN (scene->requests_received, scene->reply_count - 1);
+  const scene_reply_t *next = &scene->replies[turn];
   g_autofree char *text = NULL;
   g_auto (GStrv) parts = NULL;
 
-  fixture->requests_received++;
+  scene->requests_received++;
   server_con->server->requests++;
   if (next->bytes == NULL)
     return;
   parts = g_strsplit (next->bytes, "%I", -1);
   text = g_strjoinv (server_con->id != NULL ? server_con->id : "", parts);
   con_write (server_con->con, text, strlen (text));
-  if (next->then == FIXTURE_CLOSE)
+  if (next->then == SCENE_CLOSE)
     con_shutdown_after_flush (server_con->con);
 }
 
 static bool
-must_reset (const fixture_t *fixture)
+must_reset (const scene_t *scene)
 {
-  unsigned turn
-      = MIN (fixture->requests_received - 1, fixture->reply_count - 1);
+  unsigned turn = MIN (scene->requests_received - 1, scene->reply_count - 1);
 
-  return fixture->replies[turn].then == FIXTURE_RESET;
+  return scene->replies[turn].then == SCENE_RESET;
 }
 
 static void
 on_bytes (void *user, const char *bytes, size_t length)
 {
   server_con_t *server_con = user;
-  fixture_t *fixture = server_con->server->fixture;
+  scene_t *scene = server_con->server->scene;
 
   while (length > 0)
     {
@@ -117,12 +115,12 @@
         return;
       bytes += used;
       length -= used;
-      g_string_append_printf (fixture->last_request, "|body=%s",
+      g_string_append_printf (scene->last_request, "|body=%s",
                               server_con->body->str);
       g_string_truncate (server_con->body, 0);
       reply (server_con);
       rd_reset (server_con->rd);
-      if (!must_reset (fixture))
+      if (!must_reset (scene))
         continue;
       con_abort (server_con->con);
       server_con->con = NULL;
@@ -136,7 +134,7 @@
 {
   server_con_t *server_con = user;
 
-  server_con->server->fixture->closed_connections++;
+  server_con->server->scene->closed_connections++;
   server_con_free (server_con);
 }
 
@@ -155,11 +153,11 @@
   server_con->body = g_string_new (NULL);
   server_con->rd = rd_new (RD_REQUESTS, MAX_HEAD_BYTES, &reader, server_con);
   server_con->con = con_new_accepted (loop, fd, &wire, server_con);
-  g_ptr_array_add (server_con->server->fixture->server_cons, server_con);
+  g_ptr_array_add (server_con->server->scene->server_cons, server_con);
 }
 
 static void
-open_server (fixture_t *fixture, fixture_server_t *server)
+open_server (scene_t *scene, scene_server_t *server)
 {
   struct sockaddr_in addr = { 0 };
   socklen_t length = sizeof addr;
@@ -167,11 +165,11 @@
 
   g_assert_cmpint (fd, >=, 0);
   g_assert_cmpint (getsockname (fd, (struct sockaddr *)&addr, &length), ==, 0);
-  server->fixture = fixture;
+  server->scene = scene;
   server->port = ntohs (addr.sin_port);
   ev_io_init (&server->listener, on_accept, fd, EV_READ);
   server->listener.data = server;
-  ev_io_start (fixture->loop, &server->listener);
+  ev_io_start (scene->loop, &server->listener);
 }
 
 static edp_report_t *
@@ -201,20 +199,20 @@
 }
 
 void
-fixture_list_endpoints (fixture_t *fixture, unsigned hidden, bool dead,
-                        unsigned slots)
+scene_list_endpoints (scene_t *scene, unsigned hidden, bool dead,
+                      unsigned slots)
 {
   GPtrArray *reports = g_ptr_array_new ();
 
-  for (unsigned i = hidden; i < FIXTURE_ENDPOINTS; i++)
+  for (unsigned i = hidden; i < SCENE_ENDPOINTS; i++)
     {
       g_autofree char *id = g_strdup_printf ("e%u", i);
 
-      g_ptr_array_add (reports, report (id, fixture->servers[i].port, slots));
+      g_ptr_array_add (reports, report (id, scene->servers[i].port, slots));
     }
   if (dead)
     g_ptr_array_add (reports, report ("dead", find_unused_port (), slots));
-  edp_set_update (fixture->endpoints, clock_now (), reports, true, 0);
+  edp_set_update (scene->endpoints, clock_now (), reports, true, 0);
 }
 
 static rte_route_t *
@@ -280,114 +278,112 @@
 static void
 on_tick (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  fixture_t *fixture = timer->data;
+  scene_t *scene = timer->data;
   cfd_time_t now = clock_now ();
 
-  rly_tick (fixture->rly, now);
-  ent_tick (fixture->ent, now);
+  rly_tick (scene->rly, now);
+  ent_tick (scene->ent, now);
 }
 
 static void
 on_timeout (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  ((fixture_t *)timer->data)->timed_out = true;
+  ((scene_t *)timer->data)->timed_out = true;
 }
 
-fixture_t *
-fixture_new (const fixture_reply_t *replies, unsigned count, unsigned slots)
+scene_t *
+scene_new (const scene_reply_t *replies, unsigned count, unsigned slots)
 {
   static const ent_ops_t front = { rly_on_request, rly_on_disconnect };
   static const rly_settings_t bounds = { .retry_window_ms = 10000,
                                          .retry_ratio = 0.2,
                                          .retry_slack = 50.,
                                          .share_window_ms = 4000 };
-  fixture_t *fixture = g_new0 (fixture_t, 1);
+  scene_t *scene = g_new0 (scene_t, 1);
   g_autoptr (rte_table_t) table = make_table ();
 
-  fixture->loop = ev_loop_new (EVFLAG_AUTO);
-  fixture->replies = replies;
-  fixture->reply_count = count;
-  fixture->last_request = g_string_new (NULL);
-  fixture->server_cons = g_ptr_array_new ();
-  fixture->endpoints = edp_set_new (fixture->loop);
-  fixture->use = use_new (bounds.share_window_ms);
-  fixture->pfx = pfx_new ();
-  fixture->ret = ret_new ();
-  fixture->rly = rly_new (fixture->loop, &names, &bounds, fixture->endpoints,
-                          fixture->use, fixture->pfx, fixture->ret);
-  fixture->ent
-      = ent_new (fixture->loop, "127.0.0.1:0", &front, fixture->rly, NULL);
-  g_assert_nonnull (fixture->ent);
-  for (unsigned i = 0; i < FIXTURE_ENDPOINTS; i++)
-    open_server (fixture, &fixture->servers[i]);
-  rly_set_table (fixture->rly, table);
-  fixture_list_endpoints (fixture, 0, false, slots);
-  ev_timer_init (&fixture->tick, on_tick, 0., RLY_TICK_MS / 1000.);
-  fixture->tick.data = fixture;
-  ev_timer_start (fixture->loop, &fixture->tick);
-  return fixture;
+  scene->loop = ev_loop_new (EVFLAG_AUTO);
+  scene->replies = replies;
+  scene->reply_count = count;
+  scene->last_request = g_string_new (NULL);
+  scene->server_cons = g_ptr_array_new ();
+  scene->endpoints = edp_set_new (scene->loop);
+  scene->use = use_new (bounds.share_window_ms);
+  scene->pfx = pfx_new ();
+  scene->ret = ret_new ();
+  scene->rly = rly_new (scene->loop, &names, &bounds, scene->endpoints,
+                        scene->use, scene->pfx, scene->ret);
+  scene->ent = ent_new (scene->loop, "127.0.0.1:0", &front, scene->rly, NULL);
+  g_assert_nonnull (scene->ent);
+  for (unsigned i = 0; i < SCENE_ENDPOINTS; i++)
+    open_server (scene, &scene->servers[i]);
+  rly_set_table (scene->rly, table);
+  scene_list_endpoints (scene, 0, false, slots);
+  ev_timer_init (&scene->tick, on_tick, 0., RLY_TICK_MS / 1000.);
+  scene->tick.data = scene;
+  ev_timer_start (scene->loop, &scene->tick);
+  return scene;
 }
 
 void
-fixture_free (fixture_t *fixture)
+scene_free (scene_t *scene)
 {
   g_autoptr (GPtrArray) server_cons = NULL;
 
-  ev_timer_stop (fixture->loop, &fixture->tick);
-  rly_free (fixture->rly);
-  ent_free (fixture->ent);
-  edp_set_free (fixture->endpoints);
-  server_cons = g_steal_pointer (&fixture->server_cons);
-  fixture->server_cons = g_ptr_array_new ();
+  ev_timer_stop (scene->loop, &scene->tick);
+  rly_free (scene->rly);
+  ent_free (scene->ent);
+  edp_set_free (scene->endpoints);
+  server_cons = g_steal_pointer (&scene->server_cons);
+  scene->server_cons = g_ptr_array_new ();
   for (guint i = 0; i < server_cons->len; i++)
     server_con_free (g_ptr_array_index (server_cons, i));
-  for (unsigned i = 0; i < FIXTURE_ENDPOINTS; i++)
+  for (unsigned i = 0; i < SCENE_ENDPOINTS; i++)
     {
-      ev_io_stop (fixture->loop, &fixture->servers[i].listener);
-      close (fixture->servers[i].listener.fd);
+      ev_io_stop (scene->loop, &scene->servers[i].listener);
+      close (scene->servers[i].listener.fd);
     }
-  use_free (fixture->use);
-  pfx_free (fixture->pfx);
-  ret_free (fixture->ret);
-  ev_loop_destroy (fixture->loop);
-  g_ptr_array_unref (fixture->server_cons);
-  g_string_free (fixture->last_request, TRUE);
-  g_free (fixture);
+  use_free (scene->use);
+  pfx_free (scene->pfx);
+  ret_free (scene->ret);
+  ev_loop_destroy (scene->loop);
+  g_ptr_array_unref (scene->server_cons);
+  g_string_free (scene->last_request, TRUE);
+  g_free (scene);
 }
 
 static void
 on_caller_bytes (void *user, const char *bytes, size_t length)
 {
-  g_string_append_len (((fixture_caller_t *)user)->text, bytes,
-                       (gssize)length);
+  g_string_append_len (((scene_caller_t *)user)->text, bytes, (gssize)length);
 }
 
 static void
 on_caller_ended (void *user, con_end_t end)
 {
-  ((fixture_caller_t *)user)->ended = true;
+  ((scene_caller_t *)user)->ended = true;
 }
 
-fixture_caller_t *
-fixture_send_request (fixture_t *fixture, const char *bytes)
+scene_caller_t *
+scene_send_request (scene_t *scene, const char *bytes)
 {
   static const con_ops_t wire
       = { .bytes = on_caller_bytes, .ended = on_caller_ended };
-  fixture_caller_t *caller = g_new0 (fixture_caller_t, 1);
+  scene_caller_t *caller = g_new0 (scene_caller_t, 1);
   g_autofree char *text
-      = g_strdup_printf ("127.0.0.1:%u", ent_get_port (fixture->ent));
+      = g_strdup_printf ("127.0.0.1:%u", ent_get_port (scene->ent));
   addr_t addr;
 
   g_assert_true (addr_parse (text, &addr, NULL));
   caller->text = g_string_new (NULL);
-  caller->con = con_new_outbound (fixture->loop, &addr, &wire, caller);
+  caller->con = con_new_outbound (scene->loop, &addr, &wire, caller);
   g_assert_nonnull (caller->con);
   con_write (caller->con, bytes, strlen (bytes));
   return caller;
 }
 
 void
-fixture_caller_free (fixture_caller_t *caller)
+scene_caller_free (scene_caller_t *caller)
 {
   con_free (caller->con);
   g_string_free (caller->text, TRUE);
@@ -395,21 +391,21 @@
 }
 
 void
-fixture_run (fixture_t *fixture, bool (*done) (void *user), void *user)
+scene_run (scene_t *scene, bool (*done) (void *user), void *user)
 {
-  fixture->timed_out = false;
-  ev_timer_init (&fixture->timeout, on_timeout, TIMEOUT_S, 0.);
-  fixture->timeout.data = fixture;
-  ev_timer_start (fixture->loop, &fixture->timeout);
-  while (!done (user) && !fixture->timed_out)
-    ev_run (fixture->loop, EVRUN_ONCE);
-  ev_timer_stop (fixture->loop, &fixture->timeout);
-  g_assert_false (fixture->timed_out);
+  scene->timed_out = false;
+  ev_timer_init (&scene->timeout, on_timeout, TIMEOUT_S, 0.);
+  scene->timeout.data = scene;
+  ev_timer_start (scene->loop, &scene->timeout);
+  while (!done (user) && !scene->timed_out)
+    ev_run (scene->loop, EVRUN_ONCE);
+  ev_timer_stop (scene->loop, &scene->timeout);
+  g_assert_false (scene->timed_out);
 }
 
 typedef struct
 {
-  fixture_caller_t *caller;
+  scene_caller_t *caller;
   const char *text;
 } expectation_t;
 
@@ -425,10 +421,9 @@
 }
 
 void
-fixture_wait_for (fixture_t *fixture, fixture_caller_t *caller,
-                  const char *text)
+scene_wait_for (scene_t *scene, scene_caller_t *caller, const char *text)
 {
   expectation_t expectation = { caller, text };
 
-  fixture_run (fixture, has_text_or_ended, &expectation);
+  scene_run (scene, has_text_or_ended, &expectation);
 }
--- a/libcoltsfootdrum/relay/test-rly-share.c
+++ b/libcoltsfootdrum/relay/test-rly-share.c
@@ -2,7 +2,7 @@
    requests count as served, and how underserved accounts and late requests are
    placed.  */
 
-#include "test-rly-fixture.h"
+#include "test-rly-scene.h"
 
 #include <string.h>
 
@@ -24,19 +24,19 @@
 static bool
 has_received_one (void *user)
 {
-  return ((fixture_t *)user)->requests_received >= 1;
+  return ((scene_t *)user)->requests_received >= 1;
 }
 
 static bool
 has_received_two (void *user)
 {
-  return ((fixture_t *)user)->requests_received >= 2;
+  return ((scene_t *)user)->requests_received >= 2;
 }
 
 static bool
 has_received_three (void *user)
 {
-  return ((fixture_t *)user)->requests_received >= 3;
+  return ((scene_t *)user)->requests_received >= 3;
 }
 
 static bool
@@ -48,19 +48,19 @@
 static bool
 has_received_twelve (void *user)
 {
-  return ((fixture_t *)user)->requests_received >= 12;
+  return ((scene_t *)user)->requests_received >= 12;
 }
 
 static bool
 has_waiting (void *user)
 {
-  return rly_counts (((fixture_t *)user)->rly)->waiting > 0;
+  return rly_counts (((scene_t *)user)->rly)->waiting > 0;
 }
 
 static bool
 has_four_waiting (void *user)
 {
-  return rly_counts (((fixture_t *)user)->rly)->waiting >= 4;
+  return rly_counts (((scene_t *)user)->rly)->waiting >= 4;
 }
 
 /* Rejected requests must not count as served.  Otherwise the account would
@@ -69,19 +69,19 @@
 static void
 test_rejected_not_served (void)
 {
-  static const fixture_reply_t replies[] = { { NOT_RUN, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *caller
-      = fixture_send_request (fixture, CALL ("/once/", "1", "a:100,b:900"));
+  static const scene_reply_t replies[] = { { NOT_RUN, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *caller
+      = scene_send_request (scene, CALL ("/once/", "1", "a:100,b:900"));
   use_sum_t sum;
 
-  fixture_wait_for (fixture, caller, "\r\n\r\n");
+  scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 503 "));
-  sum = use_total (fixture->use, clock_now (), "mill");
+  sum = use_total (scene->use, clock_now (), "mill");
   g_assert_cmpfloat (sum.demand, >, 0.);
   g_assert_cmpfloat (sum.served, ==, 0.);
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* All requests of an account come to one router and share a prefix.  The
@@ -92,30 +92,30 @@
 static void
 test_underserved (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *callers[3];
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *callers[3];
   cfd_time_t now;
 
-  callers[0] = fixture_send_request (fixture,
-                                     CALL ("/slow/", "1", "a:20000,b:200000"));
-  fixture_run (fixture, has_received_one, fixture);
+  callers[0]
+      = scene_send_request (scene, CALL ("/slow/", "1", "a:20000,b:200000"));
+  scene_run (scene, has_received_one, scene);
   callers[1]
-      = fixture_send_request (fixture, CALL ("/slow/", "2", "c:30000,d:10"));
-  fixture_run (fixture, has_received_two, fixture);
+      = scene_send_request (scene, CALL ("/slow/", "2", "c:30000,d:10"));
+  scene_run (scene, has_received_two, scene);
   callers[2]
-      = fixture_send_request (fixture, CALL ("/slow/", "3", "a:20000,e:10"));
-  fixture_run (fixture, has_waiting, fixture);
-  g_assert_cmpuint (fixture->requests_received, ==, 2);
+      = scene_send_request (scene, CALL ("/slow/", "3", "a:20000,e:10"));
+  scene_run (scene, has_waiting, scene);
+  g_assert_cmpuint (scene->requests_received, ==, 2);
   now = clock_now ();
-  use_add_demand (fixture->use, now, "mill", 2. * LARGE_USAGE_TOKENS);
-  use_add_demand (fixture->use, now, "press", 2. * LARGE_USAGE_TOKENS);
-  use_add_served (fixture->use, now, "press", LARGE_USAGE_TOKENS);
-  fixture_run (fixture, has_received_three, fixture);
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Id=3|"));
+  use_add_demand (scene->use, now, "mill", 2. * LARGE_USAGE_TOKENS);
+  use_add_demand (scene->use, now, "press", 2. * LARGE_USAGE_TOKENS);
+  use_add_served (scene->use, now, "press", LARGE_USAGE_TOKENS);
+  scene_run (scene, has_received_three, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    fixture_caller_free (callers[i]);
-  fixture_free (fixture);
+    scene_caller_free (callers[i]);
+  scene_free (scene);
 }
 
 /* The endpoint that caches a prefix has no free slot.  The other endpoint gets
@@ -125,33 +125,33 @@
 static void
 test_prefix_fetched (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 1);
-  fixture_caller_t *callers[2];
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 1);
+  scene_caller_t *callers[2];
   g_autofree char *source = NULL;
   unsigned first;
 
   callers[0]
-      = fixture_send_request (fixture, CALL ("/slow/", "1", "a:20000,b:10"));
-  fixture_run (fixture, has_received_one, fixture);
-  g_assert_null (strstr (fixture->last_request->str, "|X-Fetch="));
-  first = fixture->servers[0].requests > 0 ? 0 : 1;
-  source = g_strdup_printf ("|X-Fetch=127.0.0.1:%u|",
-                            fixture->servers[first].port);
+      = scene_send_request (scene, CALL ("/slow/", "1", "a:20000,b:10"));
+  scene_run (scene, has_received_one, scene);
+  g_assert_null (strstr (scene->last_request->str, "|X-Fetch="));
+  first = scene->servers[0].requests > 0 ? 0 : 1;
+  source
+      = g_strdup_printf ("|X-Fetch=127.0.0.1:%u|", scene->servers[first].port);
   callers[1]
-      = fixture_send_request (fixture, CALL ("/slow/", "2", "a:20000,c:10"));
-  fixture_run (fixture, has_received_two, fixture);
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Id=2|"));
-  g_assert_nonnull (strstr (fixture->last_request->str, source));
+      = scene_send_request (scene, CALL ("/slow/", "2", "a:20000,c:10"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=2|"));
+  g_assert_nonnull (strstr (scene->last_request->str, source));
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    fixture_caller_free (callers[i]);
-  fixture_free (fixture);
+    scene_caller_free (callers[i]);
+  scene_free (scene);
 }
 
 static bool
 is_refused (void *user)
 {
-  const fixture_caller_t *caller = user;
+  const scene_caller_t *caller = user;
 
   return g_str_has_prefix (caller->text->str, "HTTP/1.1 503 ")
          && strstr (caller->text->str, "Retry-After: ") != NULL;
@@ -160,11 +160,11 @@
 /* Records that the caller of PROMPT was refused elsewhere and is past its
    target latency.  */
 static void
-add_refusal (fixture_t *fixture, const char *prompt)
+add_refusal (scene_t *scene, const char *prompt)
 {
   cfd_time_t now = clock_now ();
 
-  ret_add_refusal (fixture->ret, now, ret_request_key ("mill", prompt, "", 0),
+  ret_add_refusal (scene->ret, now, ret_request_key ("mill", prompt, "", 0),
                    now - 15000, now);
 }
 
@@ -174,31 +174,28 @@
 static void
 test_late_refused_at_once (void)
 {
-  static const fixture_reply_t replies[]
-      = { { NULL, FIXTURE_KEEP_OPEN }, { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 2, 1);
-  fixture_caller_t *callers[3];
+  static const scene_reply_t replies[]
+      = { { NULL, SCENE_KEEP_OPEN }, { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 2, 1);
+  scene_caller_t *callers[3];
   cfd_time_t now;
 
-  fixture_list_endpoints (fixture, 1, false, 1);
-  callers[0]
-      = fixture_send_request (fixture, CALL ("/slow/", "1", "a:20,b:10"));
-  fixture_run (fixture, has_received_one, fixture);
+  scene_list_endpoints (scene, 1, false, 1);
+  callers[0] = scene_send_request (scene, CALL ("/slow/", "1", "a:20,b:10"));
+  scene_run (scene, has_received_one, scene);
   now = clock_now ();
-  add_refusal (fixture, "c:20,d:10");
-  callers[1]
-      = fixture_send_request (fixture, CALL ("/slow/", "2", "c:20,d:10"));
-  callers[2]
-      = fixture_send_request (fixture, CALL ("/slow/", "3", "e:20,f:10"));
-  fixture_run (fixture, is_refused, callers[1]);
+  add_refusal (scene, "c:20,d:10");
+  callers[1] = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
+  callers[2] = scene_send_request (scene, CALL ("/slow/", "3", "e:20,f:10"));
+  scene_run (scene, is_refused, callers[1]);
   g_assert_cmpint (clock_now () - now, <, MAX_REFUSAL_MS);
-  g_assert_cmpuint (fixture->requests_received, ==, 1);
-  fixture_caller_free (callers[0]);
-  fixture_run (fixture, has_received_two, fixture);
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Id=3|"));
-  fixture_caller_free (callers[1]);
-  fixture_caller_free (callers[2]);
-  fixture_free (fixture);
+  g_assert_cmpuint (scene->requests_received, ==, 1);
+  scene_caller_free (callers[0]);
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
+  scene_caller_free (callers[1]);
+  scene_caller_free (callers[2]);
+  scene_free (scene);
 }
 
 /* With spare capacity a late caller is served: a late answer is better than
@@ -206,15 +203,15 @@
 static void
 test_late_uses_spare_capacity (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *caller;
-
-  add_refusal (fixture, "c:20,d:10");
-  caller = fixture_send_request (fixture, CALL ("/slow/", "2", "c:20,d:10"));
-  fixture_run (fixture, has_received_one, fixture);
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *caller;
+
+  add_refusal (scene, "c:20,d:10");
+  caller = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
+  scene_run (scene, has_received_one, scene);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* An account floods the router.  At the rate at which the account is served,
@@ -223,34 +220,34 @@
 static void
 test_early_reject (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 1);
-  fixture_caller_t *callers[8];
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 1);
+  scene_caller_t *callers[8];
   guint count = 0;
   cfd_time_t later;
 
-  fixture_list_endpoints (fixture, 1, false, 1);
+  scene_list_endpoints (scene, 1, false, 1);
   for (; count < 6; count++)
     {
       g_autofree char *call = g_strdup_printf (
           CALL ("/slow/", "%u", "a%u:2000,b:10"), count + 1, count);
 
-      callers[count] = fixture_send_request (fixture, call);
+      callers[count] = scene_send_request (scene, call);
       if (count == 0)
-        fixture_run (fixture, has_received_one, fixture);
+        scene_run (scene, has_received_one, scene);
     }
-  fixture_run (fixture, has_four_waiting, fixture);
+  scene_run (scene, has_four_waiting, scene);
   /* Time for a placement round to try them.  */
   later = clock_now () + 2 * RLY_TICK_MS;
-  fixture_run (fixture, is_later, &later);
+  scene_run (scene, is_later, &later);
   /* At the rate so far, this queue would take a minute.  */
   callers[count]
-      = fixture_send_request (fixture, CALL ("/slow/", "9", "c:2000,d:10"));
-  fixture_run (fixture, is_refused, callers[count]);
-  g_assert_cmpuint (rly_counts (fixture->rly)->waiting, >=, 4);
+      = scene_send_request (scene, CALL ("/slow/", "9", "c:2000,d:10"));
+  scene_run (scene, is_refused, callers[count]);
+  g_assert_cmpuint (rly_counts (scene->rly)->waiting, >=, 4);
   for (guint i = 0; i <= count; i++)
-    fixture_caller_free (callers[i]);
-  fixture_free (fixture);
+    scene_caller_free (callers[i]);
+  scene_free (scene);
 }
 
 /* An idle account sends many requests in one loop iteration.  No placement
@@ -259,21 +256,21 @@
 static void
 test_burst_of_idle_account (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 16);
-  fixture_caller_t *callers[12];
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 16);
+  scene_caller_t *callers[12];
 
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     {
       g_autofree char *call
           = g_strdup_printf (CALL ("/slow/", "%u", "a%u:20,b:10"), i + 1, i);
 
-      callers[i] = fixture_send_request (fixture, call);
+      callers[i] = scene_send_request (scene, call);
     }
-  fixture_run (fixture, has_received_twelve, fixture);
+  scene_run (scene, has_received_twelve, scene);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    fixture_caller_free (callers[i]);
-  fixture_free (fixture);
+    scene_caller_free (callers[i]);
+  scene_free (scene);
 }
 
 int
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -1,7 +1,7 @@
 /* The relay over real connections: the answer that a caller gets for each
    behaviour of an endpoint, and the requests that endpoints get.  */
 
-#include "test-rly-fixture.h"
+#include "test-rly-scene.h"
 
 #include <netinet/in.h>
 #include <string.h>
@@ -31,7 +31,7 @@
 {
   const char *name;
   const char *call;
-  fixture_reply_t replies[3];
+  scene_reply_t replies[3];
   unsigned reply_count;
   const char *answer;         /* its first bytes */
   const char *contains;       /* found in the answer; NULL: not checked */
@@ -42,7 +42,7 @@
 static const case_t cases[] = {
   { "whole",
     CALL ("/once/", "1"),
-    { { OK ("3", "abc"), FIXTURE_KEEP_OPEN } },
+    { { OK ("3", "abc"), SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "Content-Length: 3\r\n\r\nabc",
@@ -52,7 +52,7 @@
      allows two attempts.  */
   { "not-run-elsewhere",
     CALL ("/twice/", "1"),
-    { { NOT_RUN, FIXTURE_KEEP_OPEN }, { OK ("1", "x"), FIXTURE_KEEP_OPEN } },
+    { { NOT_RUN, SCENE_KEEP_OPEN }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nx",
@@ -60,7 +60,7 @@
     false },
   { "not-run-once",
     CALL ("/once/", "1"),
-    { { NOT_RUN, FIXTURE_KEEP_OPEN } },
+    { { NOT_RUN, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 503 ",
     "Retry-After: 0.",
@@ -70,7 +70,7 @@
      again on an at-most-once route.  */
   { "broken-once",
     CALL ("/once/", "1"),
-    { { "", FIXTURE_RESET }, { OK ("1", "x"), FIXTURE_KEEP_OPEN } },
+    { { "", SCENE_RESET }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 502 ",
     NULL,
@@ -78,7 +78,7 @@
     false },
   { "broken-twice",
     CALL ("/twice/", "1"),
-    { { "", FIXTURE_RESET }, { OK ("1", "x"), FIXTURE_KEEP_OPEN } },
+    { { "", SCENE_RESET }, { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nx",
@@ -89,7 +89,7 @@
   { "busy-without-word",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 503 Busy\r\nX-Id: %I\r\nContent-Length: 0\r\n\r\n",
-        FIXTURE_KEEP_OPEN } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -100,7 +100,7 @@
     { { "HTTP/1.1 500 No\r\nX-Id: %I\r\nX-Stamp: s\r\nContent-Length: "
         "2\r\n\r\n"
         "no",
-        FIXTURE_KEEP_OPEN } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 500 ",
     "X-Stamp: s",
@@ -109,7 +109,7 @@
   { "no-stamp-once",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nContent-Length: 1\r\n\r\nx",
-        FIXTURE_KEEP_OPEN } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -119,8 +119,8 @@
     CALL ("/twice/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nX-Stamp: s\r\nContent-Length: "
         "9\r\n\r\nab",
-        FIXTURE_CLOSE },
-      { OK ("1", "x"), FIXTURE_KEEP_OPEN } },
+        SCENE_CLOSE },
+      { OK ("1", "x"), SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nx",
@@ -128,7 +128,7 @@
     false },
   { "no-http-once",
     CALL ("/once/", "1"),
-    { { "\x01\x02 what\r\n\r\n", FIXTURE_KEEP_OPEN } },
+    { { "\x01\x02 what\r\n\r\n", SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -140,7 +140,7 @@
     { { "HTTP/1.1 200 OK\r\nX-Id: 77\r\nX-Stamp: s\r\nContent-Length: "
         "3\r\n\r\n"
         "old" OK ("3", "new"),
-        FIXTURE_KEEP_OPEN } },
+        SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "\r\n\r\nnew",
@@ -149,7 +149,7 @@
   { "unframed",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nX-Stamp: s\r\n\r\nabc",
-        FIXTURE_CLOSE } },
+        SCENE_CLOSE } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "Content-Length: 3\r\n\r\nabc",
@@ -158,7 +158,7 @@
   { "unframed-reset",
     CALL ("/once/", "1"),
     { { "HTTP/1.1 200 OK\r\nX-Id: %I\r\nX-Stamp: s\r\n\r\nabc",
-        FIXTURE_RESET } },
+        SCENE_RESET } },
     1,
     "HTTP/1.1 502 ",
     NULL,
@@ -166,7 +166,7 @@
     false },
   { "events",
     CALL ("/events/", "1"),
-    { { EVENTS E1 E2 END, FIXTURE_KEEP_OPEN } },
+    { { EVENTS E1 E2 END, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "data: b\n\n\r\n0\r\n\r\n",
@@ -174,8 +174,8 @@
     false },
   { "events-resume-elsewhere",
     CALL ("/events/", "1"),
-    { { EVENTS E1 "8\r\nid: 2\nda\r\n", FIXTURE_CLOSE },
-      { EVENTS E2 E3 END, FIXTURE_KEEP_OPEN } },
+    { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE },
+      { EVENTS E2 E3 END, SCENE_KEEP_OPEN } },
     2,
     "HTTP/1.1 200 OK\r\n",
     "data: c\n\n\r\n0\r\n\r\n",
@@ -183,7 +183,7 @@
     false },
   { "events-break-off",
     CALL ("/events-once/", "1"),
-    { { EVENTS E1 "8\r\nid: 2\nda\r\n", FIXTURE_CLOSE } },
+    { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE } },
     1,
     "HTTP/1.1 200 OK\r\n",
     "data: a\n\n",
@@ -191,7 +191,7 @@
     true },
   { "no-route",
     CALL ("/none/", "1"),
-    { { NULL, FIXTURE_KEEP_OPEN } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 404 ",
     NULL,
@@ -199,7 +199,7 @@
     false },
   { "unknown-key",
     "GET /once/ HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer x\r\n\r\n",
-    { { NULL, FIXTURE_KEEP_OPEN } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 401 ",
     NULL,
@@ -207,7 +207,7 @@
     false },
   { "no-key",
     "GET /once/ HTTP/1.1\r\nHost: h\r\n\r\n",
-    { { NULL, FIXTURE_KEEP_OPEN } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 401 ",
     NULL,
@@ -215,7 +215,7 @@
     false },
   { "malformed",
     "GET\r\n\r\n",
-    { { NULL, FIXTURE_KEEP_OPEN } },
+    { { NULL, SCENE_KEEP_OPEN } },
     1,
     "HTTP/1.1 400 ",
     NULL,
@@ -227,20 +227,20 @@
 test_case (const void *data)
 {
   const case_t *one = data;
-  fixture_t *fixture = fixture_new (one->replies, one->reply_count, 4);
-  fixture_caller_t *caller = fixture_send_request (fixture, one->call);
+  scene_t *scene = scene_new (one->replies, one->reply_count, 4);
+  scene_caller_t *caller = scene_send_request (scene, one->call);
 
-  fixture_wait_for (fixture, caller, one->is_truncated ? NULL : "\r\n\r\n");
+  scene_wait_for (scene, caller, one->is_truncated ? NULL : "\r\n\r\n");
   if (one->contains != NULL)
-    fixture_wait_for (fixture, caller, one->contains);
+    scene_wait_for (scene, caller, one->contains);
   g_assert_true (g_str_has_prefix (caller->text->str, one->answer));
   if (one->contains != NULL)
     g_assert_nonnull (strstr (caller->text->str, one->contains));
   if (one->is_truncated)
     g_assert_null (strstr (caller->text->str, "0\r\n\r\n"));
-  g_assert_cmpuint (fixture->requests_received, ==, one->expected_requests);
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  g_assert_cmpuint (scene->requests_received, ==, one->expected_requests);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* The endpoint gets the caller's fields except for the key and the reserved
@@ -248,37 +248,37 @@
 static void
 test_fields (void)
 {
-  static const fixture_reply_t replies[]
-      = { { OK ("1", "x"), FIXTURE_KEEP_OPEN } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   static const char call[]
       = "POST /once/a?b=c HTTP/1.1\r\nHost: h\r\nX-Id: 9\r\nX-Own: o\r\n"
         "X-Account: other\r\nX-Hold: 5\r\nX-Expect: e9\r\n"
         "Authorization: Bearer key-of-the-mill\r\n"
         "Connection: keep-alive, X-Gone\r\nX-Gone: g\r\nX-Deadline: 2000\r\n"
         "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *caller = fixture_send_request (fixture, call);
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *caller = scene_send_request (scene, call);
   const char *deadline;
 
-  fixture_wait_for (fixture, caller, "\r\n\r\nx");
+  scene_wait_for (scene, caller, "\r\n\r\nx");
   g_assert_true (
-      g_str_has_prefix (fixture->last_request->str, "POST /once/a?b=c|"));
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Id=9|"));
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Own=o|"));
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Account=mill|"));
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Expect=e"));
+      g_str_has_prefix (scene->last_request->str, "POST /once/a?b=c|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=9|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Own=o|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Account=mill|"));
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Expect=e"));
   g_assert_nonnull (
-      strstr (fixture->last_request->str, "|Content-Length=2|body=hi"));
-  g_assert_null (strstr (fixture->last_request->str, "other"));
-  g_assert_null (strstr (fixture->last_request->str, "e9"));
-  g_assert_null (strstr (fixture->last_request->str, "X-Hold"));
-  g_assert_null (strstr (fixture->last_request->str, "X-Gone"));
-  g_assert_null (strstr (fixture->last_request->str, "key-of-the-mill"));
-  deadline = strstr (fixture->last_request->str, "|X-Deadline=");
+      strstr (scene->last_request->str, "|Content-Length=2|body=hi"));
+  g_assert_null (strstr (scene->last_request->str, "other"));
+  g_assert_null (strstr (scene->last_request->str, "e9"));
+  g_assert_null (strstr (scene->last_request->str, "X-Hold"));
+  g_assert_null (strstr (scene->last_request->str, "X-Gone"));
+  g_assert_null (strstr (scene->last_request->str, "key-of-the-mill"));
+  deadline = strstr (scene->last_request->str, "|X-Deadline=");
   g_assert_nonnull (deadline);
   g_assert_cmpint (atoi (deadline + strlen ("|X-Deadline=")), <=, 2000);
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* A stream resumes at another endpoint after the last complete event that the
@@ -286,19 +286,18 @@
 static void
 test_last_event (void)
 {
-  static const fixture_reply_t replies[]
-      = { { EVENTS E1 "8\r\nid: 2\nda\r\n", FIXTURE_CLOSE },
-          { EVENTS E2 END, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 2, 4);
-  fixture_caller_t *caller
-      = fixture_send_request (fixture, CALL ("/events/", "1"));
-
-  fixture_wait_for (fixture, caller, "\r\n0\r\n\r\n");
-  g_assert_nonnull (strstr (fixture->last_request->str, "|Last-Event-Id=1|"));
-  g_assert_cmpuint (fixture->servers[0].requests, ==, 1);
-  g_assert_cmpuint (fixture->servers[1].requests, ==, 1);
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  static const scene_reply_t replies[]
+      = { { EVENTS E1 "8\r\nid: 2\nda\r\n", SCENE_CLOSE },
+          { EVENTS E2 END, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 2, 4);
+  scene_caller_t *caller = scene_send_request (scene, CALL ("/events/", "1"));
+
+  scene_wait_for (scene, caller, "\r\n0\r\n\r\n");
+  g_assert_nonnull (strstr (scene->last_request->str, "|Last-Event-Id=1|"));
+  g_assert_cmpuint (scene->servers[0].requests, ==, 1);
+  g_assert_cmpuint (scene->servers[1].requests, ==, 1);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* A request that can't reach an endpoint was not sent, so it goes to another
@@ -306,34 +305,34 @@
 static void
 test_unreached (void)
 {
-  static const fixture_reply_t replies[]
-      = { { OK ("1", "x"), FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
 
-  fixture_list_endpoints (fixture, 1, true, 4);
+  scene_list_endpoints (scene, 1, true, 4);
   for (unsigned i = 0; i < 6; i++)
     {
-      fixture_caller_t *caller
-          = fixture_send_request (fixture, CALL ("/once/", "1"));
+      scene_caller_t *caller
+          = scene_send_request (scene, CALL ("/once/", "1"));
 
-      fixture_wait_for (fixture, caller, "\r\n\r\n");
+      scene_wait_for (scene, caller, "\r\n\r\n");
       g_assert_true (
           g_str_has_prefix (caller->text->str, "HTTP/1.1 200 OK\r\n"));
-      fixture_caller_free (caller);
+      scene_caller_free (caller);
     }
-  fixture_free (fixture);
+  scene_free (scene);
 }
 
 static bool
 has_closed_connection (void *user)
 {
-  return ((fixture_t *)user)->closed_connections > 0;
+  return ((scene_t *)user)->closed_connections > 0;
 }
 
 static bool
 has_received_one (void *user)
 {
-  return ((fixture_t *)user)->requests_received > 0;
+  return ((scene_t *)user)->requests_received > 0;
 }
 
 /* The caller disconnects while its request runs.  The connection to the
@@ -341,22 +340,21 @@
 static void
 test_caller_leaves (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *caller
-      = fixture_send_request (fixture, CALL ("/once/", "1"));
-
-  fixture_run (fixture, has_received_one, fixture);
-  fixture_caller_free (caller);
-  fixture_run (fixture, has_closed_connection, fixture);
-  g_assert_cmpuint (rly_counts (fixture->rly)->running, ==, 0);
-  fixture_free (fixture);
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *caller = scene_send_request (scene, CALL ("/once/", "1"));
+
+  scene_run (scene, has_received_one, scene);
+  scene_caller_free (caller);
+  scene_run (scene, has_closed_connection, scene);
+  g_assert_cmpuint (rly_counts (scene->rly)->running, ==, 0);
+  scene_free (scene);
 }
 
 static bool
 has_departed (void *user)
 {
-  return rly_counts (((fixture_t *)user)->rly)->disconnected > 0;
+  return rly_counts (((scene_t *)user)->rly)->disconnected > 0;
 }
 
 /* A busy router reads a request after its caller has closed the connection.
@@ -365,14 +363,13 @@
 static void
 test_left_before_read (void)
 {
-  static const fixture_reply_t replies[]
-      = { { OK ("1", "x"), FIXTURE_KEEP_OPEN } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   static const char call[] = CALL ("/once/", "1");
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  struct sockaddr_in addr
-      = { .sin_family = AF_INET,
-          .sin_addr.s_addr = htonl (INADDR_LOOPBACK),
-          .sin_port = htons (ent_get_port (fixture->ent)) };
+  scene_t *scene = scene_new (replies, 1, 4);
+  struct sockaddr_in addr = { .sin_family = AF_INET,
+                              .sin_addr.s_addr = htonl (INADDR_LOOPBACK),
+                              .sin_port = htons (ent_get_port (scene->ent)) };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   int connected = connect (fd, (struct sockaddr *)&addr, sizeof addr);
   ssize_t sent = send (fd, call, strlen (call), MSG_NOSIGNAL);
@@ -380,9 +377,9 @@
   g_assert_cmpint (connected, ==, 0);
   g_assert_cmpint (sent, ==, strlen (call));
   close (fd);
-  fixture_run (fixture, has_departed, fixture);
-  g_assert_cmpuint (fixture->requests_received, ==, 0);
-  fixture_free (fixture);
+  scene_run (scene, has_departed, scene);
+  g_assert_cmpuint (scene->requests_received, ==, 0);
+  scene_free (scene);
 }
 
 /* Load pattern: more requests than slots.  The second request waits, since the
@@ -391,27 +388,27 @@
 static void
 test_refused_in_time (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 1);
-  fixture_caller_t *first;
-  fixture_caller_t *second;
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 1);
+  scene_caller_t *first;
+  scene_caller_t *second;
   int64_t begun;
 
-  fixture_list_endpoints (fixture, 1, false, 1);
-  first = fixture_send_request (fixture, CALL ("/once/", "1"));
-  fixture_run (fixture, has_received_one, fixture);
+  scene_list_endpoints (scene, 1, false, 1);
+  first = scene_send_request (scene, CALL ("/once/", "1"));
+  scene_run (scene, has_received_one, scene);
   begun = clock_now ();
-  second = fixture_send_request (fixture, CALL ("/once/", "2"));
-  fixture_wait_for (fixture, second, "\r\n\r\n");
+  second = scene_send_request (scene, CALL ("/once/", "2"));
+  scene_wait_for (scene, second, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (second->text->str, "HTTP/1.1 503 "));
   g_assert_nonnull (strstr (second->text->str, "Retry-After: 0."));
   g_assert_cmpint (clock_now () - begun, <, 4000);
-  g_assert_cmpuint (fixture->requests_received, ==, 1);
+  g_assert_cmpuint (scene->requests_received, ==, 1);
   /* Callers send a retry on a new connection; this one would stay open.  */
-  fixture_wait_for (fixture, second, NULL);
-  fixture_caller_free (first);
-  fixture_caller_free (second);
-  fixture_free (fixture);
+  scene_wait_for (scene, second, NULL);
+  scene_caller_free (first);
+  scene_caller_free (second);
+  scene_free (scene);
 }
 
 #define PROMPT_CALL(id, prompt)                                               \
@@ -422,13 +419,13 @@
 static bool
 has_waiting (void *user)
 {
-  return rly_counts (((fixture_t *)user)->rly)->waiting > 0;
+  return rly_counts (((scene_t *)user)->rly)->waiting > 0;
 }
 
 static bool
 has_received_two (void *user)
 {
-  return ((fixture_t *)user)->requests_received >= 2;
+  return ((scene_t *)user)->requests_received >= 2;
 }
 
 /* Load pattern: a long request before short ones.  The endpoint prefills a
@@ -437,22 +434,22 @@
 static void
 test_short_past_long (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 8);
-  fixture_caller_t *callers[3];
-
-  fixture_list_endpoints (fixture, 1, false, 8);
-  callers[0] = fixture_send_request (fixture, PROMPT_CALL ("1", "a:100000"));
-  fixture_run (fixture, has_received_one, fixture);
-  callers[1] = fixture_send_request (fixture, PROMPT_CALL ("2", "b:160000"));
-  fixture_run (fixture, has_waiting, fixture);
-  callers[2] = fixture_send_request (fixture, PROMPT_CALL ("3", "c:100"));
-  fixture_run (fixture, has_received_two, fixture);
-  g_assert_nonnull (strstr (fixture->last_request->str, "|X-Id=3|"));
-  g_assert_cmpuint (rly_counts (fixture->rly)->refused, ==, 0);
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 8);
+  scene_caller_t *callers[3];
+
+  scene_list_endpoints (scene, 1, false, 8);
+  callers[0] = scene_send_request (scene, PROMPT_CALL ("1", "a:100000"));
+  scene_run (scene, has_received_one, scene);
+  callers[1] = scene_send_request (scene, PROMPT_CALL ("2", "b:160000"));
+  scene_run (scene, has_waiting, scene);
+  callers[2] = scene_send_request (scene, PROMPT_CALL ("3", "c:100"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
+  g_assert_cmpuint (rly_counts (scene->rly)->refused, ==, 0);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    fixture_caller_free (callers[i]);
-  fixture_free (fixture);
+    scene_caller_free (callers[i]);
+  scene_free (scene);
 }
 
 /* Idle callers reach the limit of connections.  Idle connections must be
@@ -460,21 +457,21 @@
 static void
 test_idle_connections (void)
 {
-  static const fixture_reply_t replies[]
-      = { { OK ("1", "x"), FIXTURE_KEEP_OPEN } };
+  static const scene_reply_t replies[]
+      = { { OK ("1", "x"), SCENE_KEEP_OPEN } };
   static const ent_limits_t limits
       = { .head_bytes = 16384, .idle_ms = 60000, .connections = 4 };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *callers[4];
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *callers[4];
 
-  ent_set_limits (fixture->ent, &limits);
+  ent_set_limits (scene->ent, &limits);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    callers[i] = fixture_send_request (fixture, "");
+    callers[i] = scene_send_request (scene, "");
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    fixture_wait_for (fixture, callers[i], i < 2 ? NULL : "");
+    scene_wait_for (scene, callers[i], i < 2 ? NULL : "");
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
-    fixture_caller_free (callers[i]);
-  fixture_free (fixture);
+    scene_caller_free (callers[i]);
+  scene_free (scene);
 }
 
 /* An endpoint accepts a request and doesn't answer: an idempotent request is
@@ -482,34 +479,33 @@
 static void
 test_silent_endpoint (void)
 {
-  static const fixture_reply_t replies[]
-      = { { NULL, FIXTURE_KEEP_OPEN }, { OK ("1", "x"), FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 2, 4);
-  fixture_caller_t *caller
-      = fixture_send_request (fixture, CALL ("/twice/", "1"));
+  static const scene_reply_t replies[]
+      = { { NULL, SCENE_KEEP_OPEN }, { OK ("1", "x"), SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 2, 4);
+  scene_caller_t *caller = scene_send_request (scene, CALL ("/twice/", "1"));
 
-  fixture_wait_for (fixture, caller, "\r\n\r\n");
+  scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 200 OK\r\n"));
-  g_assert_cmpuint (fixture->requests_received, ==, 2);
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  g_assert_cmpuint (scene->requests_received, ==, 2);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* Two pipelined requests get two answers, in order.  */
 static void
 test_pipelined (void)
 {
-  static const fixture_reply_t replies[]
-      = { { OK ("3", "one"), FIXTURE_KEEP_OPEN },
-          { OK ("3", "two"), FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 2, 4);
-  fixture_caller_t *caller = fixture_send_request (
-      fixture, CALL ("/once/", "1") CALL ("/once/", "2"));
-
-  fixture_wait_for (fixture, caller, "two");
+  static const scene_reply_t replies[]
+      = { { OK ("3", "one"), SCENE_KEEP_OPEN },
+          { OK ("3", "two"), SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 2, 4);
+  scene_caller_t *caller
+      = scene_send_request (scene, CALL ("/once/", "1") CALL ("/once/", "2"));
+
+  scene_wait_for (scene, caller, "two");
   g_assert_nonnull (strstr (caller->text->str, "\r\n\r\noneHTTP/1.1 200 OK"));
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* A relay that refuses new requests, for shutdown or for want of a
@@ -518,32 +514,32 @@
 static void
 test_closed (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
-  fixture_caller_t *caller;
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
+  scene_caller_t *caller;
 
-  rly_stop_accepting (fixture->rly);
-  caller = fixture_send_request (fixture, CALL ("/none/", "1"));
-  fixture_wait_for (fixture, caller, "\r\n\r\n");
+  rly_stop_accepting (scene->rly);
+  caller = scene_send_request (scene, CALL ("/none/", "1"));
+  scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 503 "));
-  fixture_caller_free (caller);
-  fixture_free (fixture);
+  scene_caller_free (caller);
+  scene_free (scene);
 }
 
 /* An older configuration doesn't replace a newer one.  */
 static void
 test_table_never_older (void)
 {
-  static const fixture_reply_t replies[] = { { NULL, FIXTURE_KEEP_OPEN } };
-  fixture_t *fixture = fixture_new (replies, 1, 4);
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
+  scene_t *scene = scene_new (replies, 1, 4);
   rte_limits_t limits = { 0 };
   g_autoptr (rte_table_t) newer = rte_table_new (9, &limits);
   g_autoptr (rte_table_t) older = rte_table_new (8, &limits);
 
-  rly_set_table (fixture->rly, newer);
-  rly_set_table (fixture->rly, older);
-  g_assert_cmpuint (rte_table_version (rly_table (fixture->rly)), ==, 9);
-  fixture_free (fixture);
+  rly_set_table (scene->rly, newer);
+  rly_set_table (scene->rly, older);
+  g_assert_cmpuint (rte_table_version (rly_table (scene->rly)), ==, 9);
+  scene_free (scene);
 }
 
 int
