--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -15,9 +15,9 @@
    requests.  A request that would wait longer stays in the router, which can
    still change the order.  */
 #define MAX_QUEUEING_SHARE 0.5
-/* Share of an endpoint's slots and KV cache that is reserved from fully
-   throttled accounts.  Without it, any waiting request would take a free slot
-   at once.  */
+/* Share of an endpoint's slots and KV cache that fully throttled accounts must
+   leave to others.  Without it, their waiting requests would take each free
+   slot at once.  */
 #define THROTTLED_RESERVE_SHARE 0.3
 /* Share of slots and KV cache that late requests may fill: below this load an
    endpoint is as fast for the other requests as an idle one.  */
--- a/libcoltsfootdrum/relay/rly-queue.c
+++ b/libcoltsfootdrum/relay/rly-queue.c
@@ -20,7 +20,8 @@
 /* An account that was served less than this ratio of its fair share is
    underserved.  */
 #define UNDERSERVED_RATIO 0.7
-/* Largest allowance of requests that are past their target latency.  */
+/* Largest share of the usual queueing time at an endpoint for requests that
+   are past their target latency.  */
 #define MAX_LATE_ALLOWANCE 0.1
 /* A request is refused on arrival when at least this number of requests of its
    account wait before it, and are expected to take this factor of the time
@@ -30,10 +31,10 @@
 #define EARLY_REFUSAL_FACTOR 2.
 /* Target latency of routes that set none.  */
 #define DEFAULT_TARGET_LATENCY_MS 1000
-/* Most queues in one round that are skipped because none of their requests
-   could be placed.  */
+/* After this many queues without a request that could be placed, a round ends.
+ */
 #define MAX_SKIPPED_QUEUES 8
-/* Most requests of a queue that are tried for one placement.  */
+/* Most requests of a queue that are tried before the queue is skipped.  */
 #define MAX_TRIES_PER_QUEUE 6
 /* Retry-After is a random share of the target latency within these bounds, so
    that refused callers don't return all at once.  */
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -16,8 +16,9 @@
 static bool
 is_reserved (const rly_names_t *names, const char *name)
 {
-  for (const char *const *own = names->reserved_fields; *own != NULL; own++)
-    if (g_ascii_strcasecmp (*own, name) == 0)
+  for (const char *const *reserved = names->reserved_fields; *reserved != NULL;
+       reserved++)
+    if (g_ascii_strcasecmp (*reserved, name) == 0)
       return true;
   return g_ascii_strcasecmp (name, names->deadline_ms) == 0
          || g_ascii_strcasecmp (name, names->account) == 0
@@ -27,7 +28,7 @@
 }
 
 static void
-append_client_fields (const rly_request_t *request, GString *text)
+append_caller_fields (const rly_request_t *request, GString *text)
 {
   const rly_names_t *names = &request->rly->names;
   const hdr_t *fields = &ent_get_head (request->call)->fields;
@@ -62,7 +63,7 @@
 
   g_string_append_printf (text, "%s %s HTTP/1.1\r\n", head->method,
                           head->target);
-  append_client_fields (request, text);
+  append_caller_fields (request, text);
   g_string_append_printf (text, "%s: %" G_GINT64_FORMAT "\r\n",
                           names->deadline_ms,
                           compute_time_left_ms (request, now));
--- a/libcoltsfootdrum/relay/rte.h
+++ b/libcoltsfootdrum/relay/rte.h
@@ -62,11 +62,11 @@
 /* Limits for callers.  */
 typedef struct
 {
-  size_t head_bytes;
-  size_t body_bytes;
-  int64_t head_ms;
-  int64_t idle_ms;
-  double tokens_per_s; /* estimate for the whole fleet; 0: unknown */
+  size_t head_bytes;   /* largest request head */
+  size_t body_bytes;   /* largest request body */
+  int64_t head_ms;     /* longest time to receive a head */
+  int64_t idle_ms;     /* longest idle time of a connection */
+  double tokens_per_s; /* of the whole fleet, approximate; 0: unknown */
 } rte_limits_t;
 
 typedef struct rte_table rte_table_t;
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -264,7 +264,7 @@
       g_test_add_data_func (path, &cases[i], test_case);
     }
   g_test_add_func ("/plc/ties", test_ties);
-  g_test_add_func ("/plc/reading", test_prefill_work);
+  g_test_add_func ("/plc/prefill-work", test_prefill_work);
   g_test_add_func ("/plc/all-full", test_all_full);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/relay/test-rly-scene.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -77,8 +77,8 @@
 reply (server_con_t *server_con)
 {
   scene_t *scene = server_con->server->scene;
-  unsigned turn = MIN (scene->requests_received, scene->reply_count - 1);
-  const scene_reply_t *next = &scene->replies[turn];
+  unsigned index = MIN (scene->requests_received, scene->reply_count - 1);
+  const scene_reply_t *next = &scene->replies[index];
   g_autofree char *text = NULL;
   g_auto (GStrv) parts = NULL;
 
@@ -96,9 +96,9 @@
 static bool
 must_reset (const scene_t *scene)
 {
-  unsigned turn = MIN (scene->requests_received - 1, scene->reply_count - 1);
+  unsigned index = MIN (scene->requests_received - 1, scene->reply_count - 1);
 
-  return scene->replies[turn].then == SCENE_RESET;
+  return scene->replies[index].then == SCENE_RESET;
 }
 
 static void
@@ -199,7 +199,7 @@
 }
 
 void
-scene_list_endpoints (scene_t *scene, unsigned hidden, bool dead,
+scene_list_endpoints (scene_t *scene, unsigned hidden, bool unreachable,
                       unsigned slots)
 {
   GPtrArray *reports = g_ptr_array_new ();
@@ -210,7 +210,7 @@
 
       g_ptr_array_add (reports, report (id, scene->servers[i].port, slots));
     }
-  if (dead)
+  if (unreachable)
     g_ptr_array_add (reports, report ("dead", find_unused_port (), slots));
   edp_set_update (scene->endpoints, clock_now (), reports, true, 0);
 }
--- a/libcoltsfootdrum/relay/test-rly-scene.h
+++ b/libcoltsfootdrum/relay/test-rly-scene.h
@@ -64,9 +64,9 @@
 scene_t *scene_new (const scene_reply_t *replies, unsigned count,
                     unsigned slots);
 void scene_free (scene_t *scene);
-/* Lists the endpoints except the first HIDDEN ones, and when DEAD also an
-   address without a listener.  */
-void scene_list_endpoints (scene_t *scene, unsigned hidden, bool dead,
+/* Lists the endpoints except the first HIDDEN ones, and when UNREACHABLE also
+   an address without a listener.  */
+void scene_list_endpoints (scene_t *scene, unsigned hidden, bool unreachable,
                            unsigned slots);
 
 scene_caller_t *scene_send_request (scene_t *scene, const char *bytes);
