--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -230,13 +230,12 @@
 void
 claim_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_options_t setup
-      = { .retention_s = settings->claims_kept_s,
-          .max_calls_per_s = (unsigned)settings->claim_calls,
-          .count_routers = sweep_routers,
-          .is_age_writer = sweep_keeps_ages,
-          .is_claim_running = sweep_is_held,
-          .user = router };
+  const sweep_options_t setup = { .retention_s = settings->claims_kept_s,
+                                  .calls = (unsigned)settings->claim_calls,
+                                  .routers = sweep_routers,
+                                  .is_age_writer = sweep_keeps_ages,
+                                  .is_claim_running = sweep_is_held,
+                                  .user = router };
 
   once_set_retention_s (router->once, settings->claims_kept_s);
   if (settings->claims_kept_s > 0)
