--- a/libcoltsfootdrum/relay/mech.c
+++ b/libcoltsfootdrum/relay/mech.c
@@ -1,4 +1,4 @@
-/* Names of mechanisms.  */
+/* Mechanisms: names and descriptions.  */
 
 #include "relay/mech.h"
 
@@ -8,10 +8,10 @@
 {
   const char *name;
   mech_t bit;
-  const char *what;
+  const char *description;
 } mech_row_t;
 
-static const mech_row_t rows[] = {
+static const mech_row_t mechanisms[] = {
   { "prefix-fetch", MECH_PREFIX_FETCH,
     "an endpoint copies a cached prefix from another one" },
   { "prefix-affinity", MECH_PREFIX_AFFINITY,
@@ -19,28 +19,29 @@
   { "prefix-wait", MECH_PREFIX_WAIT,
     "a request waits for an endpoint that caches its prefix" },
   { "throttle", MECH_THROTTLE,
-    "accounts above the fair level leave a part of the capacity" },
+    "accounts above the fair level leave part of the capacity to others" },
   { "late-last", MECH_LATE_LAST,
-    "requests past their latency objective go last" },
+    "requests past their target latency go last" },
   { "early-reject", MECH_EARLY_REJECT,
-    "what can't be in time behind its account's queue is rejected on "
-    "arrival" },
+    "a request that can't be in time behind its account's queue is refused "
+    "on arrival" },
   { "zone-cost", MECH_ZONE_COST,
-    "endpoints of the own availability zone are preferred" },
+    "endpoints in the router's own availability zone are preferred" },
   { "reject-pause", MECH_REJECT_PAUSE,
     "an endpoint that rejects requests gets a short pause" },
   { "load-readiness", MECH_LOAD_READINESS,
-    "a router that can't accept all connections says that it isn't ready" },
+    "a router that can't accept all connections reports that it isn't "
+    "ready" },
   { "peer-updates", MECH_PEER_UPDATES,
-    "changes of the store's lists are taken from the router that read them" },
+    "changes of the store's lists come from the router that read them" },
 };
 
 static const mech_row_t *
-find (const char *name)
+find_mechanism (const char *name)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
-    if (g_str_equal (rows[i].name, name))
-      return &rows[i];
+  for (guint i = 0; i < G_N_ELEMENTS (mechanisms); i++)
+    if (g_str_equal (mechanisms[i].name, name))
+      return &mechanisms[i];
   return NULL;
 }
 
@@ -52,7 +53,7 @@
   *bits = 0;
   for (char **word = words; *word != NULL; word++)
     {
-      const mech_row_t *row = find (g_strstrip (*word));
+      const mech_row_t *row = find_mechanism (g_strstrip (*word));
 
       if (row == NULL)
         {
@@ -72,7 +73,8 @@
 {
   GString *text = g_string_new (NULL);
 
-  for (guint i = 0; i < G_N_ELEMENTS (rows); i++)
-    g_string_append_printf (text, "  %s: %s\n", rows[i].name, rows[i].what);
+  for (guint i = 0; i < G_N_ELEMENTS (mechanisms); i++)
+    g_string_append_printf (text, "  %s: %s\n", mechanisms[i].name,
+                            mechanisms[i].description);
   return g_string_free (text, FALSE);
 }
--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -13,8 +13,9 @@
 #define STATE_FORMAT 0xcfd8
 /* First item of each update datagram.  */
 #define UPDATE_FORMAT 0xcfe1
-/* Units of pending prefill and of context memory in datagrams.  Small numbers
-   take fewer bytes in msgpack, and no decision depends on finer values.  */
+/* Units of pending prefill and of context_tokens memory in datagrams.  Small
+   numbers take fewer bytes in msgpack, and no decision depends on finer
+   values.  */
 #define PREFILL_TOKENS_PER_UNIT 10.
 #define CONTEXT_TOKENS_PER_UNIT 100.
 
@@ -35,9 +36,9 @@
 typedef struct
 {
   uint64_t endpoint;
-  unsigned active; /* requests */
-  double unread;   /* prompt tokens whose prefill is pending */
-  double context;  /* tokens */
+  unsigned active;        /* requests */
+  double pending_prefill; /* prompt tokens whose prefill is pending */
+  double context_tokens;  /* tokens */
 } pal_load_t;
 
 struct pal
--- a/libcoltsfootdrum/relay/ret.c
+++ b/libcoltsfootdrum/relay/ret.c
@@ -1,4 +1,4 @@
-/* Callers who were refused.  */
+/* Returning callers: refusals of this router and of others.  */
 
 #include "relay/ret.h"
 
@@ -6,33 +6,33 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A caller who comes back does so within this time.  */
-#define RETURN_MS 8000
-/* Bounds the memory under a flood of refusals.  */
-#define CALLERS_MOST 16384
-/* Keys are short in datagrams; among some thousand refusals two hardly meet.
- */
+/* Callers who retry do so within this time after the refusal.  */
+#define MAX_RETURN_MS 8000
+/* Limits the memory under a flood of refusals.  */
+#define MAX_CALLERS 16384
+/* 40 bits keep datagrams short; among some thousand refusals collisions are
+   unlikely.  */
 #define KEY_MASK UINT64_C (0xffffffffff)
 
-/* Clocks of routers and the way back differ by less; and a caller may come a
-   little before its time.  */
-#define EARLY_SLACK_MS 20
+/* A retry may arrive this much before its time: the routers' clocks and the
+   network delays differ by less, and a caller may be slightly early.  */
+#define EARLY_RETURN_SLACK_MS 20
 
 typedef struct
 {
   list_node_t node;
   uint64_t key;
-  cfd_time_t asked;
-  cfd_time_t refused;
+  cfd_time_t first_attempt;
+  cfd_time_t refused_at;
   cfd_time_t retry_at;
 } ret_caller_t;
 
 struct ret
 {
-  GHashTable *callers; /* key to ret_caller_t */
-  list_node_t order;   /* the same, who was refused first comes first */
-  GArray *updates;     /* ret_update_t, the oldest first */
-  uint64_t numbers;    /* given to updates */
+  GHashTable *callers;  /* key to ret_caller_t */
+  list_node_t order;    /* the same, the earliest refusal first */
+  GArray *updates;      /* ret_update_t, the oldest first */
+  uint64_t last_number; /* of the updates */
 };
 
 static void
@@ -77,7 +77,7 @@
 }
 
 static ret_caller_t *
-oldest (const ret_t *ret)
+get_oldest (const ret_t *ret)
 {
   return list_is_empty (&ret->order)
              ? NULL
@@ -85,22 +85,22 @@
 }
 
 static void
-forget (ret_t *ret, const ret_caller_t *caller)
+remove_caller (ret_t *ret, const ret_caller_t *caller)
 {
   g_hash_table_remove (ret->callers, &caller->key);
 }
 
 void
 ret_add_peer_refusal (ret_t *ret, cfd_time_t now, uint64_t key,
-                      cfd_time_t asked, cfd_time_t retry_at)
+                      cfd_time_t first_attempt, cfd_time_t retry_at)
 {
   ret_caller_t *caller = g_new0 (ret_caller_t, 1);
 
-  if (g_hash_table_size (ret->callers) >= CALLERS_MOST)
-    forget (ret, oldest (ret));
+  if (g_hash_table_size (ret->callers) >= MAX_CALLERS)
+    remove_caller (ret, get_oldest (ret));
   caller->key = key;
-  caller->asked = asked;
-  caller->refused = now;
+  caller->first_attempt = first_attempt;
+  caller->refused_at = now;
   caller->retry_at = retry_at;
   list_init (&caller->node);
   g_hash_table_replace (ret->callers, &caller->key, caller);
@@ -108,31 +108,31 @@
 }
 
 void
-ret_add_refusal (ret_t *ret, cfd_time_t now, uint64_t key, cfd_time_t asked,
-                 cfd_time_t retry_at)
+ret_add_refusal (ret_t *ret, cfd_time_t now, uint64_t key,
+                 cfd_time_t first_attempt, cfd_time_t retry_at)
 {
-  ret_update_t updates = { .key = key,
-                           .asked = asked,
-                           .retry_at = retry_at,
-                           .number = ++ret->numbers,
-                           .at = now };
-
-  ret_add_peer_refusal (ret, now, key, asked, retry_at);
-  g_array_append_val (ret->updates, updates);
+  ret_update_t update = { .key = key,
+                          .first_attempt = first_attempt,
+                          .retry_at = retry_at,
+                          .number = ++ret->last_number,
+                          .at = now };
+
+  ret_add_peer_refusal (ret, now, key, first_attempt, retry_at);
+  g_array_append_val (ret->updates, update);
 }
 
 cfd_time_t
 ret_take_first_attempt (ret_t *ret, cfd_time_t now, uint64_t key)
 {
   const ret_caller_t *caller = g_hash_table_lookup (ret->callers, &key);
-  cfd_time_t asked = now;
+  cfd_time_t first_attempt = now;
 
-  if (caller == NULL || now < caller->retry_at - EARLY_SLACK_MS)
+  if (caller == NULL || now < caller->retry_at - EARLY_RETURN_SLACK_MS)
     return now;
-  if (now - caller->refused <= RETURN_MS)
-    asked = MIN (caller->asked, now);
-  forget (ret, caller);
-  return asked;
+  if (now - caller->refused_at <= MAX_RETURN_MS)
+    first_attempt = MIN (caller->first_attempt, now);
+  remove_caller (ret, caller);
+  return first_attempt;
 }
 
 void
@@ -157,11 +157,11 @@
 void
 ret_sweep (ret_t *ret, cfd_time_t now)
 {
-  const ret_caller_t *caller = oldest (ret);
+  const ret_caller_t *caller = get_oldest (ret);
 
-  while (caller != NULL && now - caller->refused > RETURN_MS)
+  while (caller != NULL && now - caller->refused_at > MAX_RETURN_MS)
     {
-      forget (ret, caller);
-      caller = oldest (ret);
+      remove_caller (ret, caller);
+      caller = get_oldest (ret);
     }
 }
--- a/libcoltsfootdrum/relay/rte.c
+++ b/libcoltsfootdrum/relay/rte.c
@@ -1,4 +1,4 @@
-/* The routing table.  */
+/* Routes: the routing table.  */
 
 #include "relay/rte.h"
 
@@ -80,7 +80,7 @@
 }
 
 static void
-clear_share (void *data)
+clear_traffic_share (void *data)
 {
   rte_traffic_share_t *share = data;
 
@@ -92,9 +92,10 @@
 {
   rte_route_t *route = g_new0 (rte_route_t, 1);
 
-  route->shares = g_array_new (FALSE, FALSE, sizeof (rte_traffic_share_t));
-  g_array_set_clear_func (route->shares, clear_share);
-  route->attempts = 1;
+  route->traffic_shares
+      = g_array_new (FALSE, FALSE, sizeof (rte_traffic_share_t));
+  g_array_set_clear_func (route->traffic_shares, clear_traffic_share);
+  route->max_attempts = 1;
   return route;
 }
 
@@ -106,7 +107,7 @@
   g_free (route->name);
   g_free (route->host);
   g_free (route->prefix);
-  g_array_unref (route->shares);
+  g_array_unref (route->traffic_shares);
   g_free (route);
 }
 
@@ -117,7 +118,7 @@
   rte_traffic_share_t share
       = { .service = g_strdup (service), .weight = weight };
 
-  g_array_append_val (route->shares, share);
+  g_array_append_val (route->traffic_shares, share);
 }
 
 void
@@ -196,26 +197,27 @@
   return longest;
 }
 
-/* The path of TARGET without its query.  */
+/* Returns the length of TARGET's path, without the query.  */
 static size_t
-path_length (const char *target)
+get_path_length (const char *target)
 {
   return strcspn (target, "?#");
 }
 
 static bool
-is_under (const char *target, size_t length, const char *prefix)
+has_prefix (const char *target, size_t length, const char *prefix)
 {
-  size_t need = strlen (prefix);
+  size_t prefix_length = strlen (prefix);
 
-  return length >= need && strncmp (target, prefix, need) == 0;
+  return length >= prefix_length
+         && strncmp (target, prefix, prefix_length) == 0;
 }
 
 const rte_route_t *
 rte_find_route (const rte_table_t *table, const char *host, const char *target)
 {
   g_autofree char *name = g_ascii_strdown (host, -1);
-  size_t length = path_length (target);
+  size_t length = get_path_length (target);
   const rte_route_t *best = NULL;
   const GPtrArray *routes;
   char *port = strrchr (name, ':');
@@ -227,7 +229,7 @@
     {
       const rte_route_t *route = g_ptr_array_index (routes, i);
 
-      if (is_under (target, length, route->prefix)
+      if (has_prefix (target, length, route->prefix)
           && (best == NULL || strlen (route->prefix) > strlen (best->prefix)))
         best = route;
     }
@@ -249,20 +251,20 @@
 const char *
 rte_choose_service (const rte_route_t *route, double draw)
 {
-  const rte_traffic_share_t *shares
-      = (const rte_traffic_share_t *)route->shares->data;
-  double whole = 0.;
-
-  for (guint i = 0; i < route->shares->len; i++)
-    whole += shares[i].weight;
-  draw *= whole;
-  for (guint i = 0; i + 1 < route->shares->len; i++)
+  const rte_traffic_share_t *traffic_shares
+      = (const rte_traffic_share_t *)route->traffic_shares->data;
+  double total_weight = 0.;
+
+  for (guint i = 0; i < route->traffic_shares->len; i++)
+    total_weight += traffic_shares[i].weight;
+  draw *= total_weight;
+  for (guint i = 0; i + 1 < route->traffic_shares->len; i++)
     {
-      if (draw < shares[i].weight)
-        return shares[i].service;
-      draw -= shares[i].weight;
+      if (draw < traffic_shares[i].weight)
+        return traffic_shares[i].service;
+      draw -= traffic_shares[i].weight;
     }
-  return shares[route->shares->len - 1].service;
+  return traffic_shares[route->traffic_shares->len - 1].service;
 }
 
 bool
--- a/libcoltsfootdrum/relay/test-edp.c
+++ b/libcoltsfootdrum/relay/test-edp.c
@@ -1,4 +1,5 @@
-/* The set of endpoints: what the platform's list says, and what follows.  */
+/* The set of endpoints: updates from the platform's list, the warm-up rate
+   limit and backoff.  */
 
 #include "relay/cold.h"
 #include "relay/edp.h"
@@ -31,8 +32,8 @@
   edp_set_update (set, now, reports, settled, COLD_MS);
 }
 
-/* The store is back from an outage and lacks an entry: it stays until live
-   endpoints have had the time to report again.  */
+/* After an outage of the store its list may lack a live endpoint.  The
+   endpoint must stay in use until the list is settled.  */
 static void
 test_missing (void)
 {
@@ -50,10 +51,10 @@
   ev_loop_destroy (loop);
 }
 
-/* An endpoint that started again under its id holds nothing of before: its
-   counts begin anew, and what runs at the former one ends by itself.  */
+/* An endpoint that restarts under the same id has none of the former requests.
+   Its counts must start at zero and its hash must change.  */
 static void
-test_born_again (void)
+test_restarted (void)
 {
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
@@ -70,9 +71,10 @@
   ev_loop_destroy (loop);
 }
 
-/* A cold endpoint bears few requests a second, however many wait.  */
+/* A cold endpoint gets no more requests than the warm-up rate allows, however
+   often the limit is asked.  */
 static void
-test_cold (void)
+test_warm_up_rate (void)
 {
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
@@ -89,7 +91,7 @@
       }
   g_assert_cmpuint (sent, >=, 7);
   g_assert_cmpuint (sent, <=, 9);
-  /* Warm: no bound.  */
+  /* A warm endpoint has no limit.  */
   g_assert_true (edp_allows_request (edp, NOW + COLD_MS, 4.));
   g_assert_true (edp_allows_request (edp, NOW + COLD_MS, 4.));
   edp_set_free (set);
@@ -99,15 +101,15 @@
 static void
 test_zone_out (void)
 {
-  static const char *const out[] = { "z", NULL };
+  static const char *const zones_out[] = { "z", NULL };
   static const char *const none[] = { NULL };
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
 
   update (set, NOW, report ("e1", 1, 0), true);
-  edp_set_withdraw_zones (set, out);
+  edp_set_withdraw_zones (set, zones_out);
   g_assert_false (edp_is_open (edp_set_find (set, "e1"), NOW));
-  /* Also one that is listed later.  */
+  /* The same holds for an endpoint that is listed later.  */
   update (set, NOW, report ("e2", 1, 0), true);
   g_assert_false (edp_is_open (edp_set_find (set, "e2"), NOW));
   edp_set_withdraw_zones (set, none);
@@ -116,8 +118,8 @@
   ev_loop_destroy (loop);
 }
 
-/* An endpoint that fails time after time gets less and less, and all again
-   once it works.  */
+/* Consecutive failures lengthen the backoff up to its maximum; a success ends
+   it.  */
 static void
 test_failures (void)
 {
@@ -142,11 +144,11 @@
   ev_loop_destroy (loop);
 }
 
-/* An endpoint that has no room, though its figures say so, gets the next
-   request a little later, and later again with each that it gives back; all
-   at once when it takes one.  */
+/* An endpoint may reject requests although its load figures show free slots.
+   Consecutive rejections lengthen the pause before the next request; an
+   accepted request ends it.  */
 static void
-test_gives_back (void)
+test_rejections (void)
 {
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   edp_set_t *set = edp_set_new (loop);
@@ -162,7 +164,8 @@
       g_assert_cmpint (edp->full_until - NOW, >=, last);
       last = edp->full_until - NOW;
     }
-  /* Well below callers' aims: room that is there is not left unused.  */
+  /* Well below the target latencies, so that free slots are not left unused.
+   */
   g_assert_cmpint (last, <=, 100);
   g_assert_true (edp_is_open (edp, NOW + last));
   edp_record_acceptance (edp);
@@ -171,16 +174,17 @@
   ev_loop_destroy (loop);
 }
 
-/* Routers press an endpoint that turned cold, each with a request for every
-   millisecond.  */
+/* Load pattern: routers with waiting requests and one cold endpoint; each
+   router has a request ready every millisecond.  */
 typedef struct
 {
   const char *name;
   unsigned routers;
   double per_s;
-  /* Of ten routers so many hear no other one and count all ten; the rest hear
-     each other, and take the cut-off ones for dead.  */
-  unsigned cut_off_in_ten;
+  /* Of each ten routers, how many receive no datagrams.  These still count all
+     routers; the others receive each other's datagrams and count the isolated
+     ones as gone.  */
+  unsigned isolated_in_ten;
 } cold_case_t;
 
 static const cold_case_t cold_cases[] = {
@@ -191,23 +195,24 @@
   { "100-cut", 100, 12., 4 },  { "300-cut", 300, 23., 4 },
 };
 
-/* The rules' bound on one second, of all routers together: half above the
-   rate, and five requests.  */
+/* Most requests that an endpoint may get within a second from all routers:
+   1.5 times the rate, plus five.  */
 #define COLD_MULTIPLIER 1.5
-#define COLD_SLACK 5.
+#define COLD_SLACK_REQUESTS 5.
 
 static bool
-is_cut_off (const cold_case_t *one, unsigned router)
+is_isolated (const cold_case_t *one, unsigned router)
 {
-  return router % 10 < one->cut_off_in_ten;
+  return router % 10 < one->isolated_in_ten;
 }
 
-/* What ROUTER knows of the others: how many it counts, and its rank.  */
+/* The rate that ROUTER may use, from the number of routers that it counts and
+   its rank among them.  */
 static double
-rate_of (const cold_case_t *one, unsigned router, uint64_t endpoint)
+compute_rate (const cold_case_t *one, unsigned router, uint64_t endpoint)
 {
   g_autofree char *own = g_strdup_printf ("router-%u", router);
-  bool all = is_cut_off (one, router);
+  bool sees_all = is_isolated (one, router);
   unsigned count = 1;
   unsigned rank = 0;
 
@@ -215,7 +220,7 @@
     {
       g_autofree char *name = g_strdup_printf ("router-%u", i);
 
-      if (i == router || (!all && is_cut_off (one, i)))
+      if (i == router || (!sees_all && is_isolated (one, i)))
         continue;
       count++;
       rank += cold_ranks_before (name, own, endpoint);
@@ -234,24 +239,25 @@
   return edp;
 }
 
-/* However many routers there are, and whoever hears whom, the cold endpoint
-   gets no more in any second than it bears, and most of that when all hear
-   each other: a limit that each router keeps by itself would add up.  */
+/* Limits that routers keep independently would add up.  In any second, all
+   routers together must stay below the bound, for any number of routers and
+   with some of them isolated; when none is, they must use at least 70
+   percent of the rate.  */
 static void
-test_cold_fleet (const void *data)
+test_warm_up_rate_of_fleet (const void *data)
 {
   const cold_case_t *one = data;
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   unsigned sent[COLD_MS] = { 0 };
-  unsigned most = 0;
-  unsigned all = 0;
+  unsigned max_per_second = 0;
+  unsigned total = 0;
 
   for (unsigned router = 0; router < one->routers; router++)
     {
       edp_set_t *set = edp_set_new (loop);
       uint64_t hash;
       edp_t *edp = cold_endpoint (set, &hash);
-      double rate = rate_of (one, router, hash);
+      double rate = compute_rate (one, router, hash);
 
       for (unsigned ms = 0; ms < COLD_MS; ms++)
         if (edp_allows_request (edp, NOW + ms, rate))
@@ -267,13 +273,15 @@
 
       for (unsigned i = ms; i < MIN (ms + 1000, COLD_MS); i++)
         sum += sent[i];
-      most = MAX (most, sum);
-      all += sent[ms];
+      max_per_second = MAX (max_per_second, sum);
+      total += sent[ms];
     }
-  g_test_message ("most in a second %u, in all %u", most, all);
-  g_assert_cmpfloat (most, <=, one->per_s * COLD_MULTIPLIER + COLD_SLACK);
-  if (one->cut_off_in_ten == 0)
-    g_assert_cmpfloat (all, >=, one->per_s * COLD_MS / 1000. * 0.7);
+  g_test_message ("at most %u requests in a second, %u in total",
+                  max_per_second, total);
+  g_assert_cmpfloat (max_per_second, <=,
+                     one->per_s * COLD_MULTIPLIER + COLD_SLACK_REQUESTS);
+  if (one->isolated_in_ten == 0)
+    g_assert_cmpfloat (total, >=, one->per_s * COLD_MS / 1000. * 0.7);
   ev_loop_destroy (loop);
 }
 
@@ -282,17 +290,17 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/edp/missing", test_missing);
-  g_test_add_func ("/edp/born-again", test_born_again);
-  g_test_add_func ("/edp/cold", test_cold);
+  g_test_add_func ("/edp/born-again", test_restarted);
+  g_test_add_func ("/edp/cold", test_warm_up_rate);
   for (unsigned i = 0; i < G_N_ELEMENTS (cold_cases); i++)
     {
       g_autofree char *path
           = g_strdup_printf ("/edp/cold-fleet/%s", cold_cases[i].name);
 
-      g_test_add_data_func (path, &cold_cases[i], test_cold_fleet);
+      g_test_add_data_func (path, &cold_cases[i], test_warm_up_rate_of_fleet);
     }
   g_test_add_func ("/edp/zone-out", test_zone_out);
   g_test_add_func ("/edp/failures", test_failures);
-  g_test_add_func ("/edp/gives-back", test_gives_back);
+  g_test_add_func ("/edp/gives-back", test_rejections);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/relay/test-rly-share.c
+++ b/libcoltsfootdrum/relay/test-rly-share.c
@@ -1,5 +1,6 @@
-/* The relay's part in accounts' shares, over real connections: who counts as
-   served, and what an account that is behind may do.  */
+/* Fair shares of client accounts in the relay, over real connections: which
+   requests count as served, and how underserved accounts and late requests are
+   placed.  */
 
 #include "test-rly-scene.h"
 
@@ -14,27 +15,28 @@
   "\r\nX-Deadline: 20000\r\nAuthorization: Bearer key-of-the-mill\r\n"        \
   "Content-Length: 0\r\n\r\n"
 
-/* Tokens that others get, far more than all requests of a test.  */
-#define MUCH 1e8
-/* A request in time waits here for seconds.  */
-#define AT_ONCE_MS 1500
+/* Usage of another account, far more than all requests of a test.  */
+#define LARGE_USAGE_TOKENS 1e8
+/* Time for an immediate refusal; a request that is not late would wait for
+   seconds.  */
+#define MAX_REFUSAL_MS 1500
 
 static bool
-has_one (void *user)
+has_received_one (void *user)
 {
-  return ((scene_t *)user)->arrived >= 1;
+  return ((scene_t *)user)->requests_received >= 1;
 }
 
 static bool
-has_two (void *user)
+has_received_two (void *user)
 {
-  return ((scene_t *)user)->arrived >= 2;
+  return ((scene_t *)user)->requests_received >= 2;
 }
 
 static bool
-has_three (void *user)
+has_received_three (void *user)
 {
-  return ((scene_t *)user)->arrived >= 3;
+  return ((scene_t *)user)->requests_received >= 3;
 }
 
 static bool
@@ -44,9 +46,9 @@
 }
 
 static bool
-has_twelve (void *user)
+has_received_twelve (void *user)
 {
-  return ((scene_t *)user)->arrived >= 12;
+  return ((scene_t *)user)->requests_received >= 12;
 }
 
 static bool
@@ -61,17 +63,16 @@
   return rly_counts (((scene_t *)user)->rly)->waiting >= 4;
 }
 
-/* Endpoints give back what they get.  The caller sees refusals, and its
-   account got nothing.  Were they counted, it would pass for the best served
-   one, and its other requests would wait behind those of accounts that are
-   served.  */
+/* Rejected requests must not count as served.  Otherwise the account would
+   seem the best served one, and its other requests would wait behind those of
+   accounts that are really served.  */
 static void
-test_given_back (void)
+test_rejected_not_served (void)
 {
-  static const scene_reply_t replies[] = { { NOT_RUN, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NOT_RUN, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller
-      = scene_call (scene, CALL ("/once/", "1", "a:100,b:900"));
+      = scene_send_request (scene, CALL ("/once/", "1", "a:100,b:900"));
   use_sum_t sum;
 
   scene_wait_for (scene, caller, "\r\n\r\n");
@@ -83,59 +84,65 @@
   scene_free (scene);
 }
 
-/* All callers of an account come to one router, and what they ask begins
-   alike.  The endpoint that keeps the beginning reads a long prompt; the other
-   one is free but would read the beginning anew.  The request waits, until the
-   account is far behind the others: with one endpoint alone it could never
+/* All requests of an account come to one router and share a prefix.  The
+   endpoint that caches the prefix is busy with a long prompt; the other is
+   free but would have to prefill the prefix again.  The request waits until
+   its account is underserved: with a single endpoint the account could never
    catch up.  */
 static void
-test_behind (void)
+test_underserved (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *callers[3];
   cfd_time_t now;
 
-  callers[0] = scene_call (scene, CALL ("/slow/", "1", "a:20000,b:200000"));
-  scene_run (scene, has_one, scene);
-  callers[1] = scene_call (scene, CALL ("/slow/", "2", "c:30000,d:10"));
-  scene_run (scene, has_two, scene);
-  callers[2] = scene_call (scene, CALL ("/slow/", "3", "a:20000,e:10"));
+  callers[0]
+      = scene_send_request (scene, CALL ("/slow/", "1", "a:20000,b:200000"));
+  scene_run (scene, has_received_one, scene);
+  callers[1]
+      = scene_send_request (scene, CALL ("/slow/", "2", "c:30000,d:10"));
+  scene_run (scene, has_received_two, scene);
+  callers[2]
+      = scene_send_request (scene, CALL ("/slow/", "3", "a:20000,e:10"));
   scene_run (scene, has_waiting, scene);
-  g_assert_cmpuint (scene->arrived, ==, 2);
+  g_assert_cmpuint (scene->requests_received, ==, 2);
   now = clock_now ();
-  use_add_demand (scene->use, now, "mill", 2. * MUCH);
-  use_add_demand (scene->use, now, "press", 2. * MUCH);
-  use_add_served (scene->use, now, "press", MUCH);
-  scene_run (scene, has_three, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=3|"));
+  use_add_demand (scene->use, now, "mill", 2. * LARGE_USAGE_TOKENS);
+  use_add_demand (scene->use, now, "press", 2. * LARGE_USAGE_TOKENS);
+  use_add_served (scene->use, now, "press", LARGE_USAGE_TOKENS);
+  scene_run (scene, has_received_three, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
   scene_free (scene);
 }
 
 /* The endpoint that caches a prefix has no free slot.  The other endpoint gets
-   the request with the address to copy the prefix from, and doesn't prefill it
-   anew.  Its own prefix, cached where it goes, is not copied.  */
+   the request with the address to copy the prefix from, instead of prefilling
+   it again.  The first request, with nothing cached elsewhere, has no such
+   address.  */
 static void
 test_prefix_fetched (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 1);
   scene_caller_t *callers[2];
   g_autofree char *source = NULL;
   unsigned first;
 
-  callers[0] = scene_call (scene, CALL ("/slow/", "1", "a:20000,b:10"));
-  scene_run (scene, has_one, scene);
-  g_assert_null (strstr (scene->last->str, "|X-Fetch="));
-  first = scene->backs[0].requests > 0 ? 0 : 1;
+  callers[0]
+      = scene_send_request (scene, CALL ("/slow/", "1", "a:20000,b:10"));
+  scene_run (scene, has_received_one, scene);
+  g_assert_null (strstr (scene->last_request->str, "|X-Fetch="));
+  first = scene->servers[0].requests > 0 ? 0 : 1;
   source
-      = g_strdup_printf ("|X-Fetch=127.0.0.1:%u|", scene->backs[first].port);
-  callers[1] = scene_call (scene, CALL ("/slow/", "2", "a:20000,c:10"));
-  scene_run (scene, has_two, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=2|"));
-  g_assert_nonnull (strstr (scene->last->str, source));
+      = g_strdup_printf ("|X-Fetch=127.0.0.1:%u|", scene->servers[first].port);
+  callers[1]
+      = scene_send_request (scene, CALL ("/slow/", "2", "a:20000,c:10"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=2|"));
+  g_assert_nonnull (strstr (scene->last_request->str, source));
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
   scene_free (scene);
@@ -150,10 +157,10 @@
          && strstr (caller->text->str, "Retry-After: ") != NULL;
 }
 
-/* The caller of this call was refused elsewhere, and is past its latency
-   objective by now.  */
+/* Records that the caller of PROMPT was refused elsewhere and is past its
+   target latency.  */
 static void
-note_refused (scene_t *scene, const char *prompt)
+add_refusal (scene_t *scene, const char *prompt)
 {
   cfd_time_t now = clock_now ();
 
@@ -161,80 +168,81 @@
                    now - 15000, now);
 }
 
-/* A caller who was refused comes back past its latency objective, with no free
-   slot.  It is told at once; the slot that gets free goes to a new caller,
+/* A refused caller returns past its target latency while no slot is free.  It
+   must be refused at once, and the next free slot must go to a new caller,
    whose answer can still be in time.  */
 static void
-test_late_told_at_once (void)
+test_late_refused_at_once (void)
 {
   static const scene_reply_t replies[]
-      = { { NULL, SCENE_STAYS }, { NULL, SCENE_STAYS } };
+      = { { NULL, SCENE_KEEP_OPEN }, { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 2, 1);
   scene_caller_t *callers[3];
   cfd_time_t now;
 
-  scene_list (scene, 1, false, 1);
-  callers[0] = scene_call (scene, CALL ("/slow/", "1", "a:20,b:10"));
-  scene_run (scene, has_one, scene);
+  scene_list_endpoints (scene, 1, false, 1);
+  callers[0] = scene_send_request (scene, CALL ("/slow/", "1", "a:20,b:10"));
+  scene_run (scene, has_received_one, scene);
   now = clock_now ();
-  note_refused (scene, "c:20,d:10");
-  callers[1] = scene_call (scene, CALL ("/slow/", "2", "c:20,d:10"));
-  callers[2] = scene_call (scene, CALL ("/slow/", "3", "e:20,f:10"));
+  add_refusal (scene, "c:20,d:10");
+  callers[1] = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
+  callers[2] = scene_send_request (scene, CALL ("/slow/", "3", "e:20,f:10"));
   scene_run (scene, is_refused, callers[1]);
-  g_assert_cmpint (clock_now () - now, <, AT_ONCE_MS);
-  g_assert_cmpuint (scene->arrived, ==, 1);
+  g_assert_cmpint (clock_now () - now, <, MAX_REFUSAL_MS);
+  g_assert_cmpuint (scene->requests_received, ==, 1);
   scene_caller_free (callers[0]);
-  scene_run (scene, has_two, scene);
-  g_assert_nonnull (strstr (scene->last->str, "|X-Id=3|"));
+  scene_run (scene, has_received_two, scene);
+  g_assert_nonnull (strstr (scene->last_request->str, "|X-Id=3|"));
   scene_caller_free (callers[1]);
   scene_caller_free (callers[2]);
   scene_free (scene);
 }
 
-/* With capacity to spare a late caller is served: a late answer is better than
+/* With spare capacity a late caller is served: a late answer is better than
    none.  */
 static void
-test_late_takes_spare (void)
+test_late_uses_spare_capacity (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller;
 
-  note_refused (scene, "c:20,d:10");
-  caller = scene_call (scene, CALL ("/slow/", "2", "c:20,d:10"));
-  scene_run (scene, has_one, scene);
+  add_refusal (scene, "c:20,d:10");
+  caller = scene_send_request (scene, CALL ("/slow/", "2", "c:20,d:10"));
+  scene_run (scene, has_received_one, scene);
   scene_caller_free (caller);
   scene_free (scene);
 }
 
-/* An account floods the router: the queue before its next request is longer
-   than that may wait, at the rate at which the account is served.  Its caller
-   is told on arrival, while those before it still wait.  */
+/* An account floods the router.  At the rate at which the account is served,
+   its next request would wait for too long.  It must be refused on arrival,
+   while the requests before it still wait.  */
 static void
 test_early_reject (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 1);
   scene_caller_t *callers[8];
   guint count = 0;
   cfd_time_t later;
 
-  scene_list (scene, 1, false, 1);
+  scene_list_endpoints (scene, 1, false, 1);
   for (; count < 6; count++)
     {
       g_autofree char *call = g_strdup_printf (
           CALL ("/slow/", "%u", "a%u:2000,b:10"), count + 1, count);
 
-      callers[count] = scene_call (scene, call);
+      callers[count] = scene_send_request (scene, call);
       if (count == 0)
-        scene_run (scene, has_one, scene);
+        scene_run (scene, has_received_one, scene);
     }
   scene_run (scene, has_four_waiting, scene);
-  /* A round of placement has passed over them.  */
+  /* Time for a placement round to try them.  */
   later = clock_now () + 2 * RLY_TICK_MS;
   scene_run (scene, is_later, &later);
-  /* What it got so far would take this queue a minute.  */
-  callers[count] = scene_call (scene, CALL ("/slow/", "9", "c:2000,d:10"));
+  /* At the rate so far, this queue would take a minute.  */
+  callers[count]
+      = scene_send_request (scene, CALL ("/slow/", "9", "c:2000,d:10"));
   scene_run (scene, is_refused, callers[count]);
   g_assert_cmpuint (rly_counts (scene->rly)->waiting, >=, 4);
   for (guint i = 0; i <= count; i++)
@@ -242,13 +250,13 @@
   scene_free (scene);
 }
 
-/* An account that was idle sends many requests in one turn of the loop.  They
-   have not been passed over yet, and all are placed: none is rejected for a
-   queue that is none.  */
+/* An idle account sends many requests in one loop iteration.  No placement
+   round has tried them yet, so none may be refused for the queue before it;
+   all are placed.  */
 static void
 test_burst_of_idle_account (void)
 {
-  static const scene_reply_t replies[] = { { NULL, SCENE_STAYS } };
+  static const scene_reply_t replies[] = { { NULL, SCENE_KEEP_OPEN } };
   scene_t *scene = scene_new (replies, 1, 16);
   scene_caller_t *callers[12];
 
@@ -257,9 +265,9 @@
       g_autofree char *call
           = g_strdup_printf (CALL ("/slow/", "%u", "a%u:20,b:10"), i + 1, i);
 
-      callers[i] = scene_call (scene, call);
+      callers[i] = scene_send_request (scene, call);
     }
-  scene_run (scene, has_twelve, scene);
+  scene_run (scene, has_received_twelve, scene);
   for (guint i = 0; i < G_N_ELEMENTS (callers); i++)
     scene_caller_free (callers[i]);
   scene_free (scene);
@@ -269,10 +277,12 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/rly-share/given-back", test_given_back);
-  g_test_add_func ("/rly-share/behind", test_behind);
-  g_test_add_func ("/rly-share/late-told-at-once", test_late_told_at_once);
-  g_test_add_func ("/rly-share/late-takes-spare", test_late_takes_spare);
+  g_test_add_func ("/rly-share/given-back", test_rejected_not_served);
+  g_test_add_func ("/rly-share/behind", test_underserved);
+  g_test_add_func ("/rly-share/late-refused-at-once",
+                   test_late_refused_at_once);
+  g_test_add_func ("/rly-share/late-uses-spare-capacity",
+                   test_late_uses_spare_capacity);
   g_test_add_func ("/rly-share/early-reject", test_early_reject);
   g_test_add_func ("/rly-share/burst-of-idle-account",
                    test_burst_of_idle_account);
