--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -115,7 +115,7 @@
 {
   if (request->kept == NULL || !request->kept_whole)
     return;
-  request->kept_whole = request->kept->len + length <= ONCE_ANSWER_MAX;
+  request->kept_whole = request->kept->len + length <= ONCE_MAX_ANSWER_BYTES;
   if (request->kept_whole)
     g_byte_array_append (request->kept, bytes, length);
 }
@@ -334,7 +334,7 @@
 {
   peer_counters_t counters;
 
-  peer_hub_counters (router->hub, &counters);
+  peer_hub_get_counters (router->hub, &counters);
   if (counters.silences > router->silences)
     router->silent_at = now;
   router->silences = counters.silences;
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -18,9 +18,9 @@
         int retry_after_s)
 {
   router->counters.refused[reason]++;
-  tl_add (router->ring, TL_REFUSE, NULL, NULL, NULL, web_header_set (web),
-          title);
-  web_problem (web, status, title, detail, "not-run", retry_after_s);
+  tl_add (router->ring, TL_REFUSE, NULL, NULL, NULL,
+          web_get_response_header (web), title);
+  web_respond_problem (web, status, title, detail, "not-run", retry_after_s);
 }
 
 /* The account of the caller's key, or NULL after a refusal.  */
@@ -33,7 +33,8 @@
 
   if (header != NULL
       && g_ascii_strncasecmp (header, scheme, sizeof scheme - 1) == 0)
-    account = store_account_by_key (router->store, header + sizeof scheme - 1);
+    account = store_find_account_by_key (router->store,
+                                         header + sizeof scheme - 1);
   if (account == NULL)
     refuse (router, web, REFUSED_KEY, 401, "Unknown key",
             "Send \"Authorization: Bearer KEY\" with a key of a client "
@@ -172,8 +173,8 @@
 {
   return call->is_model
          || (is_plain_path (call->path)
-             && rec_service_idempotent (&service->u.service, method,
-                                        call->path));
+             && rec_service_is_idempotent (&service->u.service, method,
+                                           call->path));
 }
 
 /* Begins the life of a request that passed all checks.  */
@@ -185,7 +186,7 @@
   request_t *request;
   pass_t pass = { g_ptr_array_new_with_free_func (g_free), false };
 
-  web_each_header (web, pass_header, &pass);
+  web_foreach_header (web, pass_header, &pass);
   if (pass.too_many)
     {
       g_ptr_array_unref (pass.headers);
@@ -203,7 +204,7 @@
                            ? cost_expect (router->cost, account->name,
                                           service->name, call->cost)
                            : call->cost;
-  request->item.class_rank = rec_service_class (
+  request->item.class_rank = rec_service_get_class_rank (
       &service->u.service, web_header (web, "X-Request-Class"));
   if (!request->idempotent)
     request->key = g_strdup (web_header (web, "Idempotency-Key"));
@@ -294,8 +295,8 @@
   g_autofree char *name = router_name_request (router);
 
   router->counters.requests++;
-  web_set_header (web, "X-Request-Id", name);
-  if (store_revision (router->store) == 0)
+  web_set_response_header (web, "X-Request-Id", name);
+  if (store_get_revision (router->store) == 0)
     refuse (router, web, REFUSED_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; ask again.",
             RETRY_CONFIG_S);
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -163,7 +163,7 @@
   bool asked_again; /* for a missing piece, at ASKED_OFFSET */
   uint64_t asked_offset;
   unsigned early_ends;
-  GByteArray *kept; /* copy for the claim, up to ONCE_ANSWER_MAX */
+  GByteArray *kept; /* copy for the claim, up to ONCE_MAX_ANSWER_BYTES */
   bool kept_whole;
 } request_t;
 
@@ -217,7 +217,7 @@
   uint64_t asked_revision; /* of a peer that showed it */
   cfd_time_t asked_at;
   char *asked;         /* router asked for word that did not answer yet */
-  unsigned ask_choice; /* whom to ask, see spread_tree_ask */
+  unsigned ask_choice; /* whom to ask, see spread_tree_choose_source */
   unsigned ask_doubts; /* in it */
   unsigned told;       /* agents told, in turn */
 
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -91,8 +91,9 @@
 static bool
 has_work (const cfd_router_t *router)
 {
-  return !list_is_empty (&router->all) || web_server_active (router->web) > 0
-         || once_pending (router->once) > 0;
+  return !list_is_empty (&router->all)
+         || web_server_count_active (router->web) > 0
+         || once_count_pending_writes (router->once) > 0;
 }
 
 static void
@@ -112,7 +113,8 @@
     router->quiet_since = now;
   if (now - router->quiet_since < QUIET_MS && now < router->drain_until)
     return;
-  log_info ("router", "Shut down: left=%u.", web_server_active (router->web));
+  log_info ("router", "Shut down: left=%u.",
+            web_server_count_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
 }
 
@@ -233,7 +235,7 @@
 static uint64_t
 revision (void *user)
 {
-  return store_revision (((cfd_router_t *)user)->store);
+  return store_get_revision (((cfd_router_t *)user)->store);
 }
 
 /* ---- configuration ---- */
@@ -275,12 +277,12 @@
   static const peer_events_t events = {
     .message = on_message, .up = on_up, .down = on_down, .revision = revision
   };
-  const peer_self_t self = { .role = ROLE_ROUTER,
-                             .instance = settings->instance,
-                             .zone = settings->zone,
-                             .incarnation = router->incarnation,
-                             .listen = settings->peer_listen,
-                             .secret = settings->secret };
+  const peer_hub_options_t self = { .role = ROLE_ROUTER,
+                                    .instance = settings->instance,
+                                    .zone = settings->zone,
+                                    .incarnation = router->incarnation,
+                                    .listen = settings->peer_listen,
+                                    .secret = settings->secret };
 
   router->hub = peer_hub_new (router->loop, &self, router->ring, &events,
                               router, error);
@@ -297,7 +299,7 @@
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_limit_bodies (router->web, BODIES_MAX);
+  web_server_set_max_total_body_bytes (router->web, BODIES_MAX);
   return true;
 }
 
--- a/libcoltsfootdrum/wire/peer-link.c
+++ b/libcoltsfootdrum/wire/peer-link.c
@@ -144,7 +144,7 @@
   peer_hub_t *hub = link->hub;
   g_autoptr (GByteArray) frame = NULL;
 
-  message->stamp = hlc_tick (hub->clock, clock_wall ());
+  message->stamp = hlc_tick (hub->clock, clock_wall_ms ());
   message->revision
       = hub->events.revision != NULL ? hub->events.revision (hub->user) : 0;
   frame = msg_encode (message, out_state (link, message->kind));
@@ -156,7 +156,7 @@
     }
   /* A link that takes nothing is closed, not skipped: then both sides know
      that frames were lost, and start anew.  */
-  if (link_pending (link) + frame->len > PEER_OUTPUT_MAX)
+  if (link_pending (link) + frame->len > PEER_MAX_OUTPUT_BYTES)
     {
       link_close (link, "output full");
       return false;
@@ -249,7 +249,7 @@
 static void
 take_stamp (peer_hub_t *hub, uint64_t stamp)
 {
-  int64_t wall = clock_wall ();
+  int64_t wall = clock_wall_ms ();
 
   if ((int64_t)(stamp >> 16) - wall < STAMP_AHEAD_MS)
     hlc_merge (hub->clock, stamp, wall);
@@ -343,7 +343,7 @@
   const char *name = link->id.instance ? link->id.instance : "not proved";
 
   link->hub->counters.frames_bad++;
-  if (what == MSG_LENGTH_BAD)
+  if (what == MSG_LENGTH_INVALID)
     log_warn ("peer", "Bad length of a frame: peer=%s.", name);
   else
     log_warn ("peer", "Frame too large: peer=%s bytes=%u most=%zu.", name,
@@ -366,11 +366,12 @@
       size_t have = link->in->len - done;
       uint32_t length = 0;
       size_t prefix;
-      msg_length_t what = msg_length (start, have, is_short, &length, &prefix);
+      msg_length_t what
+          = msg_parse_length (start, have, is_short, &length, &prefix);
 
-      if (what == MSG_LENGTH_PART)
+      if (what == MSG_LENGTH_INCOMPLETE)
         break;
-      if (what == MSG_LENGTH_BAD || length > most)
+      if (what == MSG_LENGTH_INVALID || length > most)
         {
           refuse_length (link, what, length, most);
           break;
--- a/libcoltsfootdrum/wire/test-peer-auth.c
+++ b/libcoltsfootdrum/wire/test-peer-auth.c
@@ -42,7 +42,7 @@
   hubs_start (&hubs, HUBS_SECRET);
   hubs_node_start (&hubs, &hubs.c, ROLE_AGENT, "c", hubs.address_c, 3,
                    HUBS_SECRET);
-  peer_hub_address (hubs.a.hub, "b", hubs.address_c);
+  peer_hub_set_address (hubs.a.hub, "b", hubs.address_c);
   peer_hub_hold (hubs.a.hub, "b");
   hubs_run_until (&hubs, a_refused);
   g_assert_cmpstr (hubs.a.told->str, ==, "");
@@ -190,7 +190,7 @@
 
       hubs_start (&hubs, HUBS_SECRET);
       g_assert_true (addr_parse (hubs.address_b, &addr, NULL));
-      hubs.raw = addr_dial (&addr);
+      hubs.raw = addr_connect (&addr);
       g_byte_array_unref (raw_receive (&hubs));
       raw_send (&hubs, cases[i].bytes, cases[i].length);
       hubs_run_until (&hubs, b_closed_all);
