--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -205,7 +205,7 @@
           && is_for (agent, record->name))
         g_ptr_array_add (names, agent->name);
     }
-  disp_agents (router->disp, record->name, names);
+  disp_set_agents (router->disp, record->name, names);
 }
 
 void
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -14,13 +14,13 @@
 {
   adm_queue_info_t info;
 
-  adm_info (router->adm, account, service, now, &info);
+  adm_get_queue_info (router->adm, account, service, now, &info);
   *left = (msg_waiting_t){
     .account = account,
     .count = info.count,
     .class_rank = info.class_rank,
     .oldest_ms = info.count > 0 ? (uint32_t)(now - info.oldest) : 0,
-    .virtual_time = share_virtual_time (router->share, account, service),
+    .virtual_time = share_get_virtual_time (router->share, account, service),
   };
 }
 
@@ -31,7 +31,7 @@
   msg_waiting_t left;
 
   grant_left (router, account, service, now, &left);
-  share_backlog (router->share, account, service, left.count > 0, now);
+  share_set_backlogged (router->share, account, service, left.count > 0, now);
   if (left.count == 0)
     turns_rest (router->turns, account, service);
   shares_changed (router, now);
@@ -41,15 +41,15 @@
       return;
     }
   /* The backlog may have lifted the account to the floor.  */
-  left.virtual_time = share_virtual_time (router->share, account, service);
-  disp_waiting (router->disp, service, &left, now);
-  router_schedule (router, MIN (disp_next (router->disp, now),
+  left.virtual_time = share_get_virtual_time (router->share, account, service);
+  disp_update_waiting (router->disp, service, &left, now);
+  router_schedule (router, MIN (disp_next_due (router->disp, now),
                                 adm_next_deadline (router->adm)));
 }
 
 /* ---- announcements ---- */
 
-static reach_word_t
+static reach_result_t
 announce (void *user, const char *name, const msg_announce_t *word)
 {
   cfd_router_t *router = user;
@@ -58,21 +58,22 @@
   cfd_time_t now = clock_now ();
 
   if (agent == NULL)
-    return REACH_DIALLED;
-  agent->announced_until = now + DISP_LIFE_MS;
+    return REACH_DIALLING;
+  agent->announced_until = now + DISP_LIFETIME_MS;
   agents_hold (router, agent);
   /* Not sent: the agent hears all when its link is up.  */
   if (!router_send (router, name, &message))
-    return REACH_DIALLED;
+    return REACH_DIALLING;
   router->counters.announces++;
   router->counters.announced_entries += word->count;
-  return peer_hub_is_quiet (router->hub, name, now) ? REACH_QUIET : REACH_SENT;
+  return peer_hub_is_quiet (router->hub, name, now) ? REACH_UNRESPONSIVE
+                                                    : REACH_SENT;
 }
 
 void
 grant_announce (cfd_router_t *router, cfd_time_t now)
 {
-  disp_due (router->disp, now, announce, router);
+  disp_send_due (router->disp, now, announce, router);
 }
 
 /* ---- grants ---- */
@@ -117,8 +118,8 @@
     message.u.decline.left.count = 0;
   router->counters.declined[reason]++;
   if (router_send (router, peer->instance, &message))
-    disp_answered (router->disp, grant->service, peer->instance,
-                   &message.u.decline.left, now);
+    disp_record_answer (router->disp, grant->service, peer->instance,
+                        &message.u.decline.left, now);
 }
 
 typedef struct
@@ -138,7 +139,7 @@
 
   if (strcmp (service, least->service) != 0)
     return;
-  time = share_virtual_time (least->router->share, account, service);
+  time = share_get_virtual_time (least->router->share, account, service);
   if (least->account != NULL && time >= least->time)
     return;
   if (!adm_has_allowed (least->router->adm, account, service, may_go,
@@ -158,7 +159,7 @@
   double weight = record != NULL ? record->u.account.weight : 1;
   adm_queue_info_t info;
 
-  adm_info (router->adm, least->account, grant->service, now, &info);
+  adm_get_queue_info (router->adm, least->account, grant->service, now, &info);
   return least->time > grant->limit_vt + info.cost / info.count / weight;
 }
 
@@ -174,7 +175,7 @@
                     .target = { router, agent, now },
                     .service = grant->service };
 
-  adm_each (router->adm, offer_least, &least);
+  adm_for_each_queue (router->adm, offer_least, &least);
   if (least.account == NULL)
     decline (router, peer, grant, DECLINE_NO_WORK, now);
   else if (is_stale (router, grant, &least, now))
@@ -193,7 +194,7 @@
 
   router->counters.grants++;
   agents_serves (router, agent, grant->service);
-  share_floor (router->share, grant->service, grant->floor, now);
+  share_record_floor (router->share, grant->service, grant->floor, now);
   request_expire (router, now);
   if (!agents_may_work (router, agent))
     decline (router, peer, grant, DECLINE_ZONE, now);
@@ -287,8 +288,8 @@
               &assign->left);
   if (!router_send (router, request->agent->name, &message))
     return false;
-  disp_answered (router->disp, request->item.service, request->agent->name,
-                 &assign->left, now);
+  disp_record_answer (router->disp, request->item.service,
+                      request->agent->name, &assign->left, now);
   return true;
 }
 
@@ -316,7 +317,7 @@
 {
   return router->policy == CFD_POLICY_LOCAL
              ? wfq_virtual_time (router->wfq, account, service)
-             : share_virtual_time (router->share, account, service);
+             : share_get_virtual_time (router->share, account, service);
 }
 
 typedef struct
@@ -360,7 +361,7 @@
                         .charge = request->charged / request->weight };
   passing_t passing = { router, target, &turn };
 
-  adm_each (router->adm, check_passed, &passing);
+  adm_for_each_queue (router->adm, check_passed, &passing);
   turns_take (router->turns, &turn, target->now);
 }
 
@@ -370,8 +371,8 @@
               cfd_time_t now)
 {
   target_t target = { router, agent, now };
-  adm_item_t *item
-      = adm_take_allowed (router->adm, account, service, now, may_go, &target);
+  adm_item_t *item = adm_dequeue_allowed (router->adm, account, service, now,
+                                          may_go, &target);
   request_t *request;
   double time;
   double order;
@@ -379,7 +380,7 @@
   if (item == NULL)
     return false;
   /* ACCOUNT and SERVICE may be of the queue, which goes with its last item. */
-  time = share_virtual_time (router->share, item->account, item->service);
+  time = share_get_virtual_time (router->share, item->account, item->service);
   order = order_time (router, item->account, item->service);
   request = list_entry (item, request_t, item);
   attach (router, request, agent, incarnation, now);
@@ -388,7 +389,7 @@
     {
       grant_correct (request, 0, now);
       request_detach (request);
-      adm_return (router->adm, item);
+      adm_requeue (router->adm, item);
       return false;
     }
   router->counters.assigned++;
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -122,8 +122,8 @@
   if (peer->late == is_late)
     return;
   peer->late = is_late;
-  share_late (router->share, homes_number (peer->name), is_late, note_moved,
-              router);
+  share_set_home_late (router->share, homes_number (peer->name), is_late,
+                       note_moved, router);
 }
 
 /* Passes over PEER as a home until its link is up: its accounts move to their
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -54,8 +54,8 @@
 
   router->counters.report_entries++;
   if (strcmp (home, router->instance) == 0)
-    home_report (router->home, router->instance, router->incarnation, entry,
-                 reporting->now);
+    home_apply_report (router->home, router->instance, router->incarnation,
+                       entry, reporting->now);
   else
     g_array_append_val (batch_for (reporting, homes_get (router, home)),
                         *entry);
@@ -120,7 +120,7 @@
   gpointer peer;
   gpointer batch;
 
-  share_due (router->share, now, emit, &reporting);
+  share_emit_due (router->share, now, emit, &reporting);
   g_hash_table_iter_init (&iter, batches);
   while (g_hash_table_iter_next (&iter, &peer, &batch))
     report_to (router, peer, batch, now);
@@ -141,18 +141,18 @@
 take_one (cfd_router_t *router, const msg_share_entry_t *entry, cfd_time_t now)
 {
   double before
-      = share_virtual_time (router->share, entry->account, entry->service);
+      = share_get_virtual_time (router->share, entry->account, entry->service);
   msg_waiting_t left;
 
   router->counters.shares++;
-  share_take (router->share, entry, now);
+  share_apply_answer (router->share, entry, now);
   if (router->policy == CFD_POLICY_LOCAL)
     return;
   grant_left (router, entry->account, entry->service, now, &left);
   turns_moved (router->turns, entry->account, entry->service,
                left.virtual_time - before);
   if (left.count > 0)
-    disp_waiting (router->disp, entry->service, &left, now);
+    disp_update_waiting (router->disp, entry->service, &left, now);
 }
 
 static void
@@ -202,7 +202,7 @@
   gpointer name;
   gpointer batch;
 
-  home_due (router->home, now, emit_share, &answering);
+  home_emit_due (router->home, now, emit_share, &answering);
   g_hash_table_iter_init (&iter, batches);
   while (g_hash_table_iter_next (&iter, &name, &batch))
     send_shares (router, name, batch);
@@ -218,7 +218,7 @@
   router->report_at = CFD_TIME_NEVER;
   router->homes_moved = false;
   if (is_moved)
-    share_moved (router->share, now, homes_number_of, router);
+    share_mark_moved_due (router->share, now, homes_number_of, router);
   report_all (router, now);
   answer_all (router, now);
 }
@@ -231,8 +231,8 @@
 
   for (uint32_t i = 0; i < report->count; i++)
     {
-      home_report (router->home, peer->instance, peer->incarnation,
-                   &report->entries[i], now);
+      home_apply_report (router->home, peer->instance, peer->incarnation,
+                         &report->entries[i], now);
       told_report (told, &report->entries[i]);
     }
   shares_changed (router, now);
