--- a/libcoltsfootdrum/dispatch/disp.c
+++ b/libcoltsfootdrum/dispatch/disp.c
@@ -84,7 +84,7 @@
 }
 
 static void
-make_due (disp_t *disp, entry_t *entry, cfd_time_t due)
+schedule_entry (disp_t *disp, entry_t *entry, cfd_time_t due)
 {
   entry->due = MIN (entry->due, due);
   disp->next = MIN (disp->next, entry->due);
@@ -94,7 +94,7 @@
 disp_set_agents (disp_t *disp, const char *name, const GPtrArray *names)
 {
   service_t *service = find_or_add (disp, name);
-  GPtrArray *former = service->agents;
+  GPtrArray *previous = service->agents;
   GHashTableIter iter;
   gpointer value;
 
@@ -105,29 +105,29 @@
 
       agent->name = g_strdup (names->pdata[i]);
       agent->entries = g_array_new (false, false, sizeof (msg_waiting_t));
-      agent->forgot = true;
-      agent->reach = reach_fresh;
+      agent->needs_full = true;
+      agent->reach = reach_initial;
       g_ptr_array_add (service->agents, agent);
     }
-  for (guint i = 0; i < former->len; i++)
+  for (guint i = 0; i < previous->len; i++)
     {
-      const agent_t *old = former->pdata[i];
+      const agent_t *old = previous->pdata[i];
       agent_t *agent = find_agent (service, old->name);
 
       if (agent == NULL)
         continue;
-      agent->forgot = old->forgot;
+      agent->needs_full = old->needs_full;
       agent->reach = old->reach;
     }
-  g_ptr_array_unref (former);
+  g_ptr_array_unref (previous);
   service->refresh_ms = names->len <= DISP_SMALL_FLEET_AGENTS
                             ? DISP_SMALL_FLEET_REFRESH_MS
                             : DISP_REFRESH_MS;
   g_hash_table_iter_init (&iter, service->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      disp_entry_forget_ranks (service, value);
-      make_due (disp, value, 0);
+      disp_entry_reset_ranks (service, value);
+      schedule_entry (disp, value, 0);
     }
 }
 
@@ -136,7 +136,7 @@
            cfd_time_t now)
 {
   entry_t *entry
-      = disp_entry_new (service, account, order_draw (disp->random), now);
+      = disp_entry_new (service, account, order_create (disp->random), now);
 
   g_hash_table_insert (service->entries, entry->account, entry);
   return entry;
@@ -154,46 +154,47 @@
     return;
   if (entry == NULL)
     entry = add_entry (disp, service, waiting->account, now);
-  if (waiting->count == 0 && entry->width == 0)
+  if (waiting->count == 0 && entry->fanout == 0)
     {
       g_hash_table_remove (service->entries, entry->account);
       return;
     }
-  due = disp_entry_take (service, entry, waiting, now);
+  due = disp_entry_update (service, entry, waiting, now);
   if (due != CFD_TIME_NEVER)
-    make_due (disp, entry, due);
+    schedule_entry (disp, entry, due);
 }
 
 /* Tells AGENT what was gathered, in frames of a bounded size; whether that
    gave a reason to doubt it.  */
 static bool
-tell_agent (const service_t *service, agent_t *agent, cfd_time_t now,
-            disp_send_t *tell, void *user)
+send_to_agent (const service_t *service, agent_t *agent, cfd_time_t now,
+               disp_send_t *send, void *user)
 {
   const msg_waiting_t *entries = (const msg_waiting_t *)agent->entries->data;
-  bool doubted = reach_is_doubted (&agent->reach, now);
-  guint told = 0;
+  bool suspects = reach_is_suspect (&agent->reach, now);
+  guint sent = 0;
 
-  while (told < agent->entries->len)
+  while (sent < agent->entries->len)
     {
       msg_announce_t announce = { .service = service->name,
-                                  .full = agent->forgot,
+                                  .full = agent->needs_full,
                                   .life_ms = DISP_LIFETIME_MS,
-                                  .entries = entries + told };
+                                  .entries = entries + sent };
 
-      announce.count = MIN (agent->entries->len - told, MSG_ENTRIES_MAX);
-      told += announce.count;
-      agent->forgot = false;
-      reach_told (&agent->reach, tell (user, agent->name, &announce), now);
+      announce.count = MIN (agent->entries->len - sent, MSG_ENTRIES_MAX);
+      sent += announce.count;
+      agent->needs_full = false;
+      reach_record_send (&agent->reach, send (user, agent->name, &announce),
+                         now);
     }
-  agent->must_hear = false;
+  agent->needs_update = false;
   g_array_set_size (agent->entries, 0);
-  return !doubted && reach_is_doubted (&agent->reach, now);
+  return !suspects && reach_is_suspect (&agent->reach, now);
 }
 
-/* An agent turned out to be out of reach: what waits looks for others.  */
+/* An agent turned out to be out of reach: what has_work looks for others.  */
 static void
-look_again (disp_t *disp, const service_t *service, cfd_time_t now)
+reschedule_waiting (disp_t *disp, const service_t *service, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -201,12 +202,13 @@
   g_hash_table_iter_init (&iter, service->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((const entry_t *)value)->waiting.count > 0)
-      make_due (disp, value, now);
+      schedule_entry (disp, value, now);
 }
 
 /* Takes the turns of what is due; adds what is over to ENDED.  */
 static void
-take_turns (disp_t *disp, service_t *service, GPtrArray *ended, cfd_time_t now)
+process_due_entries (disp_t *disp, service_t *service, GPtrArray *ended,
+                     cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -218,43 +220,43 @@
       bool due = entry->due <= now;
 
       if (due)
-        disp_entry_turn (service, entry, now);
-      if (due || service->any_forgot)
-        disp_entry_find_hearers (service, entry, due, now);
+        disp_entry_schedule (service, entry, now);
+      if (due || service->any_needs_full)
+        disp_entry_mark_recipients (service, entry, due, now);
       if (due && entry->waiting.count == 0)
         g_ptr_array_add (ended, entry->account);
       else
         disp->next = MIN (disp->next, entry->due);
     }
-  service->any_forgot = false;
+  service->any_needs_full = false;
 }
 
 static void
-service_due (disp_t *disp, service_t *service, cfd_time_t now,
-             disp_send_t *tell, void *user)
+send_service_due (disp_t *disp, service_t *service, cfd_time_t now,
+                  disp_send_t *send, void *user)
 {
   g_autoptr (GPtrArray) ended = g_ptr_array_new ();
-  bool any_doubt = false;
+  bool any_new_suspect = false;
   GHashTableIter iter;
   gpointer value;
 
   if (service->agents->len == 0)
     return;
-  take_turns (disp, service, ended, now);
+  process_due_entries (disp, service, ended, now);
   g_hash_table_iter_init (&iter, service->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    disp_entry_gather (service, value, now);
+    disp_entry_append_updates (service, value, now);
   for (guint i = 0; i < service->agents->len; i++)
-    any_doubt
-        |= tell_agent (service, service->agents->pdata[i], now, tell, user);
+    any_new_suspect
+        |= send_to_agent (service, service->agents->pdata[i], now, send, user);
   for (guint i = 0; i < ended->len; i++)
     g_hash_table_remove (service->entries, ended->pdata[i]);
-  if (any_doubt)
-    look_again (disp, service, now);
+  if (any_new_suspect)
+    reschedule_waiting (disp, service, now);
 }
 
 void
-disp_send_due (disp_t *disp, cfd_time_t now, disp_send_t *tell, void *user)
+disp_send_due (disp_t *disp, cfd_time_t now, disp_send_t *send, void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -264,7 +266,7 @@
   disp->next = CFD_TIME_NEVER;
   g_hash_table_iter_init (&iter, disp->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    service_due (disp, value, now, tell, user);
+    send_service_due (disp, value, now, send, user);
 }
 
 static entry_t *
@@ -282,15 +284,15 @@
   const entry_t *entry = find_entry (service, left->account);
 
   if (entry != NULL)
-    disp_entry_answered (service, entry, agent, left, now);
+    disp_entry_record_answer (service, entry, agent, left, now);
 }
 
 /* Calls ACT for the agent NAME of each service that has it.  */
 static void
-each_named (disp_t *disp, const char *name,
-            void (*act) (disp_t *disp, service_t *service, agent_t *agent,
-                         cfd_time_t now),
-            cfd_time_t now)
+for_each_agent_named (disp_t *disp, const char *name,
+                      void (*act) (disp_t *disp, service_t *service,
+                                   agent_t *agent, cfd_time_t now),
+                      cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -306,31 +308,33 @@
 }
 
 static void
-forget (disp_t *disp, service_t *service, agent_t *agent, cfd_time_t now)
+handle_link_up (disp_t *disp, service_t *service, agent_t *agent,
+                cfd_time_t now)
 {
-  agent->reach = reach_fresh;
-  agent->forgot = true;
-  service->any_forgot = true;
+  agent->reach = reach_initial;
+  agent->needs_full = true;
+  service->any_needs_full = true;
   disp->next = 0;
 }
 
 void
 disp_record_link_up (disp_t *disp, const char *name)
 {
-  each_named (disp, name, forget, 0);
+  for_each_agent_named (disp, name, handle_link_up, 0);
 }
 
 static void
-lose (disp_t *disp, service_t *service, agent_t *agent, cfd_time_t now)
+handle_link_lost (disp_t *disp, service_t *service, agent_t *agent,
+                  cfd_time_t now)
 {
-  reach_lost (&agent->reach, now);
-  look_again (disp, service, now);
+  reach_record_link_lost (&agent->reach, now);
+  reschedule_waiting (disp, service, now);
 }
 
 void
 disp_record_link_lost (disp_t *disp, const char *name, cfd_time_t now)
 {
-  each_named (disp, name, lose, now);
+  for_each_agent_named (disp, name, handle_link_lost, now);
 }
 
 cfd_time_t
@@ -340,30 +344,30 @@
 }
 
 static unsigned
-service_doubted (const service_t *service, cfd_time_t now)
+count_service_suspects (const service_t *service, cfd_time_t now)
 {
-  unsigned doubted = 0;
+  unsigned suspects = 0;
 
   for (guint i = 0; i < service->agents->len; i++)
     {
       const agent_t *agent = service->agents->pdata[i];
 
-      doubted += reach_is_doubted (&agent->reach, now);
+      suspects += reach_is_suspect (&agent->reach, now);
     }
-  return doubted;
+  return suspects;
 }
 
 unsigned
 disp_count_suspect_agents (const disp_t *disp, cfd_time_t now)
 {
-  unsigned doubted = 0;
+  unsigned suspects = 0;
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, disp->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    doubted += service_doubted (value, now);
-  return doubted;
+    suspects += count_service_suspects (value, now);
+  return suspects;
 }
 
 unsigned
@@ -372,5 +376,5 @@
   const service_t *service = g_hash_table_lookup (disp->services, name);
   const entry_t *entry = find_entry (service, account);
 
-  return entry != NULL ? entry->width : 0;
+  return entry != NULL ? entry->fanout : 0;
 }
--- a/libcoltsfootdrum/dispatch/disp.h
+++ b/libcoltsfootdrum/dispatch/disp.h
@@ -8,7 +8,7 @@
    (dispatch/reach.h) are told too, and not counted.
 
    What an agent was told by an announcement, or with the answer to a grant, is
-   remembered (dispatch/belief.h): it hears of an account again only when it
+   remembered (dispatch/view.h): it hears of an account again only when it
    must believe too much of it, or the word would lapse.  A change of numbers
    alone is told with the next refresh.  */
 
--- a/libcoltsfootdrum/dispatch/order.c
+++ b/libcoltsfootdrum/dispatch/order.c
@@ -1,11 +1,11 @@
 #include "dispatch/order.h"
 
 order_t
-order_draw (GRand *random)
+order_create (GRand *random)
 {
   guint32 start = g_rand_int (random);
 
-  return (order_t){ .start = start, .drawn = g_rand_int (random) };
+  return (order_t){ .start = start, .step_seed = g_rand_int (random) };
 }
 
 static unsigned
@@ -16,18 +16,18 @@
 
 /* A step that shares no divisor with COUNT visits each place once.  */
 void
-order_fit (order_t *order, unsigned count)
+order_set_count (order_t *order, unsigned count)
 {
   order->count = count;
   if (count == 0)
     return;
-  order->step = 1 + order->drawn % count;
+  order->step = 1 + order->step_seed % count;
   while (common_divisor (order->step, count) != 1)
     order->step++;
 }
 
 unsigned
-order_at (const order_t *order, unsigned rank)
+order_index_at (const order_t *order, unsigned rank)
 {
   return (unsigned)((order->start + (guint64)rank * order->step)
                     % order->count);
--- a/libcoltsfootdrum/dispatch/order.h
+++ b/libcoltsfootdrum/dispatch/order.h
@@ -1,5 +1,5 @@
-/* An order of COUNT places that visits each once, drawn at random: by it an
-   entry spreads over agents.  Pure.  */
+/* An order of COUNT places that visits each once, step_seed at random: by it
+   an entry spreads over agents.  Pure.  */
 
 #ifndef DISPATCH_ORDER_H
 #define DISPATCH_ORDER_H
@@ -9,16 +9,16 @@
 typedef struct
 {
   guint32 start;
-  guint32 drawn; /* the step comes from it */
+  guint32 step_seed; /* the step comes from it */
   unsigned count;
   unsigned step;
 } order_t;
 
 /* Has no place yet.  */
-order_t order_draw (GRand *random);
+order_t order_create (GRand *random);
 /* From now on ORDER is one of COUNT places.  */
-void order_fit (order_t *order, unsigned count);
+void order_set_count (order_t *order, unsigned count);
 /* The place at RANK, below the count.  */
-unsigned order_at (const order_t *order, unsigned rank);
+unsigned order_index_at (const order_t *order, unsigned rank);
 
 #endif
--- a/libcoltsfootdrum/dispatch/pick.c
+++ b/libcoltsfootdrum/dispatch/pick.c
@@ -3,52 +3,53 @@
 #include <math.h>
 
 /* Weight of the newest round trip.  */
-#define TRIP_WEIGHT 0.2
+#define ROUND_TRIP_WEIGHT 0.2
 
 /* Round trips that a router may take beyond PICK_ANSWER_TIMEOUT_MS.  */
-#define TRIPS 2
+#define ALLOWED_ROUND_TRIPS 2
 
 static bool
-source_is_silent (const source_t *source, cfd_time_t now)
+router_is_unresponsive (const router_t *router, cfd_time_t now)
 {
-  if (source->quiet)
+  if (router->unresponsive)
     return true;
-  return source->asked != CFD_TIME_NEVER
-         && (double)(now - source->asked)
-                >= PICK_ANSWER_TIMEOUT_MS + TRIPS * source->round_trip;
+  return router->first_unanswered != CFD_TIME_NEVER
+         && (double)(now - router->first_unanswered)
+                >= PICK_ANSWER_TIMEOUT_MS
+                       + ALLOWED_ROUND_TRIPS * router->round_trip_ms;
 }
 
 static bool
-entry_can_go (const entry_t *entry, cfd_time_t now)
+entry_is_grantable (const entry_t *entry, cfd_time_t now)
 {
-  return entry->count > entry->flying && entry->until > now
-         && !source_is_silent (entry->source, now);
+  return entry->count > entry->in_flight && entry->expires > now
+         && !router_is_unresponsive (entry->router, now);
 }
 
 static bool
-entry_before (const entry_t *a, const entry_t *b)
+entry_precedes (const entry_t *a, const entry_t *b)
 {
   if (a->class_rank != b->class_rank)
     return a->class_rank < b->class_rank;
-  return a->oldest < b->oldest;
+  return a->oldest_enqueued < b->oldest_enqueued;
 }
 
-/* The account's entry to grant to, and in TIME its virtual time; NULL when
+/* The account's entry to grant_id to, and in TIME its virtual vt; NULL when
    none of it waits.  */
 static entry_t *
-claimant_best (const pick_t *pick, const claimant_t *claimant, cfd_time_t now,
-               double *time)
+find_best_entry (const pick_t *pick, const account_t *account, cfd_time_t now,
+                 double *vt)
 {
   entry_t *best = NULL;
 
-  *time = pick_claimant_time (pick, claimant, now);
-  list_for_each (node, &claimant->entries)
+  *vt = pick_estimate_account_vt (pick, account, now);
+  list_for_each (node, &account->entries)
     {
       entry_t *entry = list_entry (node, entry_t, node);
 
-      if (!entry_can_go (entry, now))
+      if (!entry_is_grantable (entry, now))
         continue;
-      if (best == NULL || entry_before (entry, best))
+      if (best == NULL || entry_precedes (entry, best))
         best = entry;
     }
   return best;
@@ -56,163 +57,163 @@
 
 typedef struct
 {
-  claimant_t *claimant;
+  account_t *account;
   entry_t *entry;
-  double time;
-  double second; /* least time of another account */
-  double floor;  /* least time of any account, without grants in flight */
+  double vt;
+  double second_vt; /* lowest vt of another account */
+  double floor;     /* lowest vt of any account, without grants in grant */
 } search_t;
 
 static void
-search_offer (search_t *search, claimant_t *claimant, entry_t *entry,
-              double time)
+search_consider (search_t *search, account_t *account, entry_t *entry,
+                 double vt)
 {
-  bool first
-      = search->entry == NULL || time < search->time
-        || (time <= search->time && claimant->turn < search->claimant->turn);
+  bool first = search->entry == NULL || vt < search->vt
+               || (vt <= search->vt
+                   && account->last_grant_id < search->account->last_grant_id);
 
   if (!first)
     {
-      search->second = MIN (search->second, time);
+      search->second_vt = MIN (search->second_vt, vt);
       return;
     }
   if (search->entry != NULL)
-    search->second = search->time;
-  search->claimant = claimant;
+    search->second_vt = search->vt;
+  search->account = account;
   search->entry = entry;
-  search->time = time;
+  search->vt = vt;
 }
 
 static uint64_t
-record_flight (pick_t *pick, const search_t *found, cfd_time_t now)
+record_grant (pick_t *pick, const search_t *found, cfd_time_t now)
 {
-  flight_t *flight = g_new0 (flight_t, 1);
-
-  flight->id = ++pick->last_grant;
-  flight->router = g_strdup (found->entry->source->name);
-  flight->account = g_strdup (found->claimant->name);
-  flight->made = now;
-  flight->until = now + PICK_GRANT_LIFETIME_MS;
-  g_hash_table_insert (pick->flights, &flight->id, flight);
-  if (found->entry->source->asked == CFD_TIME_NEVER)
-    found->entry->source->asked = now;
-  found->entry->flying++;
-  found->claimant->flying++;
-  found->claimant->turn = flight->id;
-  return flight->id;
+  grant_t *grant = g_new0 (grant_t, 1);
+
+  grant->id = ++pick->last_grant;
+  grant->router = g_strdup (found->entry->router->name);
+  grant->account = g_strdup (found->account->name);
+  grant->granted = now;
+  grant->expires = now + PICK_GRANT_LIFETIME_MS;
+  g_hash_table_insert (pick->grants, &grant->id, grant);
+  if (found->entry->router->first_unanswered == CFD_TIME_NEVER)
+    found->entry->router->first_unanswered = now;
+  found->entry->in_flight++;
+  found->account->in_flight++;
+  found->account->last_grant_id = grant->id;
+  return grant->id;
 }
 
 uint64_t
 pick_make_grant (pick_t *pick, cfd_time_t now, pick_choice_t *choice)
 {
-  search_t search = { .second = INFINITY, .floor = INFINITY };
+  search_t search = { .second_vt = INFINITY, .floor = INFINITY };
 
   list_for_each (node, &pick->accounts)
     {
-      claimant_t *claimant = list_entry (node, claimant_t, node);
-      double time;
-      entry_t *entry = claimant_best (pick, claimant, now, &time);
+      account_t *account = list_entry (node, account_t, node);
+      double vt;
+      entry_t *entry = find_best_entry (pick, account, now, &vt);
 
       if (entry == NULL)
         continue;
-      search.floor = MIN (search.floor, time);
-      search_offer (&search, claimant, entry,
-                    time + claimant->flying * claimant->step);
+      search.floor = MIN (search.floor, vt);
+      search_consider (&search, account, entry,
+                       vt + account->in_flight * account->vt_step);
     }
   if (search.entry == NULL)
     return 0;
-  choice->router = search.entry->source->name;
-  choice->account = search.claimant->name;
-  choice->limit_vt = search.second;
+  choice->router = search.entry->router->name;
+  choice->account = search.account->name;
+  choice->limit_vt = search.second_vt;
   choice->floor = search.floor;
-  return record_flight (pick, &search, now);
+  return record_grant (pick, &search, now);
 }
 
 static void
-learn_round_trip (pick_t *pick, const flight_t *flight, cfd_time_t now)
+update_round_trip (pick_t *pick, const grant_t *grant, cfd_time_t now)
 {
-  source_t *source = g_hash_table_lookup (pick->sources, flight->router);
-  double taken = (double)(now - flight->made);
+  router_t *router = g_hash_table_lookup (pick->routers, grant->router);
+  double sample_ms = (double)(now - grant->granted);
 
-  if (source == NULL)
+  if (router == NULL)
     return;
-  source->asked = CFD_TIME_NEVER;
-  if (source->round_trip <= 0)
-    source->round_trip = taken;
-  source->round_trip += TRIP_WEIGHT * (taken - source->round_trip);
+  router->first_unanswered = CFD_TIME_NEVER;
+  if (router->round_trip_ms <= 0)
+    router->round_trip_ms = sample_ms;
+  router->round_trip_ms
+      += ROUND_TRIP_WEIGHT * (sample_ms - router->round_trip_ms);
 }
 
 static void
-flight_landed (pick_t *pick, const flight_t *flight)
+release_grant (pick_t *pick, const grant_t *grant)
 {
-  claimant_t *claimant
-      = g_hash_table_lookup (pick->by_account, flight->account);
+  account_t *account = g_hash_table_lookup (pick->by_account, grant->account);
   entry_t *entry
-      = claimant != NULL ? pick_entry_find (claimant, flight->router) : NULL;
+      = account != NULL ? pick_entry_find (account, grant->router) : NULL;
 
-  if (claimant != NULL && claimant->flying > 0)
-    claimant->flying--;
+  if (account != NULL && account->in_flight > 0)
+    account->in_flight--;
   if (entry == NULL)
     return;
-  if (entry->flying > 0)
-    entry->flying--;
+  if (entry->in_flight > 0)
+    entry->in_flight--;
   if (entry->count == 0)
-    pick_entry_withdraw (pick, claimant, entry);
+    pick_entry_withdraw (pick, account, entry);
 }
 
 bool
-pick_complete_grant (pick_t *pick, uint64_t grant, cfd_time_t now)
+pick_complete_grant (pick_t *pick, uint64_t grant_id, cfd_time_t now)
 {
-  flight_t *flight = g_hash_table_lookup (pick->flights, &grant);
+  grant_t *grant = g_hash_table_lookup (pick->grants, &grant_id);
   bool alive;
 
-  if (flight == NULL)
+  if (grant == NULL)
     return false;
-  alive = now < flight->until;
+  alive = now < grant->expires;
   if (alive)
-    learn_round_trip (pick, flight, now);
-  flight_landed (pick, flight);
-  g_hash_table_remove (pick->flights, &grant);
+    update_round_trip (pick, grant, now);
+  release_grant (pick, grant);
+  g_hash_table_remove (pick->grants, &grant_id);
   return alive;
 }
 
 static void
-drop_lapsed_entries (pick_t *pick, cfd_time_t now)
+free_expired_entries (pick_t *pick, cfd_time_t now)
 {
   list_for_each_safe (node, &pick->accounts)
     {
-      claimant_t *claimant = list_entry (node, claimant_t, node);
+      account_t *account = list_entry (node, account_t, node);
 
-      list_for_each_safe (inner, &claimant->entries)
+      list_for_each_safe (inner, &account->entries)
         {
           entry_t *entry = list_entry (inner, entry_t, node);
 
-          if (entry->until <= now && entry->flying == 0)
-            pick_entry_drop (entry);
+          if (entry->expires <= now && entry->in_flight == 0)
+            pick_entry_free (entry);
         }
-      pick_claimant_sweep (pick, claimant);
+      pick_account_free_if_empty (pick, account);
     }
 }
 
 /* Grants that hold a slot: an overdue answer may still come, but no slot waits
    for it.  */
 static unsigned
-count_holding (const pick_t *pick, cfd_time_t now)
+count_held_slots (const pick_t *pick, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
-  unsigned holding = 0;
+  unsigned held = 0;
 
-  g_hash_table_iter_init (&iter, pick->flights);
+  g_hash_table_iter_init (&iter, pick->grants);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const flight_t *flight = value;
-      const source_t *source
-          = g_hash_table_lookup (pick->sources, flight->router);
+      const grant_t *grant = value;
+      const router_t *router
+          = g_hash_table_lookup (pick->routers, grant->router);
 
-      holding += source == NULL || !source_is_silent (source, now);
+      held += router == NULL || !router_is_unresponsive (router, now);
     }
-  return holding;
+  return held;
 }
 
 unsigned
@@ -221,22 +222,22 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, pick->flights);
+  g_hash_table_iter_init (&iter, pick->grants);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      flight_t *flight = value;
-      source_t *source;
+      grant_t *grant = value;
+      router_t *router;
 
-      if (now < flight->until)
+      if (now < grant->expires)
         continue;
-      source = g_hash_table_lookup (pick->sources, flight->router);
-      if (source != NULL)
-        source->quiet = true;
-      flight_landed (pick, flight);
+      router = g_hash_table_lookup (pick->routers, grant->router);
+      if (router != NULL)
+        router->unresponsive = true;
+      release_grant (pick, grant);
       g_hash_table_iter_remove (&iter);
     }
-  drop_lapsed_entries (pick, now);
-  return count_holding (pick, now);
+  free_expired_entries (pick, now);
+  return count_held_slots (pick, now);
 }
 
 unsigned
@@ -246,27 +247,27 @@
 
   list_for_each (node, &pick->accounts)
     {
-      const claimant_t *claimant = list_entry (node, claimant_t, node);
+      const account_t *account = list_entry (node, account_t, node);
 
-      list_for_each (inner, &claimant->entries)
+      list_for_each (inner, &account->entries)
         {
           const entry_t *entry = list_entry (inner, entry_t, node);
 
-          if (entry->count > entry->flying)
-            waiting += entry->count - entry->flying;
+          if (entry->count > entry->in_flight)
+            waiting += entry->count - entry->in_flight;
         }
     }
   return waiting;
 }
 
 static bool
-claimant_has_free (const claimant_t *claimant)
+account_has_ungranted (const account_t *account)
 {
-  list_for_each (node, &claimant->entries)
+  list_for_each (node, &account->entries)
     {
       const entry_t *entry = list_entry (node, entry_t, node);
 
-      if (entry->count > entry->flying)
+      if (entry->count > entry->in_flight)
         return true;
     }
   return false;
@@ -276,15 +277,15 @@
 pick_has_waiting (const pick_t *pick)
 {
   list_for_each (node, &pick->accounts)
-    if (claimant_has_free (list_entry (node, claimant_t, node)))
+    if (account_has_ungranted (list_entry (node, account_t, node)))
       return true;
   return false;
 }
 
 static bool
-claimant_waits (const claimant_t *claimant)
+account_has_waiting (const account_t *account)
 {
-  list_for_each (node, &claimant->entries)
+  list_for_each (node, &account->entries)
     if (list_entry (node, entry_t, node)->count > 0)
       return true;
   return false;
@@ -293,18 +294,18 @@
 double
 pick_compute_vt_spread (const pick_t *pick, cfd_time_t now)
 {
-  double least = INFINITY;
-  double most = -INFINITY;
+  double lowest = INFINITY;
+  double highest = -INFINITY;
 
   list_for_each (node, &pick->accounts)
     {
-      const claimant_t *claimant = list_entry (node, claimant_t, node);
-      double time = pick_claimant_time (pick, claimant, now);
+      const account_t *account = list_entry (node, account_t, node);
+      double vt = pick_estimate_account_vt (pick, account, now);
 
-      if (!claimant_waits (claimant))
+      if (!account_has_waiting (account))
         continue;
-      least = MIN (least, time);
-      most = MAX (most, time);
+      lowest = MIN (lowest, vt);
+      highest = MAX (highest, vt);
     }
-  return most > least ? most - least : 0;
+  return highest > lowest ? highest - lowest : 0;
 }
--- a/libcoltsfootdrum/dispatch/reach.c
+++ b/libcoltsfootdrum/dispatch/reach.c
@@ -2,33 +2,34 @@
 
 #include <glib.h>
 
-const reach_t reach_fresh = { .doubted = CFD_TIME_NEVER };
+const reach_t reach_initial = { .suspect_since = CFD_TIME_NEVER };
 
 void
-reach_lost (reach_t *reach, cfd_time_t now)
+reach_record_link_lost (reach_t *reach, cfd_time_t now)
 {
-  reach->doubted = MIN (reach->doubted, now);
+  reach->suspect_since = MIN (reach->suspect_since, now);
 }
 
 void
-reach_told (reach_t *reach, reach_result_t word, cfd_time_t now)
+reach_record_send (reach_t *reach, reach_result_t result, cfd_time_t now)
 {
-  switch (word)
+  switch (result)
     {
     case REACH_SENT:
-      *reach = reach_fresh;
+      *reach = reach_initial;
       return;
     case REACH_DIALLING:
-      reach->doubted = MIN (reach->doubted, now + REACH_DIAL_MS);
+      reach->suspect_since
+          = MIN (reach->suspect_since, now + REACH_DIAL_TIMEOUT_MS);
       return;
     case REACH_UNRESPONSIVE:
-      reach->doubted = MIN (reach->doubted, now);
+      reach->suspect_since = MIN (reach->suspect_since, now);
       return;
     }
 }
 
 bool
-reach_is_doubted (const reach_t *reach, cfd_time_t now)
+reach_is_suspect (const reach_t *reach, cfd_time_t now)
 {
-  return now >= reach->doubted;
+  return now >= reach->suspect_since;
 }
--- a/libcoltsfootdrum/dispatch/test-disp-help.c
+++ b/libcoltsfootdrum/dispatch/test-disp-help.c
@@ -4,52 +4,54 @@
 #include <string.h>
 
 bool
-has_link (const heard_t *heard, const char *agent)
+has_link (const received_t *received, const char *agent)
 {
-  return strtoul (agent + strlen ("agent-"), NULL, 10) >= heard->dead;
+  return strtoul (agent + strlen ("agent-"), NULL, 10)
+         >= received->unreachable;
 }
 
 reach_result_t
-tell (void *user, const char *agent, const msg_announce_t *announce)
+record_announcement (void *user, const char *agent,
+                     const msg_announce_t *announce)
 {
-  heard_t *heard = user;
+  received_t *received = user;
 
-  heard->frames++;
-  heard->entries += announce->count;
-  heard->full += announce->full;
+  received->frames++;
+  received->entries += announce->count;
+  received->full += announce->full;
   g_assert_cmpuint (announce->count, <=, MSG_ENTRIES_MAX);
   for (uint32_t i = 0; i < announce->count; i++)
-    g_hash_table_replace (heard->agents, g_strdup (agent),
+    g_hash_table_replace (received->agents, g_strdup (agent),
                           GUINT_TO_POINTER (announce->entries[i].count));
-  if (has_link (heard, agent))
+  if (has_link (received, agent))
     return REACH_SENT;
-  return heard->frozen ? REACH_UNRESPONSIVE : REACH_DIALLING;
+  return received->unresponsive ? REACH_UNRESPONSIVE : REACH_DIALLING;
 }
 
-heard_t
-due_with_dead (disp_t *disp, unsigned dead, cfd_time_t now)
+received_t
+send_due_with_unreachable (disp_t *disp, unsigned unreachable, cfd_time_t now)
 {
-  heard_t heard = { .agents = g_hash_table_new_full (g_str_hash, g_str_equal,
-                                                     g_free, NULL),
-                    .dead = dead };
+  received_t received = { .agents = g_hash_table_new_full (
+                              g_str_hash, g_str_equal, g_free, NULL),
+                          .unreachable = unreachable };
 
-  disp_send_due (disp, now, tell, &heard);
-  return heard;
+  disp_send_due (disp, now, record_announcement, &received);
+  return received;
 }
 
-heard_t
-due (disp_t *disp, cfd_time_t now)
+received_t
+send_due (disp_t *disp, cfd_time_t now)
 {
-  return due_with_dead (disp, 0, now);
+  return send_due_with_unreachable (disp, 0, now);
 }
 
 unsigned
-agents_told (disp_t *disp, cfd_time_t now)
+count_recipients (disp_t *disp, cfd_time_t now)
 {
-  heard_t heard = due (disp, now);
-  unsigned count = g_hash_table_size (heard.agents);
+  received_t received = send_due (disp, now);
+  unsigned count = g_hash_table_size (received.agents);
 
-  g_hash_table_unref (heard.agents);
+  g_hash_table_unref (received.agents);
   return count;
 }
 
@@ -66,7 +68,7 @@
 }
 
 void
-wait_for (disp_t *disp, const char *account, unsigned count, cfd_time_t now)
+set_waiting (disp_t *disp, const char *account, unsigned count, cfd_time_t now)
 {
   msg_waiting_t waiting = { .account = account, .count = count };
 
--- a/libcoltsfootdrum/dispatch/test-disp-help.h
+++ b/libcoltsfootdrum/dispatch/test-disp-help.h
@@ -6,28 +6,29 @@
 
 #include "dispatch/disp.h"
 
-/* What agents heard in one turn.  */
+/* What agents received in one turn.  */
 typedef struct
 {
   unsigned frames;
   unsigned entries;
   unsigned full;
-  GHashTable *agents; /* name to the count of its newest entry */
-  unsigned dead;      /* agents numbered below have no link ... */
-  bool frozen;        /* ... or one that doesn't answer */
-} heard_t;
+  GHashTable *agents;   /* name to the count of its newest entry */
+  unsigned unreachable; /* agents numbered below have no link ... */
+  bool unresponsive;    /* ... or one that doesn't answer */
+} received_t;
 
-bool has_link (const heard_t *heard, const char *agent);
-/* For disp_send_due, with a heard_t.  */
-reach_result_t tell (void *user, const char *agent,
-                     const msg_announce_t *announce);
+bool has_link (const received_t *received, const char *agent);
+/* For disp_send_due, with a received_t.  */
+reach_result_t record_announcement (void *user, const char *agent,
+                                    const msg_announce_t *announce);
 /* The AGENTS of what is returned are to be unreferenced.  */
-heard_t due_with_dead (disp_t *disp, unsigned dead, cfd_time_t now);
-heard_t due (disp_t *disp, cfd_time_t now);
-unsigned agents_told (disp_t *disp, cfd_time_t now);
+received_t send_due_with_unreachable (disp_t *disp, unsigned unreachable,
+                                      cfd_time_t now);
+received_t send_due (disp_t *disp, cfd_time_t now);
+unsigned count_recipients (disp_t *disp, cfd_time_t now);
 /* In no order, as a router's table of agents gives them.  */
 void set_agents (disp_t *disp, unsigned count);
-void wait_for (disp_t *disp, const char *account, unsigned count,
-               cfd_time_t now);
+void set_waiting (disp_t *disp, const char *account, unsigned count,
+                  cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/dispatch/test-pick.c
+++ b/libcoltsfootdrum/dispatch/test-pick.c
@@ -4,23 +4,23 @@
 #include <math.h>
 #include <string.h>
 
-#define LIFE_MS 3000
+#define LIFETIME_MS 3000
 
 typedef struct
 {
   const char *router;
-  msg_waiting_t word;
-} told_t;
+  msg_waiting_t waiting;
+} announced_t;
 
 static void
-tell (pick_t *pick, const char *router, const msg_waiting_t *word, bool full,
-      cfd_time_t now)
+announce_work (pick_t *pick, const char *router, const msg_waiting_t *waiting,
+               bool full, cfd_time_t now)
 {
   msg_announce_t announce = { .service = "draft",
                               .full = full,
-                              .life_ms = LIFE_MS,
-                              .count = word != NULL,
-                              .entries = word };
+                              .life_ms = LIFETIME_MS,
+                              .count = waiting != NULL,
+                              .entries = waiting };
 
   pick_apply_announcement (pick, router, &announce, now);
 }
@@ -28,7 +28,7 @@
 static const struct
 {
   const char *name;
-  told_t told[4];
+  announced_t announced[4];
   const char *router; /* NULL: nothing to grant */
   const char *account;
   double limit;
@@ -73,9 +73,9 @@
       pick_choice_t choice = { 0 };
       uint64_t grant;
 
-      for (int k = 0; k < 4 && choices[i].told[k].router != NULL; k++)
-        tell (pick, choices[i].told[k].router, &choices[i].told[k].word, false,
-              0);
+      for (int k = 0; k < 4 && choices[i].announced[k].router != NULL; k++)
+        announce_work (pick, choices[i].announced[k].router,
+                       &choices[i].announced[k].waiting, false, 0);
       grant = pick_make_grant (pick, 1, &choice);
       g_test_message ("%s", choices[i].name);
       g_assert_cmpint (grant != 0, ==, choices[i].router != NULL);
@@ -88,9 +88,9 @@
 }
 
 /* Grants in flight use up the waiting requests; a late answer is dead, and a
-   router that lets a grant die gets none until it speaks again.  */
+   router that lets a grant die gets none until it speaks next_grant.  */
 static void
-test_life (void)
+test_grant_lifetime (void)
 {
   g_autoptr (pick_t) pick = pick_new ();
   msg_waiting_t two = { "a", 2, 0, 0, 5 };
@@ -98,7 +98,7 @@
   uint64_t first;
   uint64_t second;
 
-  tell (pick, "r1", &two, false, 0);
+  announce_work (pick, "r1", &two, false, 0);
   first = pick_make_grant (pick, 0, &choice);
   second = pick_make_grant (pick, 10, &choice);
   g_assert_cmpuint (pick_make_grant (pick, 10, &choice), ==, 0);
@@ -110,28 +110,28 @@
   g_assert_false (
       pick_complete_grant (pick, second, 10 + PICK_GRANT_LIFETIME_MS));
 
-  tell (pick, "r1", &two, false, 2000);
+  announce_work (pick, "r1", &two, false, 2000);
   g_assert_cmpuint (pick_make_grant (pick, 2000, &choice), !=, 0);
   g_assert_cmpuint (pick_expire_grants (pick, 2000 + PICK_GRANT_LIFETIME_MS),
                     ==, 0);
   g_assert_cmpuint (
       pick_make_grant (pick, 2000 + PICK_GRANT_LIFETIME_MS, &choice), ==, 0);
-  tell (pick, "r1", &two, false, 3100);
+  announce_work (pick, "r1", &two, false, 3100);
   g_assert_cmpuint (pick_make_grant (pick, 3100, &choice), !=, 0);
 }
 
 /* The agent sees a router fall silent with grants unanswered: cut off, frozen,
    or only slow.  It goes on with what others announced, not a whole grant's
    life later: each slot that gets free meanwhile would be lost for as long.
-   Any word ends it, and far routers have longer.  */
+   Any waiting ends it, and far routers have longer.  */
 typedef struct
 {
   const char *name;
-  cfd_time_t trip;    /* of a grant that was answered before; 0: none */
-  cfd_time_t word;    /* of r1, after the grant; 0: none */
-  cfd_time_t again;   /* the next grant, after the first */
-  const char *router; /* that gets it */
-  unsigned holding;   /* grants that hold a slot just before */
+  cfd_time_t round_trip_ms; /* of a grant that was answered before; 0: none */
+  cfd_time_t waiting;       /* of r1, after the grant; 0: none */
+  cfd_time_t next_grant;    /* the next grant, after the first */
+  const char *router;       /* that gets it */
+  unsigned held;            /* grants that hold a slot just before */
 } overdue_case_t;
 
 static const overdue_case_t overdue_cases[] = {
@@ -146,7 +146,7 @@
 };
 
 static void
-test_overdue (gconstpointer data)
+test_answer_overdue (gconstpointer data)
 {
   const overdue_case_t *c = data;
   g_autoptr (pick_t) pick = pick_new ();
@@ -155,18 +155,19 @@
   pick_choice_t choice;
   cfd_time_t start = 1000;
 
-  tell (pick, "r1", &least, false, 0);
-  tell (pick, "r2", &next, false, 0);
-  if (c->trip > 0)
+  announce_work (pick, "r1", &least, false, 0);
+  announce_work (pick, "r2", &next, false, 0);
+  if (c->round_trip_ms > 0)
     g_assert_true (pick_complete_grant (
-        pick, pick_make_grant (pick, 0, &choice), c->trip));
+        pick, pick_make_grant (pick, 0, &choice), c->round_trip_ms));
   g_assert_cmpuint (pick_make_grant (pick, start, &choice), !=, 0);
   g_assert_cmpstr (choice.router, ==, "r1");
-  if (c->word > 0)
-    tell (pick, "r1", NULL, false, start + c->word);
-  g_assert_cmpuint (pick_expire_grants (pick, start + c->again), ==,
-                    c->holding);
-  g_assert_cmpuint (pick_make_grant (pick, start + c->again, &choice), !=, 0);
+  if (c->waiting > 0)
+    announce_work (pick, "r1", NULL, false, start + c->waiting);
+  g_assert_cmpuint (pick_expire_grants (pick, start + c->next_grant), ==,
+                    c->held);
+  g_assert_cmpuint (pick_make_grant (pick, start + c->next_grant, &choice), !=,
+                    0);
   g_assert_cmpstr (choice.router, ==, c->router);
 }
 
@@ -180,8 +181,8 @@
   pick_choice_t choice;
   uint64_t grant;
 
-  tell (pick, "r1", &a, false, 0);
-  tell (pick, "r1", &b, true, 0);
+  announce_work (pick, "r1", &a, false, 0);
+  announce_work (pick, "r1", &b, true, 0);
   g_assert_cmpuint (pick_count_waiting (pick), ==, 1);
   grant = pick_make_grant (pick, 0, &choice);
   g_assert_cmpstr (choice.account, ==, "b");
@@ -189,14 +190,14 @@
   g_assert_true (pick_complete_grant (pick, grant, 1));
   g_assert_cmpuint (pick_make_grant (pick, 1, &choice), ==, 0);
 
-  tell (pick, "r1", &a, false, 10);
-  tell (pick, "r2", &b, false, 10);
+  announce_work (pick, "r1", &a, false, 10);
+  announce_work (pick, "r2", &b, false, 10);
   grant = pick_make_grant (pick, 10, &choice);
   pick_remove_router (pick, "r1");
   g_assert_false (pick_complete_grant (pick, grant, 10));
   g_assert_cmpuint (pick_make_grant (pick, 10, &choice), !=, 0);
   g_assert_cmpstr (choice.router, ==, "r2");
-  g_assert_cmpuint (pick_expire_grants (pick, 10 + LIFE_MS), ==, 0);
+  g_assert_cmpuint (pick_expire_grants (pick, 10 + LIFETIME_MS), ==, 0);
   g_assert_cmpuint (pick_count_waiting (pick), ==, 0);
 }
 
@@ -212,8 +213,8 @@
   pick_choice_t choice;
   char first;
 
-  tell (pick, "r1", &a, false, 0);
-  tell (pick, "r1", &b, false, 0);
+  announce_work (pick, "r1", &a, false, 0);
+  announce_work (pick, "r1", &b, false, 0);
   (void)pick_make_grant (pick, 0, &choice);
   first = choice.account[0];
   (void)pick_make_grant (pick, 0, &choice);
@@ -223,7 +224,7 @@
   moved = (msg_waiting_t){ "b", 8, 0, 0, 110 };
   pick_update_waiting (pick, "r1", &moved, 1);
   (void)pick_expire_grants (pick, PICK_GRANT_LIFETIME_MS);
-  tell (pick, "r1", NULL, false, PICK_GRANT_LIFETIME_MS);
+  announce_work (pick, "r1", NULL, false, PICK_GRANT_LIFETIME_MS);
   (void)pick_make_grant (pick, PICK_GRANT_LIFETIME_MS, &choice);
   g_assert_cmpstr (choice.account, ==, "a");
   (void)pick_make_grant (pick, PICK_GRANT_LIFETIME_MS, &choice);
@@ -234,20 +235,21 @@
 static void
 test_carried_forward (void)
 {
-  /* Account a is heard of again and again, b once.  Both are served alike, so
-     b's old word must not look like the least: the router would decline a's
-     slot as stale against it, and the slot would stay empty meanwhile.  */
+  /* Account a is heard of next_grant and next_grant, b once.  Both are served
+     alike, so b's old waiting must not look like the least: the router would
+     decline a's slot as stale against it, and the slot would stay empty
+     meanwhile.  */
   g_autoptr (pick_t) pick = pick_new ();
   msg_waiting_t a = { "a", 9, 0, 0, 0 };
   msg_waiting_t b = { "b", 9, 0, 0, 40 };
   pick_choice_t choice;
 
-  tell (pick, "r1", &a, false, 1000);
-  tell (pick, "r1", &b, false, 1000);
+  announce_work (pick, "r1", &a, false, 1000);
+  announce_work (pick, "r1", &b, false, 1000);
   for (cfd_time_t now = 1100; now <= 1500; now += 100)
     {
       a.virtual_time = (double)(now - 1000);
-      tell (pick, "r1", &a, false, now);
+      announce_work (pick, "r1", &a, false, now);
     }
   (void)pick_make_grant (pick, 1500, &choice);
   g_assert_cmpstr (choice.account, ==, "a");
@@ -259,12 +261,12 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/pick/choice", test_choice);
-  g_test_add_func ("/pick/life", test_life);
+  g_test_add_func ("/pick/life", test_grant_lifetime);
   for (size_t i = 0; i < G_N_ELEMENTS (overdue_cases); i++)
     {
       g_autofree char *path
           = g_strconcat ("/pick/overdue/", overdue_cases[i].name, NULL);
-      g_test_add_data_func (path, &overdue_cases[i], test_overdue);
+      g_test_add_data_func (path, &overdue_cases[i], test_answer_overdue);
     }
   g_test_add_func ("/pick/withdrawal", test_withdrawal);
   g_test_add_func ("/pick/carried-forward", test_carried_forward);
