--- a/libcoltsfootdrum/dispatch/disp-entry.c
+++ b/libcoltsfootdrum/dispatch/disp-entry.c
@@ -61,11 +61,11 @@
 is_any_view_behind (const service_t *service, const entry_t *entry,
                     cfd_time_t now)
 {
-  double vt_rate = vt_rate_tokens_per_ms (&service->vt_rate);
+  double tokens_per_ms = vt_rate_tokens_per_ms (&service->vt_rate);
 
   for (guint rank = 0; rank < entry->views->len; rank++)
     if (view_is_behind (view_at (entry, rank), entry->waiting.virtual_time,
-                        vt_rate, now))
+                        tokens_per_ms, now))
       return true;
   return false;
 }
@@ -74,9 +74,9 @@
 disp_entry_update (service_t *service, entry_t *entry,
                    const msg_waiting_t *waiting, cfd_time_t now)
 {
-  uint32_t former = entry->waiting.count;
+  uint32_t previous_count = entry->waiting.count;
 
-  if (former > 0)
+  if (previous_count > 0)
     vt_rate_update (&service->vt_rate,
                     waiting->virtual_time - entry->waiting.virtual_time,
                     now - entry->vt_updated);
@@ -84,11 +84,11 @@
   entry->waiting.account = entry->account;
   entry->vt_updated = now;
   entry->oldest_enqueued = now - waiting->oldest_ms;
-  if (waiting->count < former)
+  if (waiting->count < previous_count)
     entry->last_served = now;
   if (waiting->count == 0)
     return now + DISP_WITHDRAWAL_DELAY_MS;
-  if (former == 0)
+  if (previous_count == 0)
     return now;
   if (is_any_view_behind (service, entry, now))
     return MAX (now, entry->last_sent + DISP_CORRECTION_INTERVAL_MS);
@@ -122,13 +122,13 @@
 compute_fanout (const service_t *service, const entry_t *entry,
                 unsigned reachable_target, cfd_time_t now)
 {
-  unsigned most = MIN (reachable_target * DISP_MAX_CANDIDATES_PER_AGENT,
-                       service->agents->len);
+  unsigned max_fanout = MIN (reachable_target * DISP_MAX_CANDIDATES_PER_AGENT,
+                             service->agents->len);
   unsigned fanout = 0;
 
-  for (unsigned reached = 0; reached < reachable_target && fanout < most;
-       fanout++)
-    reached
+  for (unsigned reachable = 0;
+       reachable < reachable_target && fanout < max_fanout; fanout++)
+    reachable
         += !reach_is_suspect (&agent_at (service, entry, fanout)->reach, now);
   return fanout;
 }
@@ -139,13 +139,13 @@
 update_fanout (const service_t *service, entry_t *entry, cfd_time_t now)
 {
   unsigned count = service->agents->len;
-  cfd_time_t unserved = now - entry->last_served;
+  cfd_time_t unserved_ms = now - entry->last_served;
 
   if (entry->fanout == 0)
     entry->reachable_target = MAX (DISP_INITIAL_AGENTS, entry->waiting.count);
   else if (count <= DISP_SMALL_FLEET_AGENTS)
     entry->reachable_target = count;
-  else if (unserved >= DISP_WIDEN_MS && entry->waiting.count > 0)
+  else if (unserved_ms >= DISP_WIDEN_MS && entry->waiting.count > 0)
     {
       entry->reachable_target *= 2;
       entry->last_served = now;
@@ -161,13 +161,13 @@
                   cfd_time_t now)
 {
   unsigned count = service->agents->len;
-  cfd_time_t check = now + DISP_CHECK_INTERVAL_MS;
+  cfd_time_t next_check = now + DISP_CHECK_INTERVAL_MS;
 
   if (entry->fanout >= count)
-    return check;
+    return next_check;
   if (count <= DISP_SMALL_FLEET_AGENTS)
     return now + DISP_SMALL_FLEET_WIDEN_MS;
-  return MIN (check, entry->last_served + DISP_WIDEN_MS);
+  return MIN (next_check, entry->last_served + DISP_WIDEN_MS);
 }
 
 void
@@ -184,14 +184,14 @@
 /* Whether AGENT must hear of ENTRY, at the latest REFRESH after the last. */
 static bool
 needs_update (const service_t *service, const entry_t *entry,
-              const agent_t *agent, unsigned rank, cfd_time_t refresh,
+              const agent_t *agent, unsigned rank, cfd_time_t refresh_ms,
               cfd_time_t now)
 {
   if (agent->needs_full)
     return entry->waiting.count > 0;
   return view_needs_update (view_at (entry, rank), &entry->waiting,
-                            vt_rate_tokens_per_ms (&service->vt_rate), refresh,
-                            now);
+                            vt_rate_tokens_per_ms (&service->vt_rate),
+                            refresh_ms, now);
 }
 
 void
@@ -213,7 +213,7 @@
                            cfd_time_t now)
 {
   msg_waiting_t waiting = entry->waiting;
-  cfd_time_t refresh = service->refresh_ms - DISP_EARLY_REFRESH_MS;
+  cfd_time_t refresh_ms = service->refresh_ms - DISP_EARLY_REFRESH_MS;
 
   waiting.oldest_ms = (uint32_t)(now - entry->oldest_enqueued);
   for (unsigned rank = 0; rank < entry->fanout; rank++)
@@ -221,7 +221,7 @@
       agent_t *agent = agent_at (service, entry, rank);
 
       if (!agent->needs_update
-          || !needs_update (service, entry, agent, rank, refresh, now))
+          || !needs_update (service, entry, agent, rank, refresh_ms, now))
         continue;
       g_array_append_val (agent->entries, waiting);
       view_update (view_at (entry, rank), &waiting, now);
--- a/libcoltsfootdrum/dispatch/pick-private.h
+++ b/libcoltsfootdrum/dispatch/pick-private.h
@@ -63,7 +63,7 @@
   GHashTable *by_account; /* name -> account_t */
   GHashTable *routers;    /* name -> router_t */
   GHashTable *grants;     /* id -> grant_t */
-  uint64_t last_grant;
+  uint64_t newest_grant_id;
   vt_rate_t vt_rate;
 };
 
--- a/libcoltsfootdrum/dispatch/pick.c
+++ b/libcoltsfootdrum/dispatch/pick.c
@@ -89,7 +89,7 @@
 {
   grant_t *grant = g_new0 (grant_t, 1);
 
-  grant->id = ++pick->last_grant;
+  grant->id = ++pick->newest_grant_id;
   grant->router = g_strdup (found->entry->router->name);
   grant->account = g_strdup (found->account->name);
   grant->granted = now;
