--- a/libcoltsfootdrum/dispatch/disp-entry.c
+++ b/libcoltsfootdrum/dispatch/disp-entry.c
@@ -1,5 +1,5 @@
-/* The work of one account at a router: how many agents hear of it, which must
-   hear again, and when that is looked at.  */
+/* The waiting work of one account at a router: its fan-out, the agents that
+   need an update, and when that is checked.  */
 
 #include "dispatch/disp-private.h"
 
@@ -52,11 +52,11 @@
     *view_at (entry, rank) = view_unknown;
 }
 
-/* ---- news ---- */
+/* ---- updates ---- */
 
-/* An account that falls behind would be passed over until the next refresh,
-   for it looks as well last_served as the others; the agents are last_sent at
-   once.  */
+/* An account that falls behind is announced at once: to the agents it looks as
+   well served as the others, so they would pass it over until the next
+   refresh.  */
 static bool
 is_any_view_behind (const service_t *service, const entry_t *entry,
                     cfd_time_t now)
@@ -104,20 +104,21 @@
     {
       view_t *view = view_at (entry, rank);
 
-      /* An agent makes nothing of a word on an account that was not
-         announced to it.  */
+      /* An agent ignores the numbers of an account that was not announced
+         to it.  */
       if (view->has_work
           && strcmp (agent_at (service, entry, rank)->name, agent) == 0)
         view_update (view, left, now);
     }
 }
 
-/* ---- who hears, and when ---- */
+/* ---- recipients and schedule ---- */
 
-/* How many agents are last_sent so that WANTED of them are in reach.  Else new
-   work whose few first agents are gone would wait for the next widening, again
-   and again until the platform's list drops them.  Bounded, so that a router
-   that lost all links doesn't dial the whole fleet at once.  */
+/* Returns the fan-out that includes REACHABLE_TARGET agents that are not
+   suspect.  Without this, new work whose few first agents are gone would wait
+   for the next widening, again and again until the platform's list drops them.
+   The fan-out is bounded, so that a router that lost all links does not dial
+   the whole fleet at once.  */
 static unsigned
 compute_fanout (const service_t *service, const entry_t *entry,
                 unsigned reachable_target, cfd_time_t now)
@@ -133,8 +134,8 @@
   return fanout;
 }
 
-/* Work that nobody took goes to twice as many agents.  One that is last_served
-   keeps its fanout: so many agents were needed.  */
+/* Doubles the reachable agents of work that no agent took.  An entry that is
+   being served keeps its fan-out, since it needed that many agents.  */
 static void
 update_fanout (const service_t *service, entry_t *entry, cfd_time_t now)
 {
@@ -181,7 +182,8 @@
   g_array_set_size (entry->views, entry->fanout);
 }
 
-/* Whether AGENT must hear of ENTRY, at the latest REFRESH after the last. */
+/* Tells whether AGENT must be sent ENTRY, which it is at least once each
+   REFRESH_MS.  */
 static bool
 needs_update (const service_t *service, const entry_t *entry,
               const agent_t *agent, unsigned rank, cfd_time_t refresh_ms,
--- a/libcoltsfootdrum/dispatch/disp-private.h
+++ b/libcoltsfootdrum/dispatch/disp-private.h
@@ -1,74 +1,76 @@
-/* Inside a router's announcements: disp.c knows the services and their agents
-   and tells them; disp-entry.c decides for the work of one account who hears
-   of it, and when.  */
+/* Internals of announcement dispatch.  disp.c keeps the services and their
+   agents and sends to them; disp-entry.c decides which agents receive the work
+   of one account, and when.  */
 
 #ifndef DISPATCH_DISP_PRIVATE_H
 #define DISPATCH_DISP_PRIVATE_H
 
-#include "dispatch/view.h"
 #include "dispatch/disp.h"
 #include "dispatch/order.h"
+#include "dispatch/view.h"
 #include "dispatch/vt-rate.h"
 
 typedef struct
 {
   char *name;
-  bool needs_full;   /* it knows nothing: the next word is a full one */
-  bool needs_update; /* of some entry, while disp_send_due gathers */
-  GArray *entries;   /* of msg_waiting_t, while disp_send_due gathers */
+  bool needs_full;   /* has no entries: the next announcement is a full one */
+  bool needs_update; /* on some entry; valid during disp_send_due */
+  GArray *entries;   /* of msg_waiting_t to send; used by disp_send_due */
   reach_t reach;
 } agent_t;
 
+/* The waiting work of one account.  */
 typedef struct
 {
   char *account;
-  msg_waiting_t waiting; /* without its age and account */
-  cfd_time_t oldest_enqueued;
-  cfd_time_t last_served; /* last time that work left, or the first came */
+  msg_waiting_t waiting;      /* its OLDEST_MS is computed when it is sent */
+  cfd_time_t oldest_enqueued; /* when the oldest request came */
+  cfd_time_t last_served;     /* when work last left, or the entry was made */
   cfd_time_t due;
-  unsigned reachable_target; /* agents in reach to tell */
-  unsigned
-      fanout;    /* agents last_sent, also in doubt; 0 before the first time */
-  GArray *views; /* of view_t, by rank below WIDTH */
-  cfd_time_t
-      last_sent; /* the last correction or refresh; 0 before the first */
-  cfd_time_t vt_updated; /* when WAITING's virtual time was */
-  order_t order;         /* of the agents */
+  unsigned reachable_target; /* reachable agents to announce it to */
+  unsigned fanout;       /* agents announced to, suspects included; 0 before
+                            the first time */
+  GArray *views;         /* of view_t, by rank below FANOUT */
+  cfd_time_t last_sent;  /* 0 before the first announcement */
+  cfd_time_t vt_updated; /* when the virtual time in WAITING was set */
+  order_t order;         /* in which agents are notified */
 } entry_t;
 
 typedef struct
 {
-  const char *name;      /* its key among the services */
+  const char *name;      /* owned by the table of services, as its key */
   GPtrArray *agents;     /* of agent_t */
   GHashTable *entries;   /* account to entry_t */
-  cfd_time_t refresh_ms; /* an agent hears of an entry again */
-  bool any_needs_full;   /* some agent may have forgotten what is not due */
+  cfd_time_t refresh_ms; /* interval at which entries are sent again */
+  bool any_needs_full;   /* some agent may lack entries that are not due */
   vt_rate_t vt_rate;     /* of the accounts that wait here */
 } service_t;
 
-/* Never last_sent so far; ORDER is that of the agents for it.  */
+/* Creates an entry that was not announced yet; ORDER is the order in which
+   its agents are notified.  */
 entry_t *disp_entry_new (const service_t *service, const char *account,
                          order_t order, cfd_time_t now);
 void disp_entry_free (gpointer data);
-/* The set of agents changed, and with it who has which rank: ENTRY is
-   last_sent to all of its ranks again, also that it is over.  */
+/* Adapts ENTRY to a changed set of agents.  The agents' ranks change with it,
+   so all ranks of ENTRY are sent it again, also when it is withdrawn.  */
 void disp_entry_reset_ranks (const service_t *service, entry_t *entry);
-/* Takes the newest word on what has_work; returns when ENTRY is due for it, or
-   CFD_TIME_NEVER when the word needn't be last_sent.  */
+/* Sets the waiting work of ENTRY.  Returns when ENTRY is due for that, or
+   CFD_TIME_NEVER when the change need not be announced.  */
 cfd_time_t disp_entry_update (service_t *service, entry_t *entry,
                               const msg_waiting_t *waiting, cfd_time_t now);
-/* ENTRY is due: how many agents it goes to, and when it is due again.  */
+/* Updates the fan-out of an ENTRY that is due, and when it is due next.  */
 void disp_entry_schedule (const service_t *service, entry_t *entry,
                           cfd_time_t now);
-/* Finds out which agents must hear of ENTRY: all that believe too much when it
-   is due, else those that needs_full.  */
+/* Marks the agents that need an update on ENTRY: those with an outdated view
+   when it is due, otherwise those that need a full announcement.  */
 void disp_entry_mark_recipients (const service_t *service,
                                  const entry_t *entry, bool due,
                                  cfd_time_t now);
-/* Gathers ENTRY for those that must hear something, where worth saying.  */
+/* Adds ENTRY to the announcements of the marked agents whose view is outdated
+   or soon due for a refresh.  */
 void disp_entry_append_updates (const service_t *service, entry_t *entry,
                                 cfd_time_t now);
-/* AGENT got LEFT with the answer to its grant.  */
+/* Records that AGENT received LEFT with the answer to its grant.  */
 void disp_entry_record_answer (const service_t *service, const entry_t *entry,
                                const char *agent, const msg_waiting_t *left,
                                cfd_time_t now);
--- a/libcoltsfootdrum/dispatch/disp.c
+++ b/libcoltsfootdrum/dispatch/disp.c
@@ -6,7 +6,7 @@
 {
   GHashTable *services; /* name to service_t */
   GRand *random;
-  cfd_time_t next;
+  cfd_time_t next_due; /* least DUE of all entries, or earlier */
 };
 
 static void
@@ -38,7 +38,7 @@
   disp->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, service_free);
   disp->random = g_rand_new_with_seed_array (parts, G_N_ELEMENTS (parts));
-  disp->next = CFD_TIME_NEVER;
+  disp->next_due = CFD_TIME_NEVER;
   return disp;
 }
 
@@ -87,7 +87,7 @@
 schedule_entry (disp_t *disp, entry_t *entry, cfd_time_t due)
 {
   entry->due = MIN (entry->due, due);
-  disp->next = MIN (disp->next, entry->due);
+  disp->next_due = MIN (disp->next_due, entry->due);
 }
 
 void
@@ -164,14 +164,14 @@
     schedule_entry (disp, entry, due);
 }
 
-/* Tells AGENT what was gathered, in frames of a bounded size; whether that
-   gave a reason to doubt it.  */
+/* Sends AGENT its collected entries, in frames of bounded size.  Returns
+   whether that made the agent suspect.  */
 static bool
 send_to_agent (const service_t *service, agent_t *agent, cfd_time_t now,
                disp_send_t *send, void *user)
 {
   const msg_waiting_t *entries = (const msg_waiting_t *)agent->entries->data;
-  bool suspects = reach_is_suspect (&agent->reach, now);
+  bool was_suspect = reach_is_suspect (&agent->reach, now);
   guint sent = 0;
 
   while (sent < agent->entries->len)
@@ -189,10 +189,11 @@
     }
   agent->needs_update = false;
   g_array_set_size (agent->entries, 0);
-  return !suspects && reach_is_suspect (&agent->reach, now);
+  return !was_suspect && reach_is_suspect (&agent->reach, now);
 }
 
-/* An agent turned out to be out of reach: what has_work looks for others.  */
+/* Makes all waiting work due after an agent became suspect, so that other
+   agents are notified in its place.  */
 static void
 reschedule_waiting (disp_t *disp, const service_t *service, cfd_time_t now)
 {
@@ -205,9 +206,10 @@
       schedule_entry (disp, value, now);
 }
 
-/* Takes the turns of what is due; adds what is over to ENDED.  */
+/* Schedules the entries that are due and marks their recipients; adds the
+   accounts whose entries are to be removed to WITHDRAWN.  */
 static void
-process_due_entries (disp_t *disp, service_t *service, GPtrArray *ended,
+process_due_entries (disp_t *disp, service_t *service, GPtrArray *withdrawn,
                      cfd_time_t now)
 {
   GHashTableIter iter;
@@ -224,9 +226,9 @@
       if (due || service->any_needs_full)
         disp_entry_mark_recipients (service, entry, due, now);
       if (due && entry->waiting.count == 0)
-        g_ptr_array_add (ended, entry->account);
+        g_ptr_array_add (withdrawn, entry->account);
       else
-        disp->next = MIN (disp->next, entry->due);
+        disp->next_due = MIN (disp->next_due, entry->due);
     }
   service->any_needs_full = false;
 }
@@ -235,22 +237,22 @@
 send_service_due (disp_t *disp, service_t *service, cfd_time_t now,
                   disp_send_t *send, void *user)
 {
-  g_autoptr (GPtrArray) ended = g_ptr_array_new ();
+  g_autoptr (GPtrArray) withdrawn = g_ptr_array_new ();
   bool any_new_suspect = false;
   GHashTableIter iter;
   gpointer value;
 
   if (service->agents->len == 0)
     return;
-  process_due_entries (disp, service, ended, now);
+  process_due_entries (disp, service, withdrawn, now);
   g_hash_table_iter_init (&iter, service->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     disp_entry_append_updates (service, value, now);
   for (guint i = 0; i < service->agents->len; i++)
     any_new_suspect
         |= send_to_agent (service, service->agents->pdata[i], now, send, user);
-  for (guint i = 0; i < ended->len; i++)
-    g_hash_table_remove (service->entries, ended->pdata[i]);
+  for (guint i = 0; i < withdrawn->len; i++)
+    g_hash_table_remove (service->entries, withdrawn->pdata[i]);
   if (any_new_suspect)
     reschedule_waiting (disp, service, now);
 }
@@ -261,9 +263,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (now < disp->next)
+  if (now < disp->next_due)
     return;
-  disp->next = CFD_TIME_NEVER;
+  disp->next_due = CFD_TIME_NEVER;
   g_hash_table_iter_init (&iter, disp->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     send_service_due (disp, value, now, send, user);
@@ -287,11 +289,11 @@
     disp_entry_record_answer (service, entry, agent, left, now);
 }
 
-/* Calls ACT for the agent NAME of each service that has it.  */
+/* Calls ACT for the agent NAME in each service that lists it.  */
 static void
 for_each_agent_named (disp_t *disp, const char *name,
-                      void (*act) (disp_t *disp, service_t *service,
-                                   agent_t *agent, cfd_time_t now),
+                      void (*callback) (disp_t *disp, service_t *service,
+                                        agent_t *agent, cfd_time_t now),
                       cfd_time_t now)
 {
   GHashTableIter iter;
@@ -303,7 +305,7 @@
       agent_t *agent = find_agent (value, name);
 
       if (agent != NULL)
-        act (disp, value, agent, now);
+        callback (disp, value, agent, now);
     }
 }
 
@@ -314,7 +316,7 @@
   agent->reach = reach_initial;
   agent->needs_full = true;
   service->any_needs_full = true;
-  disp->next = 0;
+  disp->next_due = 0;
 }
 
 void
@@ -340,7 +342,7 @@
 cfd_time_t
 disp_next_due (const disp_t *disp, cfd_time_t now)
 {
-  return disp->next;
+  return disp->next_due;
 }
 
 static unsigned
--- a/libcoltsfootdrum/dispatch/order.c
+++ b/libcoltsfootdrum/dispatch/order.c
@@ -9,12 +9,12 @@
 }
 
 static unsigned
-common_divisor (unsigned a, unsigned b)
+greatest_common_divisor (unsigned a, unsigned b)
 {
-  return b == 0 ? a : common_divisor (b, a % b);
+  return b == 0 ? a : greatest_common_divisor (b, a % b);
 }
 
-/* A step that shares no divisor with COUNT visits each place once.  */
+/* A step that is coprime to COUNT visits each index once.  */
 void
 order_set_count (order_t *order, unsigned count)
 {
@@ -22,7 +22,7 @@
   if (count == 0)
     return;
   order->step = 1 + order->step_seed % count;
-  while (common_divisor (order->step, count) != 1)
+  while (greatest_common_divisor (order->step, count) != 1)
     order->step++;
 }
 
