--- a/libcoltsfootdrum/dispatch/pick-updates.c
+++ b/libcoltsfootdrum/dispatch/pick-updates.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* Weight of the newest assignment in an account's expected vt_step.  */
+/* Weight of the newest assignment in an account's expected step.  */
 #define VT_STEP_WEIGHT 0.25
 
 static void
@@ -125,12 +125,13 @@
   return entry;
 }
 
-/* ENTRY's waiting carried forward to NOW.  Backlogged accounts advance
-   together, that is what fairness means; comparing one account's fresh waiting
-   with the old words of the others would make the fresh one look served too
-   much, and the grant would be declined as stale, one account after the other.
-   A waiting is one way old when it comes, and the grant takes the other.  An
-   account that in truth stood still is known again with its next waiting.  */
+/* Extrapolates ENTRY's virtual time to NOW.  Fair queueing makes backlogged
+   accounts advance together; comparing one account's fresh value with the old
+   values of the others would make the fresh one look served too much, and the
+   grant would be declined as stale, for one account after the other.  The
+   round trip is added because a value is one way old when it arrives, and the
+   grant takes the way back.  The next update corrects the estimate for an
+   account that did not advance.  */
 static double
 estimate_entry_vt (const pick_t *pick, const entry_t *entry, cfd_time_t now)
 {
@@ -221,9 +222,9 @@
     withdraw_unlisted (pick, router);
 }
 
-/* Learns by how much one request moves the account on.  Others' work is in
-   the difference too; the vt_step only spreads grants granted in one burst,
-   and the router has the last waiting.  */
+/* Updates the expected growth of virtual time by one request.  The difference
+   includes work given out elsewhere, which is good enough: the step only
+   spreads grants made in one burst, and the router may decline them.  */
 static void
 update_vt_step (const pick_t *pick, account_t *account, double virtual_time,
                 cfd_time_t now)
@@ -243,8 +244,8 @@
   entry_t *entry = account != NULL ? pick_entry_find (account, router) : NULL;
 
   (void)touch_router (pick, router);
-  /* Without an entry there is no lifetime to go by: the next announcement
-     brings it.  */
+  /* Without an entry the lifetime is unknown; the next announcement brings
+     it.  */
   if (entry == NULL)
     return;
   update_vt_step (pick, account, left->virtual_time, now);
--- a/libcoltsfootdrum/dispatch/pick.c
+++ b/libcoltsfootdrum/dispatch/pick.c
@@ -2,10 +2,10 @@
 
 #include <math.h>
 
-/* Weight of the newest round trip.  */
+/* Weight of the newest sample in a router's smoothed round trip.  */
 #define ROUND_TRIP_WEIGHT 0.2
 
-/* Round trips that a router may take beyond PICK_ANSWER_TIMEOUT_MS.  */
+/* Usual round trips that an answer may take beyond PICK_ANSWER_TIMEOUT_MS.  */
 #define ALLOWED_ROUND_TRIPS 2
 
 static bool
@@ -34,8 +34,8 @@
   return a->oldest_enqueued < b->oldest_enqueued;
 }
 
-/* The account's entry to grant_id to, and in TIME its virtual vt; NULL when
-   none of it waits.  */
+/* Returns the entry of ACCOUNT to grant to, or NULL when none is eligible;
+   sets VT to the account's virtual time.  */
 static entry_t *
 find_best_entry (const pick_t *pick, const account_t *account, cfd_time_t now,
                  double *vt)
@@ -60,8 +60,8 @@
   account_t *account;
   entry_t *entry;
   double vt;
-  double second_vt; /* lowest vt of another account */
-  double floor;     /* lowest vt of any account, without grants in grant */
+  double second_vt; /* least virtual time of another account */
+  double floor;     /* least virtual time, without grants in flight */
 } search_t;
 
 static void
@@ -195,8 +195,8 @@
     }
 }
 
-/* Grants that hold a slot: an overdue answer may still come, but no slot waits
-   for it.  */
+/* Counts the grants that hold a slot.  An overdue answer may still come, but
+   no slot is kept for it.  */
 static unsigned
 count_held_slots (const pick_t *pick, cfd_time_t now)
 {
--- a/libcoltsfootdrum/dispatch/pick.h
+++ b/libcoltsfootdrum/dispatch/pick.h
@@ -1,7 +1,10 @@
-/* An agent's table of announced work and its choice.  Pure.  The agent grants
-   its free slot to the account with the least virtual time; among several
-   routers with work of that account, to the one with the best class, then the
-   oldest.  Grants in flight count against an entry's waiting requests.  */
+/* Work selection.  An agent's table of announced work and its choice of the
+   next grant.  Does no I/O; callers pass the current time.
+
+   The agent grants its free slot to the account with the least virtual time;
+   among several routers with work of that account, to the one with the best
+   class, then to the one with the oldest request.  Grants in flight count
+   against an entry's waiting requests.  */
 
 #ifndef DISPATCH_PICK_H
 #define DISPATCH_PICK_H
@@ -10,14 +13,14 @@
 #include "wire/msg.h"
 #include <glib.h>
 
-/* A grant is dead this long after it was made, on the agent's clock.  */
+/* A grant expires this long after it was made, on the agent's clock.  */
 #define PICK_GRANT_LIFETIME_MS 1000
-/* A router that said nothing for so long after a grant, and twice its usual
-   round trip, gets no further grant until it speaks.  Routers answer a grant
-   as they read it, in a few milliseconds; one that is cut off or stopped would
-   otherwise be offered each slot that gets free, and hold it for
-   PICK_GRANT_LIFETIME_MS.  Passing over a router that is only slow costs
-   little: its answer ends it.  */
+/* A router that sent nothing for this long after a grant, plus twice its usual
+   round trip, gets no further grant until it sends something.  Routers answer
+   a grant as they read it, in a few milliseconds; one that is cut off or
+   stopped would otherwise be offered each slot that becomes free, and hold it
+   for PICK_GRANT_LIFETIME_MS.  Passing over a router that is only slow costs
+   little, since its answer makes it eligible again.  */
 #define PICK_ANSWER_TIMEOUT_MS 200
 
 typedef struct pick pick_t;
@@ -27,7 +30,8 @@
   const char *router; /* valid until the next call */
   const char *account;
   double limit_vt; /* least virtual time of another account, or INFINITY */
-  double floor;
+  double floor;    /* least virtual time of any account with waiting work,
+                      without what grants in flight will add */
 } pick_choice_t;
 
 pick_t *pick_new (void);
@@ -36,26 +40,32 @@
 
 void pick_apply_announcement (pick_t *pick, const char *router,
                               const msg_announce_t *announce, cfd_time_t now);
-/* The newest word of ROUTER on one account, from an assign or decline.  */
+/* Applies the newest numbers of ROUTER for one account, from an assign or
+   decline message.  */
 void pick_update_waiting (pick_t *pick, const char *router,
                           const msg_waiting_t *left, cfd_time_t now);
+/* Removes a router with its entries and grants.  */
 void pick_remove_router (pick_t *pick, const char *router);
 
-/* Chooses and records a grant in flight; 0 when nothing waits.  */
+/* Chooses the next grant and records it as in flight.  Returns its id, or 0
+   when no work is waiting.  */
 uint64_t pick_make_grant (pick_t *pick, cfd_time_t now, pick_choice_t *choice);
-/* The grant was answered.  False when it is unknown or dead by NOW: then the
-   request that came with it must not be started.  */
+/* Completes an answered grant.  Returns false when it is unknown or has
+   expired by NOW: the request that came with the answer must not be started
+   then.  */
 bool pick_complete_grant (pick_t *pick, uint64_t grant, cfd_time_t now);
-/* Drops dead grants; returns how many of the others hold a slot.  Those to a
-   router whose answer is overdue do not, though they live on: an answer that
-   comes late is taken if a slot is free then, else it is told that its request
-   was not started.  Without this each slot offered across a cut would idle
-   for PICK_GRANT_LIFETIME_MS.  */
+/* Removes expired grants; returns how many of the others hold a slot.  Those
+   to a router whose answer is overdue do not, though they stay valid: a late
+   answer is accepted if a slot is free then, and otherwise the router is told
+   that its request was not started.  Without this, each slot offered to a
+   router that is cut off would idle for PICK_GRANT_LIFETIME_MS.  */
 unsigned pick_expire_grants (pick_t *pick, cfd_time_t now);
+/* Counts the waiting requests that are not covered by a grant.  */
 unsigned pick_count_waiting (const pick_t *pick);
-/* Whether any work waits; cheaper than to count it.  */
+/* Tells whether that count is above 0; cheaper than counting.  */
 bool pick_has_waiting (const pick_t *pick);
-/* Greatest less least virtual time of the accounts with waiting work.  */
+/* Returns the difference between the greatest and the least virtual time of
+   the accounts with waiting work.  */
 double pick_compute_vt_spread (const pick_t *pick, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/dispatch/test-disp.c
+++ b/libcoltsfootdrum/dispatch/test-disp.c
@@ -1,4 +1,5 @@
-/* Announcements: who receives of which work, when, and how much that costs. */
+/* Tests of announcement dispatch: which agents are notified of which work,
+   when, and at what cost.  */
 
 #include "dispatch/test-disp-help.h"
 #include <inttypes.h>
@@ -6,8 +7,8 @@
 static void
 test_fanout (void)
 {
-  /* How many of AGENTS hear of COUNT requests: at once, after they stayed
-     unserved once, twice and for ever.  */
+  /* How many of AGENTS are notified of COUNT requests: at once, then after the
+     work stayed unserved for one, two and many widening intervals.  */
   static const struct
   {
     unsigned agents;
@@ -55,9 +56,9 @@
 static void
 test_small_fleet_widens (void)
 {
-  /* In a small fleet the few first agents were busy: all others must hear of
-     the work after DISP_SMALL_FLEET_WIDEN_MS, not only with the refresh a
-     second later, or a slot would idle beside waiting work.  */
+  /* In a small fleet the few first agents are busy.  All others must be
+     notified after DISP_SMALL_FLEET_WIDEN_MS and not only with the refresh a
+     second later, or a slot would idle while work is waiting.  */
   g_autoptr (disp_t) disp = disp_new (7);
 
   set_agents (disp, 12);
@@ -65,7 +66,7 @@
   g_assert_cmpuint (count_recipients (disp, 1000), ==, DISP_INITIAL_AGENTS);
   g_assert_cmpint (disp_next_due (disp, 1000), ==,
                    1000 + DISP_SMALL_FLEET_WIDEN_MS);
-  /* The first need not hear it again.  */
+  /* The first agents are not notified again.  */
   g_assert_cmpuint (count_recipients (disp, 1000 + DISP_SMALL_FLEET_WIDEN_MS),
                     ==, 12 - DISP_INITIAL_AGENTS);
   g_assert_cmpuint (disp_fanout (disp, "draft", "a"), ==, 12);
@@ -80,7 +81,7 @@
   set_waiting (disp, "a", 3, 0);
   for (cfd_time_t now = 0; now < 10 * DISP_WIDEN_MS; now += 100)
     {
-      set_waiting (disp, "a", 2, now); /* one was taken, one came */
+      set_waiting (disp, "a", 2, now); /* one request was served, one came */
       set_waiting (disp, "a", 3, now);
       count_recipients (disp, now);
     }
@@ -106,7 +107,7 @@
       0);
   g_hash_table_unref (received.agents);
   g_assert_cmpint (disp_next_due (disp, 1000), ==, CFD_TIME_NEVER);
-  /* Never recipients, nothing to withdraw.  */
+  /* Work that was never announced needs no withdrawal.  */
   set_waiting (disp, "b", 1, 1000);
   set_waiting (disp, "b", 0, 1000);
   g_assert_cmpuint (count_recipients (disp, 2000), ==, 0);
@@ -115,8 +116,8 @@
 static void
 test_link_restored (void)
 {
-  /* An agent's link broke and came back: it alone receives everything again,
-     in one full word, while the other is not recipients twice.  */
+  /* An agent's link was lost and restored.  That agent alone receives all work
+     again, in one full announcement.  */
   g_autoptr (disp_t) disp = disp_new (7);
   received_t received;
 
@@ -149,9 +150,9 @@
 static void
 test_correction_when_behind (void)
 {
-  /* Two accounts wait.  One is served at the common pace, one not at all.
-     Agents carry both forward alike, so the second would look served until
-     the next refresh; it alone must be recipients at once.  */
+  /* Two accounts wait.  One is served at the average rate, one not at all.
+     Agents extrapolate both alike, so the second would look served until the
+     next refresh; a correction for it alone must be sent at once.  */
   g_autoptr (disp_t) disp = disp_new (7);
   msg_waiting_t served = { .account = "a", .count = 9 };
   msg_waiting_t starved = { .account = "b", .count = 9 };
@@ -191,9 +192,10 @@
 static void
 test_answer_updates_view (void)
 {
-  /* One of two agents granted and got the newest numbers with the answer.  It
-     is left out when the account falls behind what the other believes, and of
-     the withdrawal; it receives again before its word lapses.  */
+  /* One of two agents made a grant and received the newest numbers with the
+     answer.  The correction, needed when the account falls behind the view of
+     the other agent, and the withdrawal are not sent to it.  It is refreshed
+     before its entry expires.  */
   g_autoptr (disp_t) disp = disp_new (7);
   msg_waiting_t waiting = { "a", 9, 0, 0, 1000 };
   const msg_waiting_t none = { "a", 0, 0, 0, 400 };
@@ -221,9 +223,9 @@
 static void
 test_set_changed_while_withdrawn (void)
 {
-  /* Work ends and the set of agents changes before that is recipients. Whoever
-     has which rank now, all must hear of the end, or they would offer slots
-     for work that is gone until the word lapses.  */
+  /* Work ends and the set of agents changes before the withdrawal is sent.
+     The ranks have changed, so all agents must receive the withdrawal, or they
+     would offer slots for work that is gone until the entry expires.  */
   g_autoptr (disp_t) disp = disp_new (7);
 
   set_agents (disp, 2);
@@ -235,9 +237,9 @@
                     ==, 2);
 }
 
-/* At the target size: 1,800 pairs that wait at one router, 600 agents.  Prints
-   the cost; asserts only that refreshes stay within the first recipients
-   agents each. */
+/* The target size: 1,800 pairs of account and service wait at one router with
+   600 agents.  Prints the cost; asserts only that each pair is announced to
+   its initial agents and no others.  */
 static void
 test_scale (void)
 {
@@ -269,7 +271,7 @@
   g_test_add_func ("/disp/served-does-not-widen", test_served_does_not_widen);
   g_test_add_func ("/disp/quick", test_small_fleet_widens);
   g_test_add_func ("/disp/withdrawal", test_withdrawal);
-  g_test_add_func ("/disp/forgot", test_link_restored);
+  g_test_add_func ("/disp/link-restored", test_link_restored);
   g_test_add_func ("/disp/new-agent", test_new_agent);
   g_test_add_func ("/disp/behind", test_correction_when_behind);
   g_test_add_func ("/disp/answered", test_answer_updates_view);
--- a/libcoltsfootdrum/dispatch/test-pick.c
+++ b/libcoltsfootdrum/dispatch/test-pick.c
@@ -1,4 +1,5 @@
-/* The agent's choice among announced work, and the life of its grants.  */
+/* Tests of work selection: the agent's choice among announced work, and the
+   lifetime of its grants.  */
 
 #include "dispatch/pick.h"
 #include <math.h>
@@ -50,7 +51,7 @@
     "r2",
     "a",
     INFINITY },
-  { "stale-low-word-loses",
+  { "stale-lower-time-ignored",
     { { "r1", { "a", 1, 0, 0, 5 } },
       { "r2", { "a", 1, 0, 0, 90 } },
       { "r1", { "b", 1, 0, 0, 40 } } },
@@ -87,8 +88,8 @@
     }
 }
 
-/* Grants in flight use up the waiting requests; a late answer is dead, and a
-   router that lets a grant die gets none until it speaks next_grant.  */
+/* Grants in flight use up the waiting requests.  A late answer is rejected,
+   and a router that lets a grant expire gets none until it sends a message. */
 static void
 test_grant_lifetime (void)
 {
@@ -120,26 +121,27 @@
   g_assert_cmpuint (pick_make_grant (pick, 3100, &choice), !=, 0);
 }
 
-/* The agent sees a router fall silent with grants unanswered: cut off, frozen,
-   or only slow.  It goes on with what others announced, not a whole grant's
-   life later: each slot that gets free meanwhile would be lost for as long.
-   Any waiting ends it, and far routers have longer.  */
+/* A router leaves grants unanswered because it is cut off, frozen or only
+   slow. The agent must turn to the work of other routers before the grant
+   expires, or each slot that becomes free meanwhile is lost for a grant
+   lifetime.  Any message makes the router eligible again, and one with a
+   longer round trip has more time.  */
 typedef struct
 {
   const char *name;
-  cfd_time_t round_trip_ms; /* of a grant that was answered before; 0: none */
-  cfd_time_t waiting;       /* of r1, after the grant; 0: none */
-  cfd_time_t next_grant;    /* the next grant, after the first */
-  const char *router;       /* that gets it */
-  unsigned held;            /* grants that hold a slot just before */
+  cfd_time_t round_trip_ms; /* of a grant answered before; 0: none */
+  cfd_time_t message_at;    /* message of r1, after the grant; 0: none */
+  cfd_time_t next_grant;    /* time of it, after the first */
+  const char *router;       /* that gets the next grant */
+  unsigned held;            /* grants that hold a slot just before it */
 } overdue_case_t;
 
 static const overdue_case_t overdue_cases[] = {
   { "in time", 0, 0, PICK_ANSWER_TIMEOUT_MS - 1, "r1", 1 },
   { "overdue", 0, 0, PICK_ANSWER_TIMEOUT_MS, "r2", 0 },
   { "dead", 0, 0, PICK_GRANT_LIFETIME_MS + 1, "r2", 0 },
-  { "spoke", 0, 150, PICK_ANSWER_TIMEOUT_MS, "r1", 1 },
-  { "spoke late", 0, PICK_ANSWER_TIMEOUT_MS + 1, PICK_ANSWER_TIMEOUT_MS + 2,
+  { "message", 0, 150, PICK_ANSWER_TIMEOUT_MS, "r1", 1 },
+  { "late message", 0, PICK_ANSWER_TIMEOUT_MS + 1, PICK_ANSWER_TIMEOUT_MS + 2,
     "r1", 1 },
   { "far", 100, 0, PICK_ANSWER_TIMEOUT_MS + 199, "r1", 1 },
   { "far and overdue", 100, 0, PICK_ANSWER_TIMEOUT_MS + 200, "r2", 0 },
@@ -162,8 +164,8 @@
         pick, pick_make_grant (pick, 0, &choice), c->round_trip_ms));
   g_assert_cmpuint (pick_make_grant (pick, start, &choice), !=, 0);
   g_assert_cmpstr (choice.router, ==, "r1");
-  if (c->waiting > 0)
-    announce_work (pick, "r1", NULL, false, start + c->waiting);
+  if (c->message_at > 0)
+    announce_work (pick, "r1", NULL, false, start + c->message_at);
   g_assert_cmpuint (pick_expire_grants (pick, start + c->next_grant), ==,
                     c->held);
   g_assert_cmpuint (pick_make_grant (pick, start + c->next_grant, &choice), !=,
@@ -201,8 +203,9 @@
   g_assert_cmpuint (pick_count_waiting (pick), ==, 0);
 }
 
-/* Equal accounts take turns, and grants made in one burst are spread once the
-   agent knows what a request moves.  */
+/* Accounts with equal virtual time are served in turn, and grants made in one
+   burst are spread once the agent knows by how much a request advances an
+   account.  */
 static void
 test_spread (void)
 {
@@ -235,10 +238,10 @@
 static void
 test_carried_forward (void)
 {
-  /* Account a is heard of next_grant and next_grant, b once.  Both are served
-     alike, so b's old waiting must not look like the least: the router would
-     decline a's slot as stale against it, and the slot would stay empty
-     meanwhile.  */
+  /* Account a is announced again and again, b once.  Both are served alike, so
+     b's old virtual time must be extrapolated and not taken for the least: the
+     router would decline a's slot as stale against it, and the slot would stay
+     empty meanwhile.  */
   g_autoptr (pick_t) pick = pick_new ();
   msg_waiting_t a = { "a", 9, 0, 0, 0 };
   msg_waiting_t b = { "b", 9, 0, 0, 40 };
--- a/libcoltsfootdrum/dispatch/test-reach.c
+++ b/libcoltsfootdrum/dispatch/test-reach.c
@@ -1,4 +1,5 @@
-/* Agents out of reach: who receives of new work in their place.  */
+/* Tests of unreachable agents: which others are notified of new work in their
+   place.  */
 
 #include "dispatch/test-disp-help.h"
 
@@ -29,10 +30,11 @@
 static void
 test_links_lost (void)
 {
-  /* Of AGENTS the first DEAD lost their links.  New work of 50 accounts, COUNT
-     requests each, comes in: each must at once reach as many live agents as it
-     would without the loss, or it waits for a widening while slots are free.
-     Dead agents are recipients by the way, but not the whole fleet.  */
+  /* Of AGENTS the first UNREACHABLE lost their links.  New work of COUNT
+     requests comes in, in 50 random orders of the agents.  It must at once be
+     sent to as many reachable agents as without the loss, or it waits for a
+     widening while slots are free.  Unreachable agents are notified on the
+     way, but not the whole fleet.  */
   static const struct
   {
     unsigned agents;
@@ -67,8 +69,9 @@
 static void
 test_link_lost_while_waiting (void)
 {
-  /* The two agents that received of the work die before they take it.  Their
-     links' end must send the word on at once, not DISP_WIDEN_MS later.  */
+  /* The two agents that were notified fail before they take the work.  The
+     loss of their links must make others be notified at once, not
+     DISP_WIDEN_MS later.  */
   g_autoptr (disp_t) disp = disp_new (7);
   received_t received;
   GHashTableIter iter;
@@ -96,9 +99,9 @@
 static void
 test_links_restored (void)
 {
-  /* No word can be sent, and no link comes up in time: all agents are in
-     doubt.  Once their links are up they count again, and no more are
-     recipients than in a fleet that never lost one.  */
+  /* Nothing can be sent and no link comes up in time, so all agents become
+     suspect.  Once their links are up they count again, and no more agents are
+     notified than in a fleet that never lost one.  */
   g_autoptr (disp_t) disp = disp_new (7);
   cfd_time_t now = 1000;
 
@@ -132,10 +135,10 @@
 static void
 test_agents_unresponsive (void)
 {
-  /* A third of the agents is unresponsive, with their links up.  Work whose
-     first words go to them would wait for DISP_WIDEN_MS; it must go on to
-     others at once.  Thawed, an agent counts again with the next word to it.
-   */
+  /* A third of the agents is frozen while their links stay up.  Work first
+     announced to them would wait for DISP_WIDEN_MS; it must be announced to
+     others at once.  An agent that resumes counts again after the next
+     announcement to it.  */
   for (unsigned account = 0; account < 50; account++)
     {
       g_autoptr (disp_t) disp = disp_new (account);
@@ -151,7 +154,7 @@
       g_assert_cmpuint (count_reachable_recipients (&received), >=,
                         DISP_INITIAL_AGENTS);
       g_hash_table_unref (received.agents);
-      set_waiting (disp, "thawed", 600, 2000);
+      set_waiting (disp, "resumed", 600, 2000);
       count_recipients (disp, 2000);
       set_waiting (disp, "b", 1, 2000);
       count_recipients (disp, 2000);
