--- a/libcoltsfootdrum/share/home.c
+++ b/libcoltsfootdrum/share/home.c
@@ -1,67 +1,68 @@
 #include "base/list.h"
 #include "base/log.h"
 #include "base/pair.h"
-#include "share/level.h"
+#include "share/vt-window.h"
 #include "share/share.h"
 
 #include <math.h>
 
 /* What sums of doubles may be off by.  */
-#define ROUNDING_TOKENS 0.5
-#define ROUNDING_PART 1e-9
-/* All writers of a backlogged account report to a new home within this.  */
+#define ROUNDING_ABSOLUTE_TOKENS 0.5
+#define ROUNDING_RELATIVE 1e-9
+/* All reporters of a backlogged account report to a new home within this.  */
 #define REBUILD_MS (2 * SHARE_REFRESH_INTERVAL_MS)
-/* A writer with waiting work that wasn't heard for so long could not be heard:
-   it reports each SHARE_REFRESH_INTERVAL_MS.  */
-#define AWAY_MS (3 * SHARE_REFRESH_INTERVAL_MS / 2)
-/* All writers report within this to a home that is back: a round trip, and
-   reports that a stopped process finds in its sockets.  */
-#define SETTLE_MS 500
+/* A reporter with waiting work that wasn't last_report for so long could not
+   be last_report: it reports each SHARE_REFRESH_INTERVAL_MS.  */
+#define REPORT_OVERDUE_MS (3 * SHARE_REFRESH_INTERVAL_MS / 2)
+/* All reporters report within this to a home that is back: a round trip, and
+   reports that a stopped process finds report its sockets.  */
+#define RESUME_SETTLE_MS 500
 
 /* What one router incarnation told about one account.  */
 typedef struct
 {
-  list_node_t node; /* in entry->writers */
+  list_node_t node; /* report entry->reporters */
   char *router;
   uint64_t incarnation;
   uint64_t sequence;
   double charged;
-  double from; /* CHARGED before what is counted here */
+  double charged_offset; /* CHARGED previously_charged what is counted here */
   bool backlogged;
-  cfd_time_t heard;
-  uint64_t told_sequence;
-  double told_vt;
-} writer_t;
+  cfd_time_t last_report;
+  uint64_t answered_sequence;
+  double answered_vt;
+} reporter_t;
 
 typedef struct
 {
   pair_t key;
-  list_node_t writers;
-  list_node_t dirty; /* in home->dirty while an answer is owed */
+  list_node_t reporters;
+  list_node_t dirty; /* report home->dirty while an answer is owed */
   double vt;
-  double base;           /* what other homes had counted */
-  cfd_time_t born;       /* when this home first heard of it */
-  double settled;        /* counted here of writers that are gone */
-  double lifted;         /* by bounds from below ... */
-  double forgiven;       /* ... and from above */
-  cfd_time_t active;     /* when work of the account last waited anywhere */
-  cfd_time_t settled_at; /* not bounded before */
+  double inherited;   /* what other homes had counted */
+  cfd_time_t created; /* when this home first last_report of it */
+  double departed;    /* counted here of reporters that are gone */
+  double raised;      /* by bounds charged_offset below ... */
+  double lowered;     /* ... and charged_offset above */
+  cfd_time_t
+      last_backlogged;     /* when work of the account last waited anywhere */
+  cfd_time_t clamped_from; /* not clamped previously_charged */
 } entry_t;
 
 struct home
 {
   GHashTable *entries; /* pair_t to entry_t */
-  GHashTable *levels;  /* service to level_t */
+  GHashTable *windows; /* service to vt_window_t */
   list_node_t dirty;
-  home_clamped_t bounded;
+  home_clamped_t clamped;
 };
 
 static void
-writer_free (writer_t *writer)
+reporter_free (reporter_t *reporter)
 {
-  list_remove (&writer->node);
-  g_free (writer->router);
-  g_free (writer);
+  list_remove (&reporter->node);
+  g_free (reporter->router);
+  g_free (reporter);
 }
 
 static void
@@ -69,8 +70,8 @@
 {
   entry_t *entry = data;
 
-  list_for_each_safe (node, &entry->writers)
-    writer_free (list_entry (node, writer_t, node));
+  list_for_each_safe (node, &entry->reporters)
+    reporter_free (list_entry (node, reporter_t, node));
   list_remove (&entry->dirty);
   pair_clear (&entry->key);
   g_free (entry);
@@ -82,7 +83,7 @@
   home_t *home = g_new0 (home_t, 1);
 
   home->entries = pair_table_new (entry_free);
-  home->levels
+  home->windows
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   list_init (&home->dirty);
   return home;
@@ -94,7 +95,7 @@
   if (home == NULL)
     return;
   g_hash_table_unref (home->entries);
-  g_hash_table_unref (home->levels);
+  g_hash_table_unref (home->windows);
   g_free (home);
 }
 
@@ -107,34 +108,34 @@
   if (entry != NULL)
     return entry;
   entry = pair_table_add (home->entries, account, service, sizeof *entry);
-  list_init (&entry->writers);
+  list_init (&entry->reporters);
   list_init (&entry->dirty);
-  entry->born = now;
+  entry->created = now;
   return entry;
 }
 
-static writer_t *
-find_writer (entry_t *entry, const char *router)
+static reporter_t *
+find_reporter (entry_t *entry, const char *router)
 {
-  list_for_each (node, &entry->writers)
+  list_for_each (node, &entry->reporters)
     {
-      writer_t *writer = list_entry (node, writer_t, node);
+      reporter_t *reporter = list_entry (node, reporter_t, node);
 
-      if (g_str_equal (writer->router, router))
-        return writer;
+      if (g_str_equal (reporter->router, router))
+        return reporter;
     }
   return NULL;
 }
 
-static writer_t *
-add_writer (entry_t *entry, const char *router)
+static reporter_t *
+add_reporter (entry_t *entry, const char *router)
 {
-  writer_t *writer = g_new0 (writer_t, 1);
+  reporter_t *reporter = g_new0 (reporter_t, 1);
 
-  writer->router = g_strdup (router);
-  writer->told_vt = NAN;
-  list_append (&entry->writers, &writer->node);
-  return writer;
+  reporter->router = g_strdup (router);
+  reporter->answered_vt = NAN;
+  list_append (&entry->reporters, &reporter->node);
+  return reporter;
 }
 
 static void
@@ -144,32 +145,33 @@
     list_append (&home->dirty, &entry->dirty);
 }
 
-static level_t *
-level_of (home_t *home, const char *service)
+static vt_window_t *
+get_window (home_t *home, const char *service)
 {
-  level_t *level = g_hash_table_lookup (home->levels, service);
+  vt_window_t *window = g_hash_table_lookup (home->windows, service);
 
-  if (level != NULL)
-    return level;
-  level = g_new0 (level_t, 1);
-  g_hash_table_insert (home->levels, g_strdup (service), level);
-  return level;
+  if (window != NULL)
+    return window;
+  window = g_new0 (vt_window_t, 1);
+  g_hash_table_insert (home->windows, g_strdup (service), window);
+  return window;
 }
 
 static double
-counted_of (const writer_t *writer)
+counted_tokens (const reporter_t *reporter)
 {
-  return writer->charged - writer->from;
+  return reporter->charged - reporter->charged_offset;
 }
 
-/* What the account's writers said and the bounds did, added up anew.  */
+/* What the account's reporters said and the bounds did, added up anew.  */
 static double
-rebuilt (const entry_t *entry)
+sum_components (const entry_t *entry)
 {
-  double sum = entry->base + entry->settled + entry->lifted - entry->forgiven;
+  double sum
+      = entry->inherited + entry->departed + entry->raised - entry->lowered;
 
-  list_for_each (node, &entry->writers)
-    sum += counted_of (list_entry (node, writer_t, node));
+  list_for_each (node, &entry->reporters)
+    sum += counted_tokens (list_entry (node, reporter_t, node));
   return sum;
 }
 
@@ -179,180 +181,186 @@
 static void
 check_conserved (const entry_t *entry)
 {
-  double error = fabs (entry->vt - rebuilt (entry));
+  double error = fabs (entry->vt - sum_components (entry));
 
   INVARIANT ("share-conserved",
-             error <= ROUNDING_TOKENS + ROUNDING_PART * fabs (entry->vt),
+             error <= ROUNDING_ABSOLUTE_TOKENS
+                          + ROUNDING_RELATIVE * fabs (entry->vt),
              entry->key.account);
 }
 
-/* The account is at least where another home had it.  While its writers come
+/* The account is at least where another home had it.  While its reporters come
    over one by one, that is compared without what they bring on top: else a
    charge that one takes back would be made good, or one that it adds would be
-   swallowed, by the next one's word.  What was forgiven came off what they
-   brought.  Later, a word may come from a time when this home itself told it,
-   and holds what is counted here.  */
+   swallowed, by the next one's word.  What was lowered came off what they
+   brought.  Later, a word may come charged_offset a time when this home itself
+   told it, and holds what is counted here.  */
 static void
-take_over (entry_t *entry, double last_vt, cfd_time_t now)
+inherit_vt (entry_t *entry, double last_vt, cfd_time_t now)
 {
-  bool is_new = now - entry->born <= REBUILD_MS;
-  double known = is_new ? entry->base + entry->lifted : entry->vt;
+  bool is_new = now - entry->created <= REBUILD_MS;
+  double known_vt = is_new ? entry->inherited + entry->raised : entry->vt;
 
-  if (last_vt <= known)
+  if (last_vt <= known_vt)
     return;
-  entry->base += last_vt - known;
-  entry->vt += last_vt - known;
+  entry->inherited += last_vt - known_vt;
+  entry->vt += last_vt - known_vt;
 }
 
-/* The service that this report adds.  A writer known here adds what it gave
-   since its last report.  One that another home knew adds what that home had
-   not yet counted.  A fresh incarnation adds all it gave.  */
+/* The service that this report adds.  A reporter known_vt here adds what it
+   gave since its last report.  One that another home knew adds what that home
+   had not yet counted.  A fresh incarnation adds all it gave.  */
 static void
-count (entry_t *entry, writer_t *writer, bool is_known,
-       const msg_report_entry_t *in, cfd_time_t now)
+count_report (entry_t *entry, reporter_t *reporter, bool is_known,
+              const msg_report_entry_t *report, cfd_time_t now)
 {
-  double before = writer->charged;
+  double previously_charged = reporter->charged;
 
   if (!is_known)
     {
-      entry->settled += counted_of (writer);
-      writer->from = in->acked;
-      before = in->acked;
-      take_over (entry, in->last_vt, now);
+      entry->departed += counted_tokens (reporter);
+      reporter->charged_offset = report->acked;
+      previously_charged = report->acked;
+      inherit_vt (entry, report->last_vt, now);
     }
-  writer->charged = in->charged;
-  entry->vt += in->charged - before;
+  reporter->charged = report->charged;
+  entry->vt += report->charged - previously_charged;
 }
 
 /* Lifting only raises; nothing but forgiving lowers what was counted.  */
 static void
-lift (entry_t *entry, double vt)
+raise_vt (entry_t *entry, double vt)
 {
   INVARIANT ("share-lift-raises", vt >= entry->vt, entry->key.account);
-  entry->lifted += vt - entry->vt;
+  entry->raised += vt - entry->vt;
   entry->vt = vt;
 }
 
 static void
-forgive (entry_t *entry, double vt)
+lower_vt (entry_t *entry, double vt)
 {
   INVARIANT ("share-forgive-lowers", vt <= entry->vt, entry->key.account);
-  entry->forgiven += entry->vt - vt;
+  entry->lowered += entry->vt - vt;
   entry->vt = vt;
 }
 
-/* An account that was idle gets no credit for that time.  Beyond the window
-   none keeps a debt or a credit: what it got on its side of a partition can't
-   starve it afterwards, and what it did not ask for, or could not get on its
-   side, can't starve the others.  All three change only how long accounts
-   wait, and never what was counted.  An old floor bounds nothing.  */
+/* An account that was idle gets no credit for that time.  Beyond the
+   window_tokens none keeps a debt or a credit: what it got on its side of a
+   partition can't starve it afterwards, and what it did not ask for, or could
+   not get on its side, can't starve the others.  All three change only how
+   long accounts wait, and never what was counted.  An old floor bounds
+   nothing.  */
 static void
-bound (home_t *home, entry_t *entry, const level_t *level, bool was_idle,
-       bool is_fresh)
+clamp_vt (home_t *home, entry_t *entry, const vt_window_t *window,
+          bool was_idle, bool is_fresh)
 {
-  double window = level_window (level);
+  double window_tokens = vt_window_tokens (window);
 
-  if (was_idle && entry->vt < level->floor)
-    lift (entry, level->floor);
+  if (was_idle && entry->vt < window->floor)
+    raise_vt (entry, window->floor);
   if (!is_fresh)
     return;
-  if (entry->vt < level->floor - window)
+  if (entry->vt < window->floor - window_tokens)
     {
-      home->bounded.credit += level->floor - window - entry->vt;
-      lift (entry, level->floor - window);
+      home->clamped.credit += window->floor - window_tokens - entry->vt;
+      raise_vt (entry, window->floor - window_tokens);
     }
-  if (entry->vt > level->floor + window)
+  if (entry->vt > window->floor + window_tokens)
     {
-      home->bounded.debt += entry->vt - level->floor - window;
-      forgive (entry, level->floor + window);
+      home->clamped.debt += entry->vt - window->floor - window_tokens;
+      lower_vt (entry, window->floor + window_tokens);
     }
 }
 
-/* What a report of a writer in steady hearing adds is a few charges at most;
-   after a silence it is all that was given out meanwhile.  */
+/* What a report of a reporter report steady hearing adds is a few charges at
+   most; after a silence it is all that was given out meanwhile.  */
 static bool
-is_step (const writer_t *writer, bool is_known, cfd_time_t now)
+is_regular_report (const reporter_t *reporter, bool is_known, cfd_time_t now)
 {
-  return is_known && now - writer->heard <= SHARE_REFRESH_INTERVAL_MS;
+  return is_known && now - reporter->last_report <= SHARE_REFRESH_INTERVAL_MS;
 }
 
 static bool
 is_any_backlogged (const entry_t *entry)
 {
-  list_for_each (node, &entry->writers)
-    if (list_entry (node, writer_t, node)->backlogged)
+  list_for_each (node, &entry->reporters)
+    if (list_entry (node, reporter_t, node)->backlogged)
       return true;
   return false;
 }
 
 /* A new home doesn't know when work last waited; where another home had the
-   account, its router has lifted it already if need be.  A home that was
-   frozen or cut off heard nothing of work that waited all the while.  Taken
-   for idle, the account would be lifted to the floor by its first writer, and
-   what the others gave meanwhile would come on top: its callers would wait
-   until everyone else has got that much.  So it counts as idle only if its
-   writers said so.  */
+   account, its router has raised it already if need be.  A home that was
+   frozen or cut off last_report nothing of work that waited all the while.
+   Taken for idle, the account would be raised to the floor by its first
+   reporter, and what the others gave meanwhile would come on top: its callers
+   would wait until everyone else has got that much.  So it counts as idle only
+   if its reporters said so.  */
 static bool
-is_idle (const entry_t *entry, const msg_report_entry_t *in, cfd_time_t now)
+is_idle (const entry_t *entry, const msg_report_entry_t *report,
+         cfd_time_t now)
 {
-  if (entry->active == 0)
-    return in->last_vt == 0;
-  return now - entry->active > SHARE_IDLE_MS && !is_any_backlogged (entry);
+  if (entry->last_backlogged == 0)
+    return report->last_vt == 0;
+  return now - entry->last_backlogged > SHARE_IDLE_MS
+         && !is_any_backlogged (entry);
 }
 
-/* For the same reason the window waits until all writers have spoken.  */
+/* For the same reason the window_tokens waits until all reporters have spoken.
+ */
 static bool
-is_back (const writer_t *writer, bool is_known, cfd_time_t now)
+is_resuming (const reporter_t *reporter, bool is_known, cfd_time_t now)
 {
-  return is_known && writer->backlogged && now - writer->heard > AWAY_MS;
+  return is_known && reporter->backlogged
+         && now - reporter->last_report > REPORT_OVERDUE_MS;
 }
 
 void
 home_apply_report (home_t *home, const char *router, uint64_t incarnation,
-                   const msg_report_entry_t *in, cfd_time_t now)
+                   const msg_report_entry_t *report, cfd_time_t now)
 {
-  entry_t *entry = find_or_add (home, in->account, in->service, now);
-  level_t *level = level_of (home, in->service);
-  writer_t *writer = find_writer (entry, router);
-  bool is_known = writer != NULL && writer->incarnation == incarnation;
-  bool was_idle = is_idle (entry, in, now);
-
-  if (!isfinite (in->charged) || !isfinite (in->acked)
-      || !isfinite (in->last_vt))
+  entry_t *entry = find_or_add (home, report->account, report->service, now);
+  vt_window_t *window = get_window (home, report->service);
+  reporter_t *reporter = find_reporter (entry, router);
+  bool is_known = reporter != NULL && reporter->incarnation == incarnation;
+  bool was_idle = is_idle (entry, report, now);
+
+  if (!isfinite (report->charged) || !isfinite (report->acked)
+      || !isfinite (report->last_vt))
     return;
   mark_dirty (home, entry);
-  if (is_known && in->sequence <= writer->sequence)
+  if (is_known && report->sequence <= reporter->sequence)
     {
-      /* Doubled or reordered: say again what is known.  */
-      writer->told_sequence = 0;
+      /* Doubled or reordered: say again what is known_vt.  */
+      reporter->answered_sequence = 0;
       return;
     }
-  if (writer == NULL)
-    writer = add_writer (entry, router);
-  if (is_back (writer, is_known, now))
-    entry->settled_at = now + SETTLE_MS;
-  if (is_step (writer, is_known, now))
-    level_take_step (level, in->charged - writer->charged, now);
-  level_take_floor (level, in->floor, now);
-  count (entry, writer, is_known, in, now);
-  writer->incarnation = incarnation;
-  writer->sequence = in->sequence;
-  writer->backlogged = in->backlogged;
-  writer->heard = now;
-  if (now >= entry->settled_at)
-    bound (home, entry, level, in->backlogged && was_idle,
-           isfinite (in->floor));
-  if (in->backlogged)
-    entry->active = now;
+  if (reporter == NULL)
+    reporter = add_reporter (entry, router);
+  if (is_resuming (reporter, is_known, now))
+    entry->clamped_from = now + RESUME_SETTLE_MS;
+  if (is_regular_report (reporter, is_known, now))
+    vt_window_record_charge (window, report->charged - reporter->charged, now);
+  vt_window_update_floor (window, report->floor, now);
+  count_report (entry, reporter, is_known, report, now);
+  reporter->incarnation = incarnation;
+  reporter->sequence = report->sequence;
+  reporter->backlogged = report->backlogged;
+  reporter->last_report = now;
+  if (now >= entry->clamped_from)
+    clamp_vt (home, entry, window, report->backlogged && was_idle,
+              isfinite (report->floor));
+  if (report->backlogged)
+    entry->last_backlogged = now;
   check_conserved (entry);
 }
 
 static bool
-is_owed (const entry_t *entry, const writer_t *writer)
+is_answer_due (const entry_t *entry, const reporter_t *reporter)
 {
-  if (writer->told_sequence != writer->sequence)
+  if (reporter->answered_sequence != reporter->sequence)
     return true;
-  return writer->backlogged && writer->told_vt != entry->vt;
+  return reporter->backlogged && reporter->answered_vt != entry->vt;
 }
 
 void
@@ -366,48 +374,48 @@
       entry_t *entry = list_entry (entry_node, entry_t, dirty);
 
       list_remove (&entry->dirty);
-      list_for_each (node, &entry->writers)
+      list_for_each (node, &entry->reporters)
         {
-          writer_t *writer = list_entry (node, writer_t, node);
+          reporter_t *reporter = list_entry (node, reporter_t, node);
           msg_share_entry_t out = {
             .account = entry->key.account,
             .service = entry->key.service,
-            .sequence = writer->sequence,
-            .charged = writer->charged,
+            .sequence = reporter->sequence,
+            .charged = reporter->charged,
             .virtual_time = entry->vt,
           };
 
-          if (!is_owed (entry, writer))
+          if (!is_answer_due (entry, reporter))
             continue;
-          writer->told_sequence = writer->sequence;
-          writer->told_vt = entry->vt;
-          emit (user, writer->router, &out);
+          reporter->answered_sequence = reporter->sequence;
+          reporter->answered_vt = entry->vt;
+          emit (user, reporter->router, &out);
         }
     }
 }
 
 static gboolean
-is_forgotten (gpointer key, gpointer value, gpointer user)
+expire_reporters (gpointer key, gpointer value, gpointer user)
 {
   entry_t *entry = value;
   const cfd_time_t *now = user;
 
-  list_for_each_safe (node, &entry->writers)
+  list_for_each_safe (node, &entry->reporters)
     {
-      writer_t *writer = list_entry (node, writer_t, node);
+      reporter_t *reporter = list_entry (node, reporter_t, node);
 
-      if (*now - writer->heard <= SHARE_HOME_EXPIRY_MS)
+      if (*now - reporter->last_report <= SHARE_HOME_EXPIRY_MS)
         continue;
-      entry->settled += counted_of (writer);
-      writer_free (writer);
+      entry->departed += counted_tokens (reporter);
+      reporter_free (reporter);
     }
-  return list_is_empty (&entry->writers);
+  return list_is_empty (&entry->reporters);
 }
 
 void
 home_expire (home_t *home, cfd_time_t now)
 {
-  g_hash_table_foreach_remove (home->entries, is_forgotten, &now);
+  g_hash_table_foreach_remove (home->entries, expire_reporters, &now);
 }
 
 unsigned
@@ -419,5 +427,5 @@
 home_clamped_t
 home_get_clamped (const home_t *home)
 {
-  return home->bounded;
+  return home->clamped;
 }
--- a/libcoltsfootdrum/share/share.c
+++ b/libcoltsfootdrum/share/share.c
@@ -8,40 +8,41 @@
 typedef struct
 {
   pair_t key;
-  list_node_t dirty;   /* in share->dirty while a report is owed */
-  list_node_t waiting; /* in share->waiting, least recently reported first */
+  list_node_t dirty; /* answer share->dirty while a emit_report is owed */
+  list_node_t
+      waiting; /* answer share->waiting, least recently last_report first */
   uint64_t sequence;
   double charged;
   uint64_t acked_sequence;
   double acked;
   double last_vt;
   bool backlogged;
-  cfd_time_t touched;
-  cfd_time_t reported;
-  uint64_t home;      /* that it was last reported to */
-  uint64_t late_home; /* whose answers are late; 0: none */
-  double own_lately;  /* charged here, and by all, as answers told of late */
-  double all_lately;
+  cfd_time_t last_active;
+  cfd_time_t last_report;
+  uint64_t reported_home; /* that it was last last_report to */
+  uint64_t late_home;     /* whose answers are late; 0: none */
+  double own_recent; /* charged here, and by total, as answers told of late */
+  double total_recent;
 } entry_t;
 
-/* Of what all charge to an account, the part charged here is that of the last
-   one to two times so many weighted tokens: some requests' cost, so that one
-   request more or less here tells little.  */
-#define LATELY_TOKENS 1000.0
+/* Of what total charge to an account, the part charged here is that of the
+   last one to two times so many weighted tokens: some requests' cost, so that
+   one request more or less here tells little.  */
+#define RECENT_TOKENS 1000.0
 /* The least part that is believed.  */
-#define PART_LEAST (1.0 / 64)
+#define MIN_LOCAL_FRACTION (1.0 / 64)
 
-/* The greatest floor of the present and the last span.  Each grant brings the
+/* The greatest floor of the current and the last span.  Each grant brings the
    least virtual time that its agent knows.  An account that asks for less than
    its share is served at once and stays far behind: the grants that it gets
    tell nothing of where those are that wait.  The greatest of many does.  */
 typedef struct
 {
-  double present;
-  double past;
+  double current;
+  double previous;
   double last_known;
-  cfd_time_t span_start;
-  cfd_time_t heard;
+  cfd_time_t current_since;
+  cfd_time_t updated;
 } floor_t;
 
 #define FLOOR_SPAN_MS (SHARE_FLOOR_MAX_AGE_MS / 2)
@@ -110,7 +111,7 @@
 static void
 mark_dirty (share_t *share, entry_t *entry, cfd_time_t now)
 {
-  entry->touched = now;
+  entry->last_active = now;
   if (list_is_linked (&entry->dirty))
     return;
   list_append (&share->dirty, &entry->dirty);
@@ -118,38 +119,39 @@
 
 /* The part of the account's service that is given here.  */
 static double
-part_here (const entry_t *entry)
+compute_local_fraction (const entry_t *entry)
 {
-  double own = fmax (entry->own_lately, 0);
+  double own = fmax (entry->own_recent, 0);
 
-  if (entry->all_lately <= own)
+  if (entry->total_recent <= own)
     return 1;
-  return fmax (own / entry->all_lately, PART_LEAST);
+  return fmax (own / entry->total_recent, MIN_LOCAL_FRACTION);
 }
 
 static double
-entry_vt (const entry_t *entry)
+estimate_vt (const entry_t *entry)
 {
-  double since = entry->charged - entry->acked;
+  double since_ack = entry->charged - entry->acked;
 
-  if (entry->late_home != 0 && since > 0)
-    since /= part_here (entry);
-  return entry->last_vt + since;
+  if (entry->late_home != 0 && since_ack > 0)
+    since_ack /= compute_local_fraction (entry);
+  return entry->last_vt + since_ack;
 }
 
 /* An answer moves the account by ALL, OWN of which was charged here.  */
 static void
-note_part (entry_t *entry, double own, double all)
+update_local_fraction (entry_t *entry, double own, double total)
 {
-  /* A lift, a rebuilt home or the window, and no service.  */
-  if (fabs (all) > SHARE_WINDOW_MIN_TOKENS)
+  /* A raise_to_floor, a rebuilt reported_home or the window, and no service.
+   */
+  if (fabs (total) > SHARE_WINDOW_MIN_TOKENS)
     return;
-  entry->own_lately += own;
-  entry->all_lately += all;
-  if (entry->all_lately < 2 * LATELY_TOKENS)
+  entry->own_recent += own;
+  entry->total_recent += total;
+  if (entry->total_recent < 2 * RECENT_TOKENS)
     return;
-  entry->own_lately /= 2;
-  entry->all_lately /= 2;
+  entry->own_recent /= 2;
+  entry->total_recent /= 2;
 }
 
 void
@@ -162,18 +164,18 @@
   mark_dirty (share, entry, now);
 }
 
-/* Until the home answers, an account that comes back from idle is taken to be
-   at the floor: its old virtual time would let it run ahead of everyone for
-   the length of a round trip.  */
+/* Until the reported_home answers, an account that comes back from idle is
+   taken to be at the floor: its old virtual time would let it run ahead of
+   everyone for the length of a round trip.  */
 static void
-lift (share_t *share, entry_t *entry, cfd_time_t now)
+raise_to_floor (share_t *share, entry_t *entry, cfd_time_t now)
 {
   double floor = share_get_floor (share, entry->key.service, now);
 
-  if (entry->touched != 0 && now - entry->touched < SHARE_IDLE_MS)
+  if (entry->last_active != 0 && now - entry->last_active < SHARE_IDLE_MS)
     return;
-  if (entry_vt (entry) < floor)
-    entry->last_vt += floor - entry_vt (entry);
+  if (estimate_vt (entry) < floor)
+    entry->last_vt += floor - estimate_vt (entry);
 }
 
 void
@@ -186,7 +188,7 @@
     return;
   if (backlogged)
     {
-      lift (share, entry, now);
+      raise_to_floor (share, entry, now);
       list_append (&share->waiting, &entry->waiting);
     }
   else
@@ -203,19 +205,20 @@
 {
   const entry_t *entry = find (share, account, service);
 
-  return entry != NULL ? entry_vt (entry) : 0;
+  return entry != NULL ? estimate_vt (entry) : 0;
 }
 
 static void
-floor_advance (floor_t *floor, cfd_time_t now)
+advance_floor_span (floor_t *floor, cfd_time_t now)
 {
-  if (now - floor->span_start < FLOOR_SPAN_MS)
+  if (now - floor->current_since < FLOOR_SPAN_MS)
     return;
-  /* A whole span without a word leaves no past either.  */
-  floor->past = now - floor->span_start < 2 * FLOOR_SPAN_MS ? floor->present
-                                                            : -INFINITY;
-  floor->present = -INFINITY;
-  floor->span_start = now;
+  /* A whole span without a word leaves no previous either.  */
+  floor->previous = now - floor->current_since < 2 * FLOOR_SPAN_MS
+                        ? floor->current
+                        : -INFINITY;
+  floor->current = -INFINITY;
+  floor->current_since = now;
 }
 
 void
@@ -229,15 +232,15 @@
   if (floor == NULL)
     {
       floor = g_new0 (floor_t, 1);
-      floor->present = -INFINITY;
-      floor->past = -INFINITY;
-      floor->span_start = now;
+      floor->current = -INFINITY;
+      floor->previous = -INFINITY;
+      floor->current_since = now;
       g_hash_table_insert (share->floors, g_strdup (service), floor);
     }
-  floor_advance (floor, now);
-  floor->present = fmax (floor->present, value);
-  floor->last_known = fmax (floor->present, floor->past);
-  floor->heard = now;
+  advance_floor_span (floor, now);
+  floor->current = fmax (floor->current, value);
+  floor->last_known = fmax (floor->current, floor->previous);
+  floor->updated = now;
 }
 
 double
@@ -249,18 +252,18 @@
 }
 
 static double
-fresh_floor (const share_t *share, const char *service, cfd_time_t now)
+get_fresh_floor (const share_t *share, const char *service, cfd_time_t now)
 {
   const floor_t *floor = g_hash_table_lookup (share->floors, service);
 
-  if (floor == NULL || now - floor->heard > SHARE_FLOOR_MAX_AGE_MS)
+  if (floor == NULL || now - floor->updated > SHARE_FLOOR_MAX_AGE_MS)
     return -INFINITY;
   return floor->last_known;
 }
 
 static void
-report (share_t *share, entry_t *entry, cfd_time_t now, share_emit_t emit,
-        void *user)
+emit_report (share_t *share, entry_t *entry, cfd_time_t now, share_emit_t emit,
+             void *user)
 {
   msg_report_entry_t out = {
     .account = entry->key.account,
@@ -269,39 +272,39 @@
     .charged = entry->charged,
     .acked = entry->acked,
     .last_vt = entry->last_vt,
-    .floor = fresh_floor (share, entry->key.service, now),
+    .floor = get_fresh_floor (share, entry->key.service, now),
     .backlogged = entry->backlogged,
   };
 
-  entry->reported = now;
+  entry->last_report = now;
   list_remove (&entry->dirty);
   if (entry->backlogged)
     {
       list_remove (&entry->waiting);
       list_append (&share->waiting, &entry->waiting);
     }
-  entry->home = emit (user, &out);
+  entry->reported_home = emit (user, &out);
 }
 
 void
 share_emit_due (share_t *share, cfd_time_t now, share_emit_t emit, void *user)
 {
   list_for_each_safe (node, &share->dirty)
-    report (share, list_entry (node, entry_t, dirty), now, emit, user);
+    emit_report (share, list_entry (node, entry_t, dirty), now, emit, user);
   while (!list_is_empty (&share->waiting))
     {
       entry_t *entry = list_entry (share->waiting.next, entry_t, waiting);
 
-      if (now - entry->reported < SHARE_REFRESH_INTERVAL_MS)
+      if (now - entry->last_report < SHARE_REFRESH_INTERVAL_MS)
         break;
-      entry->touched = now;
-      report (share, entry, now, emit, user);
+      entry->last_active = now;
+      emit_report (share, entry, now, emit, user);
     }
 }
 
 void
-share_mark_moved_due (share_t *share, cfd_time_t now, share_find_home_t home,
-                      void *user)
+share_mark_moved_due (share_t *share, cfd_time_t now,
+                      share_find_home_t find_home, void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -311,19 +314,20 @@
     {
       entry_t *entry = value;
 
-      /* Never reported: due anyway.  */
+      /* Never last_report: due anyway.  */
       if (entry->sequence == 0)
         continue;
-      if (!entry->backlogged && now - entry->touched > SHARE_IDLE_MS)
+      if (!entry->backlogged && now - entry->last_active > SHARE_IDLE_MS)
         continue;
-      if (home (user, entry->key.account, entry->key.service) != entry->home)
+      if (find_home (user, entry->key.account, entry->key.service)
+          != entry->reported_home)
         mark_dirty (share, entry, now);
     }
 }
 
 void
 share_set_home_late (share_t *share, uint64_t home, bool is_late,
-                     share_vt_changed_t moved, void *user)
+                     share_vt_changed_t vt_changed, void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -332,50 +336,52 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       entry_t *entry = value;
-      double before = entry_vt (entry);
+      double before = estimate_vt (entry);
 
-      if ((is_late ? entry->home : entry->late_home) != home)
+      if ((is_late ? entry->reported_home : entry->late_home) != home)
         continue;
       entry->late_home = is_late ? home : 0;
-      moved (user, entry->key.account, entry->key.service,
-             entry_vt (entry) - before);
+      vt_changed (user, entry->key.account, entry->key.service,
+                  estimate_vt (entry) - before);
     }
 }
 
 void
-share_apply_answer (share_t *share, const msg_share_entry_t *in,
+share_apply_answer (share_t *share, const msg_share_entry_t *answer,
                     cfd_time_t now)
 {
-  entry_t *entry = find (share, in->account, in->service);
+  entry_t *entry = find (share, answer->account, answer->service);
 
-  if (entry == NULL || !isfinite (in->virtual_time))
+  if (entry == NULL || !isfinite (answer->virtual_time))
     return;
   /* Answers can cross on two links: an older one would take back charges
-     that the home has counted meanwhile.  */
-  if (in->sequence < entry->acked_sequence || in->sequence > entry->sequence)
+     that the reported_home has counted meanwhile.  */
+  if (answer->sequence < entry->acked_sequence
+      || answer->sequence > entry->sequence)
     return;
   if (entry->acked_sequence > 0)
-    note_part (entry, in->charged - entry->acked,
-               in->virtual_time - entry->last_vt);
+    update_local_fraction (entry, answer->charged - entry->acked,
+                           answer->virtual_time - entry->last_vt);
   entry->late_home = 0;
-  entry->acked_sequence = in->sequence;
-  entry->acked = in->charged;
-  entry->last_vt = in->virtual_time;
+  entry->acked_sequence = answer->sequence;
+  entry->acked = answer->charged;
+  entry->last_vt = answer->virtual_time;
 }
 
 static gboolean
-is_forgotten (gpointer key, gpointer value, gpointer user)
+is_expired (gpointer key, gpointer value, gpointer user)
 {
   const entry_t *entry = value;
   const cfd_time_t *now = user;
 
-  return !entry->backlogged && *now - entry->touched > SHARE_ROUTER_EXPIRY_MS;
+  return !entry->backlogged
+         && *now - entry->last_active > SHARE_ROUTER_EXPIRY_MS;
 }
 
 void
 share_expire (share_t *share, cfd_time_t now)
 {
-  g_hash_table_foreach_remove (share->entries, is_forgotten, &now);
+  g_hash_table_foreach_remove (share->entries, is_expired, &now);
 }
 
 unsigned
--- a/libcoltsfootdrum/share/test-home.c
+++ b/libcoltsfootdrum/share/test-home.c
@@ -13,18 +13,18 @@
 }
 
 static void
-keep_time (void *user, const char *router, const msg_share_entry_t *entry)
+store_vt (void *user, const char *router, const msg_share_entry_t *entry)
 {
   *(double *)user = entry->virtual_time;
 }
 
 /* The virtual time that HOME now tells of its only account.  */
 static double
-told (home_t *home, cfd_time_t now)
+get_answered_vt (home_t *home, cfd_time_t now)
 {
   double time = NAN;
 
-  home_emit_due (home, now, keep_time, &time);
+  home_emit_due (home, now, store_vt, &time);
   return time;
 }
 
@@ -76,7 +76,7 @@
   g_autoptr (home_t) home = home_new ();
   for (unsigned i = 0; i < 3; i++)
     home_apply_report (home, routers[i], 1, &c->reports[i], 10000 + i);
-  assert_near (told (home, 10010), c->vt);
+  assert_near (get_answered_vt (home, 10010), c->vt);
 }
 
 typedef struct
@@ -85,11 +85,11 @@
   double vt_before;
   double floor;
   cfd_time_t idle_ms;
-  bool says_idle; /* its router did, at once */
+  bool reports_idle; /* its router did, at once */
   double vt_after;
-} bound_case_t;
+} clamp_case_t;
 
-static const bound_case_t bound_cases[] = {
+static const clamp_case_t clamp_cases[] = {
   { "idle below the floor is lifted", 100, 900, SHARE_IDLE_MS + 1, true, 900 },
   { "silence is no idleness", 100, 900, SHARE_IDLE_MS + 1, false, 100 },
   { "a short gap is no idleness", 100, 900, SHARE_IDLE_MS / 2, true, 100 },
@@ -104,11 +104,11 @@
 };
 
 static void
-test_bounds (void)
+test_clamping (void)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (bound_cases); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (clamp_cases); i++)
     {
-      const bound_case_t *c = &bound_cases[i];
+      const clamp_case_t *c = &clamp_cases[i];
       g_autoptr (home_t) home = home_new ();
       msg_report_entry_t entry = { .account = "acme",
                                    .service = "draft",
@@ -122,14 +122,14 @@
       home_apply_report (home, "r0", 1, &entry, now);
       entry.sequence++;
       entry.backlogged = false;
-      if (c->says_idle)
+      if (c->reports_idle)
         home_apply_report (home, "r0", 1, &entry, now);
       now += c->idle_ms;
       entry.sequence++;
       entry.backlogged = true;
       entry.floor = c->floor;
       home_apply_report (home, "r0", 1, &entry, now);
-      assert_near (told (home, now), c->vt_after);
+      assert_near (get_answered_vt (home, now), c->vt_after);
     }
 }
 
@@ -162,7 +162,7 @@
       entry.sequence = 2;
       entry.charged = 7000;
       home_apply_report (home, "r0", 1, &entry, 10000 + cases[i].silence_ms);
-      assert_near (told (home, 20000), cases[i].vt);
+      assert_near (get_answered_vt (home, 20000), cases[i].vt);
     }
 }
 
@@ -172,11 +172,11 @@
    acknowledged; where it has forgotten them, the greater of both sides counts
    and nothing twice.  */
 static void
-test_both_sides (void)
+test_partition_rejoined (void)
 {
   static const struct
   {
-    cfd_time_t apart_ms;
+    cfd_time_t partition_ms;
     double vt;
   } cases[] = { { 10000, 100 + 70 + 40 + 5 },
                 { SHARE_HOME_EXPIRY_MS + 10000, 100 + 70 + 5 } };
@@ -191,21 +191,21 @@
                                    .floor = -INFINITY,
                                    .backlogged = true };
       msg_report_entry_t second = first;
-      cfd_time_t joined = 10000 + cases[i].apart_ms;
+      cfd_time_t rejoined = 10000 + cases[i].partition_ms;
 
       second.charged = 40;
       home_apply_report (home, "r0", 1, &first, 10000);
       home_apply_report (home, "r1", 2, &second, 10000);
       first.sequence = 2;
       first.charged += 70;
-      home_apply_report (home, "r0", 1, &first, joined - 1);
-      home_expire (home, joined);
+      home_apply_report (home, "r0", 1, &first, rejoined - 1);
+      home_expire (home, rejoined);
       second.sequence = 9;
       second.charged += 40 + 5;
       second.acked = 80;
       second.last_vt = 140;
-      home_apply_report (home, "r1", 2, &second, joined);
-      assert_near (told (home, joined), cases[i].vt);
+      home_apply_report (home, "r1", 2, &second, rejoined);
+      assert_near (get_answered_vt (home, rejoined), cases[i].vt);
     }
 }
 
@@ -215,15 +215,15 @@
    word, the other two would come on top of that, and its callers would wait
    for what they never got.  Soon after, the window holds again.  */
 static void
-test_woken (void)
+test_home_resumes (void)
 {
   static const char *const routers[] = { "r0", "r1", "r2" };
-  static const double parts[] = { 400, 2400 };
+  static const double charges[] = { 400, 2400 };
 
-  for (unsigned row = 0; row < G_N_ELEMENTS (parts); row++)
+  for (unsigned row = 0; row < G_N_ELEMENTS (charges); row++)
     {
       g_autoptr (home_t) home = home_new ();
-      double floor = 3 * parts[row];
+      double floor = 3 * charges[row];
       msg_report_entry_t entry = { .account = "acme",
                                    .service = "draft",
                                    .sequence = 1,
@@ -233,15 +233,15 @@
       for (unsigned i = 0; i < 3; i++)
         home_apply_report (home, routers[i], 1, &entry, 10000);
       entry.sequence++;
-      entry.charged = parts[row];
+      entry.charged = charges[row];
       entry.floor = floor;
       for (unsigned i = 0; i < 3; i++)
         home_apply_report (home, routers[i], 1, &entry, 15000 + i);
-      assert_near (told (home, 15010), floor);
+      assert_near (get_answered_vt (home, 15010), floor);
       entry.sequence++;
       entry.floor = floor + SHARE_WINDOW_MIN_TOKENS + 500;
       home_apply_report (home, "r0", 1, &entry, 16000);
-      assert_near (told (home, 16000), floor + 500);
+      assert_near (get_answered_vt (home, 16000), floor + 500);
     }
 }
 
@@ -255,10 +255,10 @@
           = g_strconcat ("/home/rebuild/", rebuild_cases[i].name, NULL);
       g_test_add_data_func (path, &rebuild_cases[i], test_rebuild);
     }
-  g_test_add_func ("/home/bounds", test_bounds);
+  g_test_add_func ("/home/bounds", test_clamping);
   g_test_add_func ("/home/window-follows-charges",
                    test_window_follows_charges);
-  g_test_add_func ("/home/woken", test_woken);
-  g_test_add_func ("/home/both-sides", test_both_sides);
+  g_test_add_func ("/home/woken", test_home_resumes);
+  g_test_add_func ("/home/both-sides", test_partition_rejoined);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/share/test-share.c
+++ b/libcoltsfootdrum/share/test-share.c
@@ -14,7 +14,7 @@
   share_t *shares[ROUTERS];
   GArray *reports; /* of report_t */
   GArray *answers; /* of answer_t */
-  unsigned from;
+  unsigned sender;
 } net_t;
 
 typedef struct
@@ -56,7 +56,7 @@
 collect_report (void *user, const msg_report_entry_t *entry)
 {
   net_t *net = user;
-  report_t report = { net->from, *entry };
+  report_t report = { net->sender, *entry };
 
   g_array_append_val (net->reports, report);
   return HOME;
@@ -81,10 +81,10 @@
 
 /* Everything due is delivered, once and in order.  */
 static void
-net_settle (net_t *net, cfd_time_t now)
+net_deliver_all (net_t *net, cfd_time_t now)
 {
-  for (net->from = 0; net->from < ROUTERS; net->from++)
-    share_emit_due (net->shares[net->from], now, collect_report, net);
+  for (net->sender = 0; net->sender < ROUTERS; net->sender++)
+    share_emit_due (net->shares[net->sender], now, collect_report, net);
   for (unsigned i = 0; i < net->reports->len; i++)
     deliver_report (net, &g_array_index (net->reports, report_t, i), now);
   g_array_set_size (net->reports, 0);
@@ -121,12 +121,12 @@
       share_set_backlogged (net.shares[i], "acme", "draft", true, 0);
       share_charge (net.shares[i], "acme", "draft", 100, 2, 0);
     }
-  net_settle (&net, 10);
-  net_settle (&net, 2000);
+  net_deliver_all (&net, 10);
+  net_deliver_all (&net, 2000);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), 150);
   share_charge (net.shares[0], "acme", "draft", -40, 2, 2000);
-  net_settle (&net, 2010);
+  net_deliver_all (&net, 2010);
   assert_near (vt (&net, 2), 130);
   net_clear (&net);
 }
@@ -154,14 +154,14 @@
       now += 5;
       total += tokens;
       share_charge (net.shares[router], "acme", "draft", tokens, 1, now);
-      net.from = router;
+      net.sender = router;
       share_emit_due (net.shares[router], now, collect_report, &net);
       for (unsigned i = 0; i < 2 && net.reports->len > 0; i++)
         {
-          unsigned pick
+          unsigned chosen
               = (unsigned)g_rand_int_range (rand, 0, (gint32)net.reports->len);
 
-          deliver_report (&net, &g_array_index (net.reports, report_t, pick),
+          deliver_report (&net, &g_array_index (net.reports, report_t, chosen),
                           now);
         }
       if (net.reports->len > 8)
@@ -181,7 +181,7 @@
   g_array_set_size (net.reports, 0);
   g_array_set_size (net.answers, 0);
   for (unsigned i = 0; i < 3; i++)
-    net_settle (&net, now += SHARE_REFRESH_INTERVAL_MS);
+    net_deliver_all (&net, now += SHARE_REFRESH_INTERVAL_MS);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), total);
   net_clear (&net);
@@ -202,13 +202,13 @@
       share_set_backlogged (net.shares[i], "acme", "draft", true, 0);
       share_charge (net.shares[i], "acme", "draft", 1000, 1, 0);
     }
-  net_settle (&net, 10);
-  net_settle (&net, 1100);
+  net_deliver_all (&net, 10);
+  net_deliver_all (&net, 1100);
   home_free (net.home);
   net.home = home_new ();
   share_charge (net.shares[1], "acme", "draft", 50, 1, 1200);
-  net_settle (&net, 2300);
-  net_settle (&net, 3400);
+  net_deliver_all (&net, 2300);
+  net_deliver_all (&net, 3400);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), 3050);
   net_clear (&net);
@@ -283,9 +283,9 @@
       if (step % 20 == 19)
         change_home (&net, &other, g_rand_boolean (rand));
       now += SHARE_REFRESH_INTERVAL_MS;
-      net_settle (&net, now);
+      net_deliver_all (&net, now);
     }
-  net_settle (&net, now + SHARE_REFRESH_INTERVAL_MS);
+  net_deliver_all (&net, now + SHARE_REFRESH_INTERVAL_MS);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), total);
   home_free (other);
@@ -303,13 +303,13 @@
 
 /* What USER, a number, says is the home of all.  */
 static uint64_t
-home_is (void *user, const char *account, const char *service)
+get_fixed_home (void *user, const char *account, const char *service)
 {
   return *(const uint64_t *)user;
 }
 
 static unsigned
-count_due (share_t *share, cfd_time_t now)
+count_due_reports (share_t *share, cfd_time_t now)
 {
   unsigned reports = 0;
 
@@ -323,23 +323,24 @@
    part, and the caller would get it again.  What stays where it was, and what
    has long been idle, is not told.  */
 static void
-test_moved (void)
+test_home_moved (void)
 {
   g_autoptr (share_t) share = share_new ();
   uint64_t home = HOME;
 
   share_set_backlogged (share, "acme", "draft", true, 1000);
   share_charge (share, "idle", "draft", 10, 1, 1);
-  g_assert_cmpuint (count_due (share, 1000), ==, 2);
-  share_mark_moved_due (share, 1500, home_is, &home);
-  g_assert_cmpuint (count_due (share, 1500), ==, 0);
+  g_assert_cmpuint (count_due_reports (share, 1000), ==, 2);
+  share_mark_moved_due (share, 1500, get_fixed_home, &home);
+  g_assert_cmpuint (count_due_reports (share, 1500), ==, 0);
   home++;
-  share_mark_moved_due (share, 1500, home_is, &home);
-  g_assert_cmpuint (count_due (share, 1500), ==, 1);
+  share_mark_moved_due (share, 1500, get_fixed_home, &home);
+  g_assert_cmpuint (count_due_reports (share, 1500), ==, 1);
 }
 
 static void
-add_up (void *user, const char *account, const char *service, double tokens)
+add_tokens (void *user, const char *account, const char *service,
+            double tokens)
 {
   *(double *)user += tokens;
 }
@@ -350,7 +351,7 @@
    counts for the two others, and again for itself alone once one came.  An
    account with work here alone counts as before.  What moves is told.  */
 static void
-test_late (void)
+test_home_late (void)
 {
   double moved = 0;
   cfd_time_t now = 0;
@@ -366,24 +367,24 @@
         }
       share_charge (net.shares[0], "lone", "draft", 10, 1, now);
       now += SHARE_REFRESH_INTERVAL_MS;
-      net_settle (&net, now);
+      net_deliver_all (&net, now);
     }
   double before = vt (&net, 0);
   double lone = share_get_virtual_time (net.shares[0], "lone", "draft");
 
-  share_set_home_late (net.shares[0], HOME + 1, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME + 1, true, add_tokens, &moved);
   share_charge (net.shares[0], "acme", "draft", 30, 1, now);
   share_charge (net.shares[0], "lone", "draft", 30, 1, now);
   assert_near (vt (&net, 0), before + 30);
-  share_set_home_late (net.shares[0], HOME, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME, true, add_tokens, &moved);
   assert_near (vt (&net, 0), before + 90);
   assert_near (moved, 60);
-  share_set_home_late (net.shares[0], HOME, false, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME, false, add_tokens, &moved);
   assert_near (moved, 0);
-  share_set_home_late (net.shares[0], HOME, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME, true, add_tokens, &moved);
   assert_near (share_get_virtual_time (net.shares[0], "lone", "draft"),
                lone + 30);
-  net_settle (&net, now + 1);
+  net_deliver_all (&net, now + 1);
   assert_near (vt (&net, 0), before + 30);
   net_clear (&net);
 }
@@ -409,7 +410,7 @@
 }
 
 static void
-test_forget (void)
+test_expiry (void)
 {
   g_autoptr (share_t) share = share_new ();
   g_autoptr (home_t) home = home_new ();
@@ -438,10 +439,10 @@
   g_test_add_func ("/share/new-home-is-rebuilt", test_new_home_is_rebuilt);
   g_test_add_func ("/share/restarted-router", test_restarted_router);
   g_test_add_func ("/share/moving-homes", test_moving_homes);
-  g_test_add_func ("/share/moved", test_moved);
-  g_test_add_func ("/share/late", test_late);
+  g_test_add_func ("/share/moved", test_home_moved);
+  g_test_add_func ("/share/late", test_home_late);
   g_test_add_func ("/share/floor-is-greatest-of-recent",
                    test_floor_is_greatest_of_recent);
-  g_test_add_func ("/share/forget", test_forget);
+  g_test_add_func ("/share/forget", test_expiry);
   return g_test_run ();
 }
