--- a/libcoltsfootdrum/dispatch/test-pick.c
+++ b/libcoltsfootdrum/dispatch/test-pick.c
@@ -122,7 +122,7 @@
 }
 
 /* A router leaves grants unanswered because it is cut off, frozen or only
-   slow. The agent must turn to the work of other routers before the grant
+   slow.  The agent must use the work of other routers before the grant
    expires, or each slot that becomes free meanwhile is lost for a grant
    lifetime.  Any message makes the router eligible again, and one with a
    longer round trip has more time.  */
--- a/libcoltsfootdrum/share/home.c
+++ b/libcoltsfootdrum/share/home.c
@@ -1,52 +1,53 @@
 #include "base/list.h"
 #include "base/log.h"
 #include "base/pair.h"
-#include "share/vt-window.h"
 #include "share/share.h"
+#include "share/vt-window.h"
 
 #include <math.h>
 
-/* What sums of doubles may be off by.  */
+/* Bounds of the rounding errors in sums of doubles.  */
 #define ROUNDING_ABSOLUTE_TOKENS 0.5
 #define ROUNDING_RELATIVE 1e-9
-/* All reporters of a backlogged account report to a new home within this.  */
+/* Time within which all routers report a backlogged account to a new home.  */
 #define REBUILD_MS (2 * SHARE_REFRESH_INTERVAL_MS)
-/* A reporter with waiting work that wasn't last_report for so long could not
-   be last_report: it reports each SHARE_REFRESH_INTERVAL_MS.  */
+/* A router with waiting work reports each SHARE_REFRESH_INTERVAL_MS; without a
+   report for this long it must have been out of contact.  */
 #define REPORT_OVERDUE_MS (3 * SHARE_REFRESH_INTERVAL_MS / 2)
-/* All reporters report within this to a home that is back: a round trip, and
-   reports that a stopped process finds report its sockets.  */
+/* Time within which all routers report to a home that is back: a round trip,
+   and the reports that a process which was stopped finds in its sockets.  */
 #define RESUME_SETTLE_MS 500
 
-/* What one router incarnation told about one account.  */
+/* What one router incarnation reported on one account.  */
 typedef struct
 {
-  list_node_t node; /* report entry->reporters */
+  list_node_t node; /* in entry->reporters */
   char *router;
   uint64_t incarnation;
   uint64_t sequence;
   double charged;
-  double charged_offset; /* CHARGED previously_charged what is counted here */
+  double charged_offset; /* the part of CHARGED that is not counted here */
   bool backlogged;
   cfd_time_t last_report;
   uint64_t answered_sequence;
   double answered_vt;
 } reporter_t;
 
+/* The virtual time of one account and service, and the parts it is the sum
+   of.  */
 typedef struct
 {
   pair_t key;
   list_node_t reporters;
-  list_node_t dirty; /* report home->dirty while an answer is owed */
+  list_node_t dirty; /* in home->dirty while an answer is owed */
   double vt;
-  double inherited;   /* what other homes had counted */
-  cfd_time_t created; /* when this home first last_report of it */
-  double departed;    /* counted here of reporters that are gone */
-  double raised;      /* by bounds charged_offset below ... */
-  double lowered;     /* ... and charged_offset above */
-  cfd_time_t
-      last_backlogged;     /* when work of the account last waited anywhere */
-  cfd_time_t clamped_from; /* not clamped previously_charged */
+  double inherited;           /* counted by previous homes */
+  cfd_time_t created;         /* when this home received its first report */
+  double departed;            /* counted here for reporters that are gone */
+  double raised;              /* added by bounds from below ... */
+  double lowered;             /* ... and removed by those from above */
+  cfd_time_t last_backlogged; /* when its work last waited at any router */
+  cfd_time_t clamped_from;    /* no bounds apply before this time */
 } entry_t;
 
 struct home
@@ -163,7 +164,8 @@
   return reporter->charged - reporter->charged_offset;
 }
 
-/* What the account's reporters said and the bounds did, added up anew.  */
+/* Recomputes the virtual time from what the reporters counted and the bounds
+   changed.  */
 static double
 sum_components (const entry_t *entry)
 {
@@ -175,9 +177,9 @@
   return sum;
 }
 
-/* A charge that got lost or was counted twice would let its account have more
-   or less than its share for good, and nobody would see why.  Virtual time is
-   kept by differences; here it must be what the counters say.  */
+/* Checks the virtual time, which is maintained by differences, against the
+   counters.  A charge that was lost or counted twice would give its account
+   more or less than its share for good, without a visible cause.  */
 static void
 check_conserved (const entry_t *entry)
 {
@@ -189,12 +191,12 @@
              entry->key.account);
 }
 
-/* The account is at least where another home had it.  While its reporters come
-   over one by one, that is compared without what they bring on top: else a
-   charge that one takes back would be made good, or one that it adds would be
-   swallowed, by the next one's word.  What was lowered came off what they
-   brought.  Later, a word may come charged_offset a time when this home itself
-   told it, and holds what is counted here.  */
+/* Raises the account to LAST_VT, where a previous home had it.  While its
+   routers switch to this home one by one, LAST_VT is compared without what
+   they have added here: otherwise the next router's report would make up for a
+   refund, or absorb a charge, that an earlier one brought.  What was lowered
+   was part of what they added.  Later, LAST_VT may be an earlier answer of
+   this home, which includes what is counted here.  */
 static void
 inherit_vt (entry_t *entry, double last_vt, cfd_time_t now)
 {
@@ -207,9 +209,10 @@
   entry->vt += last_vt - known_vt;
 }
 
-/* The service that this report adds.  A reporter known_vt here adds what it
-   gave since its last report.  One that another home knew adds what that home
-   had not yet counted.  A fresh incarnation adds all it gave.  */
+/* Adds the service that REPORT brings.  A known reporter adds what it charged
+   since its last report.  One that reported to another home adds what that
+   home had not yet acknowledged.  A new incarnation adds all that it charged.
+ */
 static void
 count_report (entry_t *entry, reporter_t *reporter, bool is_known,
               const msg_report_entry_t *report, cfd_time_t now)
@@ -227,7 +230,8 @@
   entry->vt += report->charged - previously_charged;
 }
 
-/* Lifting only raises; nothing but forgiving lowers what was counted.  */
+/* raise_vt must never lower the virtual time; lower_vt alone reduces what was
+   counted.  */
 static void
 raise_vt (entry_t *entry, double vt)
 {
@@ -244,12 +248,12 @@
   entry->vt = vt;
 }
 
-/* An account that was idle gets no credit for that time.  Beyond the
-   window_tokens none keeps a debt or a credit: what it got on its side of a
-   partition can't starve it afterwards, and what it did not ask for, or could
-   not get on its side, can't starve the others.  All three change only how
-   long accounts wait, and never what was counted.  An old floor bounds
-   nothing.  */
+/* Applies the three bounds of virtual time.  An account that was idle gets no
+   credit for that time.  None keeps a debt or a credit beyond the window: what
+   it got on its side of a partition cannot starve it afterwards, and what it
+   did not ask for, or could not get on its side, cannot starve the others.
+   The bounds change only how long accounts wait, never what was counted.  The
+   window is not applied around an outdated floor.  */
 static void
 clamp_vt (home_t *home, entry_t *entry, const vt_window_t *window,
           bool was_idle, bool is_fresh)
@@ -272,8 +276,8 @@
     }
 }
 
-/* What a report of a reporter report steady hearing adds is a few charges at
-   most; after a silence it is all that was given out meanwhile.  */
+/* Tells whether the report came within the refresh interval and so adds a few
+   charges at most.  After a silence it adds all that was charged meanwhile. */
 static bool
 is_regular_report (const reporter_t *reporter, bool is_known, cfd_time_t now)
 {
@@ -289,13 +293,14 @@
   return false;
 }
 
-/* A new home doesn't know when work last waited; where another home had the
-   account, its router has raised it already if need be.  A home that was
-   frozen or cut off last_report nothing of work that waited all the while.
-   Taken for idle, the account would be raised to the floor by its first
-   reporter, and what the others gave meanwhile would come on top: its callers
-   would wait until everyone else has got that much.  So it counts as idle only
-   if its reporters said so.  */
+/* Tells whether the account was idle before REPORT.  A new home does not know
+   when work last waited; if another home had the account, its router has
+   raised it already where needed.  A home that was frozen or cut off received
+   no reports of work that waited all the while.  If it took the account for
+   idle, the first report would raise it to the floor, and what the other
+   routers charged meanwhile would come on top: its callers would wait until
+   all other accounts got that much.  So the account counts as idle only when
+   its reporters said so.  */
 static bool
 is_idle (const entry_t *entry, const msg_report_entry_t *report,
          cfd_time_t now)
@@ -306,8 +311,9 @@
          && !is_any_backlogged (entry);
 }
 
-/* For the same reason the window_tokens waits until all reporters have spoken.
- */
+/* Tells whether a backlogged reporter was out of contact until now.  For the
+   reason given at is_idle, the bounds do not apply until all reporters have
+   reported.  */
 static bool
 is_resuming (const reporter_t *reporter, bool is_known, cfd_time_t now)
 {
@@ -331,7 +337,7 @@
   mark_dirty (home, entry);
   if (is_known && report->sequence <= reporter->sequence)
     {
-      /* Doubled or reordered: say again what is known_vt.  */
+      /* Duplicated or reordered: send the known state again.  */
       reporter->answered_sequence = 0;
       return;
     }
--- a/libcoltsfootdrum/share/share.c
+++ b/libcoltsfootdrum/share/share.c
@@ -8,9 +8,8 @@
 typedef struct
 {
   pair_t key;
-  list_node_t dirty; /* answer share->dirty while a emit_report is owed */
-  list_node_t
-      waiting; /* answer share->waiting, least recently last_report first */
+  list_node_t dirty;   /* in share->dirty while a report is owed */
+  list_node_t waiting; /* in share->waiting, least recently reported first */
   uint64_t sequence;
   double charged;
   uint64_t acked_sequence;
@@ -19,23 +18,24 @@
   bool backlogged;
   cfd_time_t last_active;
   cfd_time_t last_report;
-  uint64_t reported_home; /* that it was last last_report to */
-  uint64_t late_home;     /* whose answers are late; 0: none */
-  double own_recent; /* charged here, and by total, as answers told of late */
-  double total_recent;
+  uint64_t reported_home; /* home of the last report */
+  uint64_t late_home;     /* home whose answers are late; 0: none */
+  double own_recent;      /* recently charged here ... */
+  double total_recent;    /* ... and by all routers, according to answers */
 } entry_t;
 
-/* Of what total charge to an account, the part charged here is that of the
-   last one to two times so many weighted tokens: some requests' cost, so that
-   one request more or less here tells little.  */
+/* The local part of an account's charges is computed over the last one to two
+   times this many weighted tokens: the cost of several requests, so that one
+   request more or less here has little effect.  */
 #define RECENT_TOKENS 1000.0
-/* The least part that is believed.  */
+/* Lower bound of the local part.  */
 #define MIN_LOCAL_FRACTION (1.0 / 64)
 
-/* The greatest floor of the current and the last span.  Each grant brings the
-   least virtual time that its agent knows.  An account that asks for less than
-   its share is served at once and stays far behind: the grants that it gets
-   tell nothing of where those are that wait.  The greatest of many does.  */
+/* The greatest floor of the current and the previous span.  Each grant brings
+   the least virtual time that its agent knows.  An account that asks for less
+   than its share is served at once and stays far behind, so the grants that it
+   gets do not show where the waiting accounts are.  The greatest of many
+   grants does.  */
 typedef struct
 {
   double current;
@@ -117,7 +117,7 @@
   list_append (&share->dirty, &entry->dirty);
 }
 
-/* The part of the account's service that is given here.  */
+/* Returns the part of the account's recent service that was charged here.  */
 static double
 compute_local_fraction (const entry_t *entry)
 {
@@ -138,12 +138,13 @@
   return entry->last_vt + since_ack;
 }
 
-/* An answer moves the account by ALL, OWN of which was charged here.  */
+/* Takes into account that an answer advanced virtual time by TOTAL, of which
+   OWN was charged here.  */
 static void
 update_local_fraction (entry_t *entry, double own, double total)
 {
-  /* A raise_to_floor, a rebuilt reported_home or the window, and no service.
-   */
+  /* A change this great is a raise to the floor, a rebuilt home or the window,
+     and not service.  */
   if (fabs (total) > SHARE_WINDOW_MIN_TOKENS)
     return;
   entry->own_recent += own;
@@ -164,9 +165,9 @@
   mark_dirty (share, entry, now);
 }
 
-/* Until the reported_home answers, an account that comes back from idle is
-   taken to be at the floor: its old virtual time would let it run ahead of
-   everyone for the length of a round trip.  */
+/* Raises an account that returns from idle to the floor until its home
+   answers: its old virtual time would put it ahead of all others for a round
+   trip.  */
 static void
 raise_to_floor (share_t *share, entry_t *entry, cfd_time_t now)
 {
@@ -213,7 +214,8 @@
 {
   if (now - floor->current_since < FLOOR_SPAN_MS)
     return;
-  /* A whole span without a word leaves no previous either.  */
+  /* After a whole span without a floor, CURRENT is too old for PREVIOUS too.
+   */
   floor->previous = now - floor->current_since < 2 * FLOOR_SPAN_MS
                         ? floor->current
                         : -INFINITY;
@@ -314,7 +316,7 @@
     {
       entry_t *entry = value;
 
-      /* Never last_report: due anyway.  */
+      /* Never reported: it is due anyway.  */
       if (entry->sequence == 0)
         continue;
       if (!entry->backlogged && now - entry->last_active > SHARE_IDLE_MS)
@@ -354,8 +356,8 @@
 
   if (entry == NULL || !isfinite (answer->virtual_time))
     return;
-  /* Answers can cross on two links: an older one would take back charges
-     that the reported_home has counted meanwhile.  */
+  /* Answers on two links can arrive out of order: an older one would take back
+     charges that the home has counted meanwhile.  */
   if (answer->sequence < entry->acked_sequence
       || answer->sequence > entry->sequence)
     return;
--- a/libcoltsfootdrum/share/test-home.c
+++ b/libcoltsfootdrum/share/test-home.c
@@ -1,4 +1,4 @@
-/* A home's own decisions: what it takes over, counts, and bounds.  */
+/* Tests of a home: what it inherits, counts and bounds.  */
 
 #include "share/share.h"
 
@@ -18,7 +18,7 @@
   *(double *)user = entry->virtual_time;
 }
 
-/* The virtual time that HOME now tells of its only account.  */
+/* Returns the virtual time that HOME now answers for its only account.  */
 static double
 get_answered_vt (home_t *home, cfd_time_t now)
 {
@@ -42,27 +42,27 @@
   }
 
 static const rebuild_case_t rebuild_cases[] = {
-  { "what the former home had not counted is added once each",
+  { "what the previous home had not counted is added once each",
     { REPORT (150, 100, 300, -INFINITY), REPORT (120, 100, 300, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
     370 },
-  { "a charge taken back stays so",
+  { "a refund is kept",
     { REPORT (94, 100, 300, -INFINITY), REPORT (100, 100, 300, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
     294 },
-  { "the newest word of the former home counts",
+  { "the newest answer of the previous home counts",
     { REPORT (110, 100, 300, -INFINITY), REPORT (100, 100, 305, -INFINITY),
       REPORT (100, 100, 290, -INFINITY) },
     315 },
-  { "an account at work is not idle for its new home",
+  { "a backlogged account is not idle for its new home",
     { REPORT (100, 100, 300, 900), REPORT (100, 100, 300, 900),
       REPORT (100, 100, 300, 900) },
     300 },
-  { "what was forgiven is not brought back by the next word",
+  { "what was lowered is not restored by the next report",
     { REPORT (5100, 100, 300, 250), REPORT (100, 100, 305, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
     255 + SHARE_WINDOW_MIN_TOKENS },
-  { "a restarted router adds what it gave since",
+  { "a restarted router adds what it charged since",
     { REPORT (5, 0, 0, 290), REPORT (100, 100, 300, 290),
       REPORT (100, 100, 300, 290) },
     305 },
@@ -85,22 +85,23 @@
   double vt_before;
   double floor;
   cfd_time_t idle_ms;
-  bool reports_idle; /* its router did, at once */
+  bool reports_idle; /* its router reported that, at once */
   double vt_after;
 } clamp_case_t;
 
 static const clamp_case_t clamp_cases[] = {
-  { "idle below the floor is lifted", 100, 900, SHARE_IDLE_MS + 1, true, 900 },
-  { "silence is no idleness", 100, 900, SHARE_IDLE_MS + 1, false, 100 },
-  { "a short gap is no idleness", 100, 900, SHARE_IDLE_MS / 2, true, 100 },
+  { "idle below the floor is raised", 100, 900, SHARE_IDLE_MS + 1, true, 900 },
+  { "missing reports do not mean idle", 100, 900, SHARE_IDLE_MS + 1, false,
+    100 },
+  { "a short gap does not mean idle", 100, 900, SHARE_IDLE_MS / 2, true, 100 },
   { "ahead of the floor stays", 1200, 900, SHARE_IDLE_MS + 1, true, 1200 },
   { "debt is bounded", SHARE_WINDOW_MIN_TOKENS + 5000, 900, 100, false,
     SHARE_WINDOW_MIN_TOKENS + 900 },
   { "credit is bounded", 100, SHARE_WINDOW_MIN_TOKENS + 5000, 100, false,
     5000 },
-  { "an old floor gives nothing back", 100, -INFINITY, 100, false, 100 },
-  { "an old floor clamps nothing", SHARE_WINDOW_MIN_TOKENS + 5000, -INFINITY,
-    100, false, SHARE_WINDOW_MIN_TOKENS + 5000 },
+  { "an outdated floor does not raise", 100, -INFINITY, 100, false, 100 },
+  { "an outdated floor does not lower", SHARE_WINDOW_MIN_TOKENS + 5000,
+    -INFINITY, 100, false, SHARE_WINDOW_MIN_TOKENS + 5000 },
 };
 
 static void
@@ -136,10 +137,10 @@
 static void
 test_window_follows_charges (void)
 {
-  /* One request of an account costs more than the window.  It is charged in
-     whole: else each such request would cost the window only.  What a router
-     in hearing adds widens the window; what comes after a silence does not,
-     for it is all that a side of a partition gave.  */
+  /* One request of an account costs more than the window.  It must be charged
+     in full, or each such request would cost no more than the window.  What a
+     regular report adds widens the window; a report after a silence does not,
+     since it brings all that one side of a partition charged.  */
   static const struct
   {
     cfd_time_t silence_ms;
@@ -166,11 +167,11 @@
     }
 }
 
-/* Both sides of a partition have a home for an account that has work on each.
-   After the rejoin the routers of the second side report to the first home
-   again.  It adds once what they gave meanwhile, also what the other home has
-   acknowledged; where it has forgotten them, the greater of both sides counts
-   and nothing twice.  */
+/* An account has work on both sides of a partition and a home on each.  After
+   the rejoin the routers of the second side report to the first home again.
+   It must add what they charged meanwhile once, also what the other home has
+   acknowledged.  If it has removed their counters, the greater of both sides
+   counts, and nothing twice.  */
 static void
 test_partition_rejoined (void)
 {
@@ -209,11 +210,12 @@
     }
 }
 
-/* A home freezes for 5 s while three routers give its account what is due, by
-   another home's word, and hears all three when it wakes.  What they tell adds
-   up.  Were the account taken for idle, or its credit bounded, at the first
-   word, the other two would come on top of that, and its callers would wait
-   for what they never got.  Soon after, the window holds again.  */
+/* A home freezes for 5 s while three routers serve its account with the
+   answers of another home, and receives the reports of all three when it
+   resumes.  They must add up.  If the first report raised the account as idle
+   or bounded its credit, the other two would come on top of that, and its
+   callers would wait for service they never got.  Soon after, the window
+   applies again.  */
 static void
 test_home_resumes (void)
 {
@@ -258,7 +260,7 @@
   g_test_add_func ("/home/bounds", test_clamping);
   g_test_add_func ("/home/window-follows-charges",
                    test_window_follows_charges);
-  g_test_add_func ("/home/woken", test_home_resumes);
+  g_test_add_func ("/home/resumed", test_home_resumes);
   g_test_add_func ("/home/both-sides", test_partition_rejoined);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/share/test-share.c
+++ b/libcoltsfootdrum/share/test-share.c
@@ -1,4 +1,4 @@
-/* Fair share: counters, homes and the virtual time they agree on.  */
+/* Tests of fair shares: counters, homes and the virtual time they agree on. */
 
 #include "share/share.h"
 
@@ -7,7 +7,7 @@
 #define ROUTERS 3
 #define TOLERANCE 1e-6
 
-/* A home with routers, and the frames on their way between them.  */
+/* A home, its routers and the messages in transit between them.  */
 typedef struct
 {
   home_t *home;
@@ -49,7 +49,7 @@
   g_array_unref (net->answers);
 }
 
-/* The only home there is.  */
+/* The number of the only home.  */
 #define HOME 1
 
 static uint64_t
@@ -79,7 +79,7 @@
   home_apply_report (net->home, name, report->router + 1, &report->entry, now);
 }
 
-/* Everything due is delivered, once and in order.  */
+/* Delivers everything that is due, once and in order.  */
 static void
 net_deliver_all (net_t *net, cfd_time_t now)
 {
@@ -134,10 +134,10 @@
 static void
 test_lossy_network (void)
 {
-  /* Reports and answers are lost, doubled and reordered at random while
-     service goes on.  Once the network is whole again, every router must know
-     the exact sum: reports are absolute, so a lost one is made good by the
-     next and a doubled one adds nothing.  */
+  /* Reports and answers are lost, duplicated and reordered at random while
+     service goes on.  Once the network works again, every router must know the
+     exact sum: reports are absolute, so the next one makes up for a lost one
+     and a duplicate adds nothing.  */
   g_autoptr (GRand) rand = g_rand_new_with_seed (20261202);
   double total = 0;
   cfd_time_t now = 0;
@@ -190,10 +190,10 @@
 static void
 test_new_home_is_rebuilt (void)
 {
-  /* The home dies and another router becomes home with nothing in memory.
-     The first reports bring the virtual time its predecessor had told, so
-     the account neither starts again at 0 (and overtakes everyone) nor is
-     charged twice.  */
+  /* The home fails and another router becomes home without any state.  The
+     first reports bring the virtual time that its predecessor had answered, so
+     the account neither starts again at 0, ahead of all others, nor is charged
+     twice.  */
   net_t net;
 
   net_init (&net);
@@ -217,8 +217,8 @@
 static void
 test_restarted_router (void)
 {
-  /* A router restarts with empty counters under a new incarnation.  What its
-     former life gave out stays counted, and its small new counter must not
+  /* A router restarts with empty counters under a new incarnation.  What the
+     old incarnation charged stays counted, and the small new counter must not
      be taken for a huge refund.  */
   g_autoptr (home_t) home = home_new ();
   msg_report_entry_t old = { .account = "acme",
@@ -242,8 +242,7 @@
   g_array_unref (net.answers);
 }
 
-/* The other home takes over with what it knew, or else a new one with
-   nothing.  */
+/* Makes OTHER the home, with the state it had or as a new one without any.  */
 static void
 change_home (net_t *net, home_t **other, gboolean is_new)
 {
@@ -260,10 +259,10 @@
 static void
 test_moving_homes (void)
 {
-  /* Routers charge and take back at random while the home of the account
-     moves: to a home that knows nothing, or back to the one before, which
-     knows old counters.  Nothing is on its way at a change, so each home must
-     know the exact sum: a charge counts once, wherever it was reported.  */
+  /* Routers charge and refund at random while the home of the account moves,
+     to a home without state or back to the previous one with old counters.  No
+     message is in transit at a change, so each home must know the exact sum: a
+     charge counts once, wherever it was reported.  */
   g_autoptr (GRand) rand = g_rand_new_with_seed (20261203);
   home_t *other = home_new ();
   double total = 0;
@@ -301,7 +300,7 @@
   return HOME;
 }
 
-/* What USER, a number, says is the home of all.  */
+/* Returns the number that USER points to as the home of each account.  */
 static uint64_t
 get_fixed_home (void *user, const char *account, const char *service)
 {
@@ -317,11 +316,11 @@
   return reports;
 }
 
-/* An account's home dies while its work waits here and at other routers, and
-   its service changes seldom.  The next home hears at once of what was given
-   out here, not with the next change: until then its answers would lack that
-   part, and the caller would get it again.  What stays where it was, and what
-   has long been idle, is not told.  */
+/* An account's home fails while its work waits here and at other routers, and
+   its charges rarely change.  The next home must receive the counter of this
+   router at once and not with the next change: until then its answers would
+   lack that part, and the account would be given it again.  Accounts whose
+   home did not change, or that have long been idle, are not reported.  */
 static void
 test_home_moved (void)
 {
@@ -345,11 +344,12 @@
   *(double *)user += tokens;
 }
 
-/* Three routers give an account the same.  Its home goes silent, and each of
-   them knows but its own part: the callers of the account would get three
-   shares until it has another home.  While answers are late, a charge here
-   counts for the two others, and again for itself alone once one came.  An
-   account with work here alone counts as before.  What moves is told.  */
+/* Three routers serve an account equally.  Its home stops answering, so each
+   knows only its own part, and the account would be given three shares until
+   it has another home.  While answers are late, a charge here must count for
+   the two others too, and for itself alone again once an answer came.  An
+   account with work only here counts as before.  Changes of virtual time are
+   passed to the callback.  */
 static void
 test_home_late (void)
 {
@@ -392,9 +392,9 @@
 static void
 test_floor_is_greatest_of_recent (void)
 {
-  /* Most grants come at the virtual time of those that wait; one for an
-     account that asks for little comes far below.  The floor stays with the
-     former, and falls when all grants are lower, as after a partition.  */
+  /* Most grants bring the virtual time of the accounts that wait; one for an
+     account that asks for little brings a far lower one.  The floor stays with
+     the former, and falls when all grants are lower, as after a partition.  */
   g_autoptr (share_t) share = share_new ();
 
   share_record_floor (share, "draft", 500, 1000);
--- a/libcoltsfootdrum/share/vt-window.c
+++ b/libcoltsfootdrum/share/vt-window.c
@@ -29,9 +29,9 @@
   recent->current = fmax (recent->current, charge);
 }
 
-/* Below a few of the largest charges the window would forgive work in the
-   usual order: an account whose requests are greater than the window would get
-   more than its share all the time.  */
+/* The window must not be smaller than a few of the largest charges: otherwise
+   it would write off charges of normal operation, and an account whose
+   requests cost more than the window would always get more than its share.  */
 double
 vt_window_tokens (const vt_window_t *window)
 {
--- a/libcoltsfootdrum/share/vt-window.h
+++ b/libcoltsfootdrum/share/vt-window.h
@@ -1,12 +1,13 @@
-/* Where the accounts of one service are, as a home hears it: the floor, and
-   how far apart accounts may be.  Pure: time is an argument.  */
+/* Virtual time window.  For one service at a home: the floor, and how far the
+   virtual time of an account may be from it.  Does no I/O; callers pass the
+   current time.  */
 
 #ifndef SHARE_VT_WINDOW_H
 #define SHARE_VT_WINDOW_H
 
 #include "base/clock.h"
 
-/* The greatest max_charge of the current and the last span.  */
+/* The greatest charge in the current and the previous time span.  */
 typedef struct
 {
   double current;
@@ -14,21 +15,23 @@
   cfd_time_t current_since;
 } recent_charge_t;
 
+/* Zero-initialized before the first report.  */
 typedef struct
 {
-  double floor; /* the greatest lately reported: routers that hear few agents
-                   lag behind it */
+  /* The greatest floor reported recently: routers that receive grants from few
+     agents lag behind it.  */
+  double floor;
   cfd_time_t floor_updated;
   recent_charge_t max_charge;
 } vt_window_t;
 
-/* A report's floor; one that isn't finite tells nothing.  */
+/* Applies the floor of a report; ignores one that is not finite.  */
 void vt_window_update_floor (vt_window_t *window, double floor,
                              cfd_time_t now);
-/* What a report of a writer in steady hearing added.  */
-void vt_window_record_charge (vt_window_t *window, double max_charge,
+/* Records the weighted tokens that a regular report added.  */
+void vt_window_record_charge (vt_window_t *window, double charge,
                               cfd_time_t now);
-/* Weighted tokens by which an account may be off the floor.  */
+/* Returns the weighted tokens by which an account may be off the floor.  */
 double vt_window_tokens (const vt_window_t *window);
 
 #endif
