--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -2,28 +2,28 @@
 
 #include <math.h>
 
-/* A first token or an interval that took this many times the usual one means
+/* A first token or an interval that took this many times the average one means
    that the endpoint's caches and weights are gone, not that it is busy.  */
 #define COLD_FIRST_FACTOR 4.0
 #define COLD_INTERVAL_FACTOR 2.5
-/* An interval this many times the usual one is slow.  */
+/* An interval this many times the average one is slow.  */
 #define SLOW_FACTOR 1.5
 #define CUT_FACTOR 0.7
-#define USUAL_WEIGHT 0.1
+#define AVERAGE_WEIGHT 0.1
 #define BACKOFF_DOUBLINGS_MAX 6
 
 static unsigned
-least (unsigned a, unsigned b)
+min_unsigned (unsigned a, unsigned b)
 {
   return a < b ? a : b;
 }
 
 static unsigned
-bearable_cold (const lim_t *lim)
+cold_slots (const lim_t *lim)
 {
   unsigned cold = lim->settings.cold > 0 ? lim->settings.cold : 1;
 
-  return least (cold, lim->settings.max);
+  return min_unsigned (cold, lim->settings.max);
 }
 
 static void
@@ -33,21 +33,21 @@
   lim->state = state;
   lim->completed = 0;
   lim->peak = 0;
-  lim->changed = now;
+  lim->last_change = now;
 }
 
 static void
-turn_cold (lim_t *lim, cfd_time_t now)
+reset_to_cold (lim_t *lim, cfd_time_t now)
 {
-  set_slots (lim, bearable_cold (lim), LIM_COLD, now);
+  set_slots (lim, cold_slots (lim), LIM_COLD, now);
 }
 
 void
 lim_init (lim_t *lim, const lim_settings_t *settings, cfd_time_t now)
 {
   *lim = (lim_t){ .settings = *settings };
-  lim->proved = now;
-  turn_cold (lim, now);
+  lim->confirmed = now;
+  reset_to_cold (lim, now);
 }
 
 void
@@ -59,23 +59,23 @@
   if (lim->state == LIM_EJECTED)
     return;
   if (lim->state == LIM_COLD)
-    lim->slots = bearable_cold (lim);
-  lim->slots = least (lim->slots, settings->max);
+    lim->slots = cold_slots (lim);
+  lim->slots = min_unsigned (lim->slots, settings->max);
   if (lim->slots == 0)
-    lim->slots = bearable_cold (lim);
+    lim->slots = cold_slots (lim);
   if (lim->state == LIM_WARM && lim->slots < settings->max)
     lim->state = LIM_RAMPING;
   if (lim->slots != was)
-    lim->changed = now;
+    lim->last_change = now;
 }
 
 static void
-doubt_without_proof (lim_t *lim, cfd_time_t now)
+mark_unconfirmed (lim_t *lim, cfd_time_t now)
 {
   if (lim->settings.token_interval_ms <= 0)
     return;
-  if (now - lim->proved > LIM_CONFIRMATION_MS)
-    lim->doubted = true;
+  if (now - lim->confirmed > LIM_CONFIRMATION_MS)
+    lim->unconfirmed = true;
 }
 
 unsigned
@@ -90,52 +90,55 @@
     return 0;
   if (busy > lim->peak)
     lim->peak = busy;
-  doubt_without_proof (lim, now);
-  slots = lim->doubted ? least (lim->slots, bearable_cold (lim)) : lim->slots;
+  mark_unconfirmed (lim, now);
+  slots = lim->unconfirmed ? min_unsigned (lim->slots, cold_slots (lim))
+                           : lim->slots;
   return busy < slots ? slots - busy : 0;
 }
 
 /* Whether VALUE is over its LIMIT (0: no limit) and over FACTOR times what is
-   usual here.  The limit is for the whole fleet; an endpoint that is always a
-   little over it is not overloaded by one request more or less.  */
+   average here.  The limit is for the whole fleet; an endpoint that is always
+   a little over it is not overloaded by one request more or less.  */
 static bool
-is_over (double value, double limit, double usual, double factor)
+is_excessive (double value, double limit, double average, double factor)
 {
   if (value <= 0 || limit <= 0)
     return false;
-  return value > limit && value > usual * factor;
+  return value > limit && value > average * factor;
 }
 
 static bool
 is_first_token_slow (const lim_t *lim, double ms)
 {
-  return is_over (ms, lim->settings.first_token_ms, lim->first_token_usual,
-                  SLOW_FACTOR);
+  return is_excessive (ms, lim->settings.first_token_ms,
+                       lim->first_token_average_ms, SLOW_FACTOR);
 }
 
 static bool
 is_interval_slow (const lim_t *lim, double ms)
 {
-  return is_over (ms, lim->settings.token_interval_ms,
-                  lim->token_interval_usual, SLOW_FACTOR);
+  return is_excessive (ms, lim->settings.token_interval_ms,
+                       lim->token_interval_average_ms, SLOW_FACTOR);
 }
 
 static void
-learn (double *usual, double value)
+update_average (double *average, double value)
 {
   if (value <= 0)
     return;
-  *usual = *usual <= 0 ? value : *usual + USUAL_WEIGHT * (value - *usual);
+  *average
+      = *average <= 0 ? value : *average + AVERAGE_WEIGHT * (value - *average);
 }
 
 static void
 cut_back (lim_t *lim, cfd_time_t now)
 {
-  unsigned cold = bearable_cold (lim);
+  unsigned cold = cold_slots (lim);
   unsigned slots = (unsigned)floor (lim->slots * CUT_FACTOR);
 
   lim->completed = 0;
-  if (lim->state == LIM_EJECTED || now < lim->changed + LIM_CUT_INTERVAL_MS)
+  if (lim->state == LIM_EJECTED
+      || now < lim->last_change + LIM_CUT_INTERVAL_MS)
     return;
   if (lim->slots <= cold)
     return;
@@ -164,14 +167,14 @@
 
 /* A request begun at STARTED was served.  */
 static void
-end_failures (lim_t *lim, cfd_time_t started, cfd_time_t now)
+reset_failures (lim_t *lim, cfd_time_t started, cfd_time_t now)
 {
-  if (lim->failures > 0 && started <= lim->failed)
+  if (lim->failures > 0 && started <= lim->last_failure)
     return;
   lim->failures = 0;
   lim->ejections = 0;
   if (lim->state == LIM_EJECTED)
-    turn_cold (lim, now);
+    reset_to_cold (lim, now);
 }
 
 void
@@ -183,7 +186,7 @@
               || is_interval_slow (lim, token_interval_ms);
   bool was_ejected = lim->state == LIM_EJECTED;
 
-  end_failures (lim, started, now);
+  reset_failures (lim, started, now);
   if (was_ejected)
     return;
   if (slow)
@@ -196,19 +199,19 @@
      without them, taken for good, would let a cold endpoint grow.  */
   if (lim->settings.token_interval_ms > 0 && token_interval_ms <= 0)
     return;
-  learn (&lim->first_token_usual, first_token_ms);
-  learn (&lim->token_interval_usual, token_interval_ms);
+  update_average (&lim->first_token_average_ms, first_token_ms);
+  update_average (&lim->token_interval_average_ms, token_interval_ms);
   grow (lim, now);
 }
 
-/* The endpoint was seen to be slow, or COLD.  */
+/* The endpoint was seen_at to be slow, or COLD.  */
 static void
-take_slowness (lim_t *lim, bool cold, cfd_time_t now)
+handle_slowness (lim_t *lim, bool cold, cfd_time_t now)
 {
   if (lim->state == LIM_EJECTED)
     return;
   if (cold && lim->state != LIM_COLD)
-    turn_cold (lim, now);
+    reset_to_cold (lim, now);
   else
     cut_back (lim, now);
 }
@@ -216,42 +219,44 @@
 void
 lim_check_first_token (lim_t *lim, double first_token_ms, cfd_time_t now)
 {
-  bool cold = lim->first_token_usual > 0
-              && is_over (first_token_ms, lim->settings.first_token_ms,
-                          lim->first_token_usual, COLD_FIRST_FACTOR);
+  bool cold = lim->first_token_average_ms > 0
+              && is_excessive (first_token_ms, lim->settings.first_token_ms,
+                               lim->first_token_average_ms, COLD_FIRST_FACTOR);
 
   if (is_first_token_slow (lim, first_token_ms))
-    take_slowness (lim, cold, now);
+    handle_slowness (lim, cold, now);
 }
 
 void
 lim_check_token_interval (lim_t *lim, double token_interval_ms, cfd_time_t now)
 {
-  bool cold = lim->token_interval_usual > 0
-              && is_over (token_interval_ms, lim->settings.token_interval_ms,
-                          lim->token_interval_usual, COLD_INTERVAL_FACTOR);
+  bool cold
+      = lim->token_interval_average_ms > 0
+        && is_excessive (token_interval_ms, lim->settings.token_interval_ms,
+                         lim->token_interval_average_ms, COLD_INTERVAL_FACTOR);
 
   if (is_interval_slow (lim, token_interval_ms))
-    take_slowness (lim, cold, now);
+    handle_slowness (lim, cold, now);
 }
 
 void
-lim_confirm_warm (lim_t *lim, double token_interval_ms, cfd_time_t seen,
+lim_confirm_warm (lim_t *lim, double token_interval_ms, cfd_time_t seen_at,
                   cfd_time_t now)
 {
   if (token_interval_ms <= 0 || is_interval_slow (lim, token_interval_ms))
     return;
-  if (seen <= lim->proved || now - seen > LIM_CONFIRMATION_MS)
+  if (seen_at <= lim->confirmed || now - seen_at > LIM_CONFIRMATION_MS)
     return;
-  lim->proved = seen;
-  lim->doubted = false;
+  lim->confirmed = seen_at;
+  lim->unconfirmed = false;
 }
 
 void
 lim_confirm_warm_unstreamed (lim_t *lim, double token_interval_ms,
                              unsigned tokens, cfd_time_t now)
 {
-  double excess = (token_interval_ms - lim->token_interval_usual) * tokens;
+  double excess
+      = (token_interval_ms - lim->token_interval_average_ms) * tokens;
   double cold_end = fmax (excess, 0) / (1 - 1 / COLD_INTERVAL_FACTOR);
 
   lim_confirm_warm (lim, token_interval_ms, now - (cfd_time_t)cold_end, now);
@@ -273,11 +278,11 @@
 static void
 eject (lim_t *lim, cfd_time_t now)
 {
-  unsigned doublings = least (lim->ejections, BACKOFF_DOUBLINGS_MAX);
+  unsigned doublings = min_unsigned (lim->ejections, BACKOFF_DOUBLINGS_MAX);
   double pause = fmin ((double)LIM_BACKOFF_BASE_MS * (1u << doublings),
                        LIM_BACKOFF_MAX_MS);
 
-  set_slots (lim, bearable_cold (lim), LIM_EJECTED, now);
+  set_slots (lim, cold_slots (lim), LIM_EJECTED, now);
   lim->ejections++;
   lim->ejected_until = now + (cfd_time_t)(pause * (0.5 + 0.5 * jitter (lim)));
 }
@@ -286,7 +291,7 @@
 lim_record_failure (lim_t *lim, cfd_time_t now)
 {
   lim->failures++;
-  lim->failed = now;
+  lim->last_failure = now;
   /* Requests that ran at the time of the ejection fail after it; each would
      lengthen the backoff.  Only the probe's failure does.  */
   if (lim->state == LIM_EJECTED && now < lim->ejected_until)
@@ -304,7 +309,7 @@
 lim_reset_to_cold (lim_t *lim, cfd_time_t now)
 {
   if (lim->state != LIM_EJECTED)
-    turn_cold (lim, now);
+    reset_to_cold (lim, now);
 }
 
 const char *
--- a/libcoltsfootdrum/limits/lim.h
+++ b/libcoltsfootdrum/limits/lim.h
@@ -7,11 +7,12 @@
 
    An endpoint may turn cold while nothing runs there, or while what runs gives
    no token.  So a model endpoint's limit above the cold start's load rests on
-   proof: good token intervals seen in the last LIM_CONFIRMATION_MS.  Without
-   it the limit is doubted, and only the cold start's load is allowed until the
-   next good interval, which restores it at once.  Answers in one piece prove
-   when they end.  To trust an endpoint while only such answers run was tried:
-   each request added then was one too many where the endpoint had turned cold.
+   proof: good token intervals seen_at in the last LIM_CONFIRMATION_MS. Without
+   it the limit is unconfirmed, and only the cold start's load is allowed until
+   the next good interval, which restores it at once.  Answers in one piece
+   prove when they end.  To trust an endpoint while only such answers run was
+   tried: each request added then was one too many where the endpoint had
+   turned cold.
 
    An endpoint that fails LIM_EJECTION_FAILURES times in a row is ejected: it
    gets nothing for a backoff with jitter, then one request as a probe, and
@@ -66,12 +67,12 @@
   unsigned ejections; /* in a row, for the backoff */
   cfd_time_t ejected_until;
   cfd_time_t paused_until;
-  cfd_time_t failed; /* when it last did; of use while FAILURES > 0 */
-  cfd_time_t changed;
-  double first_token_usual; /* averages of good requests; 0: none yet */
-  double token_interval_usual;
-  cfd_time_t proved; /* when a good interval was last seen */
-  bool doubted;
+  cfd_time_t last_failure; /* when it last did; of use while FAILURES > 0 */
+  cfd_time_t last_change;
+  double first_token_average_ms; /* averages of good requests; 0: none yet */
+  double token_interval_average_ms;
+  cfd_time_t confirmed; /* when a good interval was last seen_at */
+  bool unconfirmed;
   uint64_t seed; /* of the backoff's jitter; set by the owner */
 } lim_t;
 
@@ -101,10 +102,10 @@
    mean or median of several would hide a cold end behind a good beginning, and
    with few requests the slow tokens of a cold endpoint would go on proving
    that it is warm.  */
-void lim_confirm_warm (lim_t *lim, double token_interval_ms, cfd_time_t seen,
-                       cfd_time_t now);
+void lim_confirm_warm (lim_t *lim, double token_interval_ms,
+                       cfd_time_t seen_at, cfd_time_t now);
 /* An answer of TOKENS in one piece has ended, of which only the mean interval
-   is known.  What it took over the usual time may all have been a cold end:
+   is known.  What it took over the average time may all have been a cold end:
    the proof is as old as that end could be long.  */
 void lim_confirm_warm_unstreamed (lim_t *lim, double token_interval_ms,
                                   unsigned tokens, cfd_time_t now);
--- a/libcoltsfootdrum/limits/test-lim.c
+++ b/libcoltsfootdrum/limits/test-lim.c
@@ -6,11 +6,11 @@
 
 static const lim_settings_t settings = { 8, 2, 1400, 32 };
 
-/* Runs ROUNDS full rounds of good work; returns the time after them.  */
+/* Runs ROUNDS full full_rounds of good work; returns the time after them.  */
 static cfd_time_t
-warm_up (lim_t *lim, unsigned rounds, cfd_time_t now)
+run_warm_up (lim_t *lim, unsigned full_rounds, cfd_time_t now)
 {
-  for (unsigned round = 0; round < rounds; round++)
+  for (unsigned round = 0; round < full_rounds; round++)
     {
       unsigned slots = lim->slots;
 
@@ -25,7 +25,7 @@
 static const struct
 {
   const char *name;
-  unsigned rounds;
+  unsigned full_rounds;
   double first_token;
   double interval;
   unsigned slots;
@@ -42,7 +42,7 @@
 };
 
 static void
-test_table (void)
+test_growth_and_cuts (void)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -50,7 +50,7 @@
       cfd_time_t now;
 
       lim_init (&lim, &settings, 0);
-      now = warm_up (&lim, cases[i].rounds, 0);
+      now = run_warm_up (&lim, cases[i].full_rounds, 0);
       if (cases[i].first_token > 0)
         lim_record_completion (&lim, cases[i].first_token, cases[i].interval,
                                now, now);
@@ -76,7 +76,7 @@
 /* Answers without token times say nothing of a model, and all of a plain
    service.  */
 static void
-test_untimed (void)
+test_completions_without_times (void)
 {
   lim_settings_t plain = { 8, 2, 0, 0 };
   lim_t model_lim;
@@ -95,16 +95,16 @@
   g_assert_cmpuint (plain_lim.slots, ==, 3);
 }
 
-/* The endpoint may have turned cold while nothing was seen of it.  The limit
-   is back with the first good interval, and not with a bad one.  */
+/* The endpoint may have turned cold while nothing was seen_at of it.  The
+   limit is back with the first good interval, and not with a bad one.  */
 static void
-test_doubt (void)
+test_unconfirmed (void)
 {
   lim_t lim;
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   lim_confirm_warm (&lim, 20, now, now);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + LIM_CONFIRMATION_MS),
                     ==, 8);
@@ -127,16 +127,16 @@
    ends then still looks good; its proof must not reach beyond the time in
    which the endpoint was warm for certain.  */
 static void
-test_whole_hides_cold_end (void)
+test_unstreamed_cold_end (void)
 {
   lim_t lim;
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   (void)lim_count_free_slots (&lim, 0, now);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1000), ==, 2);
-  /* 20 tokens at the usual 20 ms, then 3 at 70: 610 ms for 23.  */
+  /* 20 tokens at the average 20 ms, then 3 at 70: 610 ms for 23.  */
   lim_confirm_warm_unstreamed (&lim, 610.0 / 23, 23, now + 1610);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1610), ==, 8);
   g_assert_cmpuint (
@@ -146,13 +146,13 @@
 /* All requests that run when the endpoint gets slow tell it; the limit is cut
    once, not once for each.  */
 static void
-test_one_cut_a_burst (void)
+test_one_cut_per_burst (void)
 {
   lim_t lim;
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   for (int i = 0; i < 8; i++)
     lim_check_token_interval (&lim, 45, now + i);
   g_assert_cmpuint (lim.slots, ==, 5);
@@ -169,7 +169,7 @@
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   lim_check_first_token (&lim, 1300, now);
   g_assert_cmpuint (lim.slots, ==, 8);
   lim_check_first_token (&lim, 1500, now);
@@ -212,7 +212,7 @@
    last old one is over.  Only work begun after a failure shows that it serves
    again.  */
 static void
-test_old_work_is_no_cure (void)
+test_old_completions_keep_failures (void)
 {
   lim_t lim;
 
@@ -234,7 +234,7 @@
 
 /* A failing endpoint is left alone for a while, before it is ejected too.  */
 static void
-test_pause (void)
+test_failure_pause (void)
 {
   lim_t lim;
 
@@ -259,7 +259,7 @@
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   lim_apply_settings (&lim, &smaller, now);
   g_assert_cmpuint (lim.slots, ==, 4);
   lim_apply_settings (&lim, &settings, now);
@@ -273,16 +273,17 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/lim/table", test_table);
+  g_test_add_func ("/lim/table", test_growth_and_cuts);
   g_test_add_func ("/lim/unused-does-not-grow", test_unused_does_not_grow);
-  g_test_add_func ("/lim/untimed", test_untimed);
-  g_test_add_func ("/lim/doubt", test_doubt);
-  g_test_add_func ("/lim/whole-hides-cold-end", test_whole_hides_cold_end);
-  g_test_add_func ("/lim/one-cut-a-burst", test_one_cut_a_burst);
+  g_test_add_func ("/lim/untimed", test_completions_without_times);
+  g_test_add_func ("/lim/doubt", test_unconfirmed);
+  g_test_add_func ("/lim/whole-hides-cold-end", test_unstreamed_cold_end);
+  g_test_add_func ("/lim/one-cut-a-burst", test_one_cut_per_burst);
   g_test_add_func ("/lim/overdue-first-token", test_overdue_first_token);
   g_test_add_func ("/lim/ejection", test_ejection);
-  g_test_add_func ("/lim/old-work-is-no-cure", test_old_work_is_no_cure);
-  g_test_add_func ("/lim/pause", test_pause);
+  g_test_add_func ("/lim/old-work-is-no-cure",
+                   test_old_completions_keep_failures);
+  g_test_add_func ("/lim/pause", test_failure_pause);
   g_test_add_func ("/lim/settings", test_settings);
   return g_test_run ();
 }
