--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -2,13 +2,15 @@
 
 #include <math.h>
 
-/* A first token or an interval that took this many times the average one means
-   that the endpoint's caches and weights are gone, not that it is busy.  */
-#define COLD_FIRST_FACTOR 4.0
+/* A first token or an interval that takes this many times its average means
+   that the endpoint has lost its caches and weights, not that it is busy.  */
+#define COLD_FIRST_TOKEN_FACTOR 4.0
 #define COLD_INTERVAL_FACTOR 2.5
-/* An interval this many times the average one is slow.  */
+/* A time is slow above this many times its average.  */
 #define SLOW_FACTOR 1.5
+/* A cut leaves this part of the limit.  */
 #define CUT_FACTOR 0.7
+/* Weight of the newest sample in an average.  */
 #define AVERAGE_WEIGHT 0.1
 #define BACKOFF_DOUBLINGS_MAX 6
 
@@ -46,14 +48,14 @@
 lim_init (lim_t *lim, const lim_settings_t *settings, cfd_time_t now)
 {
   *lim = (lim_t){ .settings = *settings };
-  lim->confirmed = now;
+  lim->last_confirmed = now;
   reset_to_cold (lim, now);
 }
 
 void
 lim_apply_settings (lim_t *lim, const lim_settings_t *settings, cfd_time_t now)
 {
-  unsigned was = lim->slots;
+  unsigned previous_slots = lim->slots;
 
   lim->settings = *settings;
   if (lim->state == LIM_EJECTED)
@@ -65,7 +67,7 @@
     lim->slots = cold_slots (lim);
   if (lim->state == LIM_WARM && lim->slots < settings->max)
     lim->state = LIM_RAMPING;
-  if (lim->slots != was)
+  if (lim->slots != previous_slots)
     lim->last_change = now;
 }
 
@@ -74,7 +76,7 @@
 {
   if (lim->settings.token_interval_ms <= 0)
     return;
-  if (now - lim->confirmed > LIM_CONFIRMATION_MS)
+  if (now - lim->last_confirmed > LIM_CONFIRMATION_MS)
     lim->unconfirmed = true;
 }
 
@@ -84,7 +86,7 @@
   unsigned slots;
 
   if (lim->state == LIM_EJECTED)
-    /* One probe, not a rush of all that waited.  */
+    /* One probe, not all the work that previous_slots waiting.  */
     return now >= lim->ejected_until && busy == 0 && lim->settings.max > 0;
   if (now < lim->paused_until)
     return 0;
@@ -96,9 +98,10 @@
   return busy < slots ? slots - busy : 0;
 }
 
-/* Whether VALUE is over its LIMIT (0: no limit) and over FACTOR times what is
-   average here.  The limit is for the whole fleet; an endpoint that is always
-   a little over it is not overloaded by one request more or less.  */
+/* Tells whether VALUE is over its LIMIT (0: no limit) and over FACTOR times
+   this endpoint's AVERAGE.  The limit holds for the whole fleet; an endpoint
+   that is always a little over it is not overloaded by one request more or
+   less.  */
 static bool
 is_excessive (double value, double limit, double average, double factor)
 {
@@ -153,7 +156,7 @@
   lim->completed++;
   if (lim->completed < lim->slots)
     return;
-  /* A round that never filled the slots says nothing about one more.  */
+  /* A round that never filled the slots is no evidence for one more.  */
   was_used = lim->peak >= lim->slots;
   lim->completed = 0;
   lim->peak = 0;
@@ -165,7 +168,8 @@
     lim->state = LIM_WARM;
 }
 
-/* A request begun at STARTED was served.  */
+/* A request begun at STARTED previous_slots served: resets the failures unless
+   one is newer.  */
 static void
 reset_failures (lim_t *lim, cfd_time_t started, cfd_time_t now)
 {
@@ -195,8 +199,9 @@
       lim_check_token_interval (lim, token_interval_ms, now);
       return;
     }
-  /* Of a model only token times tell that it bore its load well; an answer
-     without them, taken for good, would let a cold endpoint grow.  */
+  /* Only token times show that a model endpoint bears its load well.  Counting
+     a response without them as good would let the limit of a cold endpoint
+     grow.  */
   if (lim->settings.token_interval_ms > 0 && token_interval_ms <= 0)
     return;
   update_average (&lim->first_token_average_ms, first_token_ms);
@@ -204,7 +209,7 @@
   grow (lim, now);
 }
 
-/* The endpoint was seen_at to be slow, or COLD.  */
+/* Reduces the limit of an endpoint that is slow or even COLD.  */
 static void
 handle_slowness (lim_t *lim, bool cold, cfd_time_t now)
 {
@@ -219,9 +224,10 @@
 void
 lim_check_first_token (lim_t *lim, double first_token_ms, cfd_time_t now)
 {
-  bool cold = lim->first_token_average_ms > 0
-              && is_excessive (first_token_ms, lim->settings.first_token_ms,
-                               lim->first_token_average_ms, COLD_FIRST_FACTOR);
+  bool cold
+      = lim->first_token_average_ms > 0
+        && is_excessive (first_token_ms, lim->settings.first_token_ms,
+                         lim->first_token_average_ms, COLD_FIRST_TOKEN_FACTOR);
 
   if (is_first_token_slow (lim, first_token_ms))
     handle_slowness (lim, cold, now);
@@ -245,9 +251,9 @@
 {
   if (token_interval_ms <= 0 || is_interval_slow (lim, token_interval_ms))
     return;
-  if (seen_at <= lim->confirmed || now - seen_at > LIM_CONFIRMATION_MS)
+  if (seen_at <= lim->last_confirmed || now - seen_at > LIM_CONFIRMATION_MS)
     return;
-  lim->confirmed = seen_at;
+  lim->last_confirmed = seen_at;
   lim->unconfirmed = false;
 }
 
@@ -262,7 +268,8 @@
   lim_confirm_warm (lim, token_interval_ms, now - (cfd_time_t)cold_end, now);
 }
 
-/* xorshift64*: enough for spreading retries.  */
+/* Returns a value in [0, 1) from xorshift64*, which is good enough for
+   spreading retries.  */
 static double
 jitter (lim_t *lim)
 {
@@ -292,8 +299,8 @@
 {
   lim->failures++;
   lim->last_failure = now;
-  /* Requests that ran at the time of the ejection fail after it; each would
-     lengthen the backoff.  Only the probe's failure does.  */
+  /* Requests that ran at the time of the ejection fail after it and must not
+     lengthen the backoff; only the failure of the probe does.  */
   if (lim->state == LIM_EJECTED && now < lim->ejected_until)
     return;
   if (lim->state == LIM_EJECTED || lim->failures >= LIM_EJECTION_FAILURES)
--- a/libcoltsfootdrum/limits/test-lim.c
+++ b/libcoltsfootdrum/limits/test-lim.c
@@ -1,4 +1,4 @@
-/* The limit of requests at an endpoint: cold start, growth, cut-backs and
+/* Tests of the concurrency limit of an endpoint: cold start, growth, cuts and
    ejection.  */
 
 #include "limits/lim.h"
@@ -6,7 +6,7 @@
 
 static const lim_settings_t settings = { 8, 2, 1400, 32 };
 
-/* Runs ROUNDS full full_rounds of good work; returns the time after them.  */
+/* Runs full rounds of good work; returns the time after them.  */
 static cfd_time_t
 run_warm_up (lim_t *lim, unsigned full_rounds, cfd_time_t now)
 {
@@ -60,7 +60,7 @@
     }
 }
 
-/* A round that never filled the slots proves nothing about one more.  */
+/* A round that never filled the slots is no evidence for one more.  */
 static void
 test_unused_does_not_grow (void)
 {
@@ -73,8 +73,8 @@
   g_assert_cmpuint (lim.slots, ==, 2);
 }
 
-/* Answers without token times say nothing of a model, and all of a plain
-   service.  */
+/* Responses without token times are no evidence for a model endpoint, but they
+   are all there is for a plain service.  */
 static void
 test_completions_without_times (void)
 {
@@ -95,8 +95,8 @@
   g_assert_cmpuint (plain_lim.slots, ==, 3);
 }
 
-/* The endpoint may have turned cold while nothing was seen_at of it.  The
-   limit is back with the first good interval, and not with a bad one.  */
+/* The endpoint may have become cold while no token was observed.  The limit
+   must be restored by the first good interval, and not by a bad one.  */
 static void
 test_unconfirmed (void)
 {
@@ -117,15 +117,15 @@
   lim_confirm_warm (&lim, 20, now + 600, now + 600);
   g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 600), ==, 5);
 
-  /* Answers in one piece give no proof before they end.  */
+  /* Responses that are not streamed confirm only when they end.  */
   g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 1001), ==, 0);
   lim_confirm_warm_unstreamed (&lim, 20, 40, now + 1300);
   g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 1300), ==, 5);
 }
 
-/* An endpoint turns cold while answers in one piece run.  The mean of one that
-   ends then still looks good; its proof must not reach beyond the time in
-   which the endpoint was warm for certain.  */
+/* An endpoint becomes cold while responses run that are not streamed.  The
+   mean interval of one that ends then still looks good; it must not confirm
+   beyond the time in which the endpoint was certainly warm.  */
 static void
 test_unstreamed_cold_end (void)
 {
@@ -136,15 +136,15 @@
   now = run_warm_up (&lim, 20, 0);
   (void)lim_count_free_slots (&lim, 0, now);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1000), ==, 2);
-  /* 20 tokens at the average 20 ms, then 3 at 70: 610 ms for 23.  */
+  /* 20 tokens at the average of 20 ms, then 3 at 70 ms: 610 ms for 23.  */
   lim_confirm_warm_unstreamed (&lim, 610.0 / 23, 23, now + 1610);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1610), ==, 8);
   g_assert_cmpuint (
       lim_count_free_slots (&lim, 0, now + 1400 + LIM_CONFIRMATION_MS), ==, 2);
 }
 
-/* All requests that run when the endpoint gets slow tell it; the limit is cut
-   once, not once for each.  */
+/* All running requests show that the endpoint became slow; the limit must be
+   cut once, not once for each.  */
 static void
 test_one_cut_per_burst (void)
 {
@@ -160,8 +160,8 @@
   g_assert_cmpuint (lim.slots, ==, 3);
 }
 
-/* A first token that stays out shows a cold endpoint before any request
-   completes.  */
+/* An overdue first token shows a cold endpoint before any request completes.
+ */
 static void
 test_overdue_first_token (void)
 {
@@ -192,7 +192,7 @@
   first = lim.ejected_until - 100;
   g_assert_cmpint (first, >=, LIM_BACKOFF_BASE_MS / 2);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, 101), ==, 0);
-  /* What ran before fails later, and does not lengthen the backoff.  */
+  /* What ran before fails later and does not lengthen the backoff.  */
   lim_record_failure (&lim, 101);
   g_assert_cmpint (lim.ejected_until, ==, 100 + first);
 
@@ -207,10 +207,10 @@
                     settings.cold);
 }
 
-/* An endpoint turns all new work away, and ends between its refusals what it
-   took before.  Callers would see each new request turned away there until the
-   last old one is over.  Only work begun after a failure shows that it serves
-   again.  */
+/* An endpoint rejects all new work, and between its refusals completes what it
+   accepted before.  If that reset the failures, each new request would be
+   rejected there until the last old one has ended.  Only work begun after a
+   failure shows that the endpoint serves again.  */
 static void
 test_old_completions_keep_failures (void)
 {
@@ -232,7 +232,7 @@
   g_assert_cmpint (lim.state, ==, LIM_COLD);
 }
 
-/* A failing endpoint is left alone for a while, before it is ejected too.  */
+/* A failing endpoint gets no work for a while, also before it is ejected.  */
 static void
 test_failure_pause (void)
 {
@@ -273,15 +273,15 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/lim/table", test_growth_and_cuts);
+  g_test_add_func ("/lim/growth-and-cuts", test_growth_and_cuts);
   g_test_add_func ("/lim/unused-does-not-grow", test_unused_does_not_grow);
   g_test_add_func ("/lim/untimed", test_completions_without_times);
-  g_test_add_func ("/lim/doubt", test_unconfirmed);
-  g_test_add_func ("/lim/whole-hides-cold-end", test_unstreamed_cold_end);
+  g_test_add_func ("/lim/unconfirmed", test_unconfirmed);
+  g_test_add_func ("/lim/unstreamed-cold-end", test_unstreamed_cold_end);
   g_test_add_func ("/lim/one-cut-a-burst", test_one_cut_per_burst);
   g_test_add_func ("/lim/overdue-first-token", test_overdue_first_token);
   g_test_add_func ("/lim/ejection", test_ejection);
-  g_test_add_func ("/lim/old-work-is-no-cure",
+  g_test_add_func ("/lim/old-completions-keep-failures",
                    test_old_completions_keep_failures);
   g_test_add_func ("/lim/pause", test_failure_pause);
   g_test_add_func ("/lim/settings", test_settings);
