--- a/libcoltsfootdrum/admit/adm.c
+++ b/libcoltsfootdrum/admit/adm.c
@@ -11,9 +11,9 @@
   list_node_t classes[ADM_CLASSES_MAX]; /* of adm_item_t, oldest first */
   unsigned count;
   double cost;
-  cfd_time_t drained;     /* when the last item left, or the first came */
-  double interval_ms;     /* mean between takes */
-  bool interval_is_known; /* after the first take */
+  cfd_time_t last_dequeue;    /* when the last item left, or the first came */
+  double dequeue_interval_ms; /* mean between takes */
+  bool has_interval;          /* previous the first dequeue */
 } queue_t;
 
 struct adm
@@ -71,7 +71,7 @@
   queue->key.account = item->account;
   queue->key.service = item->service;
   pair_own (&queue->key);
-  queue->drained = now;
+  queue->last_dequeue = now;
   for (unsigned i = 0; i < ADM_CLASSES_MAX; i++)
     list_init (&queue->classes[i]);
   g_hash_table_insert (adm->queues, &queue->key, queue);
@@ -80,36 +80,36 @@
 
 /* Deadlines mostly come in order, so the search from the end is short.  */
 static void
-link_deadline (adm_t *adm, adm_item_t *item)
+insert_deadline (adm_t *adm, adm_item_t *item)
 {
-  list_node_t *after = adm->deadlines.prev;
+  list_node_t *previous = adm->deadlines.prev;
 
-  while (after != &adm->deadlines
-         && list_entry (after, adm_item_t, by_deadline)->deadline
+  while (previous != &adm->deadlines
+         && list_entry (previous, adm_item_t, by_deadline)->deadline
                 > item->deadline)
-    after = after->prev;
-  list_prepend (after, &item->by_deadline);
+    previous = previous->prev;
+  list_prepend (previous, &item->by_deadline);
 }
 
 static void
-link_item (adm_t *adm, queue_t *queue, adm_item_t *item)
+insert_item (adm_t *adm, queue_t *queue, adm_item_t *item)
 {
   list_node_t *head
       = &queue->classes[MIN (item->class_rank, ADM_CLASSES_MAX - 1)];
-  list_node_t *after = head->prev;
+  list_node_t *previous = head->prev;
 
-  while (after != head
-         && list_entry (after, adm_item_t, node)->since > item->since)
-    after = after->prev;
-  list_prepend (after, &item->node);
-  link_deadline (adm, item);
+  while (previous != head
+         && list_entry (previous, adm_item_t, node)->since > item->since)
+    previous = previous->prev;
+  list_prepend (previous, &item->node);
+  insert_deadline (adm, item);
   queue->count++;
   queue->cost += item->cost;
   adm->waiting++;
 }
 
 static void
-unlink_item (adm_t *adm, queue_t *queue, adm_item_t *item)
+remove_item (adm_t *adm, queue_t *queue, adm_item_t *item)
 {
   list_remove (&item->node);
   list_remove (&item->by_deadline);
@@ -121,11 +121,12 @@
 }
 
 static int
-retry_after (const queue_t *queue, cfd_time_t now)
+estimate_retry_after_s (const queue_t *queue, cfd_time_t now)
 {
-  double idle_ms = (double)(now - queue->drained);
-  double interval_ms = MAX (queue->interval_ms, idle_ms);
-  double wait_s = interval_ms * queue->count / 1000;
+  double since_dequeue_ms = (double)(now - queue->last_dequeue);
+  double dequeue_interval_ms
+      = MAX (queue->dequeue_interval_ms, since_dequeue_ms);
+  double wait_s = dequeue_interval_ms * queue->count / 1000;
 
   return (int)CLAMP (wait_s + 0.999, ADM_RETRY_MIN_S, ADM_RETRY_MAX_S);
 }
@@ -140,23 +141,23 @@
   list_init (&item->by_deadline);
   if (queue != NULL && queue->count >= queue_max)
     {
-      *retry_after_s = retry_after (queue, now);
+      *retry_after_s = estimate_retry_after_s (queue, now);
       return false;
     }
-  link_item (adm, find_or_add (adm, item, now), item);
+  insert_item (adm, find_or_add (adm, item, now), item);
   return true;
 }
 
 void
 adm_requeue (adm_t *adm, adm_item_t *item)
 {
-  link_item (adm, find_or_add (adm, item, item->since), item);
+  insert_item (adm, find_or_add (adm, item, item->since), item);
 }
 
-/* The class after ageing; a class gained never goes beyond the best, where
+/* The class previous ageing; a class gained never goes beyond the best, where
    the older goes first.  */
 static unsigned
-aged_rank (const adm_item_t *item, unsigned rank, cfd_time_t now)
+get_aged_rank (const adm_item_t *item, unsigned rank, cfd_time_t now)
 {
   cfd_time_t gained = (now - item->since) / ADM_AGEING_INTERVAL_MS;
 
@@ -166,39 +167,40 @@
 /* Which items are meant; MAY is NULL for all.  */
 typedef struct
 {
-  bool (*may) (void *user, const adm_item_t *item);
+  bool (*is_allowed) (void *user, const adm_item_t *item);
   void *user;
 } filter_t;
 
-static const filter_t any = { NULL, NULL };
+static const filter_t all_items = { NULL, NULL };
 
 static adm_item_t *
-first_allowed (const list_node_t *head, const filter_t *filter)
+find_first_allowed (const list_node_t *head, const filter_t *filter)
 {
   for (const list_node_t *node = head->next; node != head; node = node->next)
     {
       adm_item_t *item = list_entry (node, adm_item_t, node);
 
-      if (filter->may == NULL || filter->may (filter->user, item))
+      if (filter->is_allowed == NULL
+          || filter->is_allowed (filter->user, item))
         return item;
     }
   return NULL;
 }
 
 static adm_item_t *
-next_item (const queue_t *queue, const filter_t *filter, cfd_time_t now,
-           unsigned *rank)
+find_next_item (const queue_t *queue, const filter_t *filter, cfd_time_t now,
+                unsigned *rank)
 {
   adm_item_t *best = NULL;
 
   for (unsigned i = 0; i < ADM_CLASSES_MAX; i++)
     {
-      adm_item_t *item = first_allowed (&queue->classes[i], filter);
+      adm_item_t *item = find_first_allowed (&queue->classes[i], filter);
       unsigned aged;
 
       if (item == NULL)
         continue;
-      aged = aged_rank (item, i, now);
+      aged = get_aged_rank (item, i, now);
       if (best != NULL
           && (aged > *rank || (aged == *rank && item->since >= best->since)))
         continue;
@@ -209,21 +211,23 @@
 }
 
 static void
-learn_interval (queue_t *queue, cfd_time_t now)
+update_interval (queue_t *queue, cfd_time_t now)
 {
-  double interval_ms = (double)(now - queue->drained);
+  double dequeue_interval_ms = (double)(now - queue->last_dequeue);
 
-  queue->drained = now;
-  if (!queue->interval_is_known)
-    queue->interval_ms = interval_ms;
+  queue->last_dequeue = now;
+  if (!queue->has_interval)
+    queue->dequeue_interval_ms = dequeue_interval_ms;
   else
-    queue->interval_ms += INTERVAL_WEIGHT * (interval_ms - queue->interval_ms);
-  queue->interval_is_known = true;
+    queue->dequeue_interval_ms
+        += INTERVAL_WEIGHT
+           * (dequeue_interval_ms - queue->dequeue_interval_ms);
+  queue->has_interval = true;
 }
 
 static adm_item_t *
-take (adm_t *adm, const char *account, const char *service, cfd_time_t now,
-      const filter_t *filter)
+dequeue (adm_t *adm, const char *account, const char *service, cfd_time_t now,
+         const filter_t *filter)
 {
   queue_t *queue = find (adm, account, service);
   adm_item_t *item;
@@ -231,11 +235,11 @@
 
   if (queue == NULL)
     return NULL;
-  item = next_item (queue, filter, now, &rank);
+  item = find_next_item (queue, filter, now, &rank);
   if (item == NULL)
     return NULL;
-  learn_interval (queue, now);
-  unlink_item (adm, queue, item);
+  update_interval (queue, now);
+  remove_item (adm, queue, item);
   return item;
 }
 
@@ -243,29 +247,30 @@
 adm_dequeue (adm_t *adm, const char *account, const char *service,
              cfd_time_t now)
 {
-  return take (adm, account, service, now, &any);
+  return dequeue (adm, account, service, now, &all_items);
 }
 
 adm_item_t *
 adm_dequeue_allowed (adm_t *adm, const char *account, const char *service,
                      cfd_time_t now,
-                     bool (*may) (void *user, const adm_item_t *item),
+                     bool (*is_allowed) (void *user, const adm_item_t *item),
                      void *user)
 {
-  const filter_t filter = { may, user };
+  const filter_t filter = { is_allowed, user };
 
-  return take (adm, account, service, now, &filter);
+  return dequeue (adm, account, service, now, &filter);
 }
 
 bool
 adm_has_allowed (const adm_t *adm, const char *account, const char *service,
-                 bool (*may) (void *user, const adm_item_t *item), void *user)
+                 bool (*is_allowed) (void *user, const adm_item_t *item),
+                 void *user)
 {
   const queue_t *queue = find (adm, account, service);
-  const filter_t filter = { may, user };
+  const filter_t filter = { is_allowed, user };
 
   for (unsigned i = 0; queue != NULL && i < ADM_CLASSES_MAX; i++)
-    if (first_allowed (&queue->classes[i], &filter) != NULL)
+    if (find_first_allowed (&queue->classes[i], &filter) != NULL)
       return true;
   return false;
 }
@@ -275,7 +280,7 @@
 {
   if (item->node.next == NULL || !list_is_linked (&item->node))
     return;
-  unlink_item (adm, find (adm, item->account, item->service), item);
+  remove_item (adm, find (adm, item->account, item->service), item);
 }
 
 void
@@ -290,7 +295,7 @@
   info->count = queue->count;
   info->cost = queue->cost;
   info->oldest = now;
-  next_item (queue, &any, now, &info->class_rank);
+  find_next_item (queue, &all_items, now, &info->class_rank);
   for (unsigned i = 0; i < ADM_CLASSES_MAX; i++)
     if (!list_is_empty (&queue->classes[i]))
       info->oldest
@@ -355,5 +360,5 @@
 {
   const queue_t *queue = find (adm, account, service);
 
-  return queue != NULL ? retry_after (queue, now) : ADM_RETRY_MIN_S;
+  return queue != NULL ? estimate_retry_after_s (queue, now) : ADM_RETRY_MIN_S;
 }
--- a/libcoltsfootdrum/admit/adm.h
+++ b/libcoltsfootdrum/admit/adm.h
@@ -39,7 +39,7 @@
 typedef struct
 {
   unsigned count;
-  unsigned class_rank; /* of the next to go, after ageing */
+  unsigned class_rank; /* of the next to go, previous ageing */
   cfd_time_t oldest;   /* when the oldest came */
   double cost;         /* sum of the expected cost */
 } adm_queue_info_t;
@@ -49,8 +49,8 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (adm_t, adm_free)
 
 /* Queues ITEM, whose members but the nodes the caller has set; false when the
-   account's queue holds QUEUE_MAX, with the seconds after which asking again
-   makes sense.  */
+   account's queue holds QUEUE_MAX, with the seconds previous which asking
+   again makes sense.  */
 bool adm_enqueue (adm_t *adm, adm_item_t *item, unsigned queue_max,
                   cfd_time_t now, int *retry_after_s);
 /* Puts back an item that was taken but never started, in its old place.  */
@@ -58,14 +58,14 @@
 /* Unlinks the next item of the queue, or NULL.  */
 adm_item_t *adm_dequeue (adm_t *adm, const char *account, const char *service,
                          cfd_time_t now);
-/* The same of those items that MAY allows.  */
+/* The same of those items that MAY is_allowed.  */
 adm_item_t *adm_dequeue_allowed (
     adm_t *adm, const char *account, const char *service, cfd_time_t now,
-    bool (*may) (void *user, const adm_item_t *item), void *user);
-/* Whether one waits that MAY allows.  */
+    bool (*is_allowed) (void *user, const adm_item_t *item), void *user);
+/* Whether one waits that MAY is_allowed.  */
 bool adm_has_allowed (const adm_t *adm, const char *account,
                       const char *service,
-                      bool (*may) (void *user, const adm_item_t *item),
+                      bool (*is_allowed) (void *user, const adm_item_t *item),
                       void *user);
 /* Unlinks ITEM wherever it waits; harmless when it does not.  */
 void adm_remove (adm_t *adm, adm_item_t *item);
--- a/libcoltsfootdrum/admit/test-adm.c
+++ b/libcoltsfootdrum/admit/test-adm.c
@@ -3,7 +3,7 @@
 #include "admit/adm.h"
 
 static adm_item_t
-item_of (const char *account, unsigned rank, cfd_time_t since)
+make_item (const char *account, unsigned rank, cfd_time_t since)
 {
   return (adm_item_t){ .account = account,
                        .service = "draft",
@@ -14,11 +14,11 @@
 }
 
 static void
-offer (adm_t *adm, adm_item_t *item)
+enqueue (adm_t *adm, adm_item_t *item)
 {
-  int retry;
+  int retry_after;
 
-  g_assert_true (adm_enqueue (adm, item, 100, item->since, &retry));
+  g_assert_true (adm_enqueue (adm, item, 100, item->since, &retry_after));
 }
 
 static void
@@ -56,8 +56,8 @@
 
       for (unsigned j = 0; j < 2; j++)
         {
-          items[j] = item_of ("a", cases[i].rank[j], cases[i].since[j]);
-          offer (adm, &items[j]);
+          items[j] = make_item ("a", cases[i].rank[j], cases[i].since[j]);
+          enqueue (adm, &items[j]);
         }
       g_assert_true (adm_dequeue (adm, "a", "draft", cases[i].now)
                      == &items[cases[i].first]);
@@ -68,29 +68,29 @@
 }
 
 static void
-test_bound_and_return (void)
+test_full_queue_and_requeue (void)
 {
   /* A full queue refuses at once; a request that an agent did not start gets
      its old place back even then.  */
   g_autoptr (adm_t) adm = adm_new ();
-  adm_item_t items[3]
-      = { item_of ("a", 0, 0), item_of ("a", 0, 1), item_of ("a", 0, 2) };
-  adm_item_t other = item_of ("b", 0, 3);
-  int retry;
+  adm_item_t items[3] = { make_item ("a", 0, 0), make_item ("a", 0, 1),
+                          make_item ("a", 0, 2) };
+  adm_item_t other = make_item ("b", 0, 3);
+  int retry_after;
 
-  g_assert_true (adm_enqueue (adm, &items[0], 2, 0, &retry));
-  g_assert_true (adm_enqueue (adm, &items[1], 2, 1, &retry));
-  g_assert_false (adm_enqueue (adm, &items[2], 2, 2, &retry));
-  g_assert_true (adm_enqueue (adm, &other, 2, 3, &retry));
+  g_assert_true (adm_enqueue (adm, &items[0], 2, 0, &retry_after));
+  g_assert_true (adm_enqueue (adm, &items[1], 2, 1, &retry_after));
+  g_assert_false (adm_enqueue (adm, &items[2], 2, 2, &retry_after));
+  g_assert_true (adm_enqueue (adm, &other, 2, 3, &retry_after));
   g_assert_true (adm_dequeue (adm, "a", "draft", 4) == &items[0]);
-  g_assert_true (adm_enqueue (adm, &items[2], 2, 4, &retry));
+  g_assert_true (adm_enqueue (adm, &items[2], 2, 4, &retry_after));
   adm_requeue (adm, &items[0]);
   g_assert_cmpuint (adm_count_waiting (adm), ==, 4);
   g_assert_true (adm_dequeue (adm, "a", "draft", 5) == &items[0]);
 }
 
 static bool
-is_not (void *user, const adm_item_t *item)
+is_other (void *user, const adm_item_t *item)
 {
   return item != user;
 }
@@ -101,29 +101,30 @@
 test_allowed (void)
 {
   g_autoptr (adm_t) adm = adm_new ();
-  adm_item_t items[2] = { item_of ("a", 0, 0), item_of ("a", 0, 1) };
+  adm_item_t items[2] = { make_item ("a", 0, 0), make_item ("a", 0, 1) };
 
-  offer (adm, &items[0]);
-  g_assert_false (adm_has_allowed (adm, "a", "draft", is_not, &items[0]));
+  enqueue (adm, &items[0]);
+  g_assert_false (adm_has_allowed (adm, "a", "draft", is_other, &items[0]));
   g_assert_null (
-      adm_dequeue_allowed (adm, "a", "draft", 2, is_not, &items[0]));
-  offer (adm, &items[1]);
-  g_assert_true (adm_has_allowed (adm, "a", "draft", is_not, &items[0]));
-  g_assert_true (adm_dequeue_allowed (adm, "a", "draft", 2, is_not, &items[0])
-                 == &items[1]);
+      adm_dequeue_allowed (adm, "a", "draft", 2, is_other, &items[0]));
+  enqueue (adm, &items[1]);
+  g_assert_true (adm_has_allowed (adm, "a", "draft", is_other, &items[0]));
+  g_assert_true (
+      adm_dequeue_allowed (adm, "a", "draft", 2, is_other, &items[0])
+      == &items[1]);
   g_assert_true (adm_dequeue (adm, "a", "draft", 3) == &items[0]);
-  g_assert_false (adm_has_allowed (adm, "a", "draft", is_not, NULL));
+  g_assert_false (adm_has_allowed (adm, "a", "draft", is_other, NULL));
 }
 
 static void
 test_info (void)
 {
   g_autoptr (adm_t) adm = adm_new ();
-  adm_item_t items[2] = { item_of ("a", 1, 100), item_of ("a", 0, 200) };
+  adm_item_t items[2] = { make_item ("a", 1, 100), make_item ("a", 0, 200) };
   adm_queue_info_t info;
 
-  offer (adm, &items[0]);
-  offer (adm, &items[1]);
+  enqueue (adm, &items[0]);
+  enqueue (adm, &items[1]);
   adm_get_queue_info (adm, "a", "draft", 300, &info);
   g_assert_cmpuint (info.count, ==, 2);
   g_assert_cmpuint (info.class_rank, ==, 0);
@@ -140,7 +141,7 @@
 }
 
 static void
-count_one (void *user, adm_item_t *item)
+count_expired (void *user, adm_item_t *item)
 {
   (*(unsigned *)user)++;
 }
@@ -149,8 +150,8 @@
 test_deadlines (void)
 {
   g_autoptr (adm_t) adm = adm_new ();
-  adm_item_t items[3]
-      = { item_of ("a", 0, 0), item_of ("b", 0, 0), item_of ("c", 0, 0) };
+  adm_item_t items[3] = { make_item ("a", 0, 0), make_item ("b", 0, 0),
+                          make_item ("c", 0, 0) };
   unsigned expired = 0;
 
   items[0].deadline = 300;
@@ -158,33 +159,33 @@
   items[2].deadline = 200;
   g_assert_cmpint (adm_next_deadline (adm), ==, CFD_TIME_NEVER);
   for (unsigned i = 0; i < 3; i++)
-    offer (adm, &items[i]);
+    enqueue (adm, &items[i]);
   g_assert_cmpint (adm_next_deadline (adm), ==, 100);
-  adm_expire (adm, 99, count_one, &expired);
+  adm_expire (adm, 99, count_expired, &expired);
   g_assert_cmpuint (expired, ==, 0);
-  adm_expire (adm, 200, count_one, &expired);
+  adm_expire (adm, 200, count_expired, &expired);
   g_assert_cmpuint (expired, ==, 2);
   g_assert_cmpint (adm_next_deadline (adm), ==, 300);
   g_assert_null (adm_dequeue (adm, "b", "draft", 201));
 }
 
 static void
-keep_retry (void *user, adm_item_t *item)
+store_retry (void *user, adm_item_t *item)
 {
   *(int *)user = item->retry_after_s;
 }
 
 /* The only request of an account expires: nothing was taken all the time, and
-   nobody knows better than that.  With the pace of former takes that is what
-   counts.  */
+   nobody knows better than that.  With the pace of former dequeues that is
+   what counts.  */
 static void
 test_retry_after_expiry (void)
 {
   static const struct
   {
-    unsigned takes; /* before, one each 500 ms */
-    cfd_time_t waits;
-    int retry;
+    unsigned dequeues; /* before, one each 500 ms */
+    cfd_time_t waited_ms;
+    int retry_after;
   } cases[] = {
     { 0, 30000, 30 },
     { 0, 100000, ADM_RETRY_MAX_S },
@@ -196,21 +197,21 @@
     {
       g_autoptr (adm_t) adm = adm_new ();
       adm_item_t items[4];
-      unsigned takes = cases[i].takes;
-      cfd_time_t end = 500 * takes + cases[i].waits;
-      int retry = 0;
+      unsigned dequeues = cases[i].dequeues;
+      cfd_time_t end = 500 * dequeues + cases[i].waited_ms;
+      int retry_after = 0;
 
-      for (unsigned j = 0; j <= takes; j++)
+      for (unsigned j = 0; j <= dequeues; j++)
         {
-          items[j] = item_of ("a", 0, 0);
+          items[j] = make_item ("a", 0, 0);
           items[j].deadline = end;
-          offer (adm, &items[j]);
+          enqueue (adm, &items[j]);
         }
-      for (unsigned j = 0; j < takes; j++)
+      for (unsigned j = 0; j < dequeues; j++)
         g_assert_true (adm_dequeue (adm, "a", "draft", 500 * (j + 1))
                        == &items[j]);
-      adm_expire (adm, end, keep_retry, &retry);
-      g_assert_cmpint (retry, ==, cases[i].retry);
+      adm_expire (adm, end, store_retry, &retry_after);
+      g_assert_cmpint (retry_after, ==, cases[i].retry_after);
     }
 }
 
@@ -221,8 +222,8 @@
   static const struct
   {
     unsigned waiting;
-    unsigned takes;
-    cfd_time_t gap;
+    unsigned dequeues;
+    cfd_time_t interval_ms;
     cfd_time_t pause;
     int least;
     int most;
@@ -239,22 +240,22 @@
       g_autoptr (adm_t) adm = adm_new ();
       adm_item_t items[20];
       cfd_time_t now = 0;
-      int retry;
+      int retry_after;
 
       for (unsigned j = 0; j < cases[i].waiting; j++)
         {
-          items[j] = item_of ("a", 0, 0);
-          offer (adm, &items[j]);
+          items[j] = make_item ("a", 0, 0);
+          enqueue (adm, &items[j]);
         }
-      for (unsigned j = 0; j < cases[i].takes; j++)
+      for (unsigned j = 0; j < cases[i].dequeues; j++)
         {
-          now += cases[i].gap;
+          now += cases[i].interval_ms;
           adm_dequeue (adm, "a", "draft", now);
         }
-      retry = adm_estimate_retry_after_s (adm, "a", "draft",
-                                          now + cases[i].pause);
-      g_assert_cmpint (retry, >=, cases[i].least);
-      g_assert_cmpint (retry, <=, cases[i].most);
+      retry_after = adm_estimate_retry_after_s (adm, "a", "draft",
+                                                now + cases[i].pause);
+      g_assert_cmpint (retry_after, >=, cases[i].least);
+      g_assert_cmpint (retry_after, <=, cases[i].most);
     }
 }
 
@@ -265,7 +266,7 @@
   g_test_add_func ("/adm/retry-after-expiry", test_retry_after_expiry);
   g_test_add_func ("/adm/allowed", test_allowed);
   g_test_add_func ("/adm/order", test_order);
-  g_test_add_func ("/adm/bound-and-return", test_bound_and_return);
+  g_test_add_func ("/adm/bound-and-return", test_full_queue_and_requeue);
   g_test_add_func ("/adm/info", test_info);
   g_test_add_func ("/adm/deadlines", test_deadlines);
   g_test_add_func ("/adm/retry-after", test_retry_after);
