--- a/libcoltsfootdrum/admit/adm.c
+++ b/libcoltsfootdrum/admit/adm.c
@@ -2,7 +2,7 @@
 
 #include "base/pair.h"
 
-/* Weight of the newest interval between two takes.  */
+/* Weight of the newest sample in the mean interval between dequeues.  */
 #define INTERVAL_WEIGHT 0.2
 
 typedef struct
@@ -11,14 +11,14 @@
   list_node_t classes[ADM_CLASSES_MAX]; /* of adm_item_t, oldest first */
   unsigned count;
   double cost;
-  cfd_time_t last_dequeue;    /* when the last item left, or the first came */
-  double dequeue_interval_ms; /* mean between takes */
-  bool has_interval;          /* previous the first dequeue */
+  cfd_time_t last_dequeue;    /* or when the first item was queued */
+  double dequeue_interval_ms; /* smoothed mean between dequeues */
+  bool has_interval;          /* after the first dequeue */
 } queue_t;
 
 struct adm
 {
-  GHashTable *queues; /* pair_t to queue_t; empty ones are dropped */
+  GHashTable *queues; /* pair_t to queue_t; empty queues are removed */
   list_node_t deadlines;
   unsigned waiting;
 };
@@ -78,7 +78,7 @@
   return queue;
 }
 
-/* Deadlines mostly come in order, so the search from the end is short.  */
+/* Deadlines mostly arrive in order, so the search from the end is short.  */
 static void
 insert_deadline (adm_t *adm, adm_item_t *item)
 {
@@ -154,8 +154,8 @@
   insert_item (adm, find_or_add (adm, item, item->since), item);
 }
 
-/* The class previous ageing; a class gained never goes beyond the best, where
-   the older goes first.  */
+/* Returns the class after ageing.  An item ages up to the best class at most,
+   where the older goes first.  */
 static unsigned
 get_aged_rank (const adm_item_t *item, unsigned rank, cfd_time_t now)
 {
@@ -164,7 +164,7 @@
   return gained >= rank ? 0 : rank - (unsigned)gained;
 }
 
-/* Which items are meant; MAY is NULL for all.  */
+/* Selects items; IS_ALLOWED is NULL for all.  */
 typedef struct
 {
   bool (*is_allowed) (void *user, const adm_item_t *item);
@@ -312,9 +312,9 @@
       adm_item_t *item
           = list_entry (adm->deadlines.next, adm_item_t, by_deadline);
 
-      /* Before it goes: with its last item the queue forgets that nothing was
-         taken, and the caller who waited in vain would be told to ask again
-         in a second.  */
+      /* Computed before the removal: with its last item the queue is freed,
+         and with it the time in which nothing was dequeued, so that a caller
+         who waited in vain would be told to retry in a second.  */
       item->retry_after_s = adm_estimate_retry_after_s (adm, item->account,
                                                         item->service, now);
       adm_remove (adm, item);
--- a/libcoltsfootdrum/admit/adm.h
+++ b/libcoltsfootdrum/admit/adm.h
@@ -1,10 +1,10 @@
-/* Admission: one bounded queue for each client account and service at a
-   router.  Pure: the present time is an argument and nothing is sent.
+/* Admission.  One bounded queue for each client account and service at a
+   router.  Does no I/O; callers pass the current time.
 
    Within an account, better classes go first; a request gains one class for
    each ADM_AGEING_INTERVAL_MS it has waited, so that quick queries are not
-   starved by full-shift work.  Each queue is bounded; a refusal is given at
-   once with a Retry-After worked out from how fast the queue drains.  */
+   starved by full-shift work.  A full queue rejects a request at once, with a
+   Retry-After computed from the rate at which the queue drains.  */
 
 #ifndef ADMIT_ADM_H
 #define ADMIT_ADM_H
@@ -14,15 +14,17 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/* Waiting time for which a request gains one class.  */
 #define ADM_AGEING_INTERVAL_MS 15000
+/* Bounds of Retry-After.  */
 #define ADM_RETRY_MIN_S 1
 #define ADM_RETRY_MAX_S 60
-/* A worse class counts as the last.  */
+/* Number of classes; a rank beyond the last counts as the last.  */
 #define ADM_CLASSES_MAX 8u
 
 typedef struct adm adm_t;
 
-/* The queue's part of a request; lives inside the owner's request.  */
+/* A request in a queue; embedded in the owner's request.  */
 typedef struct
 {
   list_node_t node;
@@ -30,53 +32,54 @@
   const char *account; /* owned by the request */
   const char *service;
   unsigned class_rank;
-  double cost; /* expected, in tokens */
-  cfd_time_t since;
+  double cost;      /* expected, in tokens */
+  cfd_time_t since; /* when the request was queued first */
   cfd_time_t deadline;
-  int retry_after_s; /* set when it expires, as adm_enqueue does */
+  int retry_after_s; /* set by adm_expire */
 } adm_item_t;
 
 typedef struct
 {
   unsigned count;
-  unsigned class_rank; /* of the next to go, previous ageing */
-  cfd_time_t oldest;   /* when the oldest came */
-  double cost;         /* sum of the expected cost */
+  unsigned class_rank; /* of the next item, after ageing */
+  cfd_time_t oldest;   /* when the oldest item was queued */
+  double cost;         /* sum of the expected costs, in tokens */
 } adm_queue_info_t;
 
 adm_t *adm_new (void);
 void adm_free (adm_t *adm);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (adm_t, adm_free)
 
-/* Queues ITEM, whose members but the nodes the caller has set; false when the
-   account's queue holds QUEUE_MAX, with the seconds previous which asking
-   again makes sense.  */
+/* Adds ITEM to its queue; the caller has set all members except the nodes.
+   Returns false when the queue already holds QUEUE_MAX items, and sets
+   RETRY_AFTER_S to the time after which a retry makes sense.  */
 bool adm_enqueue (adm_t *adm, adm_item_t *item, unsigned queue_max,
                   cfd_time_t now, int *retry_after_s);
-/* Puts back an item that was taken but never started, in its old place.  */
+/* Puts an item that was dequeued but not started back in its old place, even
+   into a full queue.  */
 void adm_requeue (adm_t *adm, adm_item_t *item);
-/* Unlinks the next item of the queue, or NULL.  */
+/* Removes and returns the next item of the queue, or NULL.  */
 adm_item_t *adm_dequeue (adm_t *adm, const char *account, const char *service,
                          cfd_time_t now);
-/* The same of those items that MAY is_allowed.  */
+/* The same, limited to items for which IS_ALLOWED returns true.  */
 adm_item_t *adm_dequeue_allowed (
     adm_t *adm, const char *account, const char *service, cfd_time_t now,
     bool (*is_allowed) (void *user, const adm_item_t *item), void *user);
-/* Whether one waits that MAY is_allowed.  */
+/* Tells whether an item is waiting for which IS_ALLOWED returns true.  */
 bool adm_has_allowed (const adm_t *adm, const char *account,
                       const char *service,
                       bool (*is_allowed) (void *user, const adm_item_t *item),
                       void *user);
-/* Unlinks ITEM wherever it waits; harmless when it does not.  */
+/* Removes ITEM from its queue, if it is in one.  */
 void adm_remove (adm_t *adm, adm_item_t *item);
 void adm_get_queue_info (const adm_t *adm, const char *account,
                          const char *service, cfd_time_t now,
                          adm_queue_info_t *info);
-/* Unlinks each item whose deadline passed, tells when asking again makes sense
-   in its RETRY_AFTER_S, and hands it to GIVE_UP.  */
+/* Removes each item whose deadline has passed, sets its RETRY_AFTER_S and
+   passes it to GIVE_UP.  */
 void adm_expire (adm_t *adm, cfd_time_t now,
                  void (*give_up) (void *user, adm_item_t *item), void *user);
-/* The least deadline of all that wait, or CFD_TIME_NEVER.  */
+/* Returns the earliest deadline of all waiting items, or CFD_TIME_NEVER.  */
 cfd_time_t adm_next_deadline (const adm_t *adm);
 /* Calls VISIT for each queue with waiting items.  */
 void adm_for_each_queue (const adm_t *adm,
@@ -84,7 +87,7 @@
                                         const char *service),
                          void *user);
 unsigned adm_count_waiting (const adm_t *adm);
-/* Seconds until a new item of the account would likely start.  */
+/* Estimates the seconds until a new item of the account would start.  */
 int adm_estimate_retry_after_s (const adm_t *adm, const char *account,
                                 const char *service, cfd_time_t now);
 
--- a/libcoltsfootdrum/admit/test-adm.c
+++ b/libcoltsfootdrum/admit/test-adm.c
@@ -1,4 +1,5 @@
-/* Admission: order by class and age, bounds, deadlines, times to come back. */
+/* Tests of admission: order by class and age, bounds, deadlines, Retry-After.
+ */
 
 #include "admit/adm.h"
 
@@ -24,7 +25,8 @@
 static void
 test_order (void)
 {
-  /* Two items come at SINCE with their classes; which goes first at NOW.  */
+  /* Two items are queued at SINCE with their classes; FIRST is dequeued first
+     at NOW.  */
   static const struct
   {
     unsigned rank[2];
@@ -38,7 +40,7 @@
     { { 0, 1 },
       { 14000, 0 },
       ADM_AGEING_INTERVAL_MS,
-      1 }, /* aged: as good and older */
+      1 }, /* aged to the same class, and older */
     { { 0, 2 },
       { 16000, 0 },
       ADM_AGEING_INTERVAL_MS + 1000,
@@ -46,7 +48,7 @@
     { { 0, 99 },
       { 1, 0 },
       1000 * ADM_AGEING_INTERVAL_MS,
-      1 }, /* never starves */
+      1 }, /* no starvation */
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -70,7 +72,7 @@
 static void
 test_full_queue_and_requeue (void)
 {
-  /* A full queue refuses at once; a request that an agent did not start gets
+  /* A full queue rejects at once; a request that an agent did not start gets
      its old place back even then.  */
   g_autoptr (adm_t) adm = adm_new ();
   adm_item_t items[3] = { make_item ("a", 0, 0), make_item ("a", 0, 1),
@@ -95,8 +97,8 @@
   return item != user;
 }
 
-/* The first in its place may not go to this agent: the next does, and the
-   first keeps its place for others.  */
+/* The first item is not allowed for this agent: the next is dequeued, and the
+   first keeps its place for other agents.  */
 static void
 test_allowed (void)
 {
@@ -175,9 +177,9 @@
   *(int *)user = item->retry_after_s;
 }
 
-/* The only request of an account expires: nothing was taken all the time, and
-   nobody knows better than that.  With the pace of former dequeues that is
-   what counts.  */
+/* The only request of an account expires.  Retry-After must come from the time
+   in which nothing was dequeued, or from the mean interval between earlier
+   dequeues if that is longer.  */
 static void
 test_retry_after_expiry (void)
 {
@@ -218,7 +220,8 @@
 static void
 test_retry_after (void)
 {
-  /* WAITING items; TAKES of them go, one each GAP ms; then a pause.  */
+  /* WAITING items are queued; DEQUEUES of them leave, one each INTERVAL_MS;
+     then a pause.  */
   static const struct
   {
     unsigned waiting;
@@ -231,7 +234,7 @@
     { 10, 0, 0, 0, ADM_RETRY_MIN_S, ADM_RETRY_MIN_S },
     { 20, 10, 500, 0, 5, 5 },
     { 20, 10, 10, 0, ADM_RETRY_MIN_S, ADM_RETRY_MIN_S },
-    { 20, 10, 500, 2000, 20, 20 }, /* it stopped draining */
+    { 20, 10, 500, 2000, 20, 20 }, /* the queue stopped draining */
     { 20, 0, 0, 100000, ADM_RETRY_MAX_S, ADM_RETRY_MAX_S },
   };
 
