--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -34,8 +34,8 @@
 {
   uint64_t endpoint;
   unsigned active;
-  double unread;
-  double context;
+  double pending_prefill;
+  double context_tokens;
 } pal_load_t;
 
 struct pal
