--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -40,10 +40,8 @@
         continue;
       msgpack_pack_uint64 (packer, edp->hash);
       msgpack_pack_uint32 (packer, edp->active);
-      msgpack_pack_uint64 (packer,
-                           (uint64_t)(edp->pending_prefill / UNREAD_UNIT));
-      msgpack_pack_uint64 (packer,
-                           (uint64_t)(edp->context_tokens / CONTEXT_UNIT));
+      msgpack_pack_uint64 (packer, (uint64_t)(edp->unread / UNREAD_UNIT));
+      msgpack_pack_uint64 (packer, (uint64_t)(edp->context / CONTEXT_UNIT));
       edp->changed = false;
     }
 }
--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -34,8 +34,8 @@
 {
   uint64_t endpoint;
   unsigned active;
-  double pending_prefill;
-  double context_tokens;
+  double unread;
+  double context;
 } pal_load_t;
 
 struct pal
--- a/libcoltsfootdrum/relay/pal-take.c
+++ b/libcoltsfootdrum/relay/pal-take.c
@@ -130,8 +130,8 @@
 add_load (edp_t *edp, const pal_load_t *load, int sign)
 {
   edp->peer_active += (unsigned)sign * load->active;
-  edp->peer_pending_prefill += sign * load->pending_prefill;
-  edp->peer_context_tokens += sign * load->context_tokens;
+  edp->peer_pending_prefill += sign * load->unread;
+  edp->peer_context_tokens += sign * load->context;
 }
 
 static void
@@ -201,8 +201,8 @@
 
   load->endpoint = row[0].via.u64;
   load->active = (unsigned)row[1].via.u64;
-  load->pending_prefill = (double)row[2].via.u64 * UNREAD_UNIT;
-  load->context_tokens = (double)row[3].via.u64 * CONTEXT_UNIT;
+  load->unread = (double)row[2].via.u64 * UNREAD_UNIT;
+  load->context = (double)row[3].via.u64 * CONTEXT_UNIT;
   old = g_hash_table_lookup (peer->loads, &load->endpoint);
   if (old != NULL)
     count_load (pal, old, -1);
--- a/libcoltsfootdrum/relay/test-pal.c
+++ b/libcoltsfootdrum/relay/test-pal.c
@@ -67,13 +67,13 @@
 }
 
 static void
-set_load (side_t *side, unsigned active, double pending_prefill)
+set_load (side_t *side, unsigned active, double unread)
 {
   edp_t *edp = endpoint_of (side);
 
   edp->active = active;
-  edp->pending_prefill = pending_prefill;
-  edp->context_tokens = pending_prefill * 2.;
+  edp->unread = unread;
+  edp->context = unread * 2.;
   edp->changed = true;
 }
 
@@ -174,7 +174,7 @@
   list_two (&one);
   there = edp_set_find (one.endpoints, "e2");
   there->active = 5;
-  there->pending_prefill = 300.;
+  there->unread = 300.;
   tell (&one, &here, NOW, true);
   list_two (&here);
   edp = edp_set_find (here.endpoints, "e2");
@@ -182,7 +182,7 @@
   g_assert_cmpuint (edp->peer_active, ==, 5);
   g_assert_cmpfloat (edp->peer_pending_prefill, ==, 300.);
   there->active = 2;
-  there->pending_prefill = 0.;
+  there->unread = 0.;
   there->changed = true;
   tell (&one, &here, NOW, false);
   g_assert_cmpuint (edp->peer_active, ==, 2);
