--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -101,8 +101,7 @@
       const ret_update_t *one = &g_array_index (updates, ret_update_t, i);
 
       msgpack_pack_uint64 (packer, one->key);
-      msgpack_pack_uint64 (packer,
-                           (uint64_t)MAX (now - one->first_attempt, 0));
+      msgpack_pack_uint64 (packer, (uint64_t)MAX (now - one->asked, 0));
       msgpack_pack_uint64 (packer, (uint64_t)MAX (one->retry_at - now, 0));
       pal->refusals_told = one->number;
     }
