--- a/libcoltsfootdrum/dispatch/pick.c
+++ b/libcoltsfootdrum/dispatch/pick.c
@@ -165,16 +165,16 @@
 pick_complete_grant (pick_t *pick, uint64_t grant_id, cfd_time_t now)
 {
   grant_t *grant = g_hash_table_lookup (pick->grants, &grant_id);
-  bool alive;
+  bool is_valid;
 
   if (grant == NULL)
     return false;
-  alive = now < grant->expires;
-  if (alive)
+  is_valid = now < grant->expires;
+  if (is_valid)
     update_round_trip (pick, grant, now);
   release_grant (pick, grant);
   g_hash_table_remove (pick->grants, &grant_id);
-  return alive;
+  return is_valid;
 }
 
 static void
--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -261,11 +261,12 @@
 lim_confirm_warm_unstreamed (lim_t *lim, double token_interval_ms,
                              unsigned tokens, cfd_time_t now)
 {
-  double excess
+  double excess_ms
       = (token_interval_ms - lim->token_interval_average_ms) * tokens;
-  double cold_end = fmax (excess, 0) / (1 - 1 / COLD_INTERVAL_FACTOR);
+  double cold_end_ms = fmax (excess_ms, 0) / (1 - 1 / COLD_INTERVAL_FACTOR);
 
-  lim_confirm_warm (lim, token_interval_ms, now - (cfd_time_t)cold_end, now);
+  lim_confirm_warm (lim, token_interval_ms, now - (cfd_time_t)cold_end_ms,
+                    now);
 }
 
 /* Returns a value in [0, 1) from xorshift64*, which is good enough for
@@ -286,12 +287,13 @@
 eject (lim_t *lim, cfd_time_t now)
 {
   unsigned doublings = min_unsigned (lim->ejections, BACKOFF_DOUBLINGS_MAX);
-  double pause = fmin ((double)LIM_BACKOFF_BASE_MS * (1u << doublings),
-                       LIM_BACKOFF_MAX_MS);
+  double backoff_ms = fmin ((double)LIM_BACKOFF_BASE_MS * (1u << doublings),
+                            LIM_BACKOFF_MAX_MS);
 
   set_slots (lim, cold_slots (lim), LIM_EJECTED, now);
   lim->ejections++;
-  lim->ejected_until = now + (cfd_time_t)(pause * (0.5 + 0.5 * jitter (lim)));
+  lim->ejected_until
+      = now + (cfd_time_t)(backoff_ms * (0.5 + 0.5 * jitter (lim)));
 }
 
 void
