--- a/libcoltsfootdrum/dispatch/disp-entry.c
+++ b/libcoltsfootdrum/dispatch/disp-entry.c
@@ -134,8 +134,10 @@
   return fanout;
 }
 
-/* Doubles the reachable agents of work that no agent took.  An entry that is
-   being served keeps its fan-out, since it needed that many agents.  */
+/* Sets the number of agents that the work is announced to: at first one for
+   each request and at least DISP_INITIAL_AGENTS, then all in a small fleet, or
+   twice as many when no agent took it.  An entry that is being served keeps
+   its fan-out, since it needed that many agents.  */
 static void
 update_fanout (const service_t *service, entry_t *entry, cfd_time_t now)
 {
--- a/libcoltsfootdrum/dispatch/disp.h
+++ b/libcoltsfootdrum/dispatch/disp.h
@@ -9,10 +9,10 @@
    DISP_WIDEN_MS in which none of it was served.  Agents that are suspected to
    be unreachable (dispatch/reach.h) are notified too, but not counted.
 
-   The router tracks what each agent was told by an announcement or with the
-   answer to a grant (dispatch/view.h).  An agent is updated on an account only
-   when its view would make it choose wrongly or the entry would expire.  Other
-   changes of the numbers go out with the next refresh.  */
+   The router tracks what each agent was sent, by an announcement or with the
+   answer to a grant (dispatch/view.h).  An agent is sent an update on an
+   account only when its view would make it choose wrongly or the entry would
+   expire.  Other changes of the numbers go out with the next refresh.  */
 
 #ifndef DISPATCH_DISP_H
 #define DISPATCH_DISP_H
@@ -46,7 +46,7 @@
 /* Interval at which the views of the agents are checked.  */
 #define DISP_CHECK_INTERVAL_MS 250
 /* Least interval between corrections of an entry, which are sent as soon as an
-   account falls behind what the agents were told.  */
+   account falls behind the agents' views.  */
 #define DISP_CORRECTION_INTERVAL_MS 100
 /* Delay of a withdrawal, so that it shares a frame with others and with new
    work.  */
--- a/libcoltsfootdrum/dispatch/pick-updates.c
+++ b/libcoltsfootdrum/dispatch/pick-updates.c
@@ -66,6 +66,8 @@
   g_free (pick);
 }
 
+/* Returns the router named ID, added if it is new, and marks it as responsive:
+   it has just sent a message.  */
 static router_t *
 touch_router (pick_t *pick, const char *id)
 {
--- a/libcoltsfootdrum/dispatch/test-disp.c
+++ b/libcoltsfootdrum/dispatch/test-disp.c
@@ -183,10 +183,10 @@
 receives (disp_t *disp, const char *agent, cfd_time_t now)
 {
   received_t received = send_due (disp, now);
-  bool recipients = g_hash_table_contains (received.agents, agent);
+  bool is_recipient = g_hash_table_contains (received.agents, agent);
 
   g_hash_table_unref (received.agents);
-  return recipients;
+  return is_recipient;
 }
 
 static void
@@ -267,9 +267,9 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/disp/width", test_fanout);
+  g_test_add_func ("/disp/fanout", test_fanout);
   g_test_add_func ("/disp/served-does-not-widen", test_served_does_not_widen);
-  g_test_add_func ("/disp/quick", test_small_fleet_widens);
+  g_test_add_func ("/disp/small-fleet-widens", test_small_fleet_widens);
   g_test_add_func ("/disp/withdrawal", test_withdrawal);
   g_test_add_func ("/disp/link-restored", test_link_restored);
   g_test_add_func ("/disp/new-agent", test_new_agent);
--- a/libcoltsfootdrum/dispatch/test-pick.c
+++ b/libcoltsfootdrum/dispatch/test-pick.c
@@ -139,7 +139,7 @@
 static const overdue_case_t overdue_cases[] = {
   { "in time", 0, 0, PICK_ANSWER_TIMEOUT_MS - 1, "r1", 1 },
   { "overdue", 0, 0, PICK_ANSWER_TIMEOUT_MS, "r2", 0 },
-  { "dead", 0, 0, PICK_GRANT_LIFETIME_MS + 1, "r2", 0 },
+  { "expired", 0, 0, PICK_GRANT_LIFETIME_MS + 1, "r2", 0 },
   { "message", 0, 150, PICK_ANSWER_TIMEOUT_MS, "r1", 1 },
   { "late message", 0, PICK_ANSWER_TIMEOUT_MS + 1, PICK_ANSWER_TIMEOUT_MS + 2,
     "r1", 1 },
--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -71,6 +71,7 @@
     lim->last_change = now;
 }
 
+/* Marks a model endpoint whose last good interval is too old.  */
 static void
 mark_unconfirmed (lim_t *lim, cfd_time_t now)
 {
@@ -133,6 +134,8 @@
       = *average <= 0 ? value : *average + AVERAGE_WEIGHT * (value - *average);
 }
 
+/* Cuts the limit, at most once in LIM_CUT_INTERVAL_MS and not below the cold
+   start's load.  */
 static void
 cut_back (lim_t *lim, cfd_time_t now)
 {
@@ -148,6 +151,7 @@
   set_slots (lim, slots > cold ? slots : cold, LIM_RAMPING, now);
 }
 
+/* Counts a good completion; grows the limit by one slot after a full round. */
 static void
 grow (lim_t *lim, cfd_time_t now)
 {
@@ -168,8 +172,8 @@
     lim->state = LIM_WARM;
 }
 
-/* A request begun at STARTED previous_slots served: resets the failures unless
-   one is newer.  */
+/* Resets the failures after a request begun at STARTED was served, unless one
+   is newer.  */
 static void
 reset_failures (lim_t *lim, cfd_time_t started, cfd_time_t now)
 {
--- a/libcoltsfootdrum/share/test-share.c
+++ b/libcoltsfootdrum/share/test-share.c
@@ -443,6 +443,6 @@
   g_test_add_func ("/share/late", test_home_late);
   g_test_add_func ("/share/floor-is-greatest-of-recent",
                    test_floor_is_greatest_of_recent);
-  g_test_add_func ("/share/forget", test_expiry);
+  g_test_add_func ("/share/expiry", test_expiry);
   return g_test_run ();
 }
