--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -82,7 +82,7 @@
 static void
 claim_refused (request_t *request, const once_claim_result_t *answer)
 {
-  switch (answer->verdict)
+  switch (answer->claim_status)
     {
     case ONCE_FINISHED:
       answer_replay (request, answer);
@@ -130,8 +130,8 @@
       return;
     }
   router_note (request->router, TL_CLAIM, request,
-               answer->verdict == ONCE_CLAIMED ? "made" : "not ours");
-  if (answer->verdict == ONCE_CLAIMED)
+               answer->claim_status == ONCE_CLAIMED ? "made" : "not ours");
+  if (answer->claim_status == ONCE_CLAIMED)
     {
       request->claimed = true;
       request->kept = g_byte_array_new ();
@@ -230,11 +230,11 @@
 void
 claim_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_options_t setup = { .kept_s = settings->claims_kept_s,
+  const sweep_options_t setup = { .retention_s = settings->claims_kept_s,
                                   .calls = (unsigned)settings->claim_calls,
                                   .routers = sweep_routers,
-                                  .keeps_ages = sweep_keeps_ages,
-                                  .is_held = sweep_is_held,
+                                  .is_age_writer = sweep_keeps_ages,
+                                  .is_claim_running = sweep_is_held,
                                   .user = router };
 
   once_set_retention_s (router->once, settings->claims_kept_s);
