--- a/libcoltsfootdrum/admit/test-adm.c
+++ b/libcoltsfootdrum/admit/test-adm.c
@@ -1,5 +1,5 @@
-/* Tests of admission: order by class and age, bounds, deadlines, Retry-After.
- */
+/* Tests of admission: order by class and age, bounds, deadlines and
+   Retry-After.  */
 
 #include "admit/adm.h"
 
@@ -172,7 +172,7 @@
 }
 
 static void
-store_retry (void *user, adm_item_t *item)
+store_retry_after (void *user, adm_item_t *item)
 {
   *(int *)user = item->retry_after_s;
 }
@@ -212,7 +212,7 @@
       for (unsigned j = 0; j < dequeues; j++)
         g_assert_true (adm_dequeue (adm, "a", "draft", 500 * (j + 1))
                        == &items[j]);
-      adm_expire (adm, end, store_retry, &retry_after);
+      adm_expire (adm, end, store_retry_after, &retry_after);
       g_assert_cmpint (retry_after, ==, cases[i].retry_after);
     }
 }
@@ -227,9 +227,9 @@
     unsigned waiting;
     unsigned dequeues;
     cfd_time_t interval_ms;
-    cfd_time_t pause;
-    int least;
-    int most;
+    cfd_time_t pause_ms;
+    int expected_min;
+    int expected_max;
   } cases[] = {
     { 10, 0, 0, 0, ADM_RETRY_MIN_S, ADM_RETRY_MIN_S },
     { 20, 10, 500, 0, 5, 5 },
@@ -256,9 +256,9 @@
           adm_dequeue (adm, "a", "draft", now);
         }
       retry_after = adm_estimate_retry_after_s (adm, "a", "draft",
-                                                now + cases[i].pause);
-      g_assert_cmpint (retry_after, >=, cases[i].least);
-      g_assert_cmpint (retry_after, <=, cases[i].most);
+                                                now + cases[i].pause_ms);
+      g_assert_cmpint (retry_after, >=, cases[i].expected_min);
+      g_assert_cmpint (retry_after, <=, cases[i].expected_max);
     }
 }
 
--- a/libcoltsfootdrum/dispatch/disp.c
+++ b/libcoltsfootdrum/dispatch/disp.c
@@ -289,7 +289,7 @@
     disp_entry_record_answer (service, entry, agent, left, now);
 }
 
-/* Calls ACT for the agent NAME in each service that lists it.  */
+/* Calls CALLBACK for the agent NAME in each service that lists it.  */
 static void
 for_each_agent_named (disp_t *disp, const char *name,
                       void (*callback) (disp_t *disp, service_t *service,
--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -87,7 +87,7 @@
   unsigned slots;
 
   if (lim->state == LIM_EJECTED)
-    /* One probe, not all the work that previous_slots waiting.  */
+    /* One probe, not all the work that was waiting.  */
     return now >= lim->ejected_until && busy == 0 && lim->settings.max > 0;
   if (now < lim->paused_until)
     return 0;
--- a/libcoltsfootdrum/share/test-home.c
+++ b/libcoltsfootdrum/share/test-home.c
@@ -22,10 +22,10 @@
 static double
 get_answered_vt (home_t *home, cfd_time_t now)
 {
-  double time = NAN;
+  double vt = NAN;
 
-  home_emit_due (home, now, store_vt, &time);
-  return time;
+  home_emit_due (home, now, store_vt, &vt);
+  return vt;
 }
 
 typedef struct
--- a/libcoltsfootdrum/share/test-share.c
+++ b/libcoltsfootdrum/share/test-share.c
@@ -246,10 +246,10 @@
 static void
 change_home (net_t *net, home_t **other, gboolean is_new)
 {
-  home_t *former = net->home;
+  home_t *previous = net->home;
 
   net->home = *other;
-  *other = former;
+  *other = previous;
   if (!is_new)
     return;
   home_free (net->home);
@@ -353,7 +353,7 @@
 static void
 test_home_late (void)
 {
-  double moved = 0;
+  double vt_change = 0;
   cfd_time_t now = 0;
   net_t net;
 
@@ -372,16 +372,16 @@
   double before = vt (&net, 0);
   double lone = share_get_virtual_time (net.shares[0], "lone", "draft");
 
-  share_set_home_late (net.shares[0], HOME + 1, true, add_tokens, &moved);
+  share_set_home_late (net.shares[0], HOME + 1, true, add_tokens, &vt_change);
   share_charge (net.shares[0], "acme", "draft", 30, 1, now);
   share_charge (net.shares[0], "lone", "draft", 30, 1, now);
   assert_near (vt (&net, 0), before + 30);
-  share_set_home_late (net.shares[0], HOME, true, add_tokens, &moved);
+  share_set_home_late (net.shares[0], HOME, true, add_tokens, &vt_change);
   assert_near (vt (&net, 0), before + 90);
-  assert_near (moved, 60);
-  share_set_home_late (net.shares[0], HOME, false, add_tokens, &moved);
-  assert_near (moved, 0);
-  share_set_home_late (net.shares[0], HOME, true, add_tokens, &moved);
+  assert_near (vt_change, 60);
+  share_set_home_late (net.shares[0], HOME, false, add_tokens, &vt_change);
+  assert_near (vt_change, 0);
+  share_set_home_late (net.shares[0], HOME, true, add_tokens, &vt_change);
   assert_near (share_get_virtual_time (net.shares[0], "lone", "draft"),
                lone + 30);
   net_deliver_all (&net, now + 1);
@@ -393,8 +393,9 @@
 test_floor_is_greatest_of_recent (void)
 {
   /* Most grants bring the virtual time of the accounts that wait; one for an
-     account that asks for little brings a far lower one.  The floor stays with
-     the former, and falls when all grants are lower, as after a partition.  */
+     account that asks for little brings a far lower one.  The floor must stay
+     with those that wait, and fall when all grants are lower, as after a
+     partition.  */
   g_autoptr (share_t) share = share_new ();
 
   share_record_floor (share, "draft", 500, 1000);
