--- a/libcoltsfootdrum/dispatch/order.c
+++ b/libcoltsfootdrum/dispatch/order.c
@@ -1,33 +1,33 @@
 #include "dispatch/order.h"
 
 order_t
-order_draw (GRand *random)
+order_create (GRand *random)
 {
   guint32 start = g_rand_int (random);
 
-  return (order_t){ .start = start, .drawn = g_rand_int (random) };
+  return (order_t){ .start = start, .step_seed = g_rand_int (random) };
 }
 
 static unsigned
-common_divisor (unsigned a, unsigned b)
+greatest_common_divisor (unsigned a, unsigned b)
 {
-  return b == 0 ? a : common_divisor (b, a % b);
+  return b == 0 ? a : greatest_common_divisor (b, a % b);
 }
 
-/* A step that shares no divisor with COUNT visits each place once.  */
+/* A step that is coprime to COUNT visits each index once.  */
 void
-order_fit (order_t *order, unsigned count)
+order_set_count (order_t *order, unsigned count)
 {
   order->count = count;
   if (count == 0)
     return;
-  order->step = 1 + order->drawn % count;
-  while (common_divisor (order->step, count) != 1)
+  order->step = 1 + order->step_seed % count;
+  while (greatest_common_divisor (order->step, count) != 1)
     order->step++;
 }
 
 unsigned
-order_at (const order_t *order, unsigned rank)
+order_index_at (const order_t *order, unsigned rank)
 {
   return (unsigned)((order->start + (guint64)rank * order->step)
                     % order->count);
--- a/libcoltsfootdrum/limits/test-lim.c
+++ b/libcoltsfootdrum/limits/test-lim.c
@@ -1,4 +1,4 @@
-/* The limit of requests at an endpoint: cold start, growth, cut-backs and
+/* Tests of the concurrency limit of an endpoint: cold start, growth, cuts and
    ejection.  */
 
 #include "limits/lim.h"
@@ -6,11 +6,11 @@
 
 static const lim_settings_t settings = { 8, 2, 1400, 32 };
 
-/* Runs ROUNDS full rounds of good work; returns the time after them.  */
+/* Runs full rounds of good work; returns the time after them.  */
 static cfd_time_t
-warm_up (lim_t *lim, unsigned rounds, cfd_time_t now)
+run_warm_up (lim_t *lim, unsigned full_rounds, cfd_time_t now)
 {
-  for (unsigned round = 0; round < rounds; round++)
+  for (unsigned round = 0; round < full_rounds; round++)
     {
       unsigned slots = lim->slots;
 
@@ -25,7 +25,7 @@
 static const struct
 {
   const char *name;
-  unsigned rounds;
+  unsigned full_rounds;
   double first_token;
   double interval;
   unsigned slots;
@@ -42,7 +42,7 @@
 };
 
 static void
-test_table (void)
+test_growth_and_cuts (void)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -50,7 +50,7 @@
       cfd_time_t now;
 
       lim_init (&lim, &settings, 0);
-      now = warm_up (&lim, cases[i].rounds, 0);
+      now = run_warm_up (&lim, cases[i].full_rounds, 0);
       if (cases[i].first_token > 0)
         lim_record_completion (&lim, cases[i].first_token, cases[i].interval,
                                now, now);
@@ -60,7 +60,7 @@
     }
 }
 
-/* A round that never filled the slots proves nothing about one more.  */
+/* A round that never filled the slots is no evidence for one more.  */
 static void
 test_unused_does_not_grow (void)
 {
@@ -73,10 +73,10 @@
   g_assert_cmpuint (lim.slots, ==, 2);
 }
 
-/* Answers without token times say nothing of a model, and all of a plain
-   service.  */
+/* Responses without token times are no evidence for a model endpoint, but they
+   are all there is for a plain service.  */
 static void
-test_untimed (void)
+test_completions_without_times (void)
 {
   lim_settings_t plain = { 8, 2, 0, 0 };
   lim_t model_lim;
@@ -95,16 +95,16 @@
   g_assert_cmpuint (plain_lim.slots, ==, 3);
 }
 
-/* The endpoint may have turned cold while nothing was seen of it.  The limit
-   is back with the first good interval, and not with a bad one.  */
+/* The endpoint may have become cold while no token was observed.  The limit
+   must be restored by the first good interval, and not by a bad one.  */
 static void
-test_doubt (void)
+test_unconfirmed (void)
 {
   lim_t lim;
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   lim_confirm_warm (&lim, 20, now, now);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + LIM_CONFIRMATION_MS),
                     ==, 8);
@@ -117,42 +117,42 @@
   lim_confirm_warm (&lim, 20, now + 600, now + 600);
   g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 600), ==, 5);
 
-  /* Answers in one piece give no proof before they end.  */
+  /* Responses that are not streamed confirm only when they end.  */
   g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 1001), ==, 0);
   lim_confirm_warm_unstreamed (&lim, 20, 40, now + 1300);
   g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 1300), ==, 5);
 }
 
-/* An endpoint turns cold while answers in one piece run.  The mean of one that
-   ends then still looks good; its proof must not reach beyond the time in
-   which the endpoint was warm for certain.  */
+/* An endpoint becomes cold while responses run that are not streamed.  The
+   mean interval of one that ends then still looks good; it must not confirm
+   beyond the time in which the endpoint was certainly warm.  */
 static void
-test_whole_hides_cold_end (void)
+test_unstreamed_cold_end (void)
 {
   lim_t lim;
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   (void)lim_count_free_slots (&lim, 0, now);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1000), ==, 2);
-  /* 20 tokens at the usual 20 ms, then 3 at 70: 610 ms for 23.  */
+  /* 20 tokens at the average of 20 ms, then 3 at 70 ms: 610 ms for 23.  */
   lim_confirm_warm_unstreamed (&lim, 610.0 / 23, 23, now + 1610);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1610), ==, 8);
   g_assert_cmpuint (
       lim_count_free_slots (&lim, 0, now + 1400 + LIM_CONFIRMATION_MS), ==, 2);
 }
 
-/* All requests that run when the endpoint gets slow tell it; the limit is cut
-   once, not once for each.  */
+/* All running requests show that the endpoint became slow; the limit must be
+   cut once, not once for each.  */
 static void
-test_one_cut_a_burst (void)
+test_one_cut_per_burst (void)
 {
   lim_t lim;
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   for (int i = 0; i < 8; i++)
     lim_check_token_interval (&lim, 45, now + i);
   g_assert_cmpuint (lim.slots, ==, 5);
@@ -160,8 +160,8 @@
   g_assert_cmpuint (lim.slots, ==, 3);
 }
 
-/* A first token that stays out shows a cold endpoint before any request
-   completes.  */
+/* An overdue first token shows a cold endpoint before any request completes.
+ */
 static void
 test_overdue_first_token (void)
 {
@@ -169,7 +169,7 @@
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   lim_check_first_token (&lim, 1300, now);
   g_assert_cmpuint (lim.slots, ==, 8);
   lim_check_first_token (&lim, 1500, now);
@@ -192,7 +192,7 @@
   first = lim.ejected_until - 100;
   g_assert_cmpint (first, >=, LIM_BACKOFF_BASE_MS / 2);
   g_assert_cmpuint (lim_count_free_slots (&lim, 0, 101), ==, 0);
-  /* What ran before fails later, and does not lengthen the backoff.  */
+  /* What ran before fails later and does not lengthen the backoff.  */
   lim_record_failure (&lim, 101);
   g_assert_cmpint (lim.ejected_until, ==, 100 + first);
 
@@ -207,12 +207,12 @@
                     settings.cold);
 }
 
-/* An endpoint turns all new work away, and ends between its refusals what it
-   took before.  Callers would see each new request turned away there until the
-   last old one is over.  Only work begun after a failure shows that it serves
-   again.  */
+/* An endpoint rejects all new work, and between its refusals completes what it
+   accepted before.  If that reset the failures, each new request would be
+   rejected there until the last old one has ended.  Only work begun after a
+   failure shows that the endpoint serves again.  */
 static void
-test_old_work_is_no_cure (void)
+test_old_completions_keep_failures (void)
 {
   lim_t lim;
 
@@ -232,9 +232,9 @@
   g_assert_cmpint (lim.state, ==, LIM_COLD);
 }
 
-/* A failing endpoint is left alone for a while, before it is ejected too.  */
+/* A failing endpoint gets no work for a while, also before it is ejected.  */
 static void
-test_pause (void)
+test_failure_pause (void)
 {
   lim_t lim;
 
@@ -259,7 +259,7 @@
   cfd_time_t now;
 
   lim_init (&lim, &settings, 0);
-  now = warm_up (&lim, 20, 0);
+  now = run_warm_up (&lim, 20, 0);
   lim_apply_settings (&lim, &smaller, now);
   g_assert_cmpuint (lim.slots, ==, 4);
   lim_apply_settings (&lim, &settings, now);
@@ -273,16 +273,17 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/lim/table", test_table);
+  g_test_add_func ("/lim/growth-and-cuts", test_growth_and_cuts);
   g_test_add_func ("/lim/unused-does-not-grow", test_unused_does_not_grow);
-  g_test_add_func ("/lim/untimed", test_untimed);
-  g_test_add_func ("/lim/doubt", test_doubt);
-  g_test_add_func ("/lim/whole-hides-cold-end", test_whole_hides_cold_end);
-  g_test_add_func ("/lim/one-cut-a-burst", test_one_cut_a_burst);
+  g_test_add_func ("/lim/untimed", test_completions_without_times);
+  g_test_add_func ("/lim/unconfirmed", test_unconfirmed);
+  g_test_add_func ("/lim/unstreamed-cold-end", test_unstreamed_cold_end);
+  g_test_add_func ("/lim/one-cut-a-burst", test_one_cut_per_burst);
   g_test_add_func ("/lim/overdue-first-token", test_overdue_first_token);
   g_test_add_func ("/lim/ejection", test_ejection);
-  g_test_add_func ("/lim/old-work-is-no-cure", test_old_work_is_no_cure);
-  g_test_add_func ("/lim/pause", test_pause);
+  g_test_add_func ("/lim/old-completions-keep-failures",
+                   test_old_completions_keep_failures);
+  g_test_add_func ("/lim/pause", test_failure_pause);
   g_test_add_func ("/lim/settings", test_settings);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/share/test-home.c
+++ b/libcoltsfootdrum/share/test-home.c
@@ -1,4 +1,4 @@
-/* A home's own decisions: what it takes over, counts, and bounds.  */
+/* Tests of a home: what it inherits, counts and bounds.  */
 
 #include "share/share.h"
 
@@ -13,19 +13,19 @@
 }
 
 static void
-keep_time (void *user, const char *router, const msg_share_entry_t *entry)
+store_vt (void *user, const char *router, const msg_share_entry_t *entry)
 {
   *(double *)user = entry->virtual_time;
 }
 
-/* The virtual time that HOME now tells of its only account.  */
+/* Returns the virtual time that HOME now answers for its only account.  */
 static double
-told (home_t *home, cfd_time_t now)
+get_answered_vt (home_t *home, cfd_time_t now)
 {
-  double time = NAN;
+  double vt = NAN;
 
-  home_emit_due (home, now, keep_time, &time);
-  return time;
+  home_emit_due (home, now, store_vt, &vt);
+  return vt;
 }
 
 typedef struct
@@ -42,27 +42,27 @@
   }
 
 static const rebuild_case_t rebuild_cases[] = {
-  { "what the former home had not counted is added once each",
+  { "what the previous home had not counted is added once each",
     { REPORT (150, 100, 300, -INFINITY), REPORT (120, 100, 300, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
     370 },
-  { "a charge taken back stays so",
+  { "a refund is kept",
     { REPORT (94, 100, 300, -INFINITY), REPORT (100, 100, 300, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
     294 },
-  { "the newest word of the former home counts",
+  { "the newest answer of the previous home counts",
     { REPORT (110, 100, 300, -INFINITY), REPORT (100, 100, 305, -INFINITY),
       REPORT (100, 100, 290, -INFINITY) },
     315 },
-  { "an account at work is not idle for its new home",
+  { "a backlogged account is not idle for its new home",
     { REPORT (100, 100, 300, 900), REPORT (100, 100, 300, 900),
       REPORT (100, 100, 300, 900) },
     300 },
-  { "what was forgiven is not brought back by the next word",
+  { "what was lowered is not restored by the next report",
     { REPORT (5100, 100, 300, 250), REPORT (100, 100, 305, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
     255 + SHARE_WINDOW_MIN_TOKENS },
-  { "a restarted router adds what it gave since",
+  { "a restarted router adds what it charged since",
     { REPORT (5, 0, 0, 290), REPORT (100, 100, 300, 290),
       REPORT (100, 100, 300, 290) },
     305 },
@@ -76,7 +76,7 @@
   g_autoptr (home_t) home = home_new ();
   for (unsigned i = 0; i < 3; i++)
     home_apply_report (home, routers[i], 1, &c->reports[i], 10000 + i);
-  assert_near (told (home, 10010), c->vt);
+  assert_near (get_answered_vt (home, 10010), c->vt);
 }
 
 typedef struct
@@ -85,30 +85,31 @@
   double vt_before;
   double floor;
   cfd_time_t idle_ms;
-  bool says_idle; /* its router did, at once */
+  bool reports_idle; /* its router reported that, at once */
   double vt_after;
-} bound_case_t;
+} clamp_case_t;
 
-static const bound_case_t bound_cases[] = {
-  { "idle below the floor is lifted", 100, 900, SHARE_IDLE_MS + 1, true, 900 },
-  { "silence is no idleness", 100, 900, SHARE_IDLE_MS + 1, false, 100 },
-  { "a short gap is no idleness", 100, 900, SHARE_IDLE_MS / 2, true, 100 },
+static const clamp_case_t clamp_cases[] = {
+  { "idle below the floor is raised", 100, 900, SHARE_IDLE_MS + 1, true, 900 },
+  { "missing reports do not mean idle", 100, 900, SHARE_IDLE_MS + 1, false,
+    100 },
+  { "a short gap does not mean idle", 100, 900, SHARE_IDLE_MS / 2, true, 100 },
   { "ahead of the floor stays", 1200, 900, SHARE_IDLE_MS + 1, true, 1200 },
   { "debt is bounded", SHARE_WINDOW_MIN_TOKENS + 5000, 900, 100, false,
     SHARE_WINDOW_MIN_TOKENS + 900 },
   { "credit is bounded", 100, SHARE_WINDOW_MIN_TOKENS + 5000, 100, false,
     5000 },
-  { "an old floor gives nothing back", 100, -INFINITY, 100, false, 100 },
-  { "an old floor clamps nothing", SHARE_WINDOW_MIN_TOKENS + 5000, -INFINITY,
-    100, false, SHARE_WINDOW_MIN_TOKENS + 5000 },
+  { "an outdated floor does not raise", 100, -INFINITY, 100, false, 100 },
+  { "an outdated floor does not lower", SHARE_WINDOW_MIN_TOKENS + 5000,
+    -INFINITY, 100, false, SHARE_WINDOW_MIN_TOKENS + 5000 },
 };
 
 static void
-test_bounds (void)
+test_clamping (void)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (bound_cases); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (clamp_cases); i++)
     {
-      const bound_case_t *c = &bound_cases[i];
+      const clamp_case_t *c = &clamp_cases[i];
       g_autoptr (home_t) home = home_new ();
       msg_report_entry_t entry = { .account = "acme",
                                    .service = "draft",
@@ -122,24 +123,24 @@
       home_apply_report (home, "r0", 1, &entry, now);
       entry.sequence++;
       entry.backlogged = false;
-      if (c->says_idle)
+      if (c->reports_idle)
         home_apply_report (home, "r0", 1, &entry, now);
       now += c->idle_ms;
       entry.sequence++;
       entry.backlogged = true;
       entry.floor = c->floor;
       home_apply_report (home, "r0", 1, &entry, now);
-      assert_near (told (home, now), c->vt_after);
+      assert_near (get_answered_vt (home, now), c->vt_after);
     }
 }
 
 static void
 test_window_follows_charges (void)
 {
-  /* One request of an account costs more than the window.  It is charged in
-     whole: else each such request would cost the window only.  What a router
-     in hearing adds widens the window; what comes after a silence does not,
-     for it is all that a side of a partition gave.  */
+  /* One request of an account costs more than the window.  It must be charged
+     in full, or each such request would cost no more than the window.  What a
+     regular report adds widens the window; a report after a silence does not,
+     since it brings all that one side of a partition charged.  */
   static const struct
   {
     cfd_time_t silence_ms;
@@ -162,21 +163,21 @@
       entry.sequence = 2;
       entry.charged = 7000;
       home_apply_report (home, "r0", 1, &entry, 10000 + cases[i].silence_ms);
-      assert_near (told (home, 20000), cases[i].vt);
+      assert_near (get_answered_vt (home, 20000), cases[i].vt);
     }
 }
 
-/* Both sides of a partition have a home for an account that has work on each.
-   After the rejoin the routers of the second side report to the first home
-   again.  It adds once what they gave meanwhile, also what the other home has
-   acknowledged; where it has forgotten them, the greater of both sides counts
-   and nothing twice.  */
+/* An account has work on both sides of a partition and a home on each.  After
+   the rejoin the routers of the second side report to the first home again.
+   It must add what they charged meanwhile once, also what the other home has
+   acknowledged.  If it has removed their counters, the greater of both sides
+   counts, and nothing twice.  */
 static void
-test_both_sides (void)
+test_partition_rejoined (void)
 {
   static const struct
   {
-    cfd_time_t apart_ms;
+    cfd_time_t partition_ms;
     double vt;
   } cases[] = { { 10000, 100 + 70 + 40 + 5 },
                 { SHARE_HOME_EXPIRY_MS + 10000, 100 + 70 + 5 } };
@@ -191,39 +192,40 @@
                                    .floor = -INFINITY,
                                    .backlogged = true };
       msg_report_entry_t second = first;
-      cfd_time_t joined = 10000 + cases[i].apart_ms;
+      cfd_time_t rejoined = 10000 + cases[i].partition_ms;
 
       second.charged = 40;
       home_apply_report (home, "r0", 1, &first, 10000);
       home_apply_report (home, "r1", 2, &second, 10000);
       first.sequence = 2;
       first.charged += 70;
-      home_apply_report (home, "r0", 1, &first, joined - 1);
-      home_expire (home, joined);
+      home_apply_report (home, "r0", 1, &first, rejoined - 1);
+      home_expire (home, rejoined);
       second.sequence = 9;
       second.charged += 40 + 5;
       second.acked = 80;
       second.last_vt = 140;
-      home_apply_report (home, "r1", 2, &second, joined);
-      assert_near (told (home, joined), cases[i].vt);
+      home_apply_report (home, "r1", 2, &second, rejoined);
+      assert_near (get_answered_vt (home, rejoined), cases[i].vt);
     }
 }
 
-/* A home freezes for 5 s while three routers give its account what is due, by
-   another home's word, and hears all three when it wakes.  What they tell adds
-   up.  Were the account taken for idle, or its credit bounded, at the first
-   word, the other two would come on top of that, and its callers would wait
-   for what they never got.  Soon after, the window holds again.  */
+/* A home freezes for 5 s while three routers serve its account with the
+   answers of another home, and receives the reports of all three when it
+   resumes.  They must add up.  If the first report raised the account as idle
+   or bounded its credit, the other two would come on top of that, and its
+   callers would wait for service they never got.  Soon after, the window
+   applies again.  */
 static void
-test_woken (void)
+test_home_resumes (void)
 {
   static const char *const routers[] = { "r0", "r1", "r2" };
-  static const double parts[] = { 400, 2400 };
+  static const double charges[] = { 400, 2400 };
 
-  for (unsigned row = 0; row < G_N_ELEMENTS (parts); row++)
+  for (unsigned row = 0; row < G_N_ELEMENTS (charges); row++)
     {
       g_autoptr (home_t) home = home_new ();
-      double floor = 3 * parts[row];
+      double floor = 3 * charges[row];
       msg_report_entry_t entry = { .account = "acme",
                                    .service = "draft",
                                    .sequence = 1,
@@ -233,15 +235,15 @@
       for (unsigned i = 0; i < 3; i++)
         home_apply_report (home, routers[i], 1, &entry, 10000);
       entry.sequence++;
-      entry.charged = parts[row];
+      entry.charged = charges[row];
       entry.floor = floor;
       for (unsigned i = 0; i < 3; i++)
         home_apply_report (home, routers[i], 1, &entry, 15000 + i);
-      assert_near (told (home, 15010), floor);
+      assert_near (get_answered_vt (home, 15010), floor);
       entry.sequence++;
       entry.floor = floor + SHARE_WINDOW_MIN_TOKENS + 500;
       home_apply_report (home, "r0", 1, &entry, 16000);
-      assert_near (told (home, 16000), floor + 500);
+      assert_near (get_answered_vt (home, 16000), floor + 500);
     }
 }
 
@@ -255,10 +257,10 @@
           = g_strconcat ("/home/rebuild/", rebuild_cases[i].name, NULL);
       g_test_add_data_func (path, &rebuild_cases[i], test_rebuild);
     }
-  g_test_add_func ("/home/bounds", test_bounds);
+  g_test_add_func ("/home/bounds", test_clamping);
   g_test_add_func ("/home/window-follows-charges",
                    test_window_follows_charges);
-  g_test_add_func ("/home/woken", test_woken);
-  g_test_add_func ("/home/both-sides", test_both_sides);
+  g_test_add_func ("/home/resumed", test_home_resumes);
+  g_test_add_func ("/home/both-sides", test_partition_rejoined);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/share/test-share.c
+++ b/libcoltsfootdrum/share/test-share.c
@@ -1,4 +1,4 @@
-/* Fair share: counters, homes and the virtual time they agree on.  */
+/* Tests of fair shares: counters, homes and the virtual time they agree on. */
 
 #include "share/share.h"
 
@@ -7,14 +7,14 @@
 #define ROUTERS 3
 #define TOLERANCE 1e-6
 
-/* A home with routers, and the frames on their way between them.  */
+/* A home, its routers and the messages in transit between them.  */
 typedef struct
 {
   home_t *home;
   share_t *shares[ROUTERS];
   GArray *reports; /* of report_t */
   GArray *answers; /* of answer_t */
-  unsigned from;
+  unsigned sender;
 } net_t;
 
 typedef struct
@@ -49,14 +49,14 @@
   g_array_unref (net->answers);
 }
 
-/* The only home there is.  */
+/* The number of the only home.  */
 #define HOME 1
 
 static uint64_t
 collect_report (void *user, const msg_report_entry_t *entry)
 {
   net_t *net = user;
-  report_t report = { net->from, *entry };
+  report_t report = { net->sender, *entry };
 
   g_array_append_val (net->reports, report);
   return HOME;
@@ -79,12 +79,12 @@
   home_apply_report (net->home, name, report->router + 1, &report->entry, now);
 }
 
-/* Everything due is delivered, once and in order.  */
+/* Delivers everything that is due, once and in order.  */
 static void
-net_settle (net_t *net, cfd_time_t now)
+net_deliver_all (net_t *net, cfd_time_t now)
 {
-  for (net->from = 0; net->from < ROUTERS; net->from++)
-    share_emit_due (net->shares[net->from], now, collect_report, net);
+  for (net->sender = 0; net->sender < ROUTERS; net->sender++)
+    share_emit_due (net->shares[net->sender], now, collect_report, net);
   for (unsigned i = 0; i < net->reports->len; i++)
     deliver_report (net, &g_array_index (net->reports, report_t, i), now);
   g_array_set_size (net->reports, 0);
@@ -121,12 +121,12 @@
       share_set_backlogged (net.shares[i], "acme", "draft", true, 0);
       share_charge (net.shares[i], "acme", "draft", 100, 2, 0);
     }
-  net_settle (&net, 10);
-  net_settle (&net, 2000);
+  net_deliver_all (&net, 10);
+  net_deliver_all (&net, 2000);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), 150);
   share_charge (net.shares[0], "acme", "draft", -40, 2, 2000);
-  net_settle (&net, 2010);
+  net_deliver_all (&net, 2010);
   assert_near (vt (&net, 2), 130);
   net_clear (&net);
 }
@@ -134,10 +134,10 @@
 static void
 test_lossy_network (void)
 {
-  /* Reports and answers are lost, doubled and reordered at random while
-     service goes on.  Once the network is whole again, every router must know
-     the exact sum: reports are absolute, so a lost one is made good by the
-     next and a doubled one adds nothing.  */
+  /* Reports and answers are lost, duplicated and reordered at random while
+     service goes on.  Once the network works again, every router must know the
+     exact sum: reports are absolute, so the next one makes up for a lost one
+     and a duplicate adds nothing.  */
   g_autoptr (GRand) rand = g_rand_new_with_seed (20261202);
   double total = 0;
   cfd_time_t now = 0;
@@ -154,14 +154,14 @@
       now += 5;
       total += tokens;
       share_charge (net.shares[router], "acme", "draft", tokens, 1, now);
-      net.from = router;
+      net.sender = router;
       share_emit_due (net.shares[router], now, collect_report, &net);
       for (unsigned i = 0; i < 2 && net.reports->len > 0; i++)
         {
-          unsigned pick
+          unsigned chosen
               = (unsigned)g_rand_int_range (rand, 0, (gint32)net.reports->len);
 
-          deliver_report (&net, &g_array_index (net.reports, report_t, pick),
+          deliver_report (&net, &g_array_index (net.reports, report_t, chosen),
                           now);
         }
       if (net.reports->len > 8)
@@ -181,7 +181,7 @@
   g_array_set_size (net.reports, 0);
   g_array_set_size (net.answers, 0);
   for (unsigned i = 0; i < 3; i++)
-    net_settle (&net, now += SHARE_REFRESH_INTERVAL_MS);
+    net_deliver_all (&net, now += SHARE_REFRESH_INTERVAL_MS);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), total);
   net_clear (&net);
@@ -190,10 +190,10 @@
 static void
 test_new_home_is_rebuilt (void)
 {
-  /* The home dies and another router becomes home with nothing in memory.
-     The first reports bring the virtual time its predecessor had told, so
-     the account neither starts again at 0 (and overtakes everyone) nor is
-     charged twice.  */
+  /* The home fails and another router becomes home without any state.  The
+     first reports bring the virtual time that its predecessor had answered, so
+     the account neither starts again at 0, ahead of all others, nor is charged
+     twice.  */
   net_t net;
 
   net_init (&net);
@@ -202,13 +202,13 @@
       share_set_backlogged (net.shares[i], "acme", "draft", true, 0);
       share_charge (net.shares[i], "acme", "draft", 1000, 1, 0);
     }
-  net_settle (&net, 10);
-  net_settle (&net, 1100);
+  net_deliver_all (&net, 10);
+  net_deliver_all (&net, 1100);
   home_free (net.home);
   net.home = home_new ();
   share_charge (net.shares[1], "acme", "draft", 50, 1, 1200);
-  net_settle (&net, 2300);
-  net_settle (&net, 3400);
+  net_deliver_all (&net, 2300);
+  net_deliver_all (&net, 3400);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), 3050);
   net_clear (&net);
@@ -217,8 +217,8 @@
 static void
 test_restarted_router (void)
 {
-  /* A router restarts with empty counters under a new incarnation.  What its
-     former life gave out stays counted, and its small new counter must not
+  /* A router restarts with empty counters under a new incarnation.  What the
+     old incarnation charged stays counted, and the small new counter must not
      be taken for a huge refund.  */
   g_autoptr (home_t) home = home_new ();
   msg_report_entry_t old = { .account = "acme",
@@ -242,15 +242,14 @@
   g_array_unref (net.answers);
 }
 
-/* The other home takes over with what it knew, or else a new one with
-   nothing.  */
+/* Makes OTHER the home, with the state it had or as a new one without any.  */
 static void
 change_home (net_t *net, home_t **other, gboolean is_new)
 {
-  home_t *former = net->home;
+  home_t *previous = net->home;
 
   net->home = *other;
-  *other = former;
+  *other = previous;
   if (!is_new)
     return;
   home_free (net->home);
@@ -260,10 +259,10 @@
 static void
 test_moving_homes (void)
 {
-  /* Routers charge and take back at random while the home of the account
-     moves: to a home that knows nothing, or back to the one before, which
-     knows old counters.  Nothing is on its way at a change, so each home must
-     know the exact sum: a charge counts once, wherever it was reported.  */
+  /* Routers charge and refund at random while the home of the account moves,
+     to a home without state or back to the previous one with old counters.  No
+     message is in transit at a change, so each home must know the exact sum: a
+     charge counts once, wherever it was reported.  */
   g_autoptr (GRand) rand = g_rand_new_with_seed (20261203);
   home_t *other = home_new ();
   double total = 0;
@@ -283,9 +282,9 @@
       if (step % 20 == 19)
         change_home (&net, &other, g_rand_boolean (rand));
       now += SHARE_REFRESH_INTERVAL_MS;
-      net_settle (&net, now);
+      net_deliver_all (&net, now);
     }
-  net_settle (&net, now + SHARE_REFRESH_INTERVAL_MS);
+  net_deliver_all (&net, now + SHARE_REFRESH_INTERVAL_MS);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), total);
   home_free (other);
@@ -301,15 +300,15 @@
   return HOME;
 }
 
-/* What USER, a number, says is the home of all.  */
+/* Returns the number that USER points to as the home of each account.  */
 static uint64_t
-home_is (void *user, const char *account, const char *service)
+get_fixed_home (void *user, const char *account, const char *service)
 {
   return *(const uint64_t *)user;
 }
 
 static unsigned
-count_due (share_t *share, cfd_time_t now)
+count_due_reports (share_t *share, cfd_time_t now)
 {
   unsigned reports = 0;
 
@@ -317,42 +316,44 @@
   return reports;
 }
 
-/* An account's home dies while its work waits here and at other routers, and
-   its service changes seldom.  The next home hears at once of what was given
-   out here, not with the next change: until then its answers would lack that
-   part, and the caller would get it again.  What stays where it was, and what
-   has long been idle, is not told.  */
+/* An account's home fails while its work waits here and at other routers, and
+   its charges rarely change.  The next home must receive the counter of this
+   router at once and not with the next change: until then its answers would
+   lack that part, and the account would be given it again.  Accounts whose
+   home did not change, or that have long been idle, are not reported.  */
 static void
-test_moved (void)
+test_home_moved (void)
 {
   g_autoptr (share_t) share = share_new ();
   uint64_t home = HOME;
 
   share_set_backlogged (share, "acme", "draft", true, 1000);
   share_charge (share, "idle", "draft", 10, 1, 1);
-  g_assert_cmpuint (count_due (share, 1000), ==, 2);
-  share_mark_moved_due (share, 1500, home_is, &home);
-  g_assert_cmpuint (count_due (share, 1500), ==, 0);
+  g_assert_cmpuint (count_due_reports (share, 1000), ==, 2);
+  share_mark_moved_due (share, 1500, get_fixed_home, &home);
+  g_assert_cmpuint (count_due_reports (share, 1500), ==, 0);
   home++;
-  share_mark_moved_due (share, 1500, home_is, &home);
-  g_assert_cmpuint (count_due (share, 1500), ==, 1);
+  share_mark_moved_due (share, 1500, get_fixed_home, &home);
+  g_assert_cmpuint (count_due_reports (share, 1500), ==, 1);
 }
 
 static void
-add_up (void *user, const char *account, const char *service, double tokens)
+add_tokens (void *user, const char *account, const char *service,
+            double tokens)
 {
   *(double *)user += tokens;
 }
 
-/* Three routers give an account the same.  Its home goes silent, and each of
-   them knows but its own part: the callers of the account would get three
-   shares until it has another home.  While answers are late, a charge here
-   counts for the two others, and again for itself alone once one came.  An
-   account with work here alone counts as before.  What moves is told.  */
+/* Three routers serve an account equally.  Its home stops answering, so each
+   knows only its own part, and the account would be given three shares until
+   it has another home.  While answers are late, a charge here must count for
+   the two others too, and for itself alone again once an answer came.  An
+   account with work only here counts as before.  Changes of virtual time are
+   passed to the callback.  */
 static void
-test_late (void)
+test_home_late (void)
 {
-  double moved = 0;
+  double vt_change = 0;
   cfd_time_t now = 0;
   net_t net;
 
@@ -366,24 +367,24 @@
         }
       share_charge (net.shares[0], "lone", "draft", 10, 1, now);
       now += SHARE_REFRESH_INTERVAL_MS;
-      net_settle (&net, now);
+      net_deliver_all (&net, now);
     }
   double before = vt (&net, 0);
   double lone = share_get_virtual_time (net.shares[0], "lone", "draft");
 
-  share_set_home_late (net.shares[0], HOME + 1, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME + 1, true, add_tokens, &vt_change);
   share_charge (net.shares[0], "acme", "draft", 30, 1, now);
   share_charge (net.shares[0], "lone", "draft", 30, 1, now);
   assert_near (vt (&net, 0), before + 30);
-  share_set_home_late (net.shares[0], HOME, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME, true, add_tokens, &vt_change);
   assert_near (vt (&net, 0), before + 90);
-  assert_near (moved, 60);
-  share_set_home_late (net.shares[0], HOME, false, add_up, &moved);
-  assert_near (moved, 0);
-  share_set_home_late (net.shares[0], HOME, true, add_up, &moved);
+  assert_near (vt_change, 60);
+  share_set_home_late (net.shares[0], HOME, false, add_tokens, &vt_change);
+  assert_near (vt_change, 0);
+  share_set_home_late (net.shares[0], HOME, true, add_tokens, &vt_change);
   assert_near (share_get_virtual_time (net.shares[0], "lone", "draft"),
                lone + 30);
-  net_settle (&net, now + 1);
+  net_deliver_all (&net, now + 1);
   assert_near (vt (&net, 0), before + 30);
   net_clear (&net);
 }
@@ -391,9 +392,10 @@
 static void
 test_floor_is_greatest_of_recent (void)
 {
-  /* Most grants come at the virtual time of those that wait; one for an
-     account that asks for little comes far below.  The floor stays with the
-     former, and falls when all grants are lower, as after a partition.  */
+  /* Most grants bring the virtual time of the accounts that wait; one for an
+     account that asks for little brings a far lower one.  The floor must stay
+     with those that wait, and fall when all grants are lower, as after a
+     partition.  */
   g_autoptr (share_t) share = share_new ();
 
   share_record_floor (share, "draft", 500, 1000);
@@ -409,7 +411,7 @@
 }
 
 static void
-test_forget (void)
+test_expiry (void)
 {
   g_autoptr (share_t) share = share_new ();
   g_autoptr (home_t) home = home_new ();
@@ -438,10 +440,10 @@
   g_test_add_func ("/share/new-home-is-rebuilt", test_new_home_is_rebuilt);
   g_test_add_func ("/share/restarted-router", test_restarted_router);
   g_test_add_func ("/share/moving-homes", test_moving_homes);
-  g_test_add_func ("/share/moved", test_moved);
-  g_test_add_func ("/share/late", test_late);
+  g_test_add_func ("/share/moved", test_home_moved);
+  g_test_add_func ("/share/late", test_home_late);
   g_test_add_func ("/share/floor-is-greatest-of-recent",
                    test_floor_is_greatest_of_recent);
-  g_test_add_func ("/share/forget", test_forget);
+  g_test_add_func ("/share/expiry", test_expiry);
   return g_test_run ();
 }
