--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -38,26 +38,28 @@
     { "cfd_router_requests_total", NULL, c->requests },
     { "cfd_router_admitted_total", NULL, c->admitted },
     { "cfd_router_replayed_total", NULL, c->replayed },
-    { "cfd_router_refused_total", "reason=\"bad\"", c->refused[REFUSED_BAD] },
-    { "cfd_router_refused_total", "reason=\"key\"", c->refused[REFUSED_KEY] },
+    { "cfd_router_refused_total", "reason=\"bad\"",
+      c->refused[REFUSED_BAD_REQUEST] },
+    { "cfd_router_refused_total", "reason=\"key\"",
+      c->refused[REFUSED_UNKNOWN_KEY] },
     { "cfd_router_refused_total", "reason=\"queue\"",
-      c->refused[REFUSED_QUEUE] },
+      c->refused[REFUSED_QUEUE_FULL] },
     { "cfd_router_refused_total", "reason=\"capacity\"",
-      c->refused[REFUSED_CAPACITY] },
+      c->refused[REFUSED_NO_CAPACITY] },
     { "cfd_router_refused_total", "reason=\"platform\"",
-      c->refused[REFUSED_PLATFORM] },
+      c->refused[REFUSED_PLATFORM_DOWN] },
     { "cfd_router_refused_total", "reason=\"claim\"",
-      c->refused[REFUSED_CLAIM] },
+      c->refused[REFUSED_CLAIM_CONFLICT] },
     { "cfd_router_refused_total", "reason=\"deadline\"",
-      c->refused[REFUSED_DEADLINE] },
+      c->refused[REFUSED_DEADLINE_EXCEEDED] },
     { "cfd_router_refused_total", "reason=\"stop\"",
-      c->refused[REFUSED_STOP] },
+      c->refused[REFUSED_SHUTDOWN] },
     { "cfd_router_ended_total", "outcome=\"complete\"", c->completed },
     { "cfd_router_ended_total", "outcome=\"failed\"", c->failed },
-    { "cfd_router_ended_total", "outcome=\"broken-off\"", c->broken_off },
-    { "cfd_router_ended_total", "outcome=\"left\"", c->left },
+    { "cfd_router_ended_total", "outcome=\"broken-off\"", c->truncated },
+    { "cfd_router_ended_total", "outcome=\"left\"", c->callers_gone },
     { "cfd_router_retried_total", NULL, c->retried },
-    { "cfd_router_returned_total", NULL, c->returned },
+    { "cfd_router_returned_total", NULL, c->requeued },
     { "cfd_router_resumed_total", NULL, c->resumed },
     { "cfd_router_gaps_total", NULL, c->gaps },
     { "cfd_router_tokens_total", "kind=\"prompt\"", c->prompt_tokens },
@@ -201,7 +203,7 @@
       admin_text (out, "service", agent->service ? agent->service : "");
       admin_text (out, "link", agent->up ? "up" : "down");
       admin_text (out, "work",
-                  agents_may_work (router, agent) ? "in" : "leaving");
+                  agents_accepts_work (router, agent) ? "in" : "leaving");
       admin_number (out, "in_flight", agent->in_flight);
       json_builder_end_object (out);
     }
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -16,9 +16,9 @@
   g_free (agent->name);
   g_free (agent->zone);
   g_free (agent->host);
-  g_free (agent->granted);
+  g_free (agent->granted_service);
   g_free (agent->service);
-  g_ptr_array_unref (agent->abandoned);
+  g_ptr_array_unref (agent->pending_cancels);
   g_free (agent);
 }
 
@@ -27,7 +27,7 @@
 {
   router->agents
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, agent_free);
-  router->served
+  router->served_services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -38,7 +38,7 @@
 }
 
 agent_t *
-agents_get (cfd_router_t *router, const char *name, const char *zone)
+agents_find_or_add (cfd_router_t *router, const char *name, const char *zone)
 {
   agent_t *agent = agents_find (router, name);
 
@@ -46,7 +46,7 @@
     {
       agent = g_new0 (agent_t, 1);
       agent->name = g_strdup (name);
-      agent->abandoned = g_ptr_array_new_with_free_func (g_free);
+      agent->pending_cancels = g_ptr_array_new_with_free_func (g_free);
       list_init (&agent->requests);
       g_hash_table_insert (router->agents, agent->name, agent);
     }
@@ -76,7 +76,7 @@
 static void
 list_agent (cfd_router_t *router, const store_instance_t *instance)
 {
-  agent_t *agent = agents_get (router, instance->name, instance->zone);
+  agent_t *agent = agents_find_or_add (router, instance->name, instance->zone);
 
   agent->listed = true;
   agent->leaving = instance->leaving;
@@ -97,7 +97,8 @@
     {
       agent_t *agent = value;
 
-      if (agent->listed || agent->up || agent->in_flight > 0 || agent->held)
+      if (agent->listed || agent->up || agent->in_flight > 0
+          || agent->link_held)
         continue;
       peer_hub_address (router->hub, agent->name, "");
       g_hash_table_iter_remove (&iter);
@@ -105,7 +106,7 @@
 }
 
 void
-agents_listed (cfd_router_t *router)
+agents_instances_changed (cfd_router_t *router)
 {
   GPtrArray *instances = store_instances (router->store, ROLE_AGENT);
   GHashTableIter iter;
@@ -142,7 +143,7 @@
   char *host = host_of (record->u.endpoint.url);
   at_host_t *known = g_hash_table_lookup (hosts, host);
 
-  g_hash_table_add (endpoints->router->served,
+  g_hash_table_add (endpoints->router->served_services,
                     g_strdup (record->u.endpoint.service));
   if (known != NULL)
     {
@@ -161,7 +162,7 @@
   const at_host_t *at
       = agent->host != NULL ? g_hash_table_lookup (hosts, agent->host) : NULL;
   const rec_t *record = at != NULL && !at->is_shared ? at->record : NULL;
-  const char *service = agent->granted;
+  const char *service = agent->granted_service;
 
   if (record != NULL)
     service = record->u.endpoint.service;
@@ -174,7 +175,7 @@
 }
 
 bool
-agents_may_work (const cfd_router_t *router, const agent_t *agent)
+agents_accepts_work (const cfd_router_t *router, const agent_t *agent)
 {
   if (agent->leaving)
     return false;
@@ -201,7 +202,7 @@
     {
       const agent_t *agent = value;
 
-      if (agent->listed && agents_may_work (router, agent)
+      if (agent->listed && agents_accepts_work (router, agent)
           && is_for (agent, record->name))
         g_ptr_array_add (names, agent->name);
     }
@@ -209,7 +210,7 @@
 }
 
 void
-agents_sort (cfd_router_t *router)
+agents_refresh_sets (cfd_router_t *router)
 {
   g_autoptr (GHashTable) hosts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -225,9 +226,10 @@
     {
       const store_instance_t *instance = instances->pdata[i];
 
-      agents_get (router, instance->name, NULL)->leaving = instance->leaving;
+      agents_find_or_add (router, instance->name, NULL)->leaving
+          = instance->leaving;
     }
-  g_hash_table_remove_all (router->served);
+  g_hash_table_remove_all (router->served_services);
   store_each (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -239,14 +241,14 @@
 is_alternative (const cfd_router_t *router, const agent_t *agent,
                 const request_t *request, cfd_time_t now)
 {
-  return agent->listed && agents_may_work (router, agent)
+  return agent->listed && agents_accepts_work (router, agent)
          && is_for (agent, request->item.service)
          && !avoid_has (&request->avoid, agent->name, now);
 }
 
 bool
-agents_may_try (const cfd_router_t *router, const agent_t *agent,
-                const request_t *request, cfd_time_t now)
+agents_is_eligible (const cfd_router_t *router, const agent_t *agent,
+                    const request_t *request, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -261,35 +263,35 @@
 }
 
 void
-agents_serves (cfd_router_t *router, agent_t *agent, const char *service)
+agents_set_service (cfd_router_t *router, agent_t *agent, const char *service)
 {
-  if (g_strcmp0 (agent->granted, service) == 0)
+  if (g_strcmp0 (agent->granted_service, service) == 0)
     return;
-  g_free (agent->granted);
-  agent->granted = g_strdup (service);
+  g_free (agent->granted_service);
+  agent->granted_service = g_strdup (service);
   router->agents_changed = true;
   router_schedule (router, 0);
 }
 
 bool
-agents_any_for (const cfd_router_t *router, const char *service)
+agents_has_endpoint_for (const cfd_router_t *router, const char *service)
 {
-  return g_hash_table_contains (router->served, service);
+  return g_hash_table_contains (router->served_services, service);
 }
 
 /* ---- links ---- */
 
 void
-agents_hold (cfd_router_t *router, agent_t *agent)
+agents_hold_link (cfd_router_t *router, agent_t *agent)
 {
-  if (agent->held)
+  if (agent->link_held)
     return;
-  agent->held = true;
+  agent->link_held = true;
   peer_hub_hold (router->hub, agent->name);
 }
 
 cfd_time_t
-agents_release (cfd_router_t *router, cfd_time_t now)
+agents_release_links (cfd_router_t *router, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
   GHashTableIter iter;
@@ -300,14 +302,14 @@
     {
       agent_t *agent = value;
 
-      if (!agent->held || agent->in_flight > 0)
+      if (!agent->link_held || agent->in_flight > 0)
         continue;
       if (agent->announced_until > now)
         {
           next = MIN (next, agent->announced_until);
           continue;
         }
-      agent->held = false;
+      agent->link_held = false;
       peer_hub_release (router->hub, agent->name);
     }
   return next;
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -37,20 +37,20 @@
 }
 
 void
-answer_done (request_t *request)
+answer_ack_done (request_t *request)
 {
   send_ack (request->router, request->agent->name, request->id,
-            request->received, true);
+            request->received_bytes, true);
 }
 
 void
-answer_cancel (request_t *request)
+answer_send_cancel (request_t *request)
 {
   agent_t *agent = request->agent;
 
   if (!send_cancel (request->router, agent->name, request->id)
-      && agent->abandoned->len < ABANDONED_MAX)
-    g_ptr_array_add (agent->abandoned, g_strdup (request->id));
+      && agent->pending_cancels->len < ABANDONED_MAX)
+    g_ptr_array_add (agent->pending_cancels, g_strdup (request->id));
 }
 
 static void
@@ -58,11 +58,12 @@
 {
   msg_t message = { .kind = MSG_RESUME,
                     .u.resume = { .request = request->id,
-                                  .offset = request->received,
+                                  .offset = request->received_bytes,
                                   .head = !request->has_head } };
 
   request->router->counters.resumed++;
-  router_note (request->router, TL_RESUME, request, request->agent->name);
+  router_record_event (request->router, TL_RESUME, request,
+                       request->agent->name);
   router_send (request->router, request->agent->name, &message);
 }
 
@@ -71,10 +72,11 @@
 static void
 ask_again (request_t *request)
 {
-  if (request->asked_again && request->asked_offset == request->received)
+  if (request->resume_requested
+      && request->resume_requested_offset == request->received_bytes)
     return;
-  request->asked_again = true;
-  request->asked_offset = request->received;
+  request->resume_requested = true;
+  request->resume_requested_offset = request->received_bytes;
   request->router->counters.gaps++;
   send_resume (request);
 }
@@ -95,8 +97,8 @@
 }
 
 void
-answer_head (cfd_router_t *router, const peer_id_t *peer,
-             const msg_head_t *head, cfd_time_t now)
+answer_handle_head (cfd_router_t *router, const peer_id_t *peer,
+                    const msg_head_t *head, cfd_time_t now)
 {
   request_t *request = find (router, peer, head->request);
 
@@ -113,22 +115,23 @@
 static void
 keep (request_t *request, const uint8_t *bytes, size_t length)
 {
-  if (request->kept == NULL || !request->kept_whole)
+  if (request->answer_copy == NULL || !request->answer_copy_complete)
     return;
-  request->kept_whole = request->kept->len + length <= ONCE_ANSWER_MAX;
-  if (request->kept_whole)
-    g_byte_array_append (request->kept, bytes, length);
+  request->answer_copy_complete
+      = request->answer_copy->len + length <= ONCE_ANSWER_MAX;
+  if (request->answer_copy_complete)
+    g_byte_array_append (request->answer_copy, bytes, length);
 }
 
 void
-answer_drained (void *user, uint64_t total)
+answer_on_drained (void *user, uint64_t total)
 {
   request_t *request = user;
 
-  request->drained = total;
-  if (request->agent == NULL || total - request->acked < ACK_EACH)
+  request->drained_bytes = total;
+  if (request->agent == NULL || total - request->acked_bytes < ACK_EACH)
     return;
-  request->acked = total;
+  request->acked_bytes = total;
   send_ack (request->router, request->agent->name, request->id, total, false);
 }
 
@@ -138,14 +141,15 @@
   keep (request, bytes, length);
   if (request->web != NULL)
     {
-      request->written += length;
-      INVARIANT ("answer-contiguous", request->written == request->received,
+      request->written_bytes += length;
+      INVARIANT ("answer-contiguous",
+                 request->written_bytes == request->received_bytes,
                  request->id);
       web_stream_write (request->web, bytes, length);
     }
   else
     {
-      answer_drained (request, request->received);
+      answer_on_drained (request, request->received_bytes);
     }
 }
 
@@ -159,8 +163,8 @@
 }
 
 void
-answer_data (cfd_router_t *router, const peer_id_t *peer,
-             const msg_data_t *data, cfd_time_t now)
+answer_handle_data (cfd_router_t *router, const peer_id_t *peer,
+                    const msg_data_t *data, cfd_time_t now)
 {
   request_t *request = find (router, peer, data->request);
   uint64_t skip;
@@ -172,18 +176,18 @@
     }
   /* A resumed answer may overlap with what came over the lost link; a gap
      would give the caller a wrong answer, so it is asked for again.  */
-  if (data->offset > request->received || !request->has_head)
+  if (data->offset > request->received_bytes || !request->has_head)
     {
       ask_again (request);
       return;
     }
-  skip = request->received - data->offset;
+  skip = request->received_bytes - data->offset;
   if (skip >= data->bytes.length)
     return;
-  request->received += data->bytes.length - skip;
-  grant_streams (request, data->tokens, now);
+  request->received_bytes += data->bytes.length - skip;
+  grant_charge_streamed (request, data->tokens, now);
   if (request->state == REQ_SENT)
-    request_event (request, REQ_EV_DATA, now);
+    request_handle_event (request, REQ_EV_DATA, now);
   pass_on (request, data->bytes.data + skip, data->bytes.length - skip);
 }
 
@@ -199,7 +203,7 @@
   if (end->outcome == OUTCOME_UNKNOWN)
     return -1;
   if (!request->is_model)
-    return ROUTER_PLAIN_COST;
+    return ROUTER_PLAIN_COST_TOKENS;
   return tokens > 0 ? tokens : -1;
 }
 
@@ -208,7 +212,7 @@
 {
   double actual = actual_cost (request, end);
 
-  grant_correct (request, actual, now);
+  grant_correct_charge (request, actual, now);
   if (request->is_model && actual > 0 && end->outcome == OUTCOME_COMPLETE)
     cost_learn (request->router->cost, request->item.account,
                 request->item.service, request->hint, actual, now);
@@ -231,7 +235,7 @@
 static bool
 has_all (const request_t *request, const msg_end_t *end)
 {
-  return request->has_head && end->length == request->received;
+  return request->has_head && end->length == request->received_bytes;
 }
 
 /* An end that says complete came before the whole answer.  One may have been
@@ -240,20 +244,20 @@
 static void
 complete_in_part (request_t *request, cfd_time_t now)
 {
-  if (++request->early_ends < EARLY_ENDS_MAX)
+  if (++request->premature_ends < EARLY_ENDS_MAX)
     {
       ask_again (request);
       return;
     }
   log_warn ("router", "Answer without its whole body: agent=%s request=%s.",
             request->agent->name, request->id);
-  request->ended = true;
-  request_event (request, REQ_EV_LOST, now);
+  request->attempt_ended = true;
+  request_handle_event (request, REQ_EV_LOST, now);
 }
 
 void
-answer_end (cfd_router_t *router, const peer_id_t *peer, const msg_end_t *end,
-            cfd_time_t now)
+answer_handle_end (cfd_router_t *router, const peer_id_t *peer,
+                   const msg_end_t *end, cfd_time_t now)
 {
   request_t *request = find (router, peer, end->request);
 
@@ -269,22 +273,22 @@
     }
   router->counters.prompt_tokens += end->prompt_tokens;
   router->counters.output_tokens += end->output_tokens;
-  request->ended = true;
+  request->attempt_ended = true;
   settle_cost (request, end, now);
-  request_event (request, event_of (end->outcome), now);
+  request_handle_event (request, event_of (end->outcome), now);
 }
 
 void
-answer_not_started (cfd_router_t *router, const peer_id_t *peer,
-                    const msg_not_started_t *word, cfd_time_t now)
+answer_handle_not_started (cfd_router_t *router, const peer_id_t *peer,
+                           const msg_not_started_t *word, cfd_time_t now)
 {
   request_t *request = find (router, peer, word->request);
 
   if (request == NULL)
     return;
   request->not_started = true;
-  grant_correct (request, 0, now);
-  request_event (request, REQ_EV_NOT_RUN, now);
+  grant_correct_charge (request, 0, now);
+  request_handle_event (request, REQ_EV_NOT_RUN, now);
 }
 
 /* ---- links ---- */
@@ -292,22 +296,22 @@
 static void
 cancel_abandoned (cfd_router_t *router, agent_t *agent)
 {
-  for (guint i = 0; i < agent->abandoned->len; i++)
-    send_cancel (router, agent->name, agent->abandoned->pdata[i]);
-  g_ptr_array_set_size (agent->abandoned, 0);
+  for (guint i = 0; i < agent->pending_cancels->len; i++)
+    send_cancel (router, agent->name, agent->pending_cancels->pdata[i]);
+  g_ptr_array_set_size (agent->pending_cancels, 0);
 }
 
 void
 answer_agent_up (cfd_router_t *router, const peer_id_t *peer, cfd_time_t now)
 {
-  agent_t *agent = agents_get (router, peer->instance, peer->zone);
+  agent_t *agent = agents_find_or_add (router, peer->instance, peer->zone);
 
   agent->up = true;
-  agent->away_since = 0;
+  agent->link_lost_at = 0;
   /* A restarted agent remembers nothing.  */
   if (agent->incarnation != peer->incarnation)
     {
-      g_ptr_array_set_size (agent->abandoned, 0);
+      g_ptr_array_set_size (agent->pending_cancels, 0);
       agent->has_load = false;
     }
   agent->incarnation = peer->incarnation;
@@ -318,9 +322,9 @@
     {
       request_t *request = list_entry (node, request_t, at_agent);
 
-      request->asked_again = false;
+      request->resume_requested = false;
       if (request->agent_incarnation != peer->incarnation)
-        request_event (request, REQ_EV_LOST, now);
+        request_handle_event (request, REQ_EV_LOST, now);
       else
         send_resume (request);
     }
@@ -335,10 +339,11 @@
   peer_counters_t counters;
 
   peer_hub_counters (router->hub, &counters);
-  if (counters.silences > router->silences)
-    router->silent_at = now;
-  router->silences = counters.silences;
-  return router->silences > 0 && now - router->silent_at < SILENT_SWEEP_MS;
+  if (counters.silences > router->seen_silences)
+    router->last_silence_at = now;
+  router->seen_silences = counters.silences;
+  return router->seen_silences > 0
+         && now - router->last_silence_at < SILENT_SWEEP_MS;
 }
 
 void
@@ -350,17 +355,17 @@
   if (agent == NULL || agent->incarnation != peer->incarnation)
     return;
   agent->up = false;
-  agent->silent = silent;
+  agent->link_was_silent = silent;
   agent->has_load = false;
   /* One that nobody holds is closed for being idle, at either end.  */
-  if (agent->held)
+  if (agent->link_held)
     {
       disp_lost (router->disp, agent->name, now);
       router_schedule (router, now);
     }
   if (agent->in_flight == 0)
     return;
-  agent->away_since = now;
+  agent->link_lost_at = now;
   router_schedule (router, now + REQ_RETRY_WAIT_MS);
 }
 
@@ -374,13 +379,14 @@
   list_for_each_safe (node, &agent->requests)
     {
       request_t *request = list_entry (node, request_t, at_agent);
-      req_facts_t facts = request_facts (request);
-      cfd_time_t until = agent->away_since
-                         + req_patience (request->state, &facts,
-                                         agent->silent && agent->listed);
+      req_facts_t facts = request_get_facts (request);
+      cfd_time_t until
+          = agent->link_lost_at
+            + req_patience (request->state, &facts,
+                            agent->link_was_silent && agent->listed);
 
       if (until <= now)
-        request_event (request, REQ_EV_LOST, now);
+        request_handle_event (request, REQ_EV_LOST, now);
       else
         next = MIN (next, until);
     }
@@ -388,7 +394,7 @@
 }
 
 cfd_time_t
-answer_give_up (cfd_router_t *router, cfd_time_t now)
+answer_expire_lost (cfd_router_t *router, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
   GHashTableIter iter;
@@ -399,11 +405,11 @@
     {
       agent_t *agent = value;
 
-      if (agent->away_since == 0)
+      if (agent->link_lost_at == 0)
         continue;
       next = MIN (next, give_up_late (agent, now));
       if (list_is_empty (&agent->requests))
-        agent->away_since = 0;
+        agent->link_lost_at = 0;
     }
   return next;
 }
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -27,9 +27,9 @@
 static const char *
 kept_text (request_t *request)
 {
-  GByteArray *kept = request->kept;
+  GByteArray *kept = request->answer_copy;
 
-  if (!request->kept_whole
+  if (!request->answer_copy_complete
       || (kept->len > 0 && memchr (kept->data, 0, kept->len) != NULL))
     return NULL;
   g_byte_array_append (kept, (const guint8 *)"", 1);
@@ -52,10 +52,10 @@
                  content_type (request), kept_text (request));
   else if (step->run == RUN_NOT_RUN)
     once_release (once, account, request->key);
-  router_note (request->router, TL_CLAIM, request,
-               step->run == RUN_DONE      ? "finished"
-               : step->run == RUN_NOT_RUN ? "given back"
-                                          : "left: outcome unknown");
+  router_record_event (request->router, TL_CLAIM, request,
+                       step->run == RUN_DONE      ? "finished"
+                       : step->run == RUN_NOT_RUN ? "given back"
+                                                  : "left: outcome unknown");
 }
 
 /* ---- the beginning ---- */
@@ -89,28 +89,28 @@
       return;
     case ONCE_RUNNING:
       request_refuse (
-          request, REFUSED_CLAIM, 409, "Already asked",
+          request, REFUSED_CLAIM_CONFLICT, 409, "Already asked",
           "A request with this key is running or its outcome is not "
           "known; ask again with the same key.",
           RUN_UNKNOWN, RETRY_CLAIM_S);
       return;
     case ONCE_UNKNOWN:
       request_refuse (
-          request, REFUSED_CLAIM, 409, "Outcome unknown",
+          request, REFUSED_CLAIM_CONFLICT, 409, "Outcome unknown",
           "A request with this key was given to a router that went away; "
           "find out whether it ran before you send it with another key.",
           RUN_UNKNOWN, -1);
       return;
     case ONCE_MISMATCH:
       request_refuse (
-          request, REFUSED_CLAIM, 422, "Key used before",
+          request, REFUSED_CLAIM_CONFLICT, 422, "Key used before",
           "This Idempotency-Key belongs to another request; choose a new "
           "one.",
           RUN_NOT_RUN, -1);
       return;
     default:
       request_refuse (
-          request, REFUSED_PLATFORM, 503, "Platform is down",
+          request, REFUSED_PLATFORM_DOWN, 503, "Platform is down",
           "This call was not run, for its key can't be claimed; an earlier "
           "one with the same key may have been.  Ask again with it.",
           RUN_NOT_RUN, RETRY_PLATFORM_S);
@@ -129,14 +129,14 @@
       request_free (request);
       return;
     }
-  router_note (request->router, TL_CLAIM, request,
-               answer->verdict == ONCE_MINE ? "made" : "not ours");
+  router_record_event (request->router, TL_CLAIM, request,
+                       answer->verdict == ONCE_MINE ? "made" : "not ours");
   if (answer->verdict == ONCE_MINE)
     {
       request->claimed = true;
-      request->kept = g_byte_array_new ();
-      request->kept_whole = true;
-      request_event (request, REQ_EV_CLAIMED, clock_now ());
+      request->answer_copy = g_byte_array_new ();
+      request->answer_copy_complete = true;
+      request_handle_event (request, REQ_EV_CLAIMED, clock_now ());
       return;
     }
   claim_refused (request, answer);
@@ -171,11 +171,11 @@
 
   adm_info (request->router->adm, request->item.account, request->item.service,
             now, &info);
-  return info.count >= request_queue_max (request);
+  return info.count >= request_queue_limit (request);
 }
 
 void
-claim_begin (request_t *request, cfd_time_t now)
+claim_acquire (request_t *request, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
   g_autofree char *digest = NULL;
@@ -184,9 +184,9 @@
      away before, not after.  */
   if (queue_is_full (request, now))
     {
-      request_refuse_full (request,
-                           adm_retry_after (router->adm, request->item.account,
-                                            request->item.service, now));
+      request_refuse_queue_full (
+          request, adm_retry_after (router->adm, request->item.account,
+                                    request->item.service, now));
       request->state = REQ_OVER;
       request_free (request);
       return;
@@ -228,7 +228,7 @@
 }
 
 void
-claim_sweep (cfd_router_t *router, const cfd_settings_t *settings)
+claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
   const sweep_setup_t setup = { .kept_s = settings->claims_kept_s,
                                 .calls = (unsigned)settings->claim_calls,
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -36,7 +36,7 @@
 static void
 forget_asked (cfd_router_t *router)
 {
-  g_clear_pointer (&router->asked, g_free);
+  g_clear_pointer (&router->asked_router, g_free);
 }
 
 static void
@@ -47,7 +47,7 @@
   forget_asked (router);
   if (name == NULL)
     return;
-  router->asked = g_strdup (name);
+  router->asked_router = g_strdup (name);
   (void)send_ask (router, name);
 }
 
@@ -57,40 +57,42 @@
 static void
 ask_for_word (cfd_router_t *router)
 {
-  router->ask_doubts += router->asked != NULL ? DOUBT_SILENT : DOUBT_OLD;
-  if (router->ask_doubts > DOUBTS_MAX)
+  router->ask_penalty
+      += router->asked_router != NULL ? DOUBT_SILENT : DOUBT_OLD;
+  if (router->ask_penalty > DOUBTS_MAX)
     {
       router->ask_choice++;
-      router->ask_doubts = 0;
+      router->ask_penalty = 0;
     }
   ask_chosen (router);
 }
 
 void
-conf_hear (cfd_router_t *router, const peer_id_t *peer, uint64_t revision,
-           cfd_time_t now)
+conf_observe_revision (cfd_router_t *router, const peer_id_t *peer,
+                       uint64_t revision, cfd_time_t now)
 {
   store_heard_of (router->store, revision, now);
   if (revision <= store_revision (router->store)
-      || (revision <= router->asked_revision
-          && now - router->asked_at < ASK_MS))
+      || (revision <= router->requested_revision
+          && now - router->requested_at < ASK_MS))
     return;
-  router->asked_revision = revision;
-  router->asked_at = now;
+  router->requested_revision = revision;
+  router->requested_at = now;
   /* An agent has no accounts to answer with.  */
   if (peer->role == ROLE_ROUTER)
     (void)send_ask (router, peer->instance);
-  else if (router->asked == NULL)
+  else if (router->asked_router == NULL)
     ask_chosen (router);
 }
 
 void
-conf_take (cfd_router_t *router, const peer_id_t *peer,
-           const msg_config_part_t *part, uint64_t revision, cfd_time_t now)
+conf_handle_part (cfd_router_t *router, const peer_id_t *peer,
+                  const msg_config_part_t *part, uint64_t revision,
+                  cfd_time_t now)
 {
   bool is_news;
 
-  if (g_strcmp0 (router->asked, peer->instance) == 0)
+  if (g_strcmp0 (router->asked_router, peer->instance) == 0)
     forget_asked (router);
   is_news = store_take_part (router->store, part, now);
   store_heard_of (router->store, revision, now);
@@ -100,8 +102,8 @@
 }
 
 void
-conf_give (cfd_router_t *router, const peer_id_t *peer,
-           const msg_config_ask_t *ask, cfd_time_t now)
+conf_handle_ask (cfd_router_t *router, const peer_id_t *peer,
+                 const msg_config_ask_t *ask, cfd_time_t now)
 {
   msg_t message = { .kind = MSG_CONFIG_PART };
 
@@ -121,7 +123,7 @@
 }
 
 void
-conf_advanced (cfd_router_t *router)
+conf_announce_revision (cfd_router_t *router)
 {
   if (!store_learns_from_peers (router->store))
     return;
@@ -144,7 +146,8 @@
   unsigned count = (agents->len + TELL_ROUND_S - 1) / TELL_ROUND_S;
 
   for (unsigned i = 0; i < count; i++)
-    (void)send_ask (router, agents->pdata[router->told++ % agents->len]);
+    (void)send_ask (router,
+                    agents->pdata[router->next_told_agent++ % agents->len]);
 }
 
 /* While the platform is out of reach: calls the agents whose witness this
@@ -169,12 +172,12 @@
 /* ---- upkeep ---- */
 
 void
-conf_keep (cfd_router_t *router, cfd_time_t now)
+conf_run_periodic (cfd_router_t *router, cfd_time_t now)
 {
   if (store_wants_word (router->store, now))
     ask_for_word (router);
   else
-    router->ask_doubts = 0;
+    router->ask_penalty = 0;
   if (store_learns_from_peers (router->store))
     tell_some_agents (router);
   if (!store_platform_is_up (router->store))
@@ -182,14 +185,14 @@
 }
 
 void
-conf_listed (cfd_router_t *router)
+conf_instances_changed (cfd_router_t *router)
 {
   spread_tree_free (router->tree);
   router->tree = spread_tree_new (store_instances (router->store, ROLE_ROUTER),
                                   store_instances (router->store, ROLE_AGENT),
                                   router->instance);
   router->ask_choice = 0;
-  router->ask_doubts = 0;
+  router->ask_penalty = 0;
   forget_asked (router);
 }
 
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -13,7 +13,7 @@
 #define HEADERS_MAX (MSG_HEADERS_MAX - 4)
 
 static void
-refuse (cfd_router_t *router, web_request_t *web, refused_t reason,
+refuse (cfd_router_t *router, web_request_t *web, refusal_reason_t reason,
         unsigned status, const char *title, const char *detail,
         int retry_after_s)
 {
@@ -35,7 +35,7 @@
       && g_ascii_strncasecmp (header, scheme, sizeof scheme - 1) == 0)
     account = store_account_by_key (router->store, header + sizeof scheme - 1);
   if (account == NULL)
-    refuse (router, web, REFUSED_KEY, 401, "Unknown key",
+    refuse (router, web, REFUSED_UNKNOWN_KEY, 401, "Unknown key",
             "Send \"Authorization: Bearer KEY\" with a key of a client "
             "account.",
             -1);
@@ -189,7 +189,7 @@
   if (pass.too_many)
     {
       g_ptr_array_unref (pass.headers);
-      refuse (router, web, REFUSED_BAD, 431, "Too many headers",
+      refuse (router, web, REFUSED_BAD_REQUEST, 431, "Too many headers",
               "Send fewer headers.", -1);
       return;
     }
@@ -208,7 +208,7 @@
   if (!request->idempotent)
     request->key = g_strdup (web_header (web, "Idempotency-Key"));
   request->body = web_take_body (web);
-  request_begin (request, now);
+  request_start (request, now);
 }
 
 /* The service that serves CALL, or NULL after a refusal.  */
@@ -220,13 +220,13 @@
   if (service == NULL || service->deleted
       || service->u.service.is_model != call->is_model)
     {
-      refuse (router, web, REFUSED_BAD, 404, "Unknown service",
+      refuse (router, web, REFUSED_BAD_REQUEST, 404, "Unknown service",
               "Name a service that the operators have set up.", -1);
       return NULL;
     }
-  if (!agents_any_for (router, call->service))
+  if (!agents_has_endpoint_for (router, call->service))
     {
-      refuse (router, web, REFUSED_CAPACITY, 503, "No capacity",
+      refuse (router, web, REFUSED_NO_CAPACITY, 503, "No capacity",
               "The service has no endpoint at present; ask again later.",
               RETRY_CAPACITY_S);
       return NULL;
@@ -247,15 +247,15 @@
     return;
   if (strcmp (web_method (web), "POST") != 0)
     {
-      refuse (router, web, REFUSED_BAD, 405, "Method not allowed", "Use POST.",
-              -1);
+      refuse (router, web, REFUSED_BAD_REQUEST, 405, "Method not allowed",
+              "Use POST.", -1);
       return;
     }
   body = parse_body (parser, web);
   call.service = body != NULL ? string_member (body, "model") : NULL;
   if (call.service == NULL)
     {
-      refuse (router, web, REFUSED_BAD, 400, "Bad request",
+      refuse (router, web, REFUSED_BAD_REQUEST, 400, "Bad request",
               "Send a JSON object with a \"model\".", -1);
       return;
     }
@@ -274,7 +274,7 @@
   const char *path = rest + strlen (name);
   g_autofree char *whole = NULL;
   const rec_t *service;
-  call_t call = { .service = name, .cost = ROUTER_PLAIN_COST };
+  call_t call = { .service = name, .cost = ROUTER_PLAIN_COST_TOKENS };
 
   if (account == NULL)
     return;
@@ -291,12 +291,12 @@
   cfd_router_t *router = user;
   const char *path = web_path (web);
 
-  g_autofree char *name = router_name_request (router);
+  g_autofree char *name = router_new_request_id (router);
 
   router->counters.requests++;
   web_set_header (web, "X-Request-Id", name);
   if (store_revision (router->store) == 0)
-    refuse (router, web, REFUSED_CAPACITY, 503, "Not ready",
+    refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; ask again.",
             RETRY_CONFIG_S);
   else if (strcmp (path, "/v1/chat/completions") == 0
@@ -305,7 +305,7 @@
   else if (g_str_has_prefix (path, SERVICES_PREFIX))
     handle_plain (router, web);
   else
-    refuse (router, web, REFUSED_BAD, 404, "Not found",
+    refuse (router, web, REFUSED_BAD_REQUEST, 404, "Not found",
             "Use /v1/chat/completions, /v1/completions or /services/NAME/...",
             -1);
 }
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -9,8 +9,8 @@
 #define CHARGE_AHEAD 0.25
 
 void
-grant_left (cfd_router_t *router, const char *account, const char *service,
-            cfd_time_t now, msg_waiting_t *left)
+grant_describe_queue (cfd_router_t *router, const char *account,
+                      const char *service, cfd_time_t now, msg_waiting_t *left)
 {
   adm_queue_info_t info;
 
@@ -30,11 +30,11 @@
 {
   msg_waiting_t left;
 
-  grant_left (router, account, service, now, &left);
+  grant_describe_queue (router, account, service, now, &left);
   share_backlog (router->share, account, service, left.count > 0, now);
   if (left.count == 0)
     turns_rest (router->turns, account, service);
-  shares_changed (router, now);
+  shares_schedule_report (router, now);
   if (router->policy == CFD_POLICY_LOCAL)
     {
       baseline_queue_changed (router, account, service, left.count);
@@ -60,7 +60,7 @@
   if (agent == NULL)
     return REACH_DIALLED;
   agent->announced_until = now + DISP_LIFE_MS;
-  agents_hold (router, agent);
+  agents_hold_link (router, agent);
   /* Not sent: the agent hears all when its link is up.  */
   if (!router_send (router, name, &message))
     return REACH_DIALLED;
@@ -93,9 +93,9 @@
   /* The baseline picks its agent before the request.  */
   if (target->router->policy == CFD_POLICY_LOCAL)
     return true;
-  return agents_may_try (target->router, target->agent,
-                         list_entry (item, const request_t, item),
-                         target->now);
+  return agents_is_eligible (target->router, target->agent,
+                             list_entry (item, const request_t, item),
+                             target->now);
 }
 
 static void
@@ -108,8 +108,8 @@
   message.u.decline.grant = grant->grant;
   message.u.decline.reason = reason;
   message.u.decline.service = grant->service;
-  grant_left (router, grant->account, grant->service, now,
-              &message.u.decline.left);
+  grant_describe_queue (router, grant->account, grant->service, now,
+                        &message.u.decline.left);
   /* All that waits was failed by this agent: told of it, it would offer the
      same slot again and again.  */
   if (!adm_has_allowed (router->adm, grant->account, grant->service, may_go,
@@ -186,16 +186,16 @@
 }
 
 void
-grant_take (cfd_router_t *router, const peer_id_t *peer,
-            const msg_grant_t *grant, cfd_time_t now)
+grant_handle (cfd_router_t *router, const peer_id_t *peer,
+              const msg_grant_t *grant, cfd_time_t now)
 {
-  agent_t *agent = agents_get (router, peer->instance, peer->zone);
+  agent_t *agent = agents_find_or_add (router, peer->instance, peer->zone);
 
   router->counters.grants++;
-  agents_serves (router, agent, grant->service);
+  agents_set_service (router, agent, grant->service);
   share_floor (router->share, grant->service, grant->floor, now);
-  request_expire (router, now);
-  if (!agents_may_work (router, agent))
+  request_expire_queued (router, now);
+  if (!agents_accepts_work (router, agent))
     decline (router, peer, grant, DECLINE_ZONE, now);
   else
     answer (router, agent, peer, grant, now);
@@ -210,23 +210,23 @@
       = store_get (router->store, REC_ACCOUNT, request->item.account);
 
   request->weight = record != NULL ? record->u.account.weight : 1;
-  request->charged = request->item.cost;
+  request->charged_tokens = request->item.cost;
   share_charge (router->share, request->item.account, request->item.service,
-                request->charged, request->weight, now);
+                request->charged_tokens, request->weight, now);
   if (router->policy == CFD_POLICY_LOCAL)
     wfq_charge (router->wfq, request->item.account, request->item.service,
-                request->charged, request->weight);
+                request->charged_tokens, request->weight);
 }
 
 void
-grant_correct (request_t *request, double actual, cfd_time_t now)
+grant_correct_charge (request_t *request, double actual, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
-  double difference = actual - request->charged;
+  double difference = actual - request->charged_tokens;
 
   if (actual < 0)
     return;
-  request->charged = actual;
+  request->charged_tokens = actual;
   share_charge (router->share, request->item.account, request->item.service,
                 difference, request->weight, now);
   turns_moved (router->turns, request->item.account, request->item.service,
@@ -234,14 +234,14 @@
   if (router->policy == CFD_POLICY_LOCAL)
     wfq_charge (router->wfq, request->item.account, request->item.service,
                 difference, request->weight);
-  shares_changed (router, now);
+  shares_schedule_report (router, now);
 }
 
 void
-grant_streams (request_t *request, uint32_t output, cfd_time_t now)
+grant_charge_streamed (request_t *request, uint32_t output, cfd_time_t now)
 {
-  if (request->is_model && output > request->charged)
-    grant_correct (request, output * (1 + CHARGE_AHEAD), now);
+  if (request->is_model && output > request->charged_tokens)
+    grant_correct_charge (request, output * (1 + CHARGE_AHEAD), now);
 }
 
 /* A new id for each attempt, so that late words of a former one are told from
@@ -251,15 +251,16 @@
         uint64_t incarnation, cfd_time_t now)
 {
   g_free (request->id);
-  request->id = g_strdup_printf ("%s-%u", request->trace, ++request->attempts);
+  request->id
+      = g_strdup_printf ("%s-%u", request->trace_id, ++request->attempts);
   request->agent = agent;
   request->agent_incarnation = incarnation;
-  request->assigned = now;
+  request->assigned_at = now;
   g_hash_table_insert (router->requests, request->id, request);
   list_append (&agent->requests, &request->at_agent);
   agent->in_flight++;
   router->in_flight++;
-  agents_hold (router, agent);
+  agents_hold_link (router, agent);
 }
 
 static bool
@@ -283,8 +284,8 @@
   assign->body.length = length;
   assign->cost_hint = request->item.cost;
   assign->idempotent = request->idempotent;
-  grant_left (router, request->item.account, request->item.service, now,
-              &assign->left);
+  grant_describe_queue (router, request->item.account, request->item.service,
+                        now, &assign->left);
   if (!router_send (router, request->agent->name, &message))
     return false;
   disp_answered (router->disp, request->item.service, request->agent->name,
@@ -304,7 +305,7 @@
                  : "it has the least load known here",
       virtual_time, request->attempts);
 
-  router_note (router, TL_ASSIGN, request, detail);
+  router_record_event (router, TL_ASSIGN, request, detail);
 }
 
 /* ---- whose turn it was ---- */
@@ -357,7 +358,7 @@
   const turn_t turn = { .account = request->item.account,
                         .service = request->item.service,
                         .virtual_time = virtual_time,
-                        .charge = request->charged / request->weight };
+                        .charge = request->charged_tokens / request->weight };
   passing_t passing = { router, target, &turn };
 
   adm_each (router->adm, check_passed, &passing);
@@ -386,14 +387,14 @@
   charge (router, request, now);
   if (!send_assign (router, request, grant, now))
     {
-      grant_correct (request, 0, now);
-      request_detach (request);
+      grant_correct_charge (request, 0, now);
+      request_detach_agent (request);
       adm_return (router->adm, item);
       return false;
     }
   router->counters.assigned++;
   note_assign (router, request, grant, time);
   take_turn (router, request, order, &target);
-  request_event (request, REQ_EV_ASSIGNED, now);
+  request_handle_event (request, REQ_EV_ASSIGNED, now);
   return true;
 }
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -46,7 +46,7 @@
 }
 
 uint64_t
-homes_number (const char *home)
+homes_hash (const char *home)
 {
   return XXH3_64bits (home, strlen (home));
 }
@@ -55,12 +55,12 @@
 static void
 homes_moved (cfd_router_t *router, cfd_time_t now)
 {
-  router->homes_moved = true;
-  shares_changed (router, now);
+  router->homes_changed = true;
+  shares_schedule_report (router, now);
 }
 
 router_peer_t *
-homes_get (cfd_router_t *router, const char *name)
+homes_find_or_add (cfd_router_t *router, const char *name)
 {
   router_peer_t *peer = g_hash_table_lookup (router->routers, name);
 
@@ -75,7 +75,7 @@
 }
 
 void
-homes_listed (cfd_router_t *router, cfd_time_t now)
+homes_instances_changed (cfd_router_t *router, cfd_time_t now)
 {
   GPtrArray *instances = store_instances (router->store, ROLE_ROUTER);
   GHashTableIter iter;
@@ -90,7 +90,7 @@
 
       if (strcmp (instance->name, router->instance) == 0)
         continue;
-      homes_get (router, instance->name)->listed = true;
+      homes_find_or_add (router, instance->name)->listed = true;
       peer_hub_address (router->hub, instance->name, instance->address);
     }
   g_hash_table_iter_init (&iter, router->routers);
@@ -98,7 +98,7 @@
     {
       const router_peer_t *peer = value;
 
-      if (peer->listed || peer->up || peer->held)
+      if (peer->listed || peer->up || peer->link_held)
         continue;
       peer_hub_address (router->hub, peer->name, "");
       g_hash_table_iter_remove (&iter);
@@ -119,10 +119,10 @@
 static void
 set_late (cfd_router_t *router, router_peer_t *peer, bool is_late)
 {
-  if (peer->late == is_late)
+  if (peer->answer_late == is_late)
     return;
-  peer->late = is_late;
-  share_late (router->share, homes_number (peer->name), is_late, note_moved,
+  peer->answer_late = is_late;
+  share_late (router->share, homes_hash (peer->name), is_late, note_moved,
               router);
 }
 
@@ -133,25 +133,25 @@
    it runs out during one, and either way an account with work at several
    routers gets a whole share at each.  */
 void
-homes_avoid (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_exclude (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->missing_since = 0;
+  peer->unreachable_since = 0;
   peer->unanswered_since = 0;
   set_late (router, peer, false);
-  peer->avoided = true;
+  peer->excluded = true;
   g_hash_table_remove_all (peer->unsent);
   homes_moved (router, now);
 }
 
 void
-homes_trust (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_readmit (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->missing_since = 0;
+  peer->unreachable_since = 0;
   peer->unanswered_since = 0;
   set_late (router, peer, false);
-  if (!peer->avoided)
+  if (!peer->excluded)
     return;
-  peer->avoided = false;
+  peer->excluded = false;
   homes_moved (router, now);
 }
 
@@ -161,12 +161,12 @@
   const cfd_router_t *router = user;
   const router_peer_t *peer = g_hash_table_lookup (router->routers, name);
 
-  return peer == NULL || !peer->avoided;
+  return peer == NULL || !peer->excluded;
 }
 
 /* The home of an account as this router sees it, itself included.  */
 const char *
-homes_of (cfd_router_t *router, const char *account, const char *service)
+homes_lookup (cfd_router_t *router, const char *account, const char *service)
 {
   const char *home
       = store_home (router->store, account, service, is_usable, router);
@@ -175,32 +175,33 @@
 }
 
 uint64_t
-homes_number_of (void *user, const char *account, const char *service)
+homes_hash_of_account (void *user, const char *account, const char *service)
 {
-  return homes_number (homes_of (user, account, service));
+  return homes_hash (homes_lookup (user, account, service));
 }
 
 void
-homes_hold (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_hold_link (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->held_until = now + HOLD_MS;
-  if (peer->held)
+  peer->hold_until = now + HOLD_MS;
+  if (peer->link_held)
     return;
-  peer->held = true;
+  peer->link_held = true;
   peer_hub_hold (router->hub, peer->name);
 }
 
 void
-homes_sent (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_report_sent (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
   /* Sooner after an answer the home may agree in silence.  */
-  if (peer->unanswered_since == 0 && now - peer->answered >= TOLD_SILENCE_MS)
+  if (peer->unanswered_since == 0
+      && now - peer->last_answer_at >= TOLD_SILENCE_MS)
     peer->unanswered_since = now;
   if (peer->unanswered_since == 0)
     return;
   if (now - peer->unanswered_since >= ANSWER_MS)
     {
-      homes_avoid (router, peer, now);
+      homes_exclude (router, peer, now);
       return;
     }
   if (now - peer->unanswered_since >= LATE_MS)
@@ -208,28 +209,28 @@
 }
 
 void
-homes_missed (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_report_failed (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  if (peer->missing_since == 0)
-    peer->missing_since = now;
-  if (now - peer->missing_since >= MISSING_MS)
-    homes_avoid (router, peer, now);
+  if (peer->unreachable_since == 0)
+    peer->unreachable_since = now;
+  if (now - peer->unreachable_since >= MISSING_MS)
+    homes_exclude (router, peer, now);
 }
 
 void
 homes_peer_down (cfd_router_t *router, const char *name, cfd_time_t now)
 {
-  router_peer_t *peer = homes_get (router, name);
+  router_peer_t *peer = homes_find_or_add (router, name);
 
   told_forget (peer->told);
   /* A restarted peer can be up again before its former life's link ends.  */
   peer->up = peer_hub_is_up (router->hub, name);
-  if (peer->held && !peer->up)
-    homes_avoid (router, peer, now);
+  if (peer->link_held && !peer->up)
+    homes_exclude (router, peer, now);
 }
 
 cfd_time_t
-homes_release (cfd_router_t *router, cfd_time_t now)
+homes_release_links (cfd_router_t *router, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
   GHashTableIter iter;
@@ -240,15 +241,15 @@
     {
       router_peer_t *peer = value;
 
-      if (!peer->held || (peer->avoided && peer->listed))
+      if (!peer->link_held || (peer->excluded && peer->listed))
         continue;
-      if (peer->held_until > now)
+      if (peer->hold_until > now)
         {
-          next = MIN (next, peer->held_until);
+          next = MIN (next, peer->hold_until);
           continue;
         }
-      peer->held = false;
-      homes_trust (router, peer, now);
+      peer->link_held = false;
+      homes_readmit (router, peer, now);
       peer_hub_release (router->hub, peer->name);
     }
   return next;
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -11,8 +11,8 @@
 has_room (const cfd_router_t *router, const agent_t *agent,
           const char *service)
 {
-  return agent->up && agent->has_load && agents_may_work (router, agent)
-         && g_strcmp0 (agent->granted, service) == 0
+  return agent->up && agent->has_load && agents_accepts_work (router, agent)
+         && g_strcmp0 (agent->granted_service, service) == 0
          && agent->busy + agent->queued + agent->pushed
                 < agent->slots + PUSH_AHEAD;
 }
@@ -69,7 +69,7 @@
 }
 
 void
-baseline_pump (cfd_router_t *router, cfd_time_t now)
+baseline_dispatch (cfd_router_t *router, cfd_time_t now)
 {
   if (router->policy == CFD_POLICY_LOCAL && adm_waiting (router->adm) > 0)
     store_each (router->store, REC_SERVICE, push_record, router);
@@ -92,7 +92,7 @@
           || (agent->service != NULL && strcmp (agent->service, service) != 0))
         continue;
       agent->announced_until = now + DISP_LIFE_MS;
-      agents_hold (router, agent);
+      agents_hold_link (router, agent);
     }
 }
 
@@ -113,16 +113,16 @@
 }
 
 void
-baseline_load (cfd_router_t *router, const peer_id_t *peer,
-               const msg_load_t *load)
+baseline_handle_load (cfd_router_t *router, const peer_id_t *peer,
+                      const msg_load_t *load)
 {
-  agent_t *agent = agents_get (router, peer->instance, peer->zone);
+  agent_t *agent = agents_find_or_add (router, peer->instance, peer->zone);
 
-  agents_serves (router, agent, load->service);
+  agents_set_service (router, agent, load->service);
   agent->has_load = true;
   agent->busy = load->busy;
   agent->slots = load->slots;
   agent->queued = load->queued;
   agent->pushed = 0;
-  baseline_pump (router, clock_now ());
+  baseline_dispatch (router, clock_now ());
 }
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -14,14 +14,14 @@
 
   request->router = router;
   request->web = web;
-  request->trace = g_strdup (web_header_set (web));
+  request->trace_id = g_strdup (web_header_set (web));
   request->method = g_strdup (web_method (web));
   request->item.account = g_strdup (account);
   request->item.service = g_strdup (service);
   list_init (&request->item.node);
   list_init (&request->item.by_deadline);
   list_init (&request->at_agent);
-  list_append (&router->all, &request->node);
+  list_append (&router->all_requests, &request->node);
   return request;
 }
 
@@ -36,8 +36,8 @@
     g_ptr_array_unref (request->answer_headers);
   if (request->body != NULL)
     g_bytes_unref (request->body);
-  if (request->kept != NULL)
-    g_byte_array_unref (request->kept);
+  if (request->answer_copy != NULL)
+    g_byte_array_unref (request->answer_copy);
   avoid_clear (&request->avoid);
   g_free ((char *)request->item.account);
   g_free ((char *)request->item.service);
@@ -45,19 +45,19 @@
   g_free (request->path);
   g_free (request->key);
   g_free (request->id);
-  g_free (request->trace);
+  g_free (request->trace_id);
   g_free (request);
 }
 
 /* ---- telling the caller ---- */
 
 void
-request_refuse (request_t *request, refused_t reason, unsigned status,
+request_refuse (request_t *request, refusal_reason_t reason, unsigned status,
                 const char *title, const char *detail, req_run_t run,
                 int retry_after_s)
 {
   request->router->counters.refused[reason]++;
-  router_note (request->router, TL_REFUSE, request, title);
+  router_record_event (request->router, TL_REFUSE, request, title);
   if (request->web == NULL)
     return;
   web_problem (request->web, status, title, detail, req_run_word (run),
@@ -69,11 +69,11 @@
 refuse_late (request_t *request, req_event_t event, req_run_t run)
 {
   if (event == REQ_EV_STOP)
-    request_refuse (request, REFUSED_STOP, 503, "Shutting down",
+    request_refuse (request, REFUSED_SHUTDOWN, 503, "Shutting down",
                     "This router is going away; ask another one.", run,
                     RETRY_STOP_S);
   else
-    request_refuse (request, REFUSED_DEADLINE, 504, "Waited too long",
+    request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504, "Waited too long",
                     "No slot came free in time; ask again later.", run,
                     request->item.retry_after_s);
 }
@@ -84,8 +84,9 @@
   bool stop = event == REQ_EV_STOP;
 
   request->router->counters.failed++;
-  router_note (request->router, TL_END, request,
-               stop ? "failed: shutting down" : "failed: the agent was lost");
+  router_record_event (request->router, TL_END, request,
+                       stop ? "failed: shutting down"
+                            : "failed: the agent was lost");
   if (request->web == NULL)
     return;
   web_problem (request->web, stop ? 503 : 502,
@@ -99,8 +100,8 @@
 static void
 break_off (request_t *request)
 {
-  request->router->counters.broken_off++;
-  router_note (request->router, TL_END, request, "broken off");
+  request->router->counters.truncated++;
+  router_record_event (request->router, TL_END, request, "broken off");
   if (request->web == NULL)
     return;
   web_stream_end (request->web, false);
@@ -120,7 +121,8 @@
 {
   g_clear_pointer (&request->body, g_bytes_unref);
   web_stream_begin (request->web, request->status,
-                    request_answer_headers (request), answer_drained, request);
+                    request_answer_headers (request), answer_on_drained,
+                    request);
 }
 
 static bool
@@ -133,7 +135,7 @@
 finish (request_t *request, bool began)
 {
   request->router->counters.completed++;
-  router_note (request->router, TL_END, request, "complete");
+  router_record_event (request->router, TL_END, request, "complete");
   if (request->web == NULL)
     return;
   if (!began && has_no_body (request))
@@ -153,7 +155,7 @@
 /* ---- its place ---- */
 
 unsigned
-request_queue_max (const request_t *request)
+request_queue_limit (const request_t *request)
 {
   const rec_t *account
       = store_get (request->router->store, REC_ACCOUNT, request->item.account);
@@ -162,10 +164,10 @@
 }
 
 void
-request_refuse_full (request_t *request, int retry_after_s)
+request_refuse_queue_full (request_t *request, int retry_after_s)
 {
   request_refuse (
-      request, REFUSED_QUEUE, 429, "Queue full",
+      request, REFUSED_QUEUE_FULL, 429, "Queue full",
       "The client account has too many requests waiting; ask again later.",
       RUN_NOT_RUN, retry_after_s);
 }
@@ -177,21 +179,21 @@
   cfd_router_t *router = request->router;
   int retry_after_s = ADM_RETRY_MIN_S;
 
-  if (!adm_offer (router->adm, &request->item, request_queue_max (request),
+  if (!adm_offer (router->adm, &request->item, request_queue_limit (request),
                   now, &retry_after_s))
     {
-      request_refuse_full (request, retry_after_s);
+      request_refuse_queue_full (request, retry_after_s);
       return false;
     }
   router->counters.admitted++;
   router->retry_budget
-      = MIN (router->retry_budget + ROUTER_RETRY_PART, ROUTER_RETRY_BURST);
-  router_note (router, TL_ADMIT, request, NULL);
+      = MIN (router->retry_budget + ROUTER_RETRY_RATIO, ROUTER_RETRY_BURST);
+  router_record_event (router, TL_ADMIT, request, NULL);
   return true;
 }
 
 void
-request_detach (request_t *request)
+request_detach_agent (request_t *request)
 {
   cfd_router_t *router = request->router;
 
@@ -208,15 +210,15 @@
 put_back (request_t *request, cfd_time_t now)
 {
   request->has_head = false;
-  request->ended = false;
+  request->attempt_ended = false;
   request->not_started = false;
-  request->asked_again = false;
-  request->early_ends = 0;
+  request->resume_requested = false;
+  request->premature_ends = 0;
   g_clear_pointer (&request->answer_headers, g_ptr_array_unref);
-  request->received = 0;
-  request->acked = 0;
+  request->received_bytes = 0;
+  request->acked_bytes = 0;
   /* The deadline limits the time in the queue, not that at the agent.  */
-  request->item.deadline += now - request->assigned;
+  request->item.deadline += now - request->assigned_at;
   adm_return (request->router->adm, &request->item);
 }
 
@@ -225,11 +227,11 @@
 {
   if (request->agent == NULL)
     return;
-  if (request->ended)
-    answer_done (request);
+  if (request->attempt_ended)
+    answer_ack_done (request);
   else if (!request->not_started && request->idempotent)
-    answer_cancel (request);
-  request_detach (request);
+    answer_send_cancel (request);
+  request_detach_agent (request);
 }
 
 /* An attempt that failed goes elsewhere next.  A word that it was not started
@@ -274,16 +276,17 @@
       router->retry_budget -= 1;
       router->counters.retried++;
       request->may_have_run = true;
-      router_note (router, TL_RETRY, request, "the agent was lost");
+      router_record_event (router, TL_RETRY, request, "the agent was lost");
       avoid_agent (request, now);
       release_agent (request);
       put_back (request, now);
       return;
     case REQ_DO_REQUEUE:
-      router->counters.returned++;
-      router_note (router, TL_RETRY, request,
-                   request->not_started ? "the agent gave it back unstarted"
-                                        : "the endpoint was not reached");
+      router->counters.requeued++;
+      router_record_event (router, TL_RETRY, request,
+                           request->not_started
+                               ? "the agent gave it back unstarted"
+                               : "the endpoint was not reached");
       avoid_agent (request, now);
       release_agent (request);
       put_back (request, now);
@@ -304,11 +307,11 @@
       break_off (request);
       return;
     case REQ_DO_CANCEL:
-      answer_cancel (request);
+      answer_send_cancel (request);
       return;
     case REQ_DO_FORGET:
-      router->counters.left++;
-      router_note (router, TL_END, request, "the caller has left");
+      router->counters.callers_gone++;
+      router_record_event (router, TL_END, request, "the caller has left");
       return;
     case REQ_DO_REPORT:
       INVARIANT ("request-life", false, req_state_name (request->state));
@@ -317,7 +320,7 @@
 }
 
 req_facts_t
-request_facts (const request_t *request)
+request_get_facts (const request_t *request)
 {
   return (req_facts_t){ .idempotent = request->idempotent,
                         .may_have_run = request->may_have_run,
@@ -327,10 +330,10 @@
 }
 
 void
-request_event (request_t *request, req_event_t event, cfd_time_t now)
+request_handle_event (request_t *request, req_event_t event, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
-  req_facts_t facts = request_facts (request);
+  req_facts_t facts = request_get_facts (request);
   req_step_t step = req_next (request->state, event, &facts);
   bool began = request->state == REQ_ANSWERING;
   bool was_queued = request->state == REQ_QUEUED;
@@ -351,19 +354,19 @@
   request_t *request = user;
 
   request->web = NULL;
-  request_event (request, REQ_EV_CALLER_GONE, clock_now ());
+  request_handle_event (request, REQ_EV_CALLER_GONE, clock_now ());
 }
 
 void
-request_begin (request_t *request, cfd_time_t now)
+request_start (request_t *request, cfd_time_t now)
 {
   request->item.since = now;
-  request->item.deadline = now + request->router->request_ms;
+  request->item.deadline = now + request->router->request_timeout_ms;
   web_on_closed (request->web, on_closed, request);
   if (request->key == NULL)
-    request_event (request, REQ_EV_CLAIMED, now);
+    request_handle_event (request, REQ_EV_CLAIMED, now);
   else
-    claim_begin (request, now);
+    claim_acquire (request, now);
 }
 
 static void
@@ -371,11 +374,11 @@
 {
   request_t *request = list_entry (item, request_t, item);
 
-  request_event (request, REQ_EV_DEADLINE, *(const cfd_time_t *)user);
+  request_handle_event (request, REQ_EV_DEADLINE, *(const cfd_time_t *)user);
 }
 
 void
-request_expire (cfd_router_t *router, cfd_time_t now)
+request_expire_queued (cfd_router_t *router, cfd_time_t now)
 {
   adm_expire (router->adm, now, give_up, &now);
 }
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -16,7 +16,7 @@
 } unsent_t;
 
 void
-shares_changed (cfd_router_t *router, cfd_time_t now)
+shares_schedule_report (cfd_router_t *router, cfd_time_t now)
 {
   if (router->report_at != CFD_TIME_NEVER)
     return;
@@ -50,16 +50,16 @@
 {
   reporting_t *reporting = user;
   cfd_router_t *router = reporting->router;
-  const char *home = homes_of (router, entry->account, entry->service);
+  const char *home = homes_lookup (router, entry->account, entry->service);
 
   router->counters.report_entries++;
   if (strcmp (home, router->instance) == 0)
     home_report (router->home, router->instance, router->incarnation, entry,
                  reporting->now);
   else
-    g_array_append_val (batch_for (reporting, homes_get (router, home)),
-                        *entry);
-  return homes_number (home);
+    g_array_append_val (
+        batch_for (reporting, homes_find_or_add (router, home)), *entry);
+  return homes_hash (home);
 }
 
 static void
@@ -99,15 +99,15 @@
 report_to (cfd_router_t *router, router_peer_t *peer, const GArray *batch,
            cfd_time_t now)
 {
-  homes_hold (router, peer, now);
+  homes_hold_link (router, peer, now);
   if (send_report (router, peer, batch))
     {
-      homes_sent (router, peer, now);
+      homes_report_sent (router, peer, now);
       return;
     }
   for (guint i = 0; i < batch->len; i++)
     remember (peer, &g_array_index (batch, msg_report_entry_t, i));
-  homes_missed (router, peer, now);
+  homes_report_failed (router, peer, now);
 }
 
 static void
@@ -148,7 +148,7 @@
   share_take (router->share, entry, now);
   if (router->policy == CFD_POLICY_LOCAL)
     return;
-  grant_left (router, entry->account, entry->service, now, &left);
+  grant_describe_queue (router, entry->account, entry->service, now, &left);
   turns_moved (router->turns, entry->account, entry->service,
                left.virtual_time - before);
   if (left.count > 0)
@@ -166,8 +166,8 @@
       take_one (answering->router, entry, answering->now);
       return;
     }
-  if (!told_must_hear (homes_get (answering->router, name)->told, entry,
-                       answering->now))
+  if (!told_must_hear (homes_find_or_add (answering->router, name)->told,
+                       entry, answering->now))
     return;
   batch = g_hash_table_lookup (answering->batches, name);
   if (batch == NULL)
@@ -188,7 +188,7 @@
       message.u.share.count = MIN (batch->len - sent, MSG_ENTRIES_MAX);
       message.u.share.entries = (const msg_share_entry_t *)batch->data + sent;
       if (!router_send (router, name, &message))
-        told_forget (homes_get (router, name)->told);
+        told_forget (homes_find_or_add (router, name)->told);
     }
 }
 
@@ -211,23 +211,23 @@
 /* ---- for the rest of the router ---- */
 
 void
-shares_run (cfd_router_t *router, cfd_time_t now)
+shares_exchange (cfd_router_t *router, cfd_time_t now)
 {
-  bool is_moved = router->homes_moved;
+  bool is_moved = router->homes_changed;
 
   router->report_at = CFD_TIME_NEVER;
-  router->homes_moved = false;
+  router->homes_changed = false;
   if (is_moved)
-    share_moved (router->share, now, homes_number_of, router);
+    share_moved (router->share, now, homes_hash_of_account, router);
   report_all (router, now);
   answer_all (router, now);
 }
 
 void
-shares_report (cfd_router_t *router, const peer_id_t *peer,
-               const msg_report_t *report, cfd_time_t now)
+shares_handle_report (cfd_router_t *router, const peer_id_t *peer,
+                      const msg_report_t *report, cfd_time_t now)
 {
-  told_t *told = homes_get (router, peer->instance)->told;
+  told_t *told = homes_find_or_add (router, peer->instance)->told;
 
   for (uint32_t i = 0; i < report->count; i++)
     {
@@ -235,17 +235,17 @@
                    &report->entries[i], now);
       told_report (told, &report->entries[i]);
     }
-  shares_changed (router, now);
+  shares_schedule_report (router, now);
 }
 
 void
-shares_take (cfd_router_t *router, const char *name, const msg_share_t *share,
-             cfd_time_t now)
+shares_handle_share (cfd_router_t *router, const char *name,
+                     const msg_share_t *share, cfd_time_t now)
 {
-  router_peer_t *peer = homes_get (router, name);
+  router_peer_t *peer = homes_find_or_add (router, name);
 
-  peer->answered = now;
-  homes_trust (router, peer, now);
+  peer->last_answer_at = now;
+  homes_readmit (router, peer, now);
   for (uint32_t i = 0; i < share->count; i++)
     take_one (router, &share->entries[i], now);
 }
@@ -253,7 +253,7 @@
 void
 shares_peer_up (cfd_router_t *router, const char *name, cfd_time_t now)
 {
-  router_peer_t *peer = homes_get (router, name);
+  router_peer_t *peer = homes_find_or_add (router, name);
   g_autoptr (GArray) batch
       = g_array_new (false, false, sizeof (msg_report_entry_t));
   GHashTableIter iter;
@@ -261,7 +261,7 @@
 
   peer->up = true;
   told_forget (peer->told);
-  homes_trust (router, peer, now);
+  homes_readmit (router, peer, now);
   g_hash_table_iter_init (&iter, peer->unsent);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     g_array_append_val (batch, ((const unsent_t *)value)->entry);
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -44,46 +44,47 @@
 }
 
 char *
-router_name_request (cfd_router_t *router)
+router_new_request_id (cfd_router_t *router)
 {
   return g_strdup_printf ("%s.%" PRIx64 ".%" PRIu64, router->instance,
                           router->incarnation, ++router->last_id);
 }
 
 void
-router_note (cfd_router_t *router, tl_kind_t kind, const request_t *request,
-             const char *detail)
+router_record_event (cfd_router_t *router, tl_kind_t kind,
+                     const request_t *request, const char *detail)
 {
   const agent_t *agent = request->agent;
 
   tl_add (router->ring, kind, request->item.account,
           agent != NULL ? agent->zone : NULL,
           agent != NULL ? agent->name : NULL,
-          request->id != NULL ? request->id : request->trace, detail);
+          request->id != NULL ? request->id : request->trace_id, detail);
 }
 
 /* Once a second: what costs little and hurries nobody.  */
 static void
 keep_house (cfd_router_t *router, cfd_time_t now)
 {
-  if (now < router->keeping_at)
+  if (now < router->housekeeping_at)
     return;
-  router->keeping_at = now + KEEPING_MS;
+  router->housekeeping_at = now + KEEPING_MS;
   turns_expire (router->turns, now);
   share_expire (router->share, now);
   home_expire (router->home, now);
   cost_expire (router->cost, now);
-  shares_run (router, now);
-  agents_release (router, now);
-  homes_release (router, now);
-  conf_keep (router, now);
+  shares_exchange (router, now);
+  agents_release_links (router, now);
+  homes_release_links (router, now);
+  conf_run_periodic (router, now);
 }
 
 static void
 stop_leftovers (cfd_router_t *router, cfd_time_t now)
 {
-  list_for_each_safe (node, &router->all)
-    request_event (list_entry (node, request_t, node), REQ_EV_STOP, now);
+  list_for_each_safe (node, &router->all_requests)
+    request_handle_event (list_entry (node, request_t, node), REQ_EV_STOP,
+                          now);
 }
 
 /* Claims that still have to reach the platform count: one that was lost would
@@ -91,7 +92,8 @@
 static bool
 has_work (const cfd_router_t *router)
 {
-  return !list_is_empty (&router->all) || web_server_active (router->web) > 0
+  return !list_is_empty (&router->all_requests)
+         || web_server_active (router->web) > 0
          || once_pending (router->once) > 0;
 }
 
@@ -104,13 +106,13 @@
     stop_leftovers (router, now);
   if (has_work (router))
     {
-      router->quiet_since = 0;
+      router->idle_since = 0;
       if (now < router->drain_until + QUIET_MS)
         return;
     }
-  if (router->quiet_since == 0)
-    router->quiet_since = now;
-  if (now - router->quiet_since < QUIET_MS && now < router->drain_until)
+  if (router->idle_since == 0)
+    router->idle_since = now;
+  if (now - router->idle_since < QUIET_MS && now < router->drain_until)
     return;
   log_info ("router", "Shut down: left=%u.", web_server_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
@@ -122,21 +124,21 @@
   cfd_time_t now = clock_now ();
   cfd_time_t next;
 
-  request_expire (router, now);
-  agents_sort (router);
-  next = answer_give_up (router, now);
+  request_expire_queued (router, now);
+  agents_refresh_sets (router);
+  next = answer_expire_lost (router, now);
   if (router->report_at <= now)
-    shares_run (router, now);
+    shares_exchange (router, now);
   keep_house (router, now);
   if (router->policy == CFD_POLICY_LOCAL)
-    baseline_pump (router, now);
+    baseline_dispatch (router, now);
   else
     grant_announce (router, now);
   check_drained (router, now);
   next = MIN (next, adm_next_deadline (router->adm));
   next = MIN (next, disp_next (router->disp, now));
   next = MIN (next, router->report_at);
-  next = MIN (next, router->keeping_at);
+  next = MIN (next, router->housekeeping_at);
   if (router->draining)
     next = MIN (next, now + QUIET_MS / 10);
   /* At least a millisecond on, so that no fault can make the loop spin.  */
@@ -161,22 +163,22 @@
   switch (message->kind)
     {
     case MSG_GRANT:
-      grant_take (router, peer, &message->u.grant, now);
+      grant_handle (router, peer, &message->u.grant, now);
       return;
     case MSG_NOT_STARTED:
-      answer_not_started (router, peer, &message->u.not_started, now);
+      answer_handle_not_started (router, peer, &message->u.not_started, now);
       return;
     case MSG_HEAD:
-      answer_head (router, peer, &message->u.head, now);
+      answer_handle_head (router, peer, &message->u.head, now);
       return;
     case MSG_DATA:
-      answer_data (router, peer, &message->u.data, now);
+      answer_handle_data (router, peer, &message->u.data, now);
       return;
     case MSG_END:
-      answer_end (router, peer, &message->u.end, now);
+      answer_handle_end (router, peer, &message->u.end, now);
       return;
     case MSG_LOAD:
-      baseline_load (router, peer, &message->u.load);
+      baseline_handle_load (router, peer, &message->u.load);
       return;
     default:
       return;
@@ -188,9 +190,9 @@
              cfd_time_t now)
 {
   if (message->kind == MSG_REPORT)
-    shares_report (router, peer, &message->u.report, now);
+    shares_handle_report (router, peer, &message->u.report, now);
   else if (message->kind == MSG_SHARE)
-    shares_take (router, peer->instance, &message->u.share, now);
+    shares_handle_share (router, peer->instance, &message->u.share, now);
 }
 
 static void
@@ -200,11 +202,12 @@
   cfd_router_t *router = user;
 
   if (message->kind != MSG_CONFIG_PART)
-    conf_hear (router, peer, message->revision, now);
+    conf_observe_revision (router, peer, message->revision, now);
   if (message->kind == MSG_CONFIG_ASK)
-    conf_give (router, peer, &message->u.config_ask, now);
+    conf_handle_ask (router, peer, &message->u.config_ask, now);
   else if (message->kind == MSG_CONFIG_PART)
-    conf_take (router, peer, &message->u.config_part, message->revision, now);
+    conf_handle_part (router, peer, &message->u.config_part, message->revision,
+                      now);
   else if (peer->role == ROLE_AGENT)
     from_agent (router, peer, message, now);
   else if (peer->role == ROLE_ROUTER)
@@ -254,16 +257,16 @@
 {
   cfd_router_t *router = user;
 
-  agents_listed (router);
-  homes_listed (router, now);
-  conf_listed (router);
+  agents_instances_changed (router);
+  homes_instances_changed (router, now);
+  conf_instances_changed (router);
   router_schedule (router, 0);
 }
 
 static void
 on_advanced (void *user)
 {
-  conf_advanced (user);
+  conf_announce_revision (user);
 }
 
 /* ---- start and end ---- */
@@ -311,11 +314,11 @@
 
   router->store = store_new (router->ring, &events, router);
   store_set_self (router->store, ROLE_ROUTER, router->instance);
-  conf_listed (router);
+  conf_instances_changed (router);
   router->pool = fetch_pool_new (router->loop);
   router->plat = plat_new (router->pool, settings->platform);
   router->once = once_new (router->plat, owner);
-  claim_sweep (router, settings);
+  claim_start_sweep (router, settings);
 }
 
 static void
@@ -325,11 +328,11 @@
   router->instance = g_strdup (settings->instance);
   router->zone = g_strdup (settings->zone);
   router->policy = settings->policy;
-  router->request_ms = (cfd_time_t)settings->request_s * 1000;
-  router->drain_ms = (cfd_time_t)settings->drain_s * 1000;
+  router->request_timeout_ms = (cfd_time_t)settings->request_s * 1000;
+  router->drain_timeout_ms = (cfd_time_t)settings->drain_s * 1000;
   router->retry_budget = ROUTER_RETRY_BURST;
   router->timer_at = CFD_TIME_NEVER;
-  list_init (&router->all);
+  list_init (&router->all_requests);
   router->requests = g_hash_table_new (g_str_hash, g_str_equal);
   router->ring = tl_ring_new (router->instance, EVENTS_KEPT);
   router->adm = adm_new ();
@@ -383,7 +386,7 @@
   if (router->draining)
     return;
   router->draining = true;
-  router->drain_until = clock_now () + router->drain_ms;
+  router->drain_until = clock_now () + router->drain_timeout_ms;
   web_server_quiesce (router->web);
   tl_add (router->ring, TL_STOP, NULL, router->zone, NULL, NULL, "draining");
   log_info ("router", "Draining: waiting=%u in_flight=%u.",
@@ -401,7 +404,7 @@
   web_server_free (router->web);
   sweep_free (router->sweep);
   once_free (router->once);
-  list_for_each_safe (node, &router->all)
+  list_for_each_safe (node, &router->all_requests)
     request_free (list_entry (node, request_t, node));
   admin_free (router->admin);
   peer_hub_free (router->hub);
@@ -419,7 +422,7 @@
   g_hash_table_unref (router->requests);
   g_hash_table_unref (router->routers);
   g_hash_table_unref (router->agents);
-  g_hash_table_unref (router->served);
+  g_hash_table_unref (router->served_services);
   tl_ring_free (router->ring);
   g_free (router->instance);
   g_free (router->zone);
