--- a/libcoltsfootdrum/router/avoid.c
+++ b/libcoltsfootdrum/router/avoid.c
@@ -2,24 +2,24 @@
 
 #include <glib.h>
 
-static avoided_t *
+static avoid_entry_t *
 find (const avoid_t *avoid, const char *agent)
 {
-  for (unsigned i = 0; i < AVOID_MAX; i++)
+  for (unsigned i = 0; i < AVOID_MAX_AGENTS; i++)
     if (g_strcmp0 (avoid->entries[i].agent, agent) == 0)
-      return (avoided_t *)&avoid->entries[i];
+      return (avoid_entry_t *)&avoid->entries[i];
   return NULL;
 }
 
 void
 avoid_add (avoid_t *avoid, const char *agent, cfd_time_t now)
 {
-  avoided_t *entry = find (avoid, agent);
+  avoid_entry_t *entry = find (avoid, agent);
 
   if (entry == NULL)
     {
       entry = &avoid->entries[avoid->next];
-      avoid->next = (avoid->next + 1) % AVOID_MAX;
+      avoid->next = (avoid->next + 1) % AVOID_MAX_AGENTS;
       g_free (entry->agent);
       entry->agent = g_strdup (agent);
     }
@@ -27,9 +27,9 @@
 }
 
 bool
-avoid_has (const avoid_t *avoid, const char *agent, cfd_time_t now)
+avoid_contains (const avoid_t *avoid, const char *agent, cfd_time_t now)
 {
-  const avoided_t *entry = find (avoid, agent);
+  const avoid_entry_t *entry = find (avoid, agent);
 
   return entry != NULL && now < entry->until;
 }
@@ -37,7 +37,7 @@
 void
 avoid_clear (avoid_t *avoid)
 {
-  for (unsigned i = 0; i < AVOID_MAX; i++)
+  for (unsigned i = 0; i < AVOID_MAX_AGENTS; i++)
     g_free (avoid->entries[i].agent);
   *avoid = (avoid_t){ 0 };
 }
--- a/libcoltsfootdrum/router/avoid.h
+++ b/libcoltsfootdrum/router/avoid.h
@@ -17,23 +17,23 @@
 #define AVOID_AGENT_MS 3000
 /* A request has fewer attempts than this, but for those that never reached
    an endpoint; then the oldest is forgotten.  */
-#define AVOID_MAX 4u
+#define AVOID_MAX_AGENTS 4u
 
 typedef struct
 {
   char *agent;
   cfd_time_t until;
-} avoided_t;
+} avoid_entry_t;
 
 /* All zero to begin with.  */
 typedef struct
 {
-  avoided_t entries[AVOID_MAX];
+  avoid_entry_t entries[AVOID_MAX_AGENTS];
   unsigned next;
 } avoid_t;
 
 void avoid_add (avoid_t *avoid, const char *agent, cfd_time_t now);
-bool avoid_has (const avoid_t *avoid, const char *agent, cfd_time_t now);
+bool avoid_contains (const avoid_t *avoid, const char *agent, cfd_time_t now);
 void avoid_clear (avoid_t *avoid);
 
 #endif
--- a/libcoltsfootdrum/router/cost.c
+++ b/libcoltsfootdrum/router/cost.c
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 
 /* Weight of the newest request.  */
-#define RATIO_WEIGHT 0.1
+#define RATIO_SMOOTHING 0.1
 
 typedef struct
 {
@@ -38,30 +38,30 @@
 }
 
 double
-cost_expect (const cost_t *cost, const char *account, const char *service,
-             double hint)
+cost_estimate (const cost_t *cost, const char *account, const char *service,
+               double hint)
 {
   const entry_t *entry = pair_table_find (cost->entries, account, service);
 
-  return hint * (entry != NULL ? entry->ratio : COST_RATIO_FIRST);
+  return hint * (entry != NULL ? entry->ratio : COST_RATIO_INITIAL);
 }
 
 void
-cost_learn (cost_t *cost, const char *account, const char *service,
-            double hint, double actual, cfd_time_t now)
+cost_update (cost_t *cost, const char *account, const char *service,
+             double hint, double actual, cfd_time_t now)
 {
   entry_t *entry = pair_table_find (cost->entries, account, service);
   double ratio;
 
   if (hint <= 0)
     return;
-  ratio = CLAMP (actual / hint, COST_RATIO_LEAST, COST_RATIO_MOST);
+  ratio = CLAMP (actual / hint, COST_RATIO_MIN, COST_RATIO_MAX);
   if (entry == NULL)
     {
       entry = pair_table_add (cost->entries, account, service, sizeof *entry);
       entry->ratio = ratio;
     }
-  entry->ratio += RATIO_WEIGHT * (ratio - entry->ratio);
+  entry->ratio += RATIO_SMOOTHING * (ratio - entry->ratio);
   entry->used = now;
 }
 
@@ -70,7 +70,7 @@
 {
   const entry_t *entry = value;
 
-  return *(const cfd_time_t *)user - entry->used > COST_FORGET_MS;
+  return *(const cfd_time_t *)user - entry->used > COST_EXPIRY_MS;
 }
 
 void
--- a/libcoltsfootdrum/router/cost.h
+++ b/libcoltsfootdrum/router/cost.h
@@ -12,10 +12,10 @@
 #include <glib.h>
 
 /* Before anything is known.  */
-#define COST_RATIO_FIRST 0.5
-#define COST_RATIO_LEAST 0.02
-#define COST_RATIO_MOST 2.0
-#define COST_FORGET_MS 600000
+#define COST_RATIO_INITIAL 0.5
+#define COST_RATIO_MIN 0.02
+#define COST_RATIO_MAX 2.0
+#define COST_EXPIRY_MS 600000
 
 typedef struct cost cost_t;
 
@@ -24,12 +24,12 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (cost_t, cost_free)
 
 /* Tokens to expect of a request whose hint is HINT.  */
-double cost_expect (const cost_t *cost, const char *account,
-                    const char *service, double hint);
+double cost_estimate (const cost_t *cost, const char *account,
+                      const char *service, double hint);
 /* A request of that hint took ACTUAL.  */
-void cost_learn (cost_t *cost, const char *account, const char *service,
-                 double hint, double actual, cfd_time_t now);
-/* Forgets what was not used for COST_FORGET_MS.  */
+void cost_update (cost_t *cost, const char *account, const char *service,
+                  double hint, double actual, cfd_time_t now);
+/* Forgets what was not used for COST_EXPIRY_MS.  */
 void cost_expire (cost_t *cost, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -243,7 +243,7 @@
 {
   return agent->listed && agents_accepts_work (router, agent)
          && is_for (agent, request->item.service)
-         && !avoid_has (&request->avoid, agent->name, now);
+         && !avoid_contains (&request->avoid, agent->name, now);
 }
 
 bool
@@ -253,7 +253,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (!avoid_has (&request->avoid, agent->name, now))
+  if (!avoid_contains (&request->avoid, agent->name, now))
     return true;
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -214,8 +214,8 @@
 
   grant_correct_charge (request, actual, now);
   if (request->is_model && actual > 0 && end->outcome == OUTCOME_COMPLETE)
-    cost_learn (request->router->cost, request->item.account,
-                request->item.service, request->hint, actual, now);
+    cost_update (request->router->cost, request->item.account,
+                 request->item.service, request->hint, actual, now);
 }
 
 static req_event_t
@@ -382,8 +382,8 @@
       req_facts_t facts = request_get_facts (request);
       cfd_time_t until
           = agent->link_lost_at
-            + req_patience (request->state, &facts,
-                            agent->link_was_silent && agent->listed);
+            + req_link_wait_ms (request->state, &facts,
+                                agent->link_was_silent && agent->listed);
 
       if (until <= now)
         request_handle_event (request, REQ_EV_LOST, now);
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -200,8 +200,8 @@
   request->idempotent = is_idempotent (service, request->method, call);
   request->hint = call->cost;
   request->item.cost = call->is_model
-                           ? cost_expect (router->cost, account->name,
-                                          service->name, call->cost)
+                           ? cost_estimate (router->cost, account->name,
+                                            service->name, call->cost)
                            : call->cost;
   request->item.class_rank = rec_service_class (
       &service->u.service, web_header (web, "X-Request-Class"));
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -49,7 +49,7 @@
 {
   const char *account;
 
-  while ((account = wfq_next (router->wfq, service)) != NULL)
+  while ((account = wfq_next_account (router->wfq, service)) != NULL)
     {
       agent_t *agent = least_loaded (router, service);
       g_autofree char *name = g_strdup (account);
@@ -104,10 +104,10 @@
 
   if (count == 0)
     {
-      wfq_idle (router->wfq, account, service);
+      wfq_set_idle (router->wfq, account, service);
       return;
     }
-  wfq_backlogged (router->wfq, account, service);
+  wfq_set_backlogged (router->wfq, account, service);
   hold_agents (router, service, now);
   router_schedule (router, now);
 }
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -60,7 +60,7 @@
   router_record_event (request->router, TL_REFUSE, request, title);
   if (request->web == NULL)
     return;
-  web_problem (request->web, status, title, detail, req_run_word (run),
+  web_problem (request->web, status, title, detail, req_run_text (run),
                retry_after_s);
   request->web = NULL;
 }
@@ -68,7 +68,7 @@
 static void
 refuse_late (request_t *request, req_event_t event, req_run_t run)
 {
-  if (event == REQ_EV_STOP)
+  if (event == REQ_EV_SHUTDOWN)
     request_refuse (request, REFUSED_SHUTDOWN, 503, "Shutting down",
                     "This router is going away; ask another one.", run,
                     RETRY_STOP_S);
@@ -81,7 +81,7 @@
 static void
 fail (request_t *request, req_event_t event)
 {
-  bool stop = event == REQ_EV_STOP;
+  bool stop = event == REQ_EV_SHUTDOWN;
 
   request->router->counters.failed++;
   router_record_event (request->router, TL_END, request,
@@ -303,17 +303,17 @@
     case REQ_DO_FAIL:
       fail (request, event);
       return;
-    case REQ_DO_BREAK_OFF:
+    case REQ_DO_TRUNCATE:
       break_off (request);
       return;
     case REQ_DO_CANCEL:
       answer_send_cancel (request);
       return;
-    case REQ_DO_FORGET:
+    case REQ_DO_DROP:
       router->counters.callers_gone++;
       router_record_event (router, TL_END, request, "the caller has left");
       return;
-    case REQ_DO_REPORT:
+    case REQ_DO_REPORT_BUG:
       INVARIANT ("request-life", false, req_state_name (request->state));
       return;
     }
--- a/libcoltsfootdrum/router/router-step.c
+++ b/libcoltsfootdrum/router/router-step.c
@@ -13,16 +13,16 @@
     {
     case REQ_EV_CLAIMED:
       if (facts->caller_gone)
-        return step (REQ_OVER, REQ_DO_FORGET, RUN_NOT_RUN);
+        return step (REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN);
       return step (REQ_QUEUED, REQ_DO_QUEUE, RUN_NOT_RUN);
     case REQ_EV_CALLER_GONE:
       /* The claim may be made already: wait for it, to give it back.  */
       return step (REQ_CLAIMING, REQ_DO_NOTHING, RUN_NOT_RUN);
-    case REQ_EV_STOP:
+    case REQ_EV_SHUTDOWN:
     case REQ_EV_DEADLINE:
       return step (REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN);
     default:
-      return step (REQ_CLAIMING, REQ_DO_REPORT, RUN_NOT_RUN);
+      return step (REQ_CLAIMING, REQ_DO_REPORT_BUG, RUN_NOT_RUN);
     }
 }
 
@@ -36,12 +36,12 @@
     case REQ_EV_ASSIGNED:
       return step (REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN);
     case REQ_EV_DEADLINE:
-    case REQ_EV_STOP:
+    case REQ_EV_SHUTDOWN:
       return step (REQ_OVER, REQ_DO_REFUSE, run);
     case REQ_EV_CALLER_GONE:
-      return step (REQ_OVER, REQ_DO_FORGET, run);
+      return step (REQ_OVER, REQ_DO_DROP, run);
     default:
-      return step (REQ_QUEUED, REQ_DO_REPORT, run);
+      return step (REQ_QUEUED, REQ_DO_REPORT_BUG, run);
     }
 }
 
@@ -51,7 +51,7 @@
   req_run_t run = facts->may_have_run ? RUN_UNKNOWN : RUN_NOT_RUN;
 
   if (facts->caller_gone)
-    return step (REQ_OVER, REQ_DO_FORGET, run);
+    return step (REQ_OVER, REQ_DO_DROP, run);
   return step (REQ_QUEUED, REQ_DO_REQUEUE, run);
 }
 
@@ -59,7 +59,7 @@
 lost_next (const req_facts_t *facts)
 {
   if (facts->caller_gone)
-    return step (REQ_OVER, REQ_DO_FORGET, RUN_UNKNOWN);
+    return step (REQ_OVER, REQ_DO_DROP, RUN_UNKNOWN);
   if (facts->idempotent && facts->may_retry)
     return step (REQ_QUEUED, REQ_DO_RETRY, RUN_UNKNOWN);
   return step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
@@ -90,10 +90,10 @@
       return lost_next (facts);
     case REQ_EV_CALLER_GONE:
       return step (REQ_SENT, leaving_action (facts), RUN_UNKNOWN);
-    case REQ_EV_STOP:
+    case REQ_EV_SHUTDOWN:
       return step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
     default:
-      return step (REQ_SENT, REQ_DO_REPORT, RUN_UNKNOWN);
+      return step (REQ_SENT, REQ_DO_REPORT_BUG, RUN_UNKNOWN);
     }
 }
 
@@ -106,16 +106,16 @@
       return step (REQ_OVER, REQ_DO_FINISH, RUN_DONE);
     case REQ_EV_NOT_RUN: /* a lie: some of its answer came */
     case REQ_EV_LOST:
-    case REQ_EV_STOP:
+    case REQ_EV_SHUTDOWN:
       return step (REQ_OVER,
-                   facts->caller_gone ? REQ_DO_FORGET : REQ_DO_BREAK_OFF,
+                   facts->caller_gone ? REQ_DO_DROP : REQ_DO_TRUNCATE,
                    RUN_UNKNOWN);
     case REQ_EV_CALLER_GONE:
       return step (REQ_ANSWERING, leaving_action (facts), RUN_UNKNOWN);
     case REQ_EV_DATA:
       return step (REQ_ANSWERING, REQ_DO_NOTHING, RUN_UNKNOWN);
     default:
-      return step (REQ_ANSWERING, REQ_DO_REPORT, RUN_UNKNOWN);
+      return step (REQ_ANSWERING, REQ_DO_REPORT_BUG, RUN_UNKNOWN);
     }
 }
 
@@ -138,17 +138,17 @@
 }
 
 cfd_time_t
-req_patience (req_state_t state, const req_facts_t *facts, bool frozen)
+req_link_wait_ms (req_state_t state, const req_facts_t *facts, bool frozen)
 {
   if (facts->idempotent && facts->caller_gone)
-    return REQ_GONE_WAIT_MS;
+    return REQ_AGENT_GONE_WAIT_MS;
   if (state == REQ_SENT && facts->idempotent && facts->may_retry)
     return REQ_RETRY_WAIT_MS;
-  return frozen ? REQ_SILENT_WAIT_MS : REQ_GONE_WAIT_MS;
+  return frozen ? REQ_AGENT_SILENT_WAIT_MS : REQ_AGENT_GONE_WAIT_MS;
 }
 
 const char *
-req_run_word (req_run_t run)
+req_run_text (req_run_t run)
 {
   return run == RUN_NOT_RUN ? "not-run" : "unknown";
 }
--- a/libcoltsfootdrum/router/router-step.h
+++ b/libcoltsfootdrum/router/router-step.h
@@ -21,10 +21,10 @@
    requests would be repeated whenever a connection breaks.  */
 #define REQ_RETRY_WAIT_MS 1000
 /* The process is gone by all signs: time for a redial and a few refusals.  */
-#define REQ_GONE_WAIT_MS 3000
+#define REQ_AGENT_GONE_WAIT_MS 3000
 /* It went silent and is still listed.  Short against the 30 s for which agents
    and engines keep an answer.  */
-#define REQ_SILENT_WAIT_MS 12000
+#define REQ_AGENT_SILENT_WAIT_MS 12000
 
 typedef enum
 {
@@ -46,7 +46,7 @@
   REQ_EV_LOST,        /* broken off, unknown to its agent, or the agent gone */
   REQ_EV_DEADLINE,    /* waited too long */
   REQ_EV_CALLER_GONE, /* nobody waits for the answer */
-  REQ_EV_STOP,        /* the shutdown's limit has passed */
+  REQ_EV_SHUTDOWN,    /* the shutdown's limit has passed */
   REQ_EVENT_COUNT
 } req_event_t;
 
@@ -60,10 +60,10 @@
   REQ_DO_FINISH,    /* end the answer, whole */
   REQ_DO_REFUSE,    /* problem: not served in time */
   REQ_DO_FAIL,      /* problem: the fleet broke off */
-  REQ_DO_BREAK_OFF, /* end the answer so that the caller sees it is a part */
+  REQ_DO_TRUNCATE,  /* end the answer so that the caller sees it is a part */
   REQ_DO_CANCEL,    /* tell the agent to stop; wait for its end */
-  REQ_DO_FORGET,    /* nobody to tell */
-  REQ_DO_REPORT     /* can't happen: an invariant is broken */
+  REQ_DO_DROP,      /* nobody to tell */
+  REQ_DO_REPORT_BUG /* can't happen: an invariant is broken */
 } req_action_t;
 
 typedef enum
@@ -93,11 +93,11 @@
 
 /* How long after the loss of its agent's link the request is still waited
    for.  FROZEN: the link went silent, and the platform lists the agent.  */
-cfd_time_t req_patience (req_state_t state, const req_facts_t *facts,
-                         bool frozen);
+cfd_time_t req_link_wait_ms (req_state_t state, const req_facts_t *facts,
+                             bool frozen);
 
 /* "not-run" or "unknown", for the caller.  */
-const char *req_run_word (req_run_t run);
+const char *req_run_text (req_run_t run);
 const char *req_state_name (req_state_t state);
 
 #endif
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -83,7 +83,7 @@
 stop_leftovers (cfd_router_t *router, cfd_time_t now)
 {
   list_for_each_safe (node, &router->all_requests)
-    request_handle_event (list_entry (node, request_t, node), REQ_EV_STOP,
+    request_handle_event (list_entry (node, request_t, node), REQ_EV_SHUTDOWN,
                           now);
 }
 
--- a/libcoltsfootdrum/router/test-avoid.c
+++ b/libcoltsfootdrum/router/test-avoid.c
@@ -28,10 +28,10 @@
   avoid_add (&avoid, "b", 150);
   avoid_add (&avoid, "a", 200);
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
-    g_assert_cmpint (avoid_has (&avoid, cases[i].agent, cases[i].now), ==,
+    g_assert_cmpint (avoid_contains (&avoid, cases[i].agent, cases[i].now), ==,
                      cases[i].avoided);
   avoid_clear (&avoid);
-  g_assert_false (avoid_has (&avoid, "a", 200));
+  g_assert_false (avoid_contains (&avoid, "a", 200));
 }
 
 /* More agents than are remembered: the newest are.  */
@@ -40,15 +40,15 @@
 {
   avoid_t avoid = { 0 };
 
-  for (unsigned i = 0; i < AVOID_MAX + 2; i++)
+  for (unsigned i = 0; i < AVOID_MAX_AGENTS + 2; i++)
     {
       g_autofree char *name = g_strdup_printf ("agent-%u", i);
 
       avoid_add (&avoid, name, 10);
     }
-  g_assert_false (avoid_has (&avoid, "agent-1", 20));
-  g_assert_true (avoid_has (&avoid, "agent-2", 20));
-  g_assert_true (avoid_has (&avoid, "agent-5", 20));
+  g_assert_false (avoid_contains (&avoid, "agent-1", 20));
+  g_assert_true (avoid_contains (&avoid, "agent-2", 20));
+  g_assert_true (avoid_contains (&avoid, "agent-5", 20));
   avoid_clear (&avoid);
 }
 
--- a/libcoltsfootdrum/router/test-cost.c
+++ b/libcoltsfootdrum/router/test-cost.c
@@ -13,12 +13,12 @@
     double actual;
     double expected;
   } cases[] = {
-    { 0, 0, 0, 1000 * COST_RATIO_FIRST },
+    { 0, 0, 0, 1000 * COST_RATIO_INITIAL },
     { 50, 4096, 409.6, 100 },
     { 50, 100, 100, 1000 },
     { 50, 10, 1e9, 2000 },
     { 50, 1e9, 1, 20 },
-    { 50, 0, 5, 1000 * COST_RATIO_FIRST },
+    { 50, 0, 5, 1000 * COST_RATIO_INITIAL },
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -26,11 +26,11 @@
       g_autoptr (cost_t) cost = cost_new ();
 
       for (unsigned j = 0; j < cases[i].requests; j++)
-        cost_learn (cost, "a", "s", cases[i].hint, cases[i].actual, 0);
-      g_assert_cmpfloat_with_epsilon (cost_expect (cost, "a", "s", 1000),
+        cost_update (cost, "a", "s", cases[i].hint, cases[i].actual, 0);
+      g_assert_cmpfloat_with_epsilon (cost_estimate (cost, "a", "s", 1000),
                                       cases[i].expected, 0.01);
-      g_assert_cmpfloat (cost_expect (cost, "b", "s", 1000), ==,
-                         1000 * COST_RATIO_FIRST);
+      g_assert_cmpfloat (cost_estimate (cost, "b", "s", 1000), ==,
+                         1000 * COST_RATIO_INITIAL);
     }
 }
 
@@ -39,11 +39,11 @@
 {
   g_autoptr (cost_t) cost = cost_new ();
 
-  cost_learn (cost, "a", "s", 10, 1, 0);
-  cost_expire (cost, COST_FORGET_MS);
-  g_assert_cmpfloat (cost_expect (cost, "a", "s", 10), ==, 1);
-  cost_expire (cost, COST_FORGET_MS + 1);
-  g_assert_cmpfloat (cost_expect (cost, "a", "s", 10), ==, 5);
+  cost_update (cost, "a", "s", 10, 1, 0);
+  cost_expire (cost, COST_EXPIRY_MS);
+  g_assert_cmpfloat (cost_estimate (cost, "a", "s", 10), ==, 1);
+  cost_expire (cost, COST_EXPIRY_MS + 1);
+  g_assert_cmpfloat (cost_estimate (cost, "a", "s", 10), ==, 5);
 }
 
 int
--- a/libcoltsfootdrum/router/test-wfq.c
+++ b/libcoltsfootdrum/router/test-wfq.c
@@ -9,10 +9,10 @@
   static const char *const names[] = { "a", "b", "c" };
 
   for (unsigned i = 0; i < accounts; i++)
-    wfq_backlogged (wfq, names[i], "s");
+    wfq_set_backlogged (wfq, names[i], "s");
   for (unsigned i = 0; i < rounds; i++)
     {
-      unsigned who = wfq_next (wfq, "s")[0] - 'a';
+      unsigned who = wfq_next_account (wfq, "s")[0] - 'a';
 
       served[who]++;
       wfq_charge (wfq, names[who], "s", 100, weights[who]);
@@ -52,7 +52,7 @@
   double weights[2] = { 1, 1 };
   unsigned served[2] = { 0 };
 
-  wfq_backlogged (wfq, "a", "s");
+  wfq_set_backlogged (wfq, "a", "s");
   wfq_charge (wfq, "a", "s", 1e6, 1);
   serve (wfq, 20, weights, served, 2);
   g_assert_cmpint (served[0], >=, 9);
@@ -64,12 +64,12 @@
 {
   g_autoptr (wfq_t) wfq = wfq_new ();
 
-  wfq_backlogged (wfq, "a", "s");
-  wfq_backlogged (wfq, "b", "other");
-  g_assert_cmpstr (wfq_next (wfq, "s"), ==, "a");
-  wfq_idle (wfq, "a", "s");
-  g_assert_null (wfq_next (wfq, "s"));
-  g_assert_cmpstr (wfq_next (wfq, "other"), ==, "b");
+  wfq_set_backlogged (wfq, "a", "s");
+  wfq_set_backlogged (wfq, "b", "other");
+  g_assert_cmpstr (wfq_next_account (wfq, "s"), ==, "a");
+  wfq_set_idle (wfq, "a", "s");
+  g_assert_null (wfq_next_account (wfq, "s"));
+  g_assert_cmpstr (wfq_next_account (wfq, "other"), ==, "b");
 }
 
 int
--- a/libcoltsfootdrum/router/wfq.c
+++ b/libcoltsfootdrum/router/wfq.c
@@ -67,7 +67,7 @@
 }
 
 void
-wfq_backlogged (wfq_t *wfq, const char *account, const char *service)
+wfq_set_backlogged (wfq_t *wfq, const char *account, const char *service)
 {
   entry_t *entry = find_or_add (wfq, account, service);
   const entry_t *first;
@@ -81,13 +81,13 @@
 }
 
 void
-wfq_idle (wfq_t *wfq, const char *account, const char *service)
+wfq_set_idle (wfq_t *wfq, const char *account, const char *service)
 {
   find_or_add (wfq, account, service)->backlogged = false;
 }
 
 const char *
-wfq_next (const wfq_t *wfq, const char *service)
+wfq_next_account (const wfq_t *wfq, const char *service)
 {
   const entry_t *entry = least (wfq, service);
 
