--- a/libcoltsfootdrum/router/told.c
+++ b/libcoltsfootdrum/router/peer-view.c
@@ -1,4 +1,4 @@
-#include "router/told.h"
+#include "router/peer-view.h"
 
 #include "base/pair.h"
 
@@ -17,17 +17,17 @@
   cfd_time_t said; /* the last answer */
 };
 
-told_t *
-told_new (void)
+peer_view_t *
+peer_view_new (void)
 {
-  told_t *told = g_new0 (told_t, 1);
+  peer_view_t *told = g_new0 (peer_view_t, 1);
 
   told->entries = pair_table_new (NULL);
   return told;
 }
 
 void
-told_free (told_t *told)
+peer_view_free (peer_view_t *told)
 {
   if (told == NULL)
     return;
@@ -36,7 +36,7 @@
 }
 
 void
-told_forget (told_t *told)
+peer_view_reset (peer_view_t *told)
 {
   g_hash_table_remove_all (told->entries);
   told->said = 0;
@@ -50,21 +50,21 @@
 }
 
 static entry_t *
-find_or_add (told_t *told, const char *account, const char *service)
+find_or_add (peer_view_t *told, const char *account, const char *service)
 {
   entry_t *entry = pair_table_find (told->entries, account, service);
 
   if (entry != NULL)
     return entry;
-  if (g_hash_table_size (told->entries) >= TOLD_MAX)
-    told_forget (told);
+  if (g_hash_table_size (told->entries) >= PEER_VIEW_MAX_ENTRIES)
+    peer_view_reset (told);
   entry = pair_table_add (told->entries, account, service, sizeof *entry);
   entry->virtual_time = NAN;
   return entry;
 }
 
 void
-told_report (told_t *told, const msg_report_entry_t *report)
+peer_view_apply_report (peer_view_t *told, const msg_report_entry_t *report)
 {
   entry_t *entry = find_or_add (told, report->account, report->service);
 
@@ -73,13 +73,15 @@
 }
 
 bool
-told_must_hear (told_t *told, const msg_share_entry_t *share, cfd_time_t now)
+peer_view_needs_update (peer_view_t *told, const msg_share_entry_t *share,
+                        cfd_time_t now)
 {
   entry_t *entry = find_or_add (told, share->account, share->service);
   double error = fabs (share->virtual_time - reckoned (entry, share));
 
   /* Never told: not a number.  */
-  if (error < TOLD_ERROR_MAX && now - told->said < TOLD_SILENCE_MS)
+  if (error < PEER_VIEW_MAX_ERROR_TOKENS
+      && now - told->said < PEER_VIEW_MAX_SILENCE_MS)
     return false;
   told->said = now;
   entry->charged = share->charged;
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -11,12 +11,12 @@
 /* A home that could not be reached for so long is passed over, until there is
    a link.  */
 #define MISSING_MS 500
-/* A home answers each report that comes TOLD_SILENCE_MS after its last answer
-   or later; one that did not for so long is cut off or frozen, and is passed
-   over until an answer or a new link comes.  The link's own watch on silence
-   takes 2 s, in which each router of an account would know but its own part.
-   Both together are 750 ms, many times the way between regions and what a busy
-   home takes.  */
+/* A home answers each report that comes PEER_VIEW_MAX_SILENCE_MS after its
+   last answer or later; one that did not for so long is cut off or frozen, and
+   is passed over until an answer or a new link comes.  The link's own watch on
+   silence takes 2 s, in which each router of an account would know but its own
+   part. Both together are 750 ms, many times the way between regions and what
+   a busy home takes.  */
 #define ANSWER_MS 500
 /* Until then, an answer that is so late is taken for one that may not come:
    accounts go on as if their other routers gave what they gave before.  That
@@ -33,7 +33,7 @@
   router_peer_t *peer = data;
 
   g_hash_table_unref (peer->unsent);
-  told_free (peer->told);
+  peer_view_free (peer->view);
   g_free (peer->name);
   g_free (peer);
 }
@@ -69,7 +69,7 @@
   peer = g_new0 (router_peer_t, 1);
   peer->name = g_strdup (name);
   peer->unsent = pair_table_new (NULL);
-  peer->told = told_new ();
+  peer->view = peer_view_new ();
   g_hash_table_insert (router->routers, peer->name, peer);
   return peer;
 }
@@ -195,7 +195,7 @@
 {
   /* Sooner after an answer the home may agree in silence.  */
   if (peer->unanswered_since == 0
-      && now - peer->last_answer_at >= TOLD_SILENCE_MS)
+      && now - peer->last_answer_at >= PEER_VIEW_MAX_SILENCE_MS)
     peer->unanswered_since = now;
   if (peer->unanswered_since == 0)
     return;
@@ -222,7 +222,7 @@
 {
   router_peer_t *peer = homes_find_or_add (router, name);
 
-  told_forget (peer->told);
+  peer_view_reset (peer->view);
   /* A restarted peer can be up again before its former life's link ends.  */
   peer->up = peer_hub_is_up (router->hub, name);
   if (peer->link_held && !peer->up)
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -37,7 +37,7 @@
 #include "router/avoid.h"
 #include "router/cost.h"
 #include "router/router-step.h"
-#include "router/told.h"
+#include "router/peer-view.h"
 #include "router/turns.h"
 #include "router/wfq.h"
 #include "share/share.h"
@@ -117,7 +117,7 @@
   cfd_time_t hold_until;
   bool link_held;
   GHashTable *unsent; /* pair_t to report entry, until its link is up */
-  told_t *told;       /* by this router as a home */
+  peer_view_t *view;  /* by this router as a home */
 } router_peer_t;
 
 typedef struct
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -166,8 +166,9 @@
       take_one (answering->router, entry, answering->now);
       return;
     }
-  if (!told_must_hear (homes_find_or_add (answering->router, name)->told,
-                       entry, answering->now))
+  if (!peer_view_needs_update (
+          homes_find_or_add (answering->router, name)->view, entry,
+          answering->now))
     return;
   batch = g_hash_table_lookup (answering->batches, name);
   if (batch == NULL)
@@ -188,7 +189,7 @@
       message.u.share.count = MIN (batch->len - sent, MSG_ENTRIES_MAX);
       message.u.share.entries = (const msg_share_entry_t *)batch->data + sent;
       if (!router_send (router, name, &message))
-        told_forget (homes_find_or_add (router, name)->told);
+        peer_view_reset (homes_find_or_add (router, name)->view);
     }
 }
 
@@ -227,13 +228,13 @@
 shares_handle_report (cfd_router_t *router, const peer_id_t *peer,
                       const msg_report_t *report, cfd_time_t now)
 {
-  told_t *told = homes_find_or_add (router, peer->instance)->told;
+  peer_view_t *told = homes_find_or_add (router, peer->instance)->view;
 
   for (uint32_t i = 0; i < report->count; i++)
     {
       home_report (router->home, peer->instance, peer->incarnation,
                    &report->entries[i], now);
-      told_report (told, &report->entries[i]);
+      peer_view_apply_report (told, &report->entries[i]);
     }
   shares_schedule_report (router, now);
 }
@@ -260,7 +261,7 @@
   gpointer value;
 
   peer->up = true;
-  told_forget (peer->told);
+  peer_view_reset (peer->view);
   homes_readmit (router, peer, now);
   g_hash_table_iter_init (&iter, peer->unsent);
   while (g_hash_table_iter_next (&iter, NULL, &value))
--- a/libcoltsfootdrum/router/test-told.c
+++ b/libcoltsfootdrum/router/test-peer-view.c
@@ -1,7 +1,7 @@
 /* What a home needn't tell again: after each answer that is left out, the
    router still reckons what the home would have told.  */
 
-#include "router/told.h"
+#include "router/peer-view.h"
 
 #include <math.h>
 
@@ -12,7 +12,7 @@
 test_reckoning (void)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (3);
-  g_autoptr (told_t) told = told_new ();
+  g_autoptr (peer_view_t) told = peer_view_new ();
   double at_home = 0;
   double charged = 0;
   double acked = 0;
@@ -28,14 +28,14 @@
       msg_share_entry_t share
           = { "branch", "draft", i, charged += own, at_home += own + others };
 
-      if (told_must_hear (told, &share, 0))
+      if (peer_view_needs_update (told, &share, 0))
         {
           heard++;
           acked = share.charged;
           last_vt = share.virtual_time;
         }
       g_assert_cmpfloat (fabs (last_vt + charged - acked - at_home), <,
-                         TOLD_ERROR_MAX);
+                         PEER_VIEW_MAX_ERROR_TOKENS);
     }
   g_assert_cmpuint (heard, >, 0);
   g_assert_cmpuint (heard, <, 4000);
@@ -48,51 +48,51 @@
      It was active elsewhere, so the home did not.  Nobody else adds to the
      account from then on: unless the home tells the router, the account stays
      behind all others there.  */
-  g_autoptr (told_t) told = told_new ();
+  g_autoptr (peer_view_t) told = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const msg_share_entry_t next = { "branch", "draft", 2, 60, 1010 };
   msg_report_entry_t report
       = { "branch", "draft", 2, 60, 50, 1000, -INFINITY, true };
 
-  g_assert_true (told_must_hear (told, &share, 0));
-  told_report (told, &report);
-  g_assert_false (told_must_hear (told, &next, 0));
+  g_assert_true (peer_view_needs_update (told, &share, 0));
+  peer_view_apply_report (told, &report);
+  g_assert_false (peer_view_needs_update (told, &next, 0));
   report.last_vt = 1500;
-  told_report (told, &report);
-  g_assert_true (told_must_hear (told, &next, 0));
+  peer_view_apply_report (told, &report);
+  g_assert_true (peer_view_needs_update (told, &next, 0));
 }
 
 static void
 test_forget (void)
 {
   /* The link broke: an answer may be lost with it, so all is told again.  */
-  g_autoptr (told_t) told = told_new ();
+  g_autoptr (peer_view_t) told = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const msg_share_entry_t other = { "branch", "lookup", 1, 50, 1000 };
 
-  g_assert_true (told_must_hear (told, &share, 0));
-  g_assert_true (told_must_hear (told, &other, 0));
-  g_assert_false (told_must_hear (told, &share, 0));
-  told_forget (told);
-  g_assert_true (told_must_hear (told, &share, 0));
+  g_assert_true (peer_view_needs_update (told, &share, 0));
+  g_assert_true (peer_view_needs_update (told, &other, 0));
+  g_assert_false (peer_view_needs_update (told, &share, 0));
+  peer_view_reset (told);
+  g_assert_true (peer_view_needs_update (told, &share, 0));
 }
 
 static void
 test_bounded (void)
 {
-  g_autoptr (told_t) told = told_new ();
+  g_autoptr (peer_view_t) told = peer_view_new ();
   msg_share_entry_t share = { NULL, "draft", 1, 50, 1000 };
 
-  for (unsigned i = 0; i <= TOLD_MAX; i++)
+  for (unsigned i = 0; i <= PEER_VIEW_MAX_ENTRIES; i++)
     {
       g_autofree char *account = g_strdup_printf ("account-%u", i);
 
       share.account = account;
-      g_assert_true (told_must_hear (told, &share, 0));
+      g_assert_true (peer_view_needs_update (told, &share, 0));
     }
   share.account = "account-0";
-  g_assert_true (told_must_hear (told, &share, 0));
-  g_assert_false (told_must_hear (told, &share, 0));
+  g_assert_true (peer_view_needs_update (told, &share, 0));
+  g_assert_false (peer_view_needs_update (told, &share, 0));
 }
 
 /* A home that agrees with all that a router reports is still heard from, or
@@ -100,24 +100,27 @@
 static void
 test_silence (void)
 {
-  g_autoptr (told_t) told = told_new ();
+  g_autoptr (peer_view_t) told = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const cfd_time_t start = 10000;
 
-  g_assert_true (told_must_hear (told, &share, start));
-  g_assert_false (told_must_hear (told, &share, start + TOLD_SILENCE_MS - 1));
-  g_assert_true (told_must_hear (told, &share, start + TOLD_SILENCE_MS));
-  g_assert_false (told_must_hear (told, &share, start + TOLD_SILENCE_MS + 1));
+  g_assert_true (peer_view_needs_update (told, &share, start));
+  g_assert_false (peer_view_needs_update (
+      told, &share, start + PEER_VIEW_MAX_SILENCE_MS - 1));
+  g_assert_true (
+      peer_view_needs_update (told, &share, start + PEER_VIEW_MAX_SILENCE_MS));
+  g_assert_false (peer_view_needs_update (
+      told, &share, start + PEER_VIEW_MAX_SILENCE_MS + 1));
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/told/reckoning", test_reckoning);
-  g_test_add_func ("/told/lifted", test_lifted);
-  g_test_add_func ("/told/forget", test_forget);
-  g_test_add_func ("/told/bounded", test_bounded);
-  g_test_add_func ("/told/silence", test_silence);
+  g_test_add_func ("/peer-view/bounded-error", test_reckoning);
+  g_test_add_func ("/peer-view/lifted-account", test_lifted);
+  g_test_add_func ("/peer-view/reset", test_forget);
+  g_test_add_func ("/peer-view/max-entries", test_bounded);
+  g_test_add_func ("/peer-view/max-silence", test_silence);
   return g_test_run ();
 }
