--- a/libcoltsfootdrum/router/turns.c
+++ b/libcoltsfootdrum/router/fairness.c
@@ -1,4 +1,4 @@
-#include "router/turns.h"
+#include "router/fairness.h"
 
 #include "base/pair.h"
 
@@ -38,17 +38,17 @@
   uint64_t count;      /* turns so far */
 };
 
-turns_t *
-turns_new (void)
+fairness_t *
+fairness_new (void)
 {
-  turns_t *turns = g_new0 (turns_t, 1);
+  fairness_t *turns = g_new0 (fairness_t, 1);
 
   turns->entries = pair_table_new (NULL);
   return turns;
 }
 
 void
-turns_free (turns_t *turns)
+fairness_free (fairness_t *turns)
 {
   if (turns == NULL)
     return;
@@ -57,7 +57,7 @@
 }
 
 static entry_t *
-find_or_add (turns_t *turns, const char *account, const char *service)
+find_or_add (fairness_t *turns, const char *account, const char *service)
 {
   entry_t *entry = pair_table_find (turns->entries, account, service);
 
@@ -84,7 +84,7 @@
 
 /* TAKER is NULL when it never took a slot.  */
 static void
-make_room (wait_t *wait, const entry_t *taker, const turn_t *turn)
+make_room (wait_t *wait, const entry_t *taker, const fairness_slot_t *turn)
 {
   wait->greatest = fmax (wait->greatest, turn->charge);
   if (taker != NULL && taker->last_turn >= wait->first_turn)
@@ -96,22 +96,23 @@
   wait->room += fmax (wait->virtual_time - turn->virtual_time, 0);
 }
 
-static turn_verdict_t
-judge (const wait_t *wait, const turn_t *turn)
+static fairness_verdict_t
+judge (const wait_t *wait, const fairness_slot_t *turn)
 {
   double most = wait->room + wait->others * wait->greatest;
 
   if (turn->virtual_time > wait->virtual_time + rounding (wait->virtual_time))
-    return TURN_OUT_OF_ORDER;
+    return FAIRNESS_OUT_OF_ORDER;
   if (wait->passed
       > most + rounding (wait->passed) + rounding (wait->virtual_time))
-    return TURN_BEYOND_BOUND;
-  return TURN_LAWFUL;
+    return FAIRNESS_BOUND_EXCEEDED;
+  return FAIRNESS_OK;
 }
 
-turn_verdict_t
-turns_pass (turns_t *turns, const turn_t *turn, const char *account,
-            double virtual_time, bool may, cfd_time_t now)
+fairness_verdict_t
+fairness_check_passed (fairness_t *turns, const fairness_slot_t *turn,
+                       const char *account, double virtual_time, bool may,
+                       cfd_time_t now)
 {
   wait_t *wait = &find_or_add (turns, account, turn->service)->wait;
 
@@ -124,7 +125,7 @@
              pair_table_find (turns->entries, turn->account, turn->service),
              turn);
   if (!may)
-    return TURN_LAWFUL;
+    return FAIRNESS_OK;
   if (wait->since == 0)
     wait->since = now;
   wait->latest = now;
@@ -133,7 +134,8 @@
 }
 
 void
-turns_take (turns_t *turns, const turn_t *turn, cfd_time_t now)
+fairness_assign (fairness_t *turns, const fairness_slot_t *turn,
+                 cfd_time_t now)
 {
   entry_t *entry = find_or_add (turns, turn->account, turn->service);
 
@@ -144,7 +146,7 @@
 }
 
 void
-turns_rest (turns_t *turns, const char *account, const char *service)
+fairness_end_wait (fairness_t *turns, const char *account, const char *service)
 {
   entry_t *entry = pair_table_find (turns->entries, account, service);
 
@@ -153,8 +155,8 @@
 }
 
 void
-turns_moved (turns_t *turns, const char *account, const char *service,
-             double tokens)
+fairness_adjust (fairness_t *turns, const char *account, const char *service,
+                 double tokens)
 {
   entry_t *entry = pair_table_find (turns->entries, account, service);
 
@@ -168,17 +170,17 @@
   const entry_t *entry = value;
   const cfd_time_t *now = user;
 
-  return !entry->wait.is_open && *now - entry->touched > TURNS_KEEP_MS;
+  return !entry->wait.is_open && *now - entry->touched > FAIRNESS_EXPIRY_MS;
 }
 
 void
-turns_expire (turns_t *turns, cfd_time_t now)
+fairness_expire (fairness_t *turns, cfd_time_t now)
 {
   g_hash_table_foreach_remove (turns->entries, is_forgotten, &now);
 }
 
 cfd_time_t
-turns_longest (const turns_t *turns)
+fairness_longest_wait_ms (const fairness_t *turns)
 {
   cfd_time_t longest = 0;
   GHashTableIter iter;
--- a/libcoltsfootdrum/router/turns.h
+++ b/libcoltsfootdrum/router/fairness.h
@@ -22,8 +22,8 @@
    virtual time: a charge that got lost makes the bound break.  A wrong order
    shows at once, with the first slot that goes to one who is ahead.  */
 
-#ifndef ROUTER_TURNS_H
-#define ROUTER_TURNS_H
+#ifndef ROUTER_FAIRNESS_H
+#define ROUTER_FAIRNESS_H
 
 #include "base/clock.h"
 #include <glib.h>
@@ -31,9 +31,9 @@
 
 /* An account that took no slot for so long is forgotten, and counted as a new
    one.  Shorter than SHARE_KEEP_MS: what share forgets must be new here.  */
-#define TURNS_KEEP_MS 60000
+#define FAIRNESS_EXPIRY_MS 60000
 
-typedef struct turns turns_t;
+typedef struct turns fairness_t;
 
 /* A slot that ACCOUNT takes.  */
 typedef struct
@@ -42,35 +42,39 @@
   const char *service;
   double virtual_time; /* before the charge */
   double charge;       /* expected cost in weighted tokens */
-} turn_t;
+} fairness_slot_t;
 
 typedef enum
 {
-  TURN_LAWFUL,
-  TURN_OUT_OF_ORDER, /* the one passed over had got less */
-  TURN_BEYOND_BOUND  /* others took more in its place than they could */
-} turn_verdict_t;
+  FAIRNESS_OK,
+  FAIRNESS_OUT_OF_ORDER,  /* the one passed over had got less */
+  FAIRNESS_BOUND_EXCEEDED /* others took more in its place than they could */
+} fairness_verdict_t;
 
-turns_t *turns_new (void);
-void turns_free (turns_t *turns);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (turns_t, turns_free)
+fairness_t *fairness_new (void);
+void fairness_free (fairness_t *turns);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (fairness_t, fairness_free)
 
 /* ACCOUNT waits for the same service, at VIRTUAL_TIME, and MAY take the slot
    or not.  To be called for each other account that waits, before
-   turns_take.  */
-turn_verdict_t turns_pass (turns_t *turns, const turn_t *turn,
-                           const char *account, double virtual_time, bool may,
-                           cfd_time_t now);
-void turns_take (turns_t *turns, const turn_t *turn, cfd_time_t now);
+   fairness_assign.  */
+fairness_verdict_t fairness_check_passed (fairness_t *turns,
+                                          const fairness_slot_t *turn,
+                                          const char *account,
+                                          double virtual_time, bool may,
+                                          cfd_time_t now);
+void fairness_assign (fairness_t *turns, const fairness_slot_t *turn,
+                      cfd_time_t now);
 /* Nothing of the account waits any more.  */
-void turns_rest (turns_t *turns, const char *account, const char *service);
+void fairness_end_wait (fairness_t *turns, const char *account,
+                        const char *service);
 /* Its virtual time was changed by so many weighted tokens otherwise than by
-   turns_take; only a fall matters.  */
-void turns_moved (turns_t *turns, const char *account, const char *service,
-                  double tokens);
-void turns_expire (turns_t *turns, cfd_time_t now);
+   fairness_assign; only a fall matters.  */
+void fairness_adjust (fairness_t *turns, const char *account,
+                      const char *service, double tokens);
+void fairness_expire (fairness_t *turns, cfd_time_t now);
 /* Milliseconds between the first and the last slot that went to others in
    place of one account that still waits; the longest of all.  */
-cfd_time_t turns_longest (const turns_t *turns);
+cfd_time_t fairness_longest_wait_ms (const fairness_t *turns);
 
 #endif
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -182,7 +182,7 @@
                "side=\"credit\"", bounded.credit);
   prom_sample (out, "cfd_fairness_spread", "gauge", NULL, spread (router));
   prom_sample (out, "cfd_router_passed_over_ms", "gauge", NULL,
-               (double)turns_longest (router->turns));
+               (double)fairness_longest_wait_ms (router->fairness));
 }
 
 static void
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -33,7 +33,7 @@
   grant_describe_queue (router, account, service, now, &left);
   share_backlog (router->share, account, service, left.count > 0, now);
   if (left.count == 0)
-    turns_rest (router->turns, account, service);
+    fairness_end_wait (router->fairness, account, service);
   shares_schedule_report (router, now);
   if (router->policy == CFD_POLICY_LOCAL)
     {
@@ -229,8 +229,8 @@
   request->charged_tokens = actual;
   share_charge (router->share, request->item.account, request->item.service,
                 difference, request->weight, now);
-  turns_moved (router->turns, request->item.account, request->item.service,
-               difference / request->weight);
+  fairness_adjust (router->fairness, request->item.account,
+                   request->item.service, difference / request->weight);
   if (router->policy == CFD_POLICY_LOCAL)
     wfq_charge (router->wfq, request->item.account, request->item.service,
                 difference, request->weight);
@@ -324,7 +324,7 @@
 {
   const cfd_router_t *router;
   const target_t *target;
-  const turn_t *turn;
+  const fairness_slot_t *turn;
 } passing_t;
 
 /* An order that is wrong, or a charge that is lost, lets some accounts take
@@ -337,32 +337,34 @@
 {
   const passing_t *passing = user;
   const cfd_router_t *router = passing->router;
-  turn_verdict_t verdict;
+  fairness_verdict_t verdict;
 
   if (strcmp (service, passing->turn->service) != 0
       || strcmp (account, passing->turn->account) == 0)
     return;
-  verdict = turns_pass (router->turns, passing->turn, account,
-                        order_time (router, account, service),
-                        adm_has_allowed (router->adm, account, service, may_go,
-                                         (void *)passing->target),
-                        passing->target->now);
-  INVARIANT ("slot-to-least", verdict != TURN_OUT_OF_ORDER, account);
-  INVARIANT ("passed-over-bound", verdict != TURN_BEYOND_BOUND, account);
+  verdict = fairness_check_passed (router->fairness, passing->turn, account,
+                                   order_time (router, account, service),
+                                   adm_has_allowed (router->adm, account,
+                                                    service, may_go,
+                                                    (void *)passing->target),
+                                   passing->target->now);
+  INVARIANT ("slot-to-least", verdict != FAIRNESS_OUT_OF_ORDER, account);
+  INVARIANT ("passed-over-bound", verdict != FAIRNESS_BOUND_EXCEEDED, account);
 }
 
 static void
 take_turn (cfd_router_t *router, const request_t *request, double virtual_time,
            const target_t *target)
 {
-  const turn_t turn = { .account = request->item.account,
-                        .service = request->item.service,
-                        .virtual_time = virtual_time,
-                        .charge = request->charged_tokens / request->weight };
+  const fairness_slot_t turn
+      = { .account = request->item.account,
+          .service = request->item.service,
+          .virtual_time = virtual_time,
+          .charge = request->charged_tokens / request->weight };
   passing_t passing = { router, target, &turn };
 
   adm_each (router->adm, check_passed, &passing);
-  turns_take (router->turns, &turn, target->now);
+  fairness_assign (router->fairness, &turn, target->now);
 }
 
 bool
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -113,7 +113,7 @@
 {
   cfd_router_t *router = user;
 
-  turns_moved (router->turns, account, service, tokens);
+  fairness_adjust (router->fairness, account, service, tokens);
 }
 
 static void
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -38,7 +38,7 @@
 #include "router/cost.h"
 #include "router/router-step.h"
 #include "router/peer-view.h"
-#include "router/turns.h"
+#include "router/fairness.h"
 #include "router/wfq.h"
 #include "share/share.h"
 #include "wire/peer.h"
@@ -194,7 +194,7 @@
   share_t *share;
   home_t *home;
   wfq_t *wfq;
-  turns_t *turns;
+  fairness_t *fairness;
   cost_t *cost;
 
   GHashTable *agents;          /* name to agent_t */
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -149,8 +149,8 @@
   if (router->policy == CFD_POLICY_LOCAL)
     return;
   grant_describe_queue (router, entry->account, entry->service, now, &left);
-  turns_moved (router->turns, entry->account, entry->service,
-               left.virtual_time - before);
+  fairness_adjust (router->fairness, entry->account, entry->service,
+                   left.virtual_time - before);
   if (left.count > 0)
     disp_waiting (router->disp, entry->service, &left, now);
 }
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -69,7 +69,7 @@
   if (now < router->housekeeping_at)
     return;
   router->housekeeping_at = now + KEEPING_MS;
-  turns_expire (router->turns, now);
+  fairness_expire (router->fairness, now);
   share_expire (router->share, now);
   home_expire (router->home, now);
   cost_expire (router->cost, now);
@@ -340,7 +340,7 @@
   router->share = share_new ();
   router->home = home_new ();
   router->wfq = wfq_new ();
-  router->turns = turns_new ();
+  router->fairness = fairness_new ();
   router->cost = cost_new ();
   agents_init (router);
   router->report_at = CFD_TIME_NEVER;
@@ -413,7 +413,7 @@
   plat_free (router->plat);
   fetch_pool_free (router->pool);
   cost_free (router->cost);
-  turns_free (router->turns);
+  fairness_free (router->fairness);
   wfq_free (router->wfq);
   home_free (router->home);
   share_free (router->share);
