--- a/libcoltsfootdrum/router/cost.c
+++ b/libcoltsfootdrum/router/cost.c
@@ -11,7 +11,7 @@
 {
   pair_t key;
   double ratio;
-  cfd_time_t used;
+  cfd_time_t updated_at;
 } entry_t;
 
 struct cost
@@ -62,19 +62,19 @@
       entry->ratio = ratio;
     }
   entry->ratio += RATIO_SMOOTHING * (ratio - entry->ratio);
-  entry->used = now;
+  entry->updated_at = now;
 }
 
 static gboolean
-is_old (gpointer key, gpointer value, gpointer user)
+is_expired (gpointer key, gpointer value, gpointer user)
 {
   const entry_t *entry = value;
 
-  return *(const cfd_time_t *)user - entry->used > COST_EXPIRY_MS;
+  return *(const cfd_time_t *)user - entry->updated_at > COST_EXPIRY_MS;
 }
 
 void
 cost_expire (cost_t *cost, cfd_time_t now)
 {
-  g_hash_table_foreach_remove (cost->entries, is_old, &now);
+  g_hash_table_foreach_remove (cost->entries, is_expired, &now);
 }
--- a/libcoltsfootdrum/router/fairness.h
+++ b/libcoltsfootdrum/router/fairness.h
@@ -33,7 +33,7 @@
    one.  Shorter than SHARE_KEEP_MS: what share forgets must be new here.  */
 #define FAIRNESS_EXPIRY_MS 60000
 
-typedef struct turns fairness_t;
+typedef struct fairness fairness_t;
 
 /* A slot that ACCOUNT takes.  */
 typedef struct
@@ -52,29 +52,29 @@
 } fairness_verdict_t;
 
 fairness_t *fairness_new (void);
-void fairness_free (fairness_t *turns);
+void fairness_free (fairness_t *fairness);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (fairness_t, fairness_free)
 
 /* ACCOUNT waits for the same service, at VIRTUAL_TIME, and MAY take the slot
    or not.  To be called for each other account that waits, before
    fairness_assign.  */
-fairness_verdict_t fairness_check_passed (fairness_t *turns,
-                                          const fairness_slot_t *turn,
+fairness_verdict_t fairness_check_passed (fairness_t *fairness,
+                                          const fairness_slot_t *slot,
                                           const char *account,
-                                          double virtual_time, bool may,
-                                          cfd_time_t now);
-void fairness_assign (fairness_t *turns, const fairness_slot_t *turn,
+                                          double virtual_time,
+                                          bool is_eligible, cfd_time_t now);
+void fairness_assign (fairness_t *fairness, const fairness_slot_t *slot,
                       cfd_time_t now);
 /* Nothing of the account waits any more.  */
-void fairness_end_wait (fairness_t *turns, const char *account,
+void fairness_end_wait (fairness_t *fairness, const char *account,
                         const char *service);
 /* Its virtual time was changed by so many weighted tokens otherwise than by
    fairness_assign; only a fall matters.  */
-void fairness_adjust (fairness_t *turns, const char *account,
+void fairness_adjust (fairness_t *fairness, const char *account,
                       const char *service, double tokens);
-void fairness_expire (fairness_t *turns, cfd_time_t now);
+void fairness_expire (fairness_t *fairness, cfd_time_t now);
 /* Milliseconds between the first and the last slot that went to others in
    place of one account that still waits; the longest of all.  */
-cfd_time_t fairness_longest_wait_ms (const fairness_t *turns);
+cfd_time_t fairness_longest_wait_ms (const fairness_t *fairness);
 
 #endif
--- a/libcoltsfootdrum/router/peer-view.h
+++ b/libcoltsfootdrum/router/peer-view.h
@@ -22,22 +22,22 @@
 #define PEER_VIEW_MAX_ENTRIES 1024u
 
 /* Of one router, by account and service.  */
-typedef struct told peer_view_t;
+typedef struct view peer_view_t;
 
 peer_view_t *peer_view_new (void);
-void peer_view_free (peer_view_t *told);
+void peer_view_free (peer_view_t *view);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (peer_view_t, peer_view_free)
 
 /* The router told what it reckons itself.  It goes before what it was told: an
    answer may be on its way still, or the router lifted an account that came
    back from idle when the home did not.  Left at that, the account would be
    passed over for as long as nobody else adds to it.  */
-void peer_view_apply_report (peer_view_t *told,
+void peer_view_apply_report (peer_view_t *view,
                              const msg_report_entry_t *report);
 /* Whether SHARE must be sent; if so it is taken to be heard.  */
-bool peer_view_needs_update (peer_view_t *told, const msg_share_entry_t *share,
+bool peer_view_needs_update (peer_view_t *view, const msg_share_entry_t *share,
                              cfd_time_t now);
 /* The link was lost, and with it maybe answers; or the router is another.  */
-void peer_view_reset (peer_view_t *told);
+void peer_view_reset (peer_view_t *view);
 
 #endif
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -11,7 +11,7 @@
 } counter_t;
 
 static const char *
-not_ready (void *user)
+readiness_error (void *user)
 {
   const cfd_router_t *router = user;
 
@@ -113,13 +113,13 @@
 {
   const cfd_router_t *router;
   GHashTable *least; /* service to the least virtual time, a double */
-  double spread;
-} spread_t;
+  double virtual_time_spread;
+} vt_spread_t;
 
 static void
-find_least (void *user, const char *account, const char *service)
+find_least_time (void *user, const char *account, const char *service)
 {
-  spread_t *found = user;
+  vt_spread_t *found = user;
   double time = share_virtual_time (found->router->share, account, service);
   double *least = g_hash_table_lookup (found->least, service);
 
@@ -133,27 +133,27 @@
 }
 
 static void
-find_spread (void *user, const char *account, const char *service)
+find_widest_spread (void *user, const char *account, const char *service)
 {
-  spread_t *found = user;
+  vt_spread_t *found = user;
   double *least = g_hash_table_lookup (found->least, service);
   double time = share_virtual_time (found->router->share, account, service);
 
-  found->spread = MAX (found->spread, time - *least);
+  found->virtual_time_spread = MAX (found->virtual_time_spread, time - *least);
 }
 
 /* How far apart the accounts that wait here are in what they got, the most of
    all services: work of the one that got least goes next.  */
 static double
-spread (const cfd_router_t *router)
+virtual_time_spread (const cfd_router_t *router)
 {
-  spread_t found = { router, NULL, 0 };
+  vt_spread_t found = { router, NULL, 0 };
 
   found.least = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  adm_each (router->adm, find_least, &found);
-  adm_each (router->adm, find_spread, &found);
+  adm_each (router->adm, find_least_time, &found);
+  adm_each (router->adm, find_widest_spread, &found);
   g_hash_table_unref (found.least);
-  return found.spread;
+  return found.virtual_time_spread;
 }
 
 static void
@@ -180,7 +180,8 @@
                "side=\"debt\"", bounded.debt);
   prom_sample (out, "cfd_share_bounded_tokens_total", "counter",
                "side=\"credit\"", bounded.credit);
-  prom_sample (out, "cfd_fairness_spread", "gauge", NULL, spread (router));
+  prom_sample (out, "cfd_fairness_spread", "gauge", NULL,
+               virtual_time_spread (router));
   prom_sample (out, "cfd_router_passed_over_ms", "gauge", NULL,
                (double)fairness_longest_wait_ms (router->fairness));
 }
@@ -226,7 +227,7 @@
 bool
 router_admin_start (cfd_router_t *router, const char *address, GError **error)
 {
-  static const admin_source_t source = { not_ready, metrics, status };
+  static const admin_source_t source = { readiness_error, metrics, status };
 
   const admin_node_t node
       = { router->instance, "router",     router->zone, router->ring,
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -60,7 +60,7 @@
 
 /* The host of "http://HOST:PORT/..." or "HOST:PORT"; free with g_free.  */
 static char *
-host_of (const char *address)
+parse_host (const char *address)
 {
   const char *start = strstr (address, "://");
   const char *end;
@@ -74,20 +74,20 @@
 }
 
 static void
-list_agent (cfd_router_t *router, const store_instance_t *instance)
+update_listed_agent (cfd_router_t *router, const store_instance_t *instance)
 {
   agent_t *agent = agents_find_or_add (router, instance->name, instance->zone);
 
   agent->listed = true;
   agent->leaving = instance->leaving;
   g_free (agent->host);
-  agent->host = host_of (instance->address);
+  agent->host = parse_host (instance->address);
   peer_hub_address (router->hub, instance->name, instance->address);
 }
 
 /* Forgets agents that are neither listed nor needed.  */
 static void
-sweep (cfd_router_t *router)
+remove_unused (cfd_router_t *router)
 {
   GHashTableIter iter;
   gpointer value;
@@ -116,8 +116,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((agent_t *)value)->listed = false;
   for (guint i = 0; i < instances->len; i++)
-    list_agent (router, instances->pdata[i]);
-  sweep (router);
+    update_listed_agent (router, instances->pdata[i]);
+  remove_unused (router);
   router->agents_changed = true;
 }
 
@@ -127,7 +127,7 @@
 {
   const rec_t *record;
   bool is_shared; /* several endpoints have this host */
-} at_host_t;
+} host_endpoint_t;
 
 typedef struct
 {
@@ -140,8 +140,8 @@
 {
   endpoints_t *endpoints = user;
   GHashTable *hosts = endpoints->hosts;
-  char *host = host_of (record->u.endpoint.url);
-  at_host_t *known = g_hash_table_lookup (hosts, host);
+  char *host = parse_host (record->u.endpoint.url);
+  host_endpoint_t *known = g_hash_table_lookup (hosts, host);
 
   g_hash_table_add (endpoints->router->served_services,
                     g_strdup (record->u.endpoint.service));
@@ -151,15 +151,15 @@
       g_free (host);
       return;
     }
-  known = g_new0 (at_host_t, 1);
+  known = g_new0 (host_endpoint_t, 1);
   known->record = record;
   g_hash_table_insert (hosts, host, known);
 }
 
 static void
-guess (agent_t *agent, GHashTable *hosts)
+infer_service (agent_t *agent, GHashTable *hosts)
 {
-  const at_host_t *at
+  const host_endpoint_t *at
       = agent->host != NULL ? g_hash_table_lookup (hosts, agent->host) : NULL;
   const rec_t *record = at != NULL && !at->is_shared ? at->record : NULL;
   const char *service = agent->granted_service;
@@ -184,13 +184,13 @@
 }
 
 static bool
-is_for (const agent_t *agent, const char *service)
+serves_service (const agent_t *agent, const char *service)
 {
   return agent->service == NULL || strcmp (agent->service, service) == 0;
 }
 
 static void
-sort_service (void *user, const rec_t *record)
+refresh_service_agents (void *user, const rec_t *record)
 {
   cfd_router_t *router = user;
   g_autoptr (GPtrArray) names = g_ptr_array_new ();
@@ -203,7 +203,7 @@
       const agent_t *agent = value;
 
       if (agent->listed && agents_accepts_work (router, agent)
-          && is_for (agent, record->name))
+          && serves_service (agent, record->name))
         g_ptr_array_add (names, agent->name);
     }
   disp_agents (router->disp, record->name, names);
@@ -233,8 +233,8 @@
   store_each (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    guess (value, hosts);
-  store_each (router->store, REC_SERVICE, sort_service, router);
+    infer_service (value, hosts);
+  store_each (router->store, REC_SERVICE, refresh_service_agents, router);
 }
 
 static bool
@@ -242,7 +242,7 @@
                 const request_t *request, cfd_time_t now)
 {
   return agent->listed && agents_accepts_work (router, agent)
-         && is_for (agent, request->item.service)
+         && serves_service (agent, request->item.service)
          && !avoid_contains (&request->avoid, agent->name, now);
 }
 
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -6,14 +6,14 @@
 
 /* Bytes after which an agent hears how far its answer got; a part of the
    mebibyte that it keeps, so that it never has to wait for a good reader.  */
-#define ACK_EACH (128u * 1024)
+#define ACK_INTERVAL_BYTES (128u * 1024)
 /* Ends before the whole answer after which the agent is taken to be at fault.
  */
-#define EARLY_ENDS_MAX 3u
+#define MAX_PREMATURE_ENDS 3u
 /* Links found silent together are told as lost within this time.  */
-#define SILENT_SWEEP_MS 200
+#define SILENCE_WINDOW_MS 200
 /* Cancellations remembered for an agent that is away.  */
-#define ABANDONED_MAX 256u
+#define MAX_PENDING_CANCELS 256u
 
 /* ---- words to the agent ---- */
 
@@ -49,7 +49,7 @@
   agent_t *agent = request->agent;
 
   if (!send_cancel (request->router, agent->name, request->id)
-      && agent->pending_cancels->len < ABANDONED_MAX)
+      && agent->pending_cancels->len < MAX_PENDING_CANCELS)
     g_ptr_array_add (agent->pending_cancels, g_strdup (request->id));
 }
 
@@ -70,7 +70,7 @@
 /* A piece is missing.  Asked for once: all that was on its way before the
    answer to this comes with a gap too.  */
 static void
-ask_again (request_t *request)
+request_missing_data (request_t *request)
 {
   if (request->resume_requested
       && request->resume_requested_offset == request->received_bytes)
@@ -86,7 +86,7 @@
 /* The attempt that PEER speaks of; a former attempt, or one of a former
    incarnation of either side, is none.  */
 static request_t *
-find (cfd_router_t *router, const peer_id_t *peer, const char *id)
+find_attempt (cfd_router_t *router, const peer_id_t *peer, const char *id)
 {
   request_t *request = g_hash_table_lookup (router->requests, id);
 
@@ -100,7 +100,7 @@
 answer_handle_head (cfd_router_t *router, const peer_id_t *peer,
                     const msg_head_t *head, cfd_time_t now)
 {
-  request_t *request = find (router, peer, head->request);
+  request_t *request = find_attempt (router, peer, head->request);
 
   if (request == NULL || request->has_head)
     return;
@@ -113,7 +113,7 @@
 }
 
 static void
-keep (request_t *request, const uint8_t *bytes, size_t length)
+copy_for_claim (request_t *request, const uint8_t *bytes, size_t length)
 {
   if (request->answer_copy == NULL || !request->answer_copy_complete)
     return;
@@ -129,16 +129,17 @@
   request_t *request = user;
 
   request->drained_bytes = total;
-  if (request->agent == NULL || total - request->acked_bytes < ACK_EACH)
+  if (request->agent == NULL
+      || total - request->acked_bytes < ACK_INTERVAL_BYTES)
     return;
   request->acked_bytes = total;
   send_ack (request->router, request->agent->name, request->id, total, false);
 }
 
 static void
-pass_on (request_t *request, const uint8_t *bytes, size_t length)
+forward_data (request_t *request, const uint8_t *bytes, size_t length)
 {
-  keep (request, bytes, length);
+  copy_for_claim (request, bytes, length);
   if (request->web != NULL)
     {
       request->written_bytes += length;
@@ -156,7 +157,8 @@
 /* What nobody here waits for is taken off the agent's hands: a call that must
    not be repeated is let to end, and needs room to.  */
 static void
-let_go (cfd_router_t *router, const peer_id_t *peer, const msg_data_t *data)
+ack_unknown_data (cfd_router_t *router, const peer_id_t *peer,
+                  const msg_data_t *data)
 {
   send_ack (router, peer->instance, data->request,
             data->offset + data->bytes.length, false);
@@ -166,19 +168,19 @@
 answer_handle_data (cfd_router_t *router, const peer_id_t *peer,
                     const msg_data_t *data, cfd_time_t now)
 {
-  request_t *request = find (router, peer, data->request);
+  request_t *request = find_attempt (router, peer, data->request);
   uint64_t skip;
 
   if (request == NULL)
     {
-      let_go (router, peer, data);
+      ack_unknown_data (router, peer, data);
       return;
     }
   /* A resumed answer may overlap with what came over the lost link; a gap
      would give the caller a wrong answer, so it is asked for again.  */
   if (data->offset > request->received_bytes || !request->has_head)
     {
-      ask_again (request);
+      request_missing_data (request);
       return;
     }
   skip = request->received_bytes - data->offset;
@@ -188,7 +190,7 @@
   grant_charge_streamed (request, data->tokens, now);
   if (request->state == REQ_SENT)
     request_handle_event (request, REQ_EV_DATA, now);
-  pass_on (request, data->bytes.data + skip, data->bytes.length - skip);
+  forward_data (request, data->bytes.data + skip, data->bytes.length - skip);
 }
 
 /* What the attempt cost by the agent's count, or below 0 when it can't tell.
@@ -219,7 +221,7 @@
 }
 
 static req_event_t
-event_of (outcome_t outcome)
+outcome_event (outcome_t outcome)
 {
   switch (outcome)
     {
@@ -233,7 +235,7 @@
 }
 
 static bool
-has_all (const request_t *request, const msg_end_t *end)
+is_complete (const request_t *request, const msg_end_t *end)
 {
   return request->has_head && end->length == request->received_bytes;
 }
@@ -242,11 +244,11 @@
    on its way when the gap was seen; an agent that goes on so is at fault, and
    its caller must not wait for ever.  */
 static void
-complete_in_part (request_t *request, cfd_time_t now)
+handle_premature_end (request_t *request, cfd_time_t now)
 {
-  if (++request->premature_ends < EARLY_ENDS_MAX)
+  if (++request->premature_ends < MAX_PREMATURE_ENDS)
     {
-      ask_again (request);
+      request_missing_data (request);
       return;
     }
   log_warn ("router", "Answer without its whole body: agent=%s request=%s.",
@@ -259,30 +261,30 @@
 answer_handle_end (cfd_router_t *router, const peer_id_t *peer,
                    const msg_end_t *end, cfd_time_t now)
 {
-  request_t *request = find (router, peer, end->request);
+  request_t *request = find_attempt (router, peer, end->request);
 
   if (request == NULL)
     {
       send_ack (router, peer->instance, end->request, end->length, true);
       return;
     }
-  if (end->outcome == OUTCOME_COMPLETE && !has_all (request, end))
+  if (end->outcome == OUTCOME_COMPLETE && !is_complete (request, end))
     {
-      complete_in_part (request, now);
+      handle_premature_end (request, now);
       return;
     }
   router->counters.prompt_tokens += end->prompt_tokens;
   router->counters.output_tokens += end->output_tokens;
   request->attempt_ended = true;
   settle_cost (request, end, now);
-  request_handle_event (request, event_of (end->outcome), now);
+  request_handle_event (request, outcome_event (end->outcome), now);
 }
 
 void
 answer_handle_not_started (cfd_router_t *router, const peer_id_t *peer,
                            const msg_not_started_t *word, cfd_time_t now)
 {
-  request_t *request = find (router, peer, word->request);
+  request_t *request = find_attempt (router, peer, word->request);
 
   if (request == NULL)
     return;
@@ -294,7 +296,7 @@
 /* ---- links ---- */
 
 static void
-cancel_abandoned (cfd_router_t *router, agent_t *agent)
+send_pending_cancels (cfd_router_t *router, agent_t *agent)
 {
   for (guint i = 0; i < agent->pending_cancels->len; i++)
     send_cancel (router, agent->name, agent->pending_cancels->pdata[i]);
@@ -317,7 +319,7 @@
   agent->incarnation = peer->incarnation;
   disp_forgot (router->disp, agent->name);
   router_schedule (router, now);
-  cancel_abandoned (router, agent);
+  send_pending_cancels (router, agent);
   list_for_each_safe (node, &agent->requests)
     {
       request_t *request = list_entry (node, request_t, at_agent);
@@ -334,7 +336,7 @@
    sweep before the first loss is told.  Another link's silence may be taken
    for this one's: its agent then is waited for longer, which does no harm.  */
 static bool
-went_silent (cfd_router_t *router, cfd_time_t now)
+was_closed_for_silence (cfd_router_t *router, cfd_time_t now)
 {
   peer_counters_t counters;
 
@@ -343,14 +345,14 @@
     router->last_silence_at = now;
   router->seen_silences = counters.silences;
   return router->seen_silences > 0
-         && now - router->last_silence_at < SILENT_SWEEP_MS;
+         && now - router->last_silence_at < SILENCE_WINDOW_MS;
 }
 
 void
 answer_agent_down (cfd_router_t *router, const peer_id_t *peer, cfd_time_t now)
 {
   agent_t *agent = agents_find (router, peer->instance);
-  bool silent = went_silent (router, now);
+  bool silent = was_closed_for_silence (router, now);
 
   if (agent == NULL || agent->incarnation != peer->incarnation)
     return;
@@ -372,7 +374,7 @@
 /* Gives up the requests of AGENT whose time is over; returns when the next
    is.  */
 static cfd_time_t
-give_up_late (agent_t *agent, cfd_time_t now)
+expire_agent_requests (agent_t *agent, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
 
@@ -407,7 +409,7 @@
 
       if (agent->link_lost_at == 0)
         continue;
-      next = MIN (next, give_up_late (agent, now));
+      next = MIN (next, expire_agent_requests (agent, now));
       if (list_is_empty (&agent->requests))
         agent->link_lost_at = 0;
     }
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #define DIGEST_SIZE 32
-#define RETRY_CLAIM_S 1
-#define RETRY_PLATFORM_S 5
+#define CLAIM_RETRY_AFTER_S 1
+#define PLATFORM_RETRY_AFTER_S 5
 
 /* ---- the end ---- */
 
@@ -25,15 +25,15 @@
 /* The answer as text, or NULL when it is too large or none: a part must not be
    given for the whole.  */
 static const char *
-kept_text (request_t *request)
+answer_copy_text (request_t *request)
 {
-  GByteArray *kept = request->answer_copy;
+  GByteArray *copy = request->answer_copy;
 
   if (!request->answer_copy_complete
-      || (kept->len > 0 && memchr (kept->data, 0, kept->len) != NULL))
+      || (copy->len > 0 && memchr (copy->data, 0, copy->len) != NULL))
     return NULL;
-  g_byte_array_append (kept, (const guint8 *)"", 1);
-  return (const char *)kept->data;
+  g_byte_array_append (copy, (const guint8 *)"", 1);
+  return (const char *)copy->data;
 }
 
 /* A claim is given back only when the request surely did not run; else it
@@ -49,7 +49,7 @@
   request->claimed = false;
   if (step->run == RUN_DONE)
     once_finish (once, account, request->key, request->status,
-                 content_type (request), kept_text (request));
+                 content_type (request), answer_copy_text (request));
   else if (step->run == RUN_NOT_RUN)
     once_release (once, account, request->key);
   router_record_event (request->router, TL_CLAIM, request,
@@ -61,7 +61,7 @@
 /* ---- the beginning ---- */
 
 static void
-answer_replay (request_t *request, const once_answer_t *answer)
+replay_answer (request_t *request, const once_answer_t *answer)
 {
   static const char *const headers[] = { "Idempotent-Replayed: true", NULL };
 
@@ -80,19 +80,19 @@
 }
 
 static void
-claim_refused (request_t *request, const once_answer_t *answer)
+refuse_claim (request_t *request, const once_answer_t *answer)
 {
   switch (answer->verdict)
     {
     case ONCE_FINISHED:
-      answer_replay (request, answer);
+      replay_answer (request, answer);
       return;
     case ONCE_RUNNING:
       request_refuse (
           request, REFUSED_CLAIM_CONFLICT, 409, "Already asked",
           "A request with this key is running or its outcome is not "
           "known; ask again with the same key.",
-          RUN_UNKNOWN, RETRY_CLAIM_S);
+          RUN_UNKNOWN, CLAIM_RETRY_AFTER_S);
       return;
     case ONCE_UNKNOWN:
       request_refuse (
@@ -113,7 +113,7 @@
           request, REFUSED_PLATFORM_DOWN, 503, "Platform is down",
           "This call was not run, for its key can't be claimed; an earlier "
           "one with the same key may have been.  Ask again with it.",
-          RUN_NOT_RUN, RETRY_PLATFORM_S);
+          RUN_NOT_RUN, PLATFORM_RETRY_AFTER_S);
       return;
     }
 }
@@ -139,13 +139,13 @@
       request_handle_event (request, REQ_EV_CLAIMED, clock_now ());
       return;
     }
-  claim_refused (request, answer);
+  refuse_claim (request, answer);
   request->state = REQ_OVER;
   request_free (request);
 }
 
 static char *
-digest_of (const request_t *request)
+compute_digest (const request_t *request)
 {
   crypto_generichash_state state;
   unsigned char hash[DIGEST_SIZE];
@@ -191,7 +191,7 @@
       request_free (request);
       return;
     }
-  digest = digest_of (request);
+  digest = compute_digest (request);
   request->claim_pending = true;
   once_claim (router->once, request->item.account, request->key, digest,
               on_claim, request);
@@ -200,10 +200,10 @@
 /* ---- removal ---- */
 
 /* Names the choice of the router that keeps the ages.  */
-#define AGES_KEY "claim-sweep"
+#define CLAIM_AGES_KEY "claim-sweep"
 
 static unsigned
-sweep_routers (void *user)
+count_routers (void *user)
 {
   const cfd_router_t *router = user;
 
@@ -211,16 +211,17 @@
 }
 
 static bool
-sweep_keeps_ages (void *user)
+keeps_claim_ages (void *user)
 {
   const cfd_router_t *router = user;
-  const char *home = store_home (router->store, AGES_KEY, "", NULL, NULL);
+  const char *home
+      = store_home (router->store, CLAIM_AGES_KEY, "", NULL, NULL);
 
   return g_strcmp0 (home, router->instance) == 0;
 }
 
 static bool
-sweep_is_held (void *user, const char *claim)
+is_claim_held (void *user, const char *claim)
 {
   const cfd_router_t *router = user;
 
@@ -232,9 +233,9 @@
 {
   const sweep_setup_t setup = { .kept_s = settings->claims_kept_s,
                                 .calls = (unsigned)settings->claim_calls,
-                                .routers = sweep_routers,
-                                .keeps_ages = sweep_keeps_ages,
-                                .is_held = sweep_is_held,
+                                .routers = count_routers,
+                                .keeps_ages = keeps_claim_ages,
+                                .is_held = is_claim_held,
                                 .user = router };
 
   once_set_kept (router->once, settings->claims_kept_s);
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -11,16 +11,16 @@
 #include "config/witness.h"
 
 /* A peer with newer configuration is asked at most so often.  */
-#define ASK_MS 200
+#define ASK_INTERVAL_MS 200
 /* Doubts after which another router is asked.  A frozen or dead one leaves an
    ask without answer; one that is behind answers and brings no fresh word,
    which may also be because it is about to ask itself.  */
-#define DOUBTS_MAX 3u
-#define DOUBT_SILENT 2u
-#define DOUBT_OLD 1u
+#define MAX_ASK_PENALTY 3u
+#define PENALTY_NO_ANSWER 2u
+#define PENALTY_STALE 1u
 /* Each agent is told once in so many seconds at most: a link without use is
    closed after PEER_IDLE_MS, and an agent without a link hears nothing.  */
-#define TELL_ROUND_S 20u
+#define NOTIFY_ROUND_S 20u
 
 static bool
 send_ask (cfd_router_t *router, const char *peer)
@@ -34,17 +34,17 @@
 /* ---- asking ---- */
 
 static void
-forget_asked (cfd_router_t *router)
+clear_asked_router (cfd_router_t *router)
 {
   g_clear_pointer (&router->asked_router, g_free);
 }
 
 static void
-ask_chosen (cfd_router_t *router)
+ask_chosen_router (cfd_router_t *router)
 {
   const char *name = spread_tree_ask (router->tree, router->ask_choice);
 
-  forget_asked (router);
+  clear_asked_router (router);
   if (name == NULL)
     return;
   router->asked_router = g_strdup (name);
@@ -55,16 +55,16 @@
    to doubt it.  A choice that served is kept, so that a dead one above costs
    its doubts once.  */
 static void
-ask_for_word (cfd_router_t *router)
+ask_for_revision (cfd_router_t *router)
 {
   router->ask_penalty
-      += router->asked_router != NULL ? DOUBT_SILENT : DOUBT_OLD;
-  if (router->ask_penalty > DOUBTS_MAX)
+      += router->asked_router != NULL ? PENALTY_NO_ANSWER : PENALTY_STALE;
+  if (router->ask_penalty > MAX_ASK_PENALTY)
     {
       router->ask_choice++;
       router->ask_penalty = 0;
     }
-  ask_chosen (router);
+  ask_chosen_router (router);
 }
 
 void
@@ -74,7 +74,7 @@
   store_heard_of (router->store, revision, now);
   if (revision <= store_revision (router->store)
       || (revision <= router->requested_revision
-          && now - router->requested_at < ASK_MS))
+          && now - router->requested_at < ASK_INTERVAL_MS))
     return;
   router->requested_revision = revision;
   router->requested_at = now;
@@ -82,7 +82,7 @@
   if (peer->role == ROLE_ROUTER)
     (void)send_ask (router, peer->instance);
   else if (router->asked_router == NULL)
-    ask_chosen (router);
+    ask_chosen_router (router);
 }
 
 void
@@ -90,14 +90,14 @@
                   const msg_config_part_t *part, uint64_t revision,
                   cfd_time_t now)
 {
-  bool is_news;
+  bool is_newer;
 
   if (g_strcmp0 (router->asked_router, peer->instance) == 0)
-    forget_asked (router);
-  is_news = store_take_part (router->store, part, now);
+    clear_asked_router (router);
+  is_newer = store_take_part (router->store, part, now);
   store_heard_of (router->store, revision, now);
   /* A piece: the next one now, not with some later frame.  */
-  if (is_news && store_revision (router->store) < revision)
+  if (is_newer && store_revision (router->store) < revision)
     (void)send_ask (router, peer->instance);
 }
 
@@ -116,7 +116,7 @@
 /* ---- telling ---- */
 
 static void
-tell_all (cfd_router_t *router, const GPtrArray *names)
+notify_all (cfd_router_t *router, const GPtrArray *names)
 {
   for (guint i = 0; i < names->len; i++)
     (void)send_ask (router, names->pdata[i]);
@@ -127,8 +127,8 @@
 {
   if (!store_learns_from_peers (router->store))
     return;
-  tell_all (router, spread_tree_routers (router->tree));
-  tell_all (router, spread_tree_agents (router->tree));
+  notify_all (router, spread_tree_routers (router->tree));
+  notify_all (router, spread_tree_agents (router->tree));
 }
 
 /* Who could not be told because there was no link learns it here.  */
@@ -140,10 +140,10 @@
 }
 
 static void
-tell_some_agents (cfd_router_t *router)
+notify_some_agents (cfd_router_t *router)
 {
   const GPtrArray *agents = spread_tree_agents (router->tree);
-  unsigned count = (agents->len + TELL_ROUND_S - 1) / TELL_ROUND_S;
+  unsigned count = (agents->len + NOTIFY_ROUND_S - 1) / NOTIFY_ROUND_S;
 
   for (unsigned i = 0; i < count; i++)
     (void)send_ask (router,
@@ -153,7 +153,7 @@
 /* While the platform is out of reach: calls the agents whose witness this
    router is.  They hold the link, so that one call is enough.  */
 static void
-call_as_witness (cfd_router_t *router)
+notify_witnessed_agents (cfd_router_t *router)
 {
   const GPtrArray *routers = store_instances (router->store, ROLE_ROUTER);
   const GPtrArray *agents = store_instances (router->store, ROLE_AGENT);
@@ -175,13 +175,13 @@
 conf_run_periodic (cfd_router_t *router, cfd_time_t now)
 {
   if (store_wants_word (router->store, now))
-    ask_for_word (router);
+    ask_for_revision (router);
   else
     router->ask_penalty = 0;
   if (store_learns_from_peers (router->store))
-    tell_some_agents (router);
+    notify_some_agents (router);
   if (!store_platform_is_up (router->store))
-    call_as_witness (router);
+    notify_witnessed_agents (router);
 }
 
 void
@@ -193,12 +193,12 @@
                                   router->instance);
   router->ask_choice = 0;
   router->ask_penalty = 0;
-  forget_asked (router);
+  clear_asked_router (router);
 }
 
 void
 conf_free (cfd_router_t *router)
 {
   spread_tree_free (router->tree);
-  forget_asked (router);
+  clear_asked_router (router);
 }
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -6,11 +6,11 @@
 #define DEFAULT_MAX_TOKENS 256
 /* Bytes of a prompt that make about one token.  */
 #define BYTES_PER_TOKEN 4
-#define RETRY_CONFIG_S 2
-#define RETRY_CAPACITY_S 5
+#define CONFIG_RETRY_AFTER_S 2
+#define CAPACITY_RETRY_AFTER_S 5
 #define SERVICES_PREFIX "/services/"
 /* MSG_HEADERS_MAX less what the agent adds.  */
-#define HEADERS_MAX (MSG_HEADERS_MAX - 4)
+#define MAX_HEADERS (MSG_HEADERS_MAX - 4)
 
 static void
 refuse (cfd_router_t *router, web_request_t *web, refusal_reason_t reason,
@@ -25,7 +25,7 @@
 
 /* The account of the caller's key, or NULL after a refusal.  */
 static const rec_t *
-check_key (cfd_router_t *router, web_request_t *web)
+authenticate (cfd_router_t *router, web_request_t *web)
 {
   static const char scheme[] = "Bearer ";
   const char *header = web_header (web, "Authorization");
@@ -74,7 +74,7 @@
 {
   static const char *const names[]
       = { "max_completion_tokens", "max_tokens", NULL };
-  double most = DEFAULT_MAX_TOKENS;
+  double max_tokens = DEFAULT_MAX_TOKENS;
   size_t length;
 
   for (const char *const *name = names; *name != NULL; name++)
@@ -85,12 +85,12 @@
           && json_node_get_value_type (node) == G_TYPE_INT64
           && json_node_get_int (node) > 0)
         {
-          most = (double)json_node_get_int (node);
+          max_tokens = (double)json_node_get_int (node);
           break;
         }
     }
   (void)web_body (web, &length);
-  return most + (double)length / BYTES_PER_TOKEN;
+  return max_tokens + (double)length / BYTES_PER_TOKEN;
 }
 
 /* ---- headers ---- */
@@ -99,47 +99,47 @@
 {
   GPtrArray *headers;
   bool too_many;
-} pass_t;
+} header_filter_t;
 
 static bool
-is_passed (const char *name)
+is_forwarded (const char *name)
 {
-  static const char *const own[] = { "Authorization",
-                                     "Connection",
-                                     "Content-Length",
-                                     "Expect",
-                                     "Host",
-                                     "Keep-Alive",
-                                     "Proxy-Connection",
-                                     "Proxy-Authorization",
-                                     "TE",
-                                     "Trailer",
-                                     "Transfer-Encoding",
-                                     "Upgrade",
-                                     "X-Request-Class",
-                                     "X-Request-Id",
-                                     "Accept-Encoding",
-                                     NULL };
-
-  for (const char *const *each = own; *each != NULL; each++)
+  static const char *const consumed[] = { "Authorization",
+                                          "Connection",
+                                          "Content-Length",
+                                          "Expect",
+                                          "Host",
+                                          "Keep-Alive",
+                                          "Proxy-Connection",
+                                          "Proxy-Authorization",
+                                          "TE",
+                                          "Trailer",
+                                          "Transfer-Encoding",
+                                          "Upgrade",
+                                          "X-Request-Class",
+                                          "X-Request-Id",
+                                          "Accept-Encoding",
+                                          NULL };
+
+  for (const char *const *each = consumed; *each != NULL; each++)
     if (g_ascii_strcasecmp (name, *each) == 0)
       return false;
   return true;
 }
 
 static void
-pass_header (void *user, const char *name, const char *value)
+add_forwarded_header (void *user, const char *name, const char *value)
 {
-  pass_t *pass = user;
+  header_filter_t *filter = user;
 
-  if (!is_passed (name))
+  if (!is_forwarded (name))
     return;
-  if (pass->headers->len >= HEADERS_MAX)
+  if (filter->headers->len >= MAX_HEADERS)
     {
-      pass->too_many = true;
+      filter->too_many = true;
       return;
     }
-  g_ptr_array_add (pass->headers, g_strdup_printf ("%s: %s", name, value));
+  g_ptr_array_add (filter->headers, g_strdup_printf ("%s: %s", name, value));
 }
 
 /* ---- kinds of calls ---- */
@@ -155,13 +155,13 @@
 /* A path that the service may read as another one than the rules do is not
    taken for idempotent: "/past/../invoices" or the same with escapes.  */
 static bool
-is_plain_path (const char *path)
+is_unambiguous_path (const char *path)
 {
-  static const char *const doubtful[]
+  static const char *const ambiguous[]
       = { "/.", "//", "\\", ";", "%2e", "%2f", "%5c", NULL };
   g_autofree char *lower = g_ascii_strdown (path, (gssize)strcspn (path, "?"));
 
-  for (const char *const *part = doubtful; *part != NULL; part++)
+  for (const char *const *part = ambiguous; *part != NULL; part++)
     if (strstr (lower, *part) != NULL)
       return false;
   return true;
@@ -171,30 +171,30 @@
 is_idempotent (const rec_t *service, const char *method, const call_t *call)
 {
   return call->is_model
-         || (is_plain_path (call->path)
+         || (is_unambiguous_path (call->path)
              && rec_service_idempotent (&service->u.service, method,
                                         call->path));
 }
 
 /* Begins the life of a request that passed all checks.  */
 static void
-admit (cfd_router_t *router, web_request_t *web, const rec_t *account,
-       const rec_t *service, const call_t *call)
+admit_request (cfd_router_t *router, web_request_t *web, const rec_t *account,
+               const rec_t *service, const call_t *call)
 {
   cfd_time_t now = clock_now ();
   request_t *request;
-  pass_t pass = { g_ptr_array_new_with_free_func (g_free), false };
+  header_filter_t filter = { g_ptr_array_new_with_free_func (g_free), false };
 
-  web_each_header (web, pass_header, &pass);
-  if (pass.too_many)
+  web_each_header (web, add_forwarded_header, &filter);
+  if (filter.too_many)
     {
-      g_ptr_array_unref (pass.headers);
+      g_ptr_array_unref (filter.headers);
       refuse (router, web, REFUSED_BAD_REQUEST, 431, "Too many headers",
               "Send fewer headers.", -1);
       return;
     }
   request = request_new (router, web, account->name, service->name);
-  request->headers = pass.headers;
+  request->headers = filter.headers;
   request->path = g_strdup (call->path);
   request->is_model = call->is_model;
   request->idempotent = is_idempotent (service, request->method, call);
@@ -213,7 +213,7 @@
 
 /* The service that serves CALL, or NULL after a refusal.  */
 static const rec_t *
-check_service (cfd_router_t *router, web_request_t *web, const call_t *call)
+find_service (cfd_router_t *router, web_request_t *web, const call_t *call)
 {
   const rec_t *service = store_get (router->store, REC_SERVICE, call->service);
 
@@ -228,7 +228,7 @@
     {
       refuse (router, web, REFUSED_NO_CAPACITY, 503, "No capacity",
               "The service has no endpoint at present; ask again later.",
-              RETRY_CAPACITY_S);
+              CAPACITY_RETRY_AFTER_S);
       return NULL;
     }
   return service;
@@ -238,7 +238,7 @@
 handle_model (cfd_router_t *router, web_request_t *web)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
-  const rec_t *account = check_key (router, web);
+  const rec_t *account = authenticate (router, web);
   const rec_t *service;
   JsonObject *body;
   call_t call = { .is_model = true, .path = web_target (web) };
@@ -260,15 +260,15 @@
       return;
     }
   call.cost = model_cost (body, web);
-  service = check_service (router, web, &call);
+  service = find_service (router, web, &call);
   if (service != NULL)
-    admit (router, web, account, service, &call);
+    admit_request (router, web, account, service, &call);
 }
 
 static void
 handle_plain (cfd_router_t *router, web_request_t *web)
 {
-  const rec_t *account = check_key (router, web);
+  const rec_t *account = authenticate (router, web);
   const char *rest = web_target (web) + strlen (SERVICES_PREFIX);
   g_autofree char *name = g_strndup (rest, strcspn (rest, "/?"));
   const char *path = rest + strlen (name);
@@ -280,9 +280,9 @@
     return;
   whole = *path == '/' ? g_strdup (path) : g_strconcat ("/", path, NULL);
   call.path = whole;
-  service = check_service (router, web, &call);
+  service = find_service (router, web, &call);
   if (service != NULL)
-    admit (router, web, account, service, &call);
+    admit_request (router, web, account, service, &call);
 }
 
 void
@@ -298,7 +298,7 @@
   if (store_revision (router->store) == 0)
     refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; ask again.",
-            RETRY_CONFIG_S);
+            CONFIG_RETRY_AFTER_S);
   else if (strcmp (path, "/v1/chat/completions") == 0
            || strcmp (path, "/v1/completions") == 0)
     handle_model (router, web);
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -6,7 +6,7 @@
 
 /* A long answer is charged by steps of this part ahead, so that it doesn't
    make a report for each token.  */
-#define CHARGE_AHEAD 0.25
+#define CHARGE_AHEAD_RATIO 0.25
 
 void
 grant_describe_queue (cfd_router_t *router, const char *account,
@@ -50,11 +50,12 @@
 /* ---- announcements ---- */
 
 static reach_word_t
-announce (void *user, const char *name, const msg_announce_t *word)
+send_announcement (void *user, const char *name,
+                   const msg_announce_t *announcement)
 {
   cfd_router_t *router = user;
   agent_t *agent = agents_find (router, name);
-  msg_t message = { .kind = MSG_ANNOUNCE, .u.announce = *word };
+  msg_t message = { .kind = MSG_ANNOUNCE, .u.announce = *announcement };
   cfd_time_t now = clock_now ();
 
   if (agent == NULL)
@@ -65,14 +66,14 @@
   if (!router_send (router, name, &message))
     return REACH_DIALLED;
   router->counters.announces++;
-  router->counters.announced_entries += word->count;
+  router->counters.announced_entries += announcement->count;
   return peer_hub_is_quiet (router->hub, name, now) ? REACH_QUIET : REACH_SENT;
 }
 
 void
 grant_announce (cfd_router_t *router, cfd_time_t now)
 {
-  disp_due (router->disp, now, announce, router);
+  disp_due (router->disp, now, send_announcement, router);
 }
 
 /* ---- grants ---- */
@@ -86,7 +87,7 @@
 } target_t;
 
 static bool
-may_go (void *user, const adm_item_t *item)
+is_eligible (void *user, const adm_item_t *item)
 {
   const target_t *target = user;
 
@@ -112,8 +113,8 @@
                         &message.u.decline.left);
   /* All that waits was failed by this agent: told of it, it would offer the
      same slot again and again.  */
-  if (!adm_has_allowed (router->adm, grant->account, grant->service, may_go,
-                        &target))
+  if (!adm_has_allowed (router->adm, grant->account, grant->service,
+                        is_eligible, &target))
     message.u.decline.left.count = 0;
   router->counters.declined[reason]++;
   if (router_send (router, peer->instance, &message))
@@ -128,12 +129,12 @@
   const char *service;
   const char *account; /* NULL while none is found */
   double time;
-} least_t;
+} least_account_t;
 
 static void
-offer_least (void *user, const char *account, const char *service)
+consider_account (void *user, const char *account, const char *service)
 {
-  least_t *least = user;
+  least_account_t *least = user;
   double time;
 
   if (strcmp (service, least->service) != 0)
@@ -141,7 +142,7 @@
   time = share_virtual_time (least->router->share, account, service);
   if (least->account != NULL && time >= least->time)
     return;
-  if (!adm_has_allowed (least->router->adm, account, service, may_go,
+  if (!adm_has_allowed (least->router->adm, account, service, is_eligible,
                         &least->target))
     return;
   least->account = account;
@@ -151,8 +152,8 @@
 /* Whether the agent chose by old knowledge.  Up to one request's cost beyond
    the second best is within what any order would do.  */
 static bool
-is_stale (cfd_router_t *router, const msg_grant_t *grant, const least_t *least,
-          cfd_time_t now)
+is_stale_grant (cfd_router_t *router, const msg_grant_t *grant,
+                const least_account_t *least, cfd_time_t now)
 {
   const rec_t *record = store_get (router->store, REC_ACCOUNT, least->account);
   double weight = record != NULL ? record->u.account.weight : 1;
@@ -167,17 +168,17 @@
    router's a report.  Declining instead would leave the slot empty for a round
    trip and more.  */
 static void
-answer (cfd_router_t *router, agent_t *agent, const peer_id_t *peer,
-        const msg_grant_t *grant, cfd_time_t now)
+answer_grant (cfd_router_t *router, agent_t *agent, const peer_id_t *peer,
+              const msg_grant_t *grant, cfd_time_t now)
 {
-  least_t least = { .router = router,
-                    .target = { router, agent, now },
-                    .service = grant->service };
+  least_account_t least = { .router = router,
+                            .target = { router, agent, now },
+                            .service = grant->service };
 
-  adm_each (router->adm, offer_least, &least);
+  adm_each (router->adm, consider_account, &least);
   if (least.account == NULL)
     decline (router, peer, grant, DECLINE_NO_WORK, now);
-  else if (is_stale (router, grant, &least, now))
+  else if (is_stale_grant (router, grant, &least, now))
     decline (router, peer, grant, DECLINE_STALE, now);
   else if (!grant_assign (router, agent, grant->grant, grant->incarnation,
                           least.account, grant->service, now))
@@ -198,13 +199,13 @@
   if (!agents_accepts_work (router, agent))
     decline (router, peer, grant, DECLINE_ZONE, now);
   else
-    answer (router, agent, peer, grant, now);
+    answer_grant (router, agent, peer, grant, now);
 }
 
 /* ---- assignments ---- */
 
 static void
-charge (cfd_router_t *router, request_t *request, cfd_time_t now)
+charge_request (cfd_router_t *router, request_t *request, cfd_time_t now)
 {
   const rec_t *record
       = store_get (router->store, REC_ACCOUNT, request->item.account);
@@ -241,14 +242,14 @@
 grant_charge_streamed (request_t *request, uint32_t output, cfd_time_t now)
 {
   if (request->is_model && output > request->charged_tokens)
-    grant_correct_charge (request, output * (1 + CHARGE_AHEAD), now);
+    grant_correct_charge (request, output * (1 + CHARGE_AHEAD_RATIO), now);
 }
 
 /* A new id for each attempt, so that late words of a former one are told from
    those of the present.  */
 static void
-attach (cfd_router_t *router, request_t *request, agent_t *agent,
-        uint64_t incarnation, cfd_time_t now)
+attach_agent (cfd_router_t *router, request_t *request, agent_t *agent,
+              uint64_t incarnation, cfd_time_t now)
 {
   g_free (request->id);
   request->id
@@ -296,8 +297,8 @@
 /* Tells why the request went where it did: the agent offered a slot to the
    account that had got least.  */
 static void
-note_assign (cfd_router_t *router, const request_t *request, uint64_t grant,
-             double virtual_time)
+record_assignment (cfd_router_t *router, const request_t *request,
+                   uint64_t grant, double virtual_time)
 {
   g_autofree char *detail = g_strdup_printf (
       "to %s: %s, virtual_time=%.0f attempt=%u", request->agent->name,
@@ -312,8 +313,8 @@
 
 /* What the order of the policy goes by.  */
 static double
-order_time (const cfd_router_t *router, const char *account,
-            const char *service)
+policy_virtual_time (const cfd_router_t *router, const char *account,
+                     const char *service)
 {
   return router->policy == CFD_POLICY_LOCAL
              ? wfq_virtual_time (router->wfq, account, service)
@@ -325,7 +326,7 @@
   const cfd_router_t *router;
   const target_t *target;
   const fairness_slot_t *turn;
-} passing_t;
+} passed_over_t;
 
 /* An order that is wrong, or a charge that is lost, lets some accounts take
    all slots: the callers of the others time out one by one, which looks like
@@ -333,37 +334,37 @@
    over, and what was given away in an account's place against what the order
    can give; see turns.h.  */
 static void
-check_passed (void *user, const char *account, const char *service)
+check_passed_over (void *user, const char *account, const char *service)
 {
-  const passing_t *passing = user;
+  const passed_over_t *passing = user;
   const cfd_router_t *router = passing->router;
   fairness_verdict_t verdict;
 
   if (strcmp (service, passing->turn->service) != 0
       || strcmp (account, passing->turn->account) == 0)
     return;
-  verdict = fairness_check_passed (router->fairness, passing->turn, account,
-                                   order_time (router, account, service),
-                                   adm_has_allowed (router->adm, account,
-                                                    service, may_go,
-                                                    (void *)passing->target),
-                                   passing->target->now);
+  verdict = fairness_check_passed (
+      router->fairness, passing->turn, account,
+      policy_virtual_time (router, account, service),
+      adm_has_allowed (router->adm, account, service, is_eligible,
+                       (void *)passing->target),
+      passing->target->now);
   INVARIANT ("slot-to-least", verdict != FAIRNESS_OUT_OF_ORDER, account);
   INVARIANT ("passed-over-bound", verdict != FAIRNESS_BOUND_EXCEEDED, account);
 }
 
 static void
-take_turn (cfd_router_t *router, const request_t *request, double virtual_time,
-           const target_t *target)
+check_fairness (cfd_router_t *router, const request_t *request,
+                double virtual_time, const target_t *target)
 {
   const fairness_slot_t turn
       = { .account = request->item.account,
           .service = request->item.service,
           .virtual_time = virtual_time,
           .charge = request->charged_tokens / request->weight };
-  passing_t passing = { router, target, &turn };
+  passed_over_t passing = { router, target, &turn };
 
-  adm_each (router->adm, check_passed, &passing);
+  adm_each (router->adm, check_passed_over, &passing);
   fairness_assign (router->fairness, &turn, target->now);
 }
 
@@ -373,8 +374,8 @@
               cfd_time_t now)
 {
   target_t target = { router, agent, now };
-  adm_item_t *item
-      = adm_take_allowed (router->adm, account, service, now, may_go, &target);
+  adm_item_t *item = adm_take_allowed (router->adm, account, service, now,
+                                       is_eligible, &target);
   request_t *request;
   double time;
   double order;
@@ -383,10 +384,10 @@
     return false;
   /* ACCOUNT and SERVICE may be of the queue, which goes with its last item. */
   time = share_virtual_time (router->share, item->account, item->service);
-  order = order_time (router, item->account, item->service);
+  order = policy_virtual_time (router, item->account, item->service);
   request = list_entry (item, request_t, item);
-  attach (router, request, agent, incarnation, now);
-  charge (router, request, now);
+  attach_agent (router, request, agent, incarnation, now);
+  charge_request (router, request, now);
   if (!send_assign (router, request, grant, now))
     {
       grant_correct_charge (request, 0, now);
@@ -395,8 +396,8 @@
       return false;
     }
   router->counters.assigned++;
-  note_assign (router, request, grant, time);
-  take_turn (router, request, order, &target);
+  record_assignment (router, request, grant, time);
+  check_fairness (router, request, order, &target);
   request_handle_event (request, REQ_EV_ASSIGNED, now);
   return true;
 }
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -10,22 +10,22 @@
 
 /* A home that could not be reached for so long is passed over, until there is
    a link.  */
-#define MISSING_MS 500
+#define UNREACHABLE_MS 500
 /* A home answers each report that comes PEER_VIEW_MAX_SILENCE_MS after its
    last answer or later; one that did not for so long is cut off or frozen, and
    is passed over until an answer or a new link comes.  The link's own watch on
    silence takes 2 s, in which each router of an account would know but its own
    part. Both together are 750 ms, many times the way between regions and what
    a busy home takes.  */
-#define ANSWER_MS 500
+#define ANSWER_TIMEOUT_MS 500
 /* Until then, an answer that is so late is taken for one that may not come:
    accounts go on as if their other routers gave what they gave before.  That
    is several times the way between regions, and does little harm when the
    answer comes after all.  */
-#define LATE_MS 100
+#define ANSWER_LATE_MS 100
 /* The link to a home is held so long after the last report, so that a silent
    connection shows.  */
-#define HOLD_MS 3000
+#define LINK_HOLD_MS 3000
 
 static void
 peer_free (gpointer data)
@@ -53,7 +53,7 @@
 
 /* Some accounts may have another home now.  */
 static void
-homes_moved (cfd_router_t *router, cfd_time_t now)
+mark_homes_changed (cfd_router_t *router, cfd_time_t now)
 {
   router->homes_changed = true;
   shares_schedule_report (router, now);
@@ -103,13 +103,13 @@
       peer_hub_address (router->hub, peer->name, "");
       g_hash_table_iter_remove (&iter);
     }
-  homes_moved (router, now);
+  mark_homes_changed (router, now);
 }
 
 /* So that the check of turns knows why an order changed.  */
 static void
-note_moved (void *user, const char *account, const char *service,
-            double tokens)
+on_virtual_time_changed (void *user, const char *account, const char *service,
+                         double tokens)
 {
   cfd_router_t *router = user;
 
@@ -117,13 +117,13 @@
 }
 
 static void
-set_late (cfd_router_t *router, router_peer_t *peer, bool is_late)
+set_answer_late (cfd_router_t *router, router_peer_t *peer, bool is_late)
 {
   if (peer->answer_late == is_late)
     return;
   peer->answer_late = is_late;
-  share_late (router->share, homes_hash (peer->name), is_late, note_moved,
-              router);
+  share_late (router->share, homes_hash (peer->name), is_late,
+              on_virtual_time_changed, router);
 }
 
 /* Passes over PEER as a home until its link is up: its accounts move to their
@@ -137,10 +137,10 @@
 {
   peer->unreachable_since = 0;
   peer->unanswered_since = 0;
-  set_late (router, peer, false);
+  set_answer_late (router, peer, false);
   peer->excluded = true;
   g_hash_table_remove_all (peer->unsent);
-  homes_moved (router, now);
+  mark_homes_changed (router, now);
 }
 
 void
@@ -148,11 +148,11 @@
 {
   peer->unreachable_since = 0;
   peer->unanswered_since = 0;
-  set_late (router, peer, false);
+  set_answer_late (router, peer, false);
   if (!peer->excluded)
     return;
   peer->excluded = false;
-  homes_moved (router, now);
+  mark_homes_changed (router, now);
 }
 
 static bool
@@ -183,7 +183,7 @@
 void
 homes_hold_link (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->hold_until = now + HOLD_MS;
+  peer->hold_until = now + LINK_HOLD_MS;
   if (peer->link_held)
     return;
   peer->link_held = true;
@@ -199,13 +199,13 @@
     peer->unanswered_since = now;
   if (peer->unanswered_since == 0)
     return;
-  if (now - peer->unanswered_since >= ANSWER_MS)
+  if (now - peer->unanswered_since >= ANSWER_TIMEOUT_MS)
     {
       homes_exclude (router, peer, now);
       return;
     }
-  if (now - peer->unanswered_since >= LATE_MS)
-    set_late (router, peer, true);
+  if (now - peer->unanswered_since >= ANSWER_LATE_MS)
+    set_answer_late (router, peer, true);
 }
 
 void
@@ -213,7 +213,7 @@
 {
   if (peer->unreachable_since == 0)
     peer->unreachable_since = now;
-  if (now - peer->unreachable_since >= MISSING_MS)
+  if (now - peer->unreachable_since >= UNREACHABLE_MS)
     homes_exclude (router, peer, now);
 }
 
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -5,27 +5,27 @@
 /* The baseline: this router's own fair queue, and requests pushed to the
    agent with the least load it knows.  Requests pushed beyond an agent's
    slots, so that none idles until the next word of its load.  */
-#define PUSH_AHEAD 2u
+#define MAX_REQUESTS_BEYOND_SLOTS 2u
 
 static bool
-has_room (const cfd_router_t *router, const agent_t *agent,
-          const char *service)
+has_capacity (const cfd_router_t *router, const agent_t *agent,
+              const char *service)
 {
   return agent->up && agent->has_load && agents_accepts_work (router, agent)
          && g_strcmp0 (agent->granted_service, service) == 0
          && agent->busy + agent->queued + agent->pushed
-                < agent->slots + PUSH_AHEAD;
+                < agent->slots + MAX_REQUESTS_BEYOND_SLOTS;
 }
 
 static double
-load_of (const agent_t *agent)
+agent_load (const agent_t *agent)
 {
   return (double)(agent->busy + agent->queued + agent->pushed)
          / MAX (agent->slots, 1);
 }
 
 static agent_t *
-least_loaded (cfd_router_t *router, const char *service)
+find_least_loaded (cfd_router_t *router, const char *service)
 {
   agent_t *best = NULL;
   GHashTableIter iter;
@@ -36,9 +36,9 @@
     {
       agent_t *agent = value;
 
-      if (!has_room (router, agent, service))
+      if (!has_capacity (router, agent, service))
         continue;
-      if (best == NULL || load_of (agent) < load_of (best))
+      if (best == NULL || agent_load (agent) < agent_load (best))
         best = agent;
     }
   return best;
@@ -51,7 +51,7 @@
 
   while ((account = wfq_next_account (router->wfq, service)) != NULL)
     {
-      agent_t *agent = least_loaded (router, service);
+      agent_t *agent = find_least_loaded (router, service);
       g_autofree char *name = g_strdup (account);
 
       if (agent == NULL
@@ -78,7 +78,7 @@
 /* Agents tell their load over links, which are kept up from the first work
    of a service on.  */
 static void
-hold_agents (cfd_router_t *router, const char *service, cfd_time_t now)
+hold_agent_links (cfd_router_t *router, const char *service, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -108,7 +108,7 @@
       return;
     }
   wfq_set_backlogged (router->wfq, account, service);
-  hold_agents (router, service, now);
+  hold_agent_links (router, service, now);
   router_schedule (router, now);
 }
 
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -3,8 +3,8 @@
 #include "base/log.h"
 
 /* A request that loses its agent so often may be the cause of it.  */
-#define ATTEMPTS_MAX 3
-#define RETRY_STOP_S 1
+#define MAX_ATTEMPTS 3
+#define SHUTDOWN_RETRY_AFTER_S 1
 
 request_t *
 request_new (cfd_router_t *router, web_request_t *web, const char *account,
@@ -66,12 +66,12 @@
 }
 
 static void
-refuse_late (request_t *request, req_event_t event, req_run_t run)
+refuse_unserved (request_t *request, req_event_t event, req_run_t run)
 {
   if (event == REQ_EV_SHUTDOWN)
     request_refuse (request, REFUSED_SHUTDOWN, 503, "Shutting down",
                     "This router is going away; ask another one.", run,
-                    RETRY_STOP_S);
+                    SHUTDOWN_RETRY_AFTER_S);
   else
     request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504, "Waited too long",
                     "No slot came free in time; ask again later.", run,
@@ -79,7 +79,7 @@
 }
 
 static void
-fail (request_t *request, req_event_t event)
+fail_request (request_t *request, req_event_t event)
 {
   bool stop = event == REQ_EV_SHUTDOWN;
 
@@ -98,7 +98,7 @@
 }
 
 static void
-break_off (request_t *request)
+truncate_answer (request_t *request)
 {
   request->router->counters.truncated++;
   router_record_event (request->router, TL_END, request, "broken off");
@@ -126,26 +126,26 @@
 }
 
 static bool
-has_no_body (const request_t *request)
+status_has_no_body (const request_t *request)
 {
   return request->status == 204 || request->status == 304;
 }
 
 static void
-finish (request_t *request, bool began)
+finish_answer (request_t *request, bool answer_began)
 {
   request->router->counters.completed++;
   router_record_event (request->router, TL_END, request, "complete");
   if (request->web == NULL)
     return;
-  if (!began && has_no_body (request))
+  if (!answer_began && status_has_no_body (request))
     {
       web_respond (request->web, request->status, NULL,
                    request_answer_headers (request), "", 0);
     }
   else
     {
-      if (!began)
+      if (!answer_began)
         begin_answer (request);
       web_stream_end (request->web, true);
     }
@@ -174,7 +174,7 @@
 
 /* False when the queue is full; the caller has been told.  */
 static bool
-offer (request_t *request, cfd_time_t now)
+enqueue (request_t *request, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
   int retry_after_s = ADM_RETRY_MIN_S;
@@ -207,7 +207,7 @@
 /* Back to the queue for another attempt; what came of the former is dropped,
    for none of it has left.  */
 static void
-put_back (request_t *request, cfd_time_t now)
+requeue (request_t *request, cfd_time_t now)
 {
   request->has_head = false;
   request->attempt_ended = false;
@@ -244,7 +244,7 @@
 }
 
 static void
-over (request_t *request, const req_step_t *step, cfd_time_t now)
+end_request (request_t *request, const req_step_t *step, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
 
@@ -259,8 +259,8 @@
 }
 
 static void
-act (request_t *request, req_event_t event, req_step_t *step, bool began,
-     cfd_time_t now)
+apply_action (request_t *request, req_event_t event, req_step_t *step,
+              bool answer_began, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
 
@@ -269,7 +269,7 @@
     case REQ_DO_NOTHING:
       return;
     case REQ_DO_QUEUE:
-      if (!offer (request, now))
+      if (!enqueue (request, now))
         step->next = REQ_OVER;
       return;
     case REQ_DO_RETRY:
@@ -279,7 +279,7 @@
       router_record_event (router, TL_RETRY, request, "the agent was lost");
       avoid_agent (request, now);
       release_agent (request);
-      put_back (request, now);
+      requeue (request, now);
       return;
     case REQ_DO_REQUEUE:
       router->counters.requeued++;
@@ -289,22 +289,22 @@
                                : "the endpoint was not reached");
       avoid_agent (request, now);
       release_agent (request);
-      put_back (request, now);
+      requeue (request, now);
       return;
     case REQ_DO_ANSWER:
       begin_answer (request);
       return;
     case REQ_DO_FINISH:
-      finish (request, began);
+      finish_answer (request, answer_began);
       return;
     case REQ_DO_REFUSE:
-      refuse_late (request, event, step->run);
+      refuse_unserved (request, event, step->run);
       return;
     case REQ_DO_FAIL:
-      fail (request, event);
+      fail_request (request, event);
       return;
     case REQ_DO_TRUNCATE:
-      break_off (request);
+      truncate_answer (request);
       return;
     case REQ_DO_CANCEL:
       answer_send_cancel (request);
@@ -326,7 +326,7 @@
                         .may_have_run = request->may_have_run,
                         .caller_gone = request->web == NULL,
                         .may_retry = request->router->retry_budget >= 1
-                                     && request->attempts < ATTEMPTS_MAX };
+                                     && request->attempts < MAX_ATTEMPTS };
 }
 
 void
@@ -335,21 +335,21 @@
   cfd_router_t *router = request->router;
   req_facts_t facts = request_get_facts (request);
   req_step_t step = req_next (request->state, event, &facts);
-  bool began = request->state == REQ_ANSWERING;
+  bool answer_began = request->state == REQ_ANSWERING;
   bool was_queued = request->state == REQ_QUEUED;
   g_autofree char *account = g_strdup (request->item.account);
   g_autofree char *service = g_strdup (request->item.service);
 
-  act (request, event, &step, began, now);
+  apply_action (request, event, &step, answer_began, now);
   request->state = step.next;
   if (step.next == REQ_OVER)
-    over (request, &step, now);
+    end_request (request, &step, now);
   if (was_queued || step.next == REQ_QUEUED)
     grant_queue_changed (router, account, service, now);
 }
 
 static void
-on_closed (void *user)
+on_caller_closed (void *user)
 {
   request_t *request = user;
 
@@ -362,7 +362,7 @@
 {
   request->item.since = now;
   request->item.deadline = now + request->router->request_timeout_ms;
-  web_on_closed (request->web, on_closed, request);
+  web_on_closed (request->web, on_caller_closed, request);
   if (request->key == NULL)
     request_handle_event (request, REQ_EV_CLAIMED, now);
   else
@@ -370,7 +370,7 @@
 }
 
 static void
-give_up (void *user, adm_item_t *item)
+on_deadline (void *user, adm_item_t *item)
 {
   request_t *request = list_entry (item, request_t, item);
 
@@ -380,5 +380,5 @@
 void
 request_expire_queued (cfd_router_t *router, cfd_time_t now)
 {
-  adm_expire (router->adm, now, give_up, &now);
+  adm_expire (router->adm, now, on_deadline, &now);
 }
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -5,22 +5,22 @@
 #include <string.h>
 
 /* Changes gather so long before they are reported.  */
-#define REPORT_MS 4
-#define UNSENT_MAX 4096u
+#define REPORT_DELAY_MS 4
+#define MAX_UNSENT_ENTRIES 4096u
 
 /* A report that waits for a link.  */
 typedef struct
 {
   pair_t key;
   msg_report_entry_t entry;
-} unsent_t;
+} unsent_entry_t;
 
 void
 shares_schedule_report (cfd_router_t *router, cfd_time_t now)
 {
   if (router->report_at != CFD_TIME_NEVER)
     return;
-  router->report_at = now + REPORT_MS;
+  router->report_at = now + REPORT_DELAY_MS;
   router_schedule (router, router->report_at);
 }
 
@@ -31,44 +31,45 @@
   cfd_router_t *router;
   cfd_time_t now;
   GHashTable *batches; /* router_peer_t to GArray of msg_report_entry_t */
-} reporting_t;
+} report_batches_t;
 
 static GArray *
-batch_for (reporting_t *reporting, router_peer_t *peer)
+find_or_add_batch (report_batches_t *report_batches, router_peer_t *peer)
 {
-  GArray *batch = g_hash_table_lookup (reporting->batches, peer);
+  GArray *batch = g_hash_table_lookup (report_batches->batches, peer);
 
   if (batch != NULL)
     return batch;
   batch = g_array_new (false, false, sizeof (msg_report_entry_t));
-  g_hash_table_insert (reporting->batches, peer, batch);
+  g_hash_table_insert (report_batches->batches, peer, batch);
   return batch;
 }
 
 static uint64_t
-emit (void *user, const msg_report_entry_t *entry)
+add_report_entry (void *user, const msg_report_entry_t *entry)
 {
-  reporting_t *reporting = user;
-  cfd_router_t *router = reporting->router;
+  report_batches_t *report_batches = user;
+  cfd_router_t *router = report_batches->router;
   const char *home = homes_lookup (router, entry->account, entry->service);
 
   router->counters.report_entries++;
   if (strcmp (home, router->instance) == 0)
     home_report (router->home, router->instance, router->incarnation, entry,
-                 reporting->now);
+                 report_batches->now);
   else
     g_array_append_val (
-        batch_for (reporting, homes_find_or_add (router, home)), *entry);
+        find_or_add_batch (report_batches, homes_find_or_add (router, home)),
+        *entry);
   return homes_hash (home);
 }
 
 static void
-remember (router_peer_t *peer, const msg_report_entry_t *entry)
+store_unsent (router_peer_t *peer, const msg_report_entry_t *entry)
 {
-  unsent_t *unsent
+  unsent_entry_t *unsent
       = pair_table_find (peer->unsent, entry->account, entry->service);
 
-  if (unsent == NULL && g_hash_table_size (peer->unsent) >= UNSENT_MAX)
+  if (unsent == NULL && g_hash_table_size (peer->unsent) >= MAX_UNSENT_ENTRIES)
     return;
   if (unsent == NULL)
     unsent = pair_table_add (peer->unsent, entry->account, entry->service,
@@ -96,8 +97,8 @@
 }
 
 static void
-report_to (cfd_router_t *router, router_peer_t *peer, const GArray *batch,
-           cfd_time_t now)
+send_or_store_report (cfd_router_t *router, router_peer_t *peer,
+                      const GArray *batch, cfd_time_t now)
 {
   homes_hold_link (router, peer, now);
   if (send_report (router, peer, batch))
@@ -106,24 +107,24 @@
       return;
     }
   for (guint i = 0; i < batch->len; i++)
-    remember (peer, &g_array_index (batch, msg_report_entry_t, i));
+    store_unsent (peer, &g_array_index (batch, msg_report_entry_t, i));
   homes_report_failed (router, peer, now);
 }
 
 static void
-report_all (cfd_router_t *router, cfd_time_t now)
+send_all_reports (cfd_router_t *router, cfd_time_t now)
 {
   g_autoptr (GHashTable) batches = g_hash_table_new_full (
       NULL, NULL, NULL, (GDestroyNotify)g_array_unref);
-  reporting_t reporting = { router, now, batches };
+  report_batches_t report_batches = { router, now, batches };
   GHashTableIter iter;
   gpointer peer;
   gpointer batch;
 
-  share_due (router->share, now, emit, &reporting);
+  share_due (router->share, now, add_report_entry, &report_batches);
   g_hash_table_iter_init (&iter, batches);
   while (g_hash_table_iter_next (&iter, &peer, &batch))
-    report_to (router, peer, batch, now);
+    send_or_store_report (router, peer, batch, now);
 }
 
 /* ---- answers of this home ---- */
@@ -133,12 +134,13 @@
   cfd_router_t *router;
   cfd_time_t now;
   GHashTable *batches; /* router's name to GArray of msg_share_entry_t */
-} answering_t;
+} share_batches_t;
 
 /* A new virtual time for work that waits here goes to the agents with the
    next refresh; a grant by an older one is declined.  */
 static void
-take_one (cfd_router_t *router, const msg_share_entry_t *entry, cfd_time_t now)
+apply_share (cfd_router_t *router, const msg_share_entry_t *entry,
+             cfd_time_t now)
 {
   double before
       = share_virtual_time (router->share, entry->account, entry->service);
@@ -156,25 +158,25 @@
 }
 
 static void
-emit_share (void *user, const char *name, const msg_share_entry_t *entry)
+add_share_entry (void *user, const char *name, const msg_share_entry_t *entry)
 {
-  answering_t *answering = user;
+  share_batches_t *share_batches = user;
   GArray *batch;
 
-  if (strcmp (name, answering->router->instance) == 0)
+  if (strcmp (name, share_batches->router->instance) == 0)
     {
-      take_one (answering->router, entry, answering->now);
+      apply_share (share_batches->router, entry, share_batches->now);
       return;
     }
   if (!peer_view_needs_update (
-          homes_find_or_add (answering->router, name)->view, entry,
-          answering->now))
+          homes_find_or_add (share_batches->router, name)->view, entry,
+          share_batches->now))
     return;
-  batch = g_hash_table_lookup (answering->batches, name);
+  batch = g_hash_table_lookup (share_batches->batches, name);
   if (batch == NULL)
     {
       batch = g_array_new (false, false, sizeof (msg_share_entry_t));
-      g_hash_table_insert (answering->batches, g_strdup (name), batch);
+      g_hash_table_insert (share_batches->batches, g_strdup (name), batch);
     }
   g_array_append_val (batch, *entry);
 }
@@ -194,16 +196,16 @@
 }
 
 static void
-answer_all (cfd_router_t *router, cfd_time_t now)
+send_all_shares (cfd_router_t *router, cfd_time_t now)
 {
   g_autoptr (GHashTable) batches = g_hash_table_new_full (
       g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_array_unref);
-  answering_t answering = { router, now, batches };
+  share_batches_t share_batches = { router, now, batches };
   GHashTableIter iter;
   gpointer name;
   gpointer batch;
 
-  home_due (router->home, now, emit_share, &answering);
+  home_due (router->home, now, add_share_entry, &share_batches);
   g_hash_table_iter_init (&iter, batches);
   while (g_hash_table_iter_next (&iter, &name, &batch))
     send_shares (router, name, batch);
@@ -220,21 +222,21 @@
   router->homes_changed = false;
   if (is_moved)
     share_moved (router->share, now, homes_hash_of_account, router);
-  report_all (router, now);
-  answer_all (router, now);
+  send_all_reports (router, now);
+  send_all_shares (router, now);
 }
 
 void
 shares_handle_report (cfd_router_t *router, const peer_id_t *peer,
                       const msg_report_t *report, cfd_time_t now)
 {
-  peer_view_t *told = homes_find_or_add (router, peer->instance)->view;
+  peer_view_t *view = homes_find_or_add (router, peer->instance)->view;
 
   for (uint32_t i = 0; i < report->count; i++)
     {
       home_report (router->home, peer->instance, peer->incarnation,
                    &report->entries[i], now);
-      peer_view_apply_report (told, &report->entries[i]);
+      peer_view_apply_report (view, &report->entries[i]);
     }
   shares_schedule_report (router, now);
 }
@@ -248,7 +250,7 @@
   peer->last_answer_at = now;
   homes_readmit (router, peer, now);
   for (uint32_t i = 0; i < share->count; i++)
-    take_one (router, &share->entries[i], now);
+    apply_share (router, &share->entries[i], now);
 }
 
 void
@@ -265,7 +267,7 @@
   homes_readmit (router, peer, now);
   g_hash_table_iter_init (&iter, peer->unsent);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    g_array_append_val (batch, ((const unsent_t *)value)->entry);
+    g_array_append_val (batch, ((const unsent_entry_t *)value)->entry);
   if (batch->len > 0 && send_report (router, peer, batch))
     g_hash_table_remove_all (peer->unsent);
 }
--- a/libcoltsfootdrum/router/router-step.c
+++ b/libcoltsfootdrum/router/router-step.c
@@ -1,7 +1,7 @@
 #include "router/router-step.h"
 
 static req_step_t
-step (req_state_t next, req_action_t action, req_run_t run)
+make_step (req_state_t next, req_action_t action, req_run_t run)
 {
   return (req_step_t){ next, action, run };
 }
@@ -13,16 +13,16 @@
     {
     case REQ_EV_CLAIMED:
       if (facts->caller_gone)
-        return step (REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN);
-      return step (REQ_QUEUED, REQ_DO_QUEUE, RUN_NOT_RUN);
+        return make_step (REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN);
+      return make_step (REQ_QUEUED, REQ_DO_QUEUE, RUN_NOT_RUN);
     case REQ_EV_CALLER_GONE:
       /* The claim may be made already: wait for it, to give it back.  */
-      return step (REQ_CLAIMING, REQ_DO_NOTHING, RUN_NOT_RUN);
+      return make_step (REQ_CLAIMING, REQ_DO_NOTHING, RUN_NOT_RUN);
     case REQ_EV_SHUTDOWN:
     case REQ_EV_DEADLINE:
-      return step (REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN);
+      return make_step (REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN);
     default:
-      return step (REQ_CLAIMING, REQ_DO_REPORT_BUG, RUN_NOT_RUN);
+      return make_step (REQ_CLAIMING, REQ_DO_REPORT_BUG, RUN_NOT_RUN);
     }
 }
 
@@ -34,14 +34,14 @@
   switch (event)
     {
     case REQ_EV_ASSIGNED:
-      return step (REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN);
+      return make_step (REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN);
     case REQ_EV_DEADLINE:
     case REQ_EV_SHUTDOWN:
-      return step (REQ_OVER, REQ_DO_REFUSE, run);
+      return make_step (REQ_OVER, REQ_DO_REFUSE, run);
     case REQ_EV_CALLER_GONE:
-      return step (REQ_OVER, REQ_DO_DROP, run);
+      return make_step (REQ_OVER, REQ_DO_DROP, run);
     default:
-      return step (REQ_QUEUED, REQ_DO_REPORT_BUG, run);
+      return make_step (REQ_QUEUED, REQ_DO_REPORT_BUG, run);
     }
 }
 
@@ -51,24 +51,24 @@
   req_run_t run = facts->may_have_run ? RUN_UNKNOWN : RUN_NOT_RUN;
 
   if (facts->caller_gone)
-    return step (REQ_OVER, REQ_DO_DROP, run);
-  return step (REQ_QUEUED, REQ_DO_REQUEUE, run);
+    return make_step (REQ_OVER, REQ_DO_DROP, run);
+  return make_step (REQ_QUEUED, REQ_DO_REQUEUE, run);
 }
 
 static req_step_t
 lost_next (const req_facts_t *facts)
 {
   if (facts->caller_gone)
-    return step (REQ_OVER, REQ_DO_DROP, RUN_UNKNOWN);
+    return make_step (REQ_OVER, REQ_DO_DROP, RUN_UNKNOWN);
   if (facts->idempotent && facts->may_retry)
-    return step (REQ_QUEUED, REQ_DO_RETRY, RUN_UNKNOWN);
-  return step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
+    return make_step (REQ_QUEUED, REQ_DO_RETRY, RUN_UNKNOWN);
+  return make_step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
 }
 
 /* The caller's leaving cancels idempotent work only: an invoice that is being
    posted is let to end, so that its claim gets the true answer.  */
 static req_action_t
-leaving_action (const req_facts_t *facts)
+caller_gone_action (const req_facts_t *facts)
 {
   return facts->idempotent ? REQ_DO_CANCEL : REQ_DO_NOTHING;
 }
@@ -79,21 +79,21 @@
   switch (event)
     {
     case REQ_EV_DATA:
-      return step (REQ_ANSWERING,
-                   facts->caller_gone ? REQ_DO_NOTHING : REQ_DO_ANSWER,
-                   RUN_UNKNOWN);
+      return make_step (REQ_ANSWERING,
+                        facts->caller_gone ? REQ_DO_NOTHING : REQ_DO_ANSWER,
+                        RUN_UNKNOWN);
     case REQ_EV_NOT_RUN:
       return not_run_next (facts);
     case REQ_EV_COMPLETE:
-      return step (REQ_OVER, REQ_DO_FINISH, RUN_DONE);
+      return make_step (REQ_OVER, REQ_DO_FINISH, RUN_DONE);
     case REQ_EV_LOST:
       return lost_next (facts);
     case REQ_EV_CALLER_GONE:
-      return step (REQ_SENT, leaving_action (facts), RUN_UNKNOWN);
+      return make_step (REQ_SENT, caller_gone_action (facts), RUN_UNKNOWN);
     case REQ_EV_SHUTDOWN:
-      return step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
+      return make_step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
     default:
-      return step (REQ_SENT, REQ_DO_REPORT_BUG, RUN_UNKNOWN);
+      return make_step (REQ_SENT, REQ_DO_REPORT_BUG, RUN_UNKNOWN);
     }
 }
 
@@ -103,19 +103,20 @@
   switch (event)
     {
     case REQ_EV_COMPLETE:
-      return step (REQ_OVER, REQ_DO_FINISH, RUN_DONE);
+      return make_step (REQ_OVER, REQ_DO_FINISH, RUN_DONE);
     case REQ_EV_NOT_RUN: /* a lie: some of its answer came */
     case REQ_EV_LOST:
     case REQ_EV_SHUTDOWN:
-      return step (REQ_OVER,
-                   facts->caller_gone ? REQ_DO_DROP : REQ_DO_TRUNCATE,
-                   RUN_UNKNOWN);
+      return make_step (REQ_OVER,
+                        facts->caller_gone ? REQ_DO_DROP : REQ_DO_TRUNCATE,
+                        RUN_UNKNOWN);
     case REQ_EV_CALLER_GONE:
-      return step (REQ_ANSWERING, leaving_action (facts), RUN_UNKNOWN);
+      return make_step (REQ_ANSWERING, caller_gone_action (facts),
+                        RUN_UNKNOWN);
     case REQ_EV_DATA:
-      return step (REQ_ANSWERING, REQ_DO_NOTHING, RUN_UNKNOWN);
+      return make_step (REQ_ANSWERING, REQ_DO_NOTHING, RUN_UNKNOWN);
     default:
-      return step (REQ_ANSWERING, REQ_DO_REPORT_BUG, RUN_UNKNOWN);
+      return make_step (REQ_ANSWERING, REQ_DO_REPORT_BUG, RUN_UNKNOWN);
     }
 }
 
@@ -133,7 +134,7 @@
     case REQ_ANSWERING:
       return answering_next (event, facts);
     default:
-      return step (REQ_OVER, REQ_DO_NOTHING, RUN_UNKNOWN);
+      return make_step (REQ_OVER, REQ_DO_NOTHING, RUN_UNKNOWN);
     }
 }
 
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -6,17 +6,17 @@
 #include <sodium.h>
 #include <string.h>
 
-#define EVENTS_KEPT 4096
-#define CONNECTIONS_MAX 4096
-#define IDLE_S 60
+#define MAX_RECORDED_EVENTS 4096
+#define MAX_CONNECTIONS 4096
+#define IDLE_TIMEOUT_S 60
 /* Room for the frame around a body.  */
-#define BODY_MAX (MSG_BODY_MAX - 64u * 1024)
+#define MAX_BODY_BYTES (MSG_BODY_MAX - 64u * 1024)
 /* Of all requests that wait or run here; part of the instance's memory.  */
-#define BODIES_MAX (64u * 1024 * 1024)
-#define KEEPING_MS 1000
+#define MAX_BODIES_BYTES (64u * 1024 * 1024)
+#define HOUSEKEEPING_INTERVAL_MS 1000
 /* After the last answer the loop goes on so long, for acknowledgements and
    claims on their way.  */
-#define QUIET_MS 300
+#define DRAIN_IDLE_MS 300
 
 /* ---- due work ---- */
 
@@ -64,11 +64,11 @@
 
 /* Once a second: what costs little and hurries nobody.  */
 static void
-keep_house (cfd_router_t *router, cfd_time_t now)
+run_housekeeping (cfd_router_t *router, cfd_time_t now)
 {
   if (now < router->housekeeping_at)
     return;
-  router->housekeeping_at = now + KEEPING_MS;
+  router->housekeeping_at = now + HOUSEKEEPING_INTERVAL_MS;
   fairness_expire (router->fairness, now);
   share_expire (router->share, now);
   home_expire (router->home, now);
@@ -80,7 +80,7 @@
 }
 
 static void
-stop_leftovers (cfd_router_t *router, cfd_time_t now)
+end_remaining_requests (cfd_router_t *router, cfd_time_t now)
 {
   list_for_each_safe (node, &router->all_requests)
     request_handle_event (list_entry (node, request_t, node), REQ_EV_SHUTDOWN,
@@ -103,23 +103,23 @@
   if (!router->draining)
     return;
   if (now >= router->drain_until)
-    stop_leftovers (router, now);
+    end_remaining_requests (router, now);
   if (has_work (router))
     {
       router->idle_since = 0;
-      if (now < router->drain_until + QUIET_MS)
+      if (now < router->drain_until + DRAIN_IDLE_MS)
         return;
     }
   if (router->idle_since == 0)
     router->idle_since = now;
-  if (now - router->idle_since < QUIET_MS && now < router->drain_until)
+  if (now - router->idle_since < DRAIN_IDLE_MS && now < router->drain_until)
     return;
   log_info ("router", "Shut down: left=%u.", web_server_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
 }
 
 static void
-run_due (cfd_router_t *router)
+run_due_work (cfd_router_t *router)
 {
   cfd_time_t now = clock_now ();
   cfd_time_t next;
@@ -129,7 +129,7 @@
   next = answer_expire_lost (router, now);
   if (router->report_at <= now)
     shares_exchange (router, now);
-  keep_house (router, now);
+  run_housekeeping (router, now);
   if (router->policy == CFD_POLICY_LOCAL)
     baseline_dispatch (router, now);
   else
@@ -140,7 +140,7 @@
   next = MIN (next, router->report_at);
   next = MIN (next, router->housekeeping_at);
   if (router->draining)
-    next = MIN (next, now + QUIET_MS / 10);
+    next = MIN (next, now + DRAIN_IDLE_MS / 10);
   /* At least a millisecond on, so that no fault can make the loop spin.  */
   router_schedule (router, MAX (next, now + 1));
 }
@@ -151,14 +151,14 @@
   cfd_router_t *router = watcher->data;
 
   router->timer_at = CFD_TIME_NEVER;
-  run_due (router);
+  run_due_work (router);
 }
 
 /* ---- messages ---- */
 
 static void
-from_agent (cfd_router_t *router, const peer_id_t *peer, const msg_t *message,
-            cfd_time_t now)
+handle_agent_message (cfd_router_t *router, const peer_id_t *peer,
+                      const msg_t *message, cfd_time_t now)
 {
   switch (message->kind)
     {
@@ -186,8 +186,8 @@
 }
 
 static void
-from_router (cfd_router_t *router, const peer_id_t *peer, const msg_t *message,
-             cfd_time_t now)
+handle_router_message (cfd_router_t *router, const peer_id_t *peer,
+                       const msg_t *message, cfd_time_t now)
 {
   if (message->kind == MSG_REPORT)
     shares_handle_report (router, peer, &message->u.report, now);
@@ -209,9 +209,9 @@
     conf_handle_part (router, peer, &message->u.config_part, message->revision,
                       now);
   else if (peer->role == ROLE_AGENT)
-    from_agent (router, peer, message, now);
+    handle_agent_message (router, peer, message, now);
   else if (peer->role == ROLE_ROUTER)
-    from_router (router, peer, message, now);
+    handle_router_message (router, peer, message, now);
 }
 
 static void
@@ -264,7 +264,7 @@
 }
 
 static void
-on_advanced (void *user)
+on_revision_advanced (void *user)
 {
   conf_announce_revision (user);
 }
@@ -291,16 +291,17 @@
 }
 
 static bool
-start_callers (cfd_router_t *router, const cfd_settings_t *settings,
-               GError **error)
+start_web_server (cfd_router_t *router, const cfd_settings_t *settings,
+                  GError **error)
 {
-  const web_limits_t limits = { BODY_MAX, CONNECTIONS_MAX, IDLE_S };
+  const web_limits_t limits
+      = { MAX_BODY_BYTES, MAX_CONNECTIONS, IDLE_TIMEOUT_S };
 
   router->web = web_server_new (router->loop, settings->listen, &limits,
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_limit_bodies (router->web, BODIES_MAX);
+  web_server_limit_bodies (router->web, MAX_BODIES_BYTES);
   return true;
 }
 
@@ -308,7 +309,7 @@
 start_platform (cfd_router_t *router, const cfd_settings_t *settings)
 {
   static const store_events_t events
-      = { on_record, on_instances, on_advanced };
+      = { on_record, on_instances, on_revision_advanced };
   g_autofree char *owner = g_strdup_printf (
       "%s.%" G_GINT64_MODIFIER "x", router->instance, router->incarnation);
 
@@ -334,7 +335,7 @@
   router->timer_at = CFD_TIME_NEVER;
   list_init (&router->all_requests);
   router->requests = g_hash_table_new (g_str_hash, g_str_equal);
-  router->ring = tl_ring_new (router->instance, EVENTS_KEPT);
+  router->ring = tl_ring_new (router->instance, MAX_RECORDED_EVENTS);
   router->adm = adm_new ();
   router->disp = disp_new (router->incarnation);
   router->share = share_new ();
@@ -367,7 +368,7 @@
   start_platform (router, settings);
   if (!start_links (router, settings, error)
       || !router_admin_start (router, settings->admin_listen, error)
-      || !start_callers (router, settings, error))
+      || !start_web_server (router, settings, error))
     {
       cfd_router_free (router);
       return NULL;
--- a/libcoltsfootdrum/router/test-avoid.c
+++ b/libcoltsfootdrum/router/test-avoid.c
@@ -20,7 +20,7 @@
 };
 
 static void
-test_cases (void)
+test_expiry (void)
 {
   avoid_t avoid = { 0 };
 
@@ -36,7 +36,7 @@
 
 /* More agents than are remembered: the newest are.  */
 static void
-test_many (void)
+test_max_agents (void)
 {
   avoid_t avoid = { 0 };
 
@@ -56,7 +56,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/avoid/cases", test_cases);
-  g_test_add_func ("/avoid/many", test_many);
+  g_test_add_func ("/avoid/cases", test_expiry);
+  g_test_add_func ("/avoid/many", test_max_agents);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-fairness.c
+++ b/libcoltsfootdrum/router/test-fairness.c
@@ -4,15 +4,15 @@
 #include "router/fairness.h"
 
 #define ACCOUNTS 6u
-#define TURNS 2000u
-#define TURN_MS 10
+#define SLOTS 2000u
+#define SLOT_INTERVAL_MS 10
 
 typedef struct
 {
   const char *name;
-  bool is_first; /* a wrong order: the first that waits takes the slot */
-  bool is_wild;  /* accounts come and go, homes and corrections move them */
-  double kept;   /* part of each charge of account 0 that is counted */
+  bool picks_first; /* a wrong order: the first that waits takes the slot */
+  bool perturbs;    /* accounts come and go, homes and corrections move them */
+  double counted_ratio; /* part of each charge of account 0 that is counted */
   fairness_verdict_t worst;
 } case_t;
 
@@ -31,96 +31,100 @@
 typedef struct
 {
   const case_t *test;
-  fairness_t *turns;
+  fairness_t *fairness;
   GRand *rand;
-  double times[ACCOUNTS];
-  bool waits[ACCOUNTS];
-  bool may[ACCOUNTS]; /* take the present slot */
+  double virtual_times[ACCOUNTS];
+  bool is_waiting[ACCOUNTS];
+  bool is_eligible[ACCOUNTS]; /* take the present slot */
   cfd_time_t now;
   fairness_verdict_t worst;
-} play_t;
+} simulation_t;
 
 /* Anything that may lawfully come between two slots.  */
 static void
-stir (play_t *play)
+perturb (simulation_t *sim)
 {
-  unsigned who = g_rand_int_range (play->rand, 0, ACCOUNTS);
-  double by = g_rand_double_range (play->rand, -3000, 3000);
+  unsigned index = g_rand_int_range (sim->rand, 0, ACCOUNTS);
+  double delta = g_rand_double_range (sim->rand, -3000, 3000);
 
-  switch (g_rand_int_range (play->rand, 0, 4))
+  switch (g_rand_int_range (sim->rand, 0, 4))
     {
     case 0:
-      play->times[who] += by;
-      fairness_adjust (play->turns, names[who], "s", by);
+      sim->virtual_times[index] += delta;
+      fairness_adjust (sim->fairness, names[index], "s", delta);
       return;
     case 1:
-      play->waits[who] = !play->waits[who];
-      if (!play->waits[who])
-        fairness_end_wait (play->turns, names[who], "s");
+      sim->is_waiting[index] = !sim->is_waiting[index];
+      if (!sim->is_waiting[index])
+        fairness_end_wait (sim->fairness, names[index], "s");
       return;
     case 2:
-      play->may[who] = !play->may[who];
+      sim->is_eligible[index] = !sim->is_eligible[index];
       return;
     default:
-      play->now += by > 2900 ? FAIRNESS_EXPIRY_MS + 1 : 0;
-      fairness_expire (play->turns, play->now);
+      sim->now += delta > 2900 ? FAIRNESS_EXPIRY_MS + 1 : 0;
+      fairness_expire (sim->fairness, sim->now);
       return;
     }
 }
 
 static int
-choose (const play_t *play)
+choose (const simulation_t *sim)
 {
   int best = -1;
 
   for (unsigned i = 0; i < ACCOUNTS; i++)
-    if (play->waits[i] && play->may[i]
+    if (sim->is_waiting[i] && sim->is_eligible[i]
         && (best < 0
-            || (!play->test->is_first && play->times[i] < play->times[best])))
+            || (!sim->test->picks_first
+                && sim->virtual_times[i] < sim->virtual_times[best])))
       best = (int)i;
   return best;
 }
 
 static void
-slot (play_t *play)
+assign_slot (simulation_t *sim)
 {
-  int who = choose (play);
-  double charge = g_rand_double_range (play->rand, 1, 500);
+  int index = choose (sim);
+  double charge = g_rand_double_range (sim->rand, 1, 500);
 
-  if (who < 0)
+  if (index < 0)
     return;
-  const fairness_slot_t turn = { names[who], "s", play->times[who], charge };
+  const fairness_slot_t slot
+      = { names[index], "s", sim->virtual_times[index], charge };
   for (unsigned i = 0; i < ACCOUNTS; i++)
-    if ((int)i != who && play->waits[i])
-      play->worst
-          = MAX (play->worst, fairness_check_passed (play->turns, &turn,
-                                                     names[i], play->times[i],
-                                                     play->may[i], play->now));
-  fairness_assign (play->turns, &turn, play->now);
-  play->times[who] += who == 0 ? play->test->kept * charge : charge;
+    if ((int)i != index && sim->is_waiting[i])
+      sim->worst = MAX (sim->worst,
+                        fairness_check_passed (sim->fairness, &slot, names[i],
+                                               sim->virtual_times[i],
+                                               sim->is_eligible[i], sim->now));
+  fairness_assign (sim->fairness, &slot, sim->now);
+  sim->virtual_times[index]
+      += index == 0 ? sim->test->counted_ratio * charge : charge;
 }
 
 static fairness_verdict_t
-run (const case_t *test, guint32 seed)
+simulate (const case_t *test, guint32 seed)
 {
-  g_autoptr (fairness_t) turns = fairness_new ();
+  g_autoptr (fairness_t) fairness = fairness_new ();
   g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-  play_t play = { .test = test, .turns = turns, .rand = rand, .now = 1 };
+  simulation_t sim
+      = { .test = test, .fairness = fairness, .rand = rand, .now = 1 };
 
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
-      play.times[i] = g_rand_double_range (rand, 0, 2000);
-      play.waits[i] = true;
-      play.may[i] = true;
+      sim.virtual_times[i] = g_rand_double_range (rand, 0, 2000);
+      sim.is_waiting[i] = true;
+      sim.is_eligible[i] = true;
     }
-  for (unsigned i = 0; i < TURNS; i++)
+  for (unsigned i = 0; i < SLOTS; i++)
     {
-      play.now += TURN_MS;
-      if (test->is_wild)
-        stir (&play);
-      slot (&play);
+      sim.now += SLOT_INTERVAL_MS;
+      if (test->perturbs)
+        perturb (&sim);
+      assign_slot (&sim);
     }
-  return play.worst;
+  return sim.worst;
 }
 
 static void
@@ -129,7 +133,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     for (guint32 seed = 1; seed <= 50; seed++)
       {
-        fairness_verdict_t worst = run (&cases[i], seed);
+        fairness_verdict_t worst = simulate (&cases[i], seed);
 
         g_test_message ("%s, seed %u", cases[i].name, seed);
         g_assert_cmpint (worst, ==, cases[i].worst);
@@ -139,20 +143,20 @@
 /* What operators see: how long others were served in an account's place, and
    not how long nobody was.  */
 static void
-test_longest (void)
+test_longest_wait (void)
 {
-  g_autoptr (fairness_t) turns = fairness_new ();
-  const fairness_slot_t other = { "b", "s", 0, 1 };
-  const fairness_slot_t own = { "a", "s", 0, 1 };
-
-  fairness_check_passed (turns, &other, "a", 10, false, 1000);
-  fairness_check_passed (turns, &other, "a", 10, true, 2000);
-  g_assert_cmpint (fairness_longest_wait_ms (turns), ==, 0);
-  fairness_check_passed (turns, &other, "a", 10, true, 2700);
-  fairness_check_passed (turns, &other, "a", 10, false, 9000);
-  g_assert_cmpint (fairness_longest_wait_ms (turns), ==, 700);
-  fairness_assign (turns, &own, 9000);
-  g_assert_cmpint (fairness_longest_wait_ms (turns), ==, 0);
+  g_autoptr (fairness_t) fairness = fairness_new ();
+  const fairness_slot_t other_slot = { "b", "s", 0, 1 };
+  const fairness_slot_t own_slot = { "a", "s", 0, 1 };
+
+  fairness_check_passed (fairness, &other_slot, "a", 10, false, 1000);
+  fairness_check_passed (fairness, &other_slot, "a", 10, true, 2000);
+  g_assert_cmpint (fairness_longest_wait_ms (fairness), ==, 0);
+  fairness_check_passed (fairness, &other_slot, "a", 10, true, 2700);
+  fairness_check_passed (fairness, &other_slot, "a", 10, false, 9000);
+  g_assert_cmpint (fairness_longest_wait_ms (fairness), ==, 700);
+  fairness_assign (fairness, &own_slot, 9000);
+  g_assert_cmpint (fairness_longest_wait_ms (fairness), ==, 0);
 }
 
 int
@@ -160,6 +164,6 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/fairness/verdicts", test_verdicts);
-  g_test_add_func ("/fairness/longest-wait", test_longest);
+  g_test_add_func ("/fairness/longest-wait", test_longest_wait);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-peer-view.c
+++ b/libcoltsfootdrum/router/test-peer-view.c
@@ -9,78 +9,78 @@
    only what it must hear; whatever the others do, and however many reports
    and answers go, its own reckoning is never further off than the bound.  */
 static void
-test_reckoning (void)
+test_bounded_error (void)
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (3);
-  g_autoptr (peer_view_t) told = peer_view_new ();
-  double at_home = 0;
+  g_autoptr (peer_view_t) view = peer_view_new ();
+  double home_vt = 0;
   double charged = 0;
   double acked = 0;
   double last_vt = 0;
-  unsigned heard = 0;
+  unsigned sent = 0;
 
   for (unsigned i = 0; i < 10000; i++)
     {
-      double own = g_rand_double_range (random, -20, 60);
-      double others = g_rand_int_range (random, 0, 4) == 0
-                          ? g_rand_double_range (random, -5, 60)
-                          : 0;
-      msg_share_entry_t share
-          = { "branch", "draft", i, charged += own, at_home += own + others };
+      double own_tokens = g_rand_double_range (random, -20, 60);
+      double others_tokens = g_rand_int_range (random, 0, 4) == 0
+                                 ? g_rand_double_range (random, -5, 60)
+                                 : 0;
+      msg_share_entry_t share = { "branch", "draft", i, charged += own_tokens,
+                                  home_vt += own_tokens + others_tokens };
 
-      if (peer_view_needs_update (told, &share, 0))
+      if (peer_view_needs_update (view, &share, 0))
         {
-          heard++;
+          sent++;
           acked = share.charged;
           last_vt = share.virtual_time;
         }
-      g_assert_cmpfloat (fabs (last_vt + charged - acked - at_home), <,
+      g_assert_cmpfloat (fabs (last_vt + charged - acked - home_vt), <,
                          PEER_VIEW_MAX_ERROR_TOKENS);
     }
-  g_assert_cmpuint (heard, >, 0);
-  g_assert_cmpuint (heard, <, 4000);
+  g_assert_cmpuint (sent, >, 0);
+  g_assert_cmpuint (sent, <, 4000);
 }
 
 static void
-test_lifted (void)
+test_lifted_account (void)
 {
   /* An account comes back from idle at a router, which lifts it to the floor.
      It was active elsewhere, so the home did not.  Nobody else adds to the
      account from then on: unless the home tells the router, the account stays
      behind all others there.  */
-  g_autoptr (peer_view_t) told = peer_view_new ();
+  g_autoptr (peer_view_t) view = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const msg_share_entry_t next = { "branch", "draft", 2, 60, 1010 };
   msg_report_entry_t report
       = { "branch", "draft", 2, 60, 50, 1000, -INFINITY, true };
 
-  g_assert_true (peer_view_needs_update (told, &share, 0));
-  peer_view_apply_report (told, &report);
-  g_assert_false (peer_view_needs_update (told, &next, 0));
+  g_assert_true (peer_view_needs_update (view, &share, 0));
+  peer_view_apply_report (view, &report);
+  g_assert_false (peer_view_needs_update (view, &next, 0));
   report.last_vt = 1500;
-  peer_view_apply_report (told, &report);
-  g_assert_true (peer_view_needs_update (told, &next, 0));
+  peer_view_apply_report (view, &report);
+  g_assert_true (peer_view_needs_update (view, &next, 0));
 }
 
 static void
-test_forget (void)
+test_reset (void)
 {
   /* The link broke: an answer may be lost with it, so all is told again.  */
-  g_autoptr (peer_view_t) told = peer_view_new ();
+  g_autoptr (peer_view_t) view = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const msg_share_entry_t other = { "branch", "lookup", 1, 50, 1000 };
 
-  g_assert_true (peer_view_needs_update (told, &share, 0));
-  g_assert_true (peer_view_needs_update (told, &other, 0));
-  g_assert_false (peer_view_needs_update (told, &share, 0));
-  peer_view_reset (told);
-  g_assert_true (peer_view_needs_update (told, &share, 0));
+  g_assert_true (peer_view_needs_update (view, &share, 0));
+  g_assert_true (peer_view_needs_update (view, &other, 0));
+  g_assert_false (peer_view_needs_update (view, &share, 0));
+  peer_view_reset (view);
+  g_assert_true (peer_view_needs_update (view, &share, 0));
 }
 
 static void
-test_bounded (void)
+test_max_entries (void)
 {
-  g_autoptr (peer_view_t) told = peer_view_new ();
+  g_autoptr (peer_view_t) view = peer_view_new ();
   msg_share_entry_t share = { NULL, "draft", 1, 50, 1000 };
 
   for (unsigned i = 0; i <= PEER_VIEW_MAX_ENTRIES; i++)
@@ -88,39 +88,39 @@
       g_autofree char *account = g_strdup_printf ("account-%u", i);
 
       share.account = account;
-      g_assert_true (peer_view_needs_update (told, &share, 0));
+      g_assert_true (peer_view_needs_update (view, &share, 0));
     }
   share.account = "account-0";
-  g_assert_true (peer_view_needs_update (told, &share, 0));
-  g_assert_false (peer_view_needs_update (told, &share, 0));
+  g_assert_true (peer_view_needs_update (view, &share, 0));
+  g_assert_false (peer_view_needs_update (view, &share, 0));
 }
 
 /* A home that agrees with all that a router reports is still heard from, or
    the router would look for another home.  */
 static void
-test_silence (void)
+test_max_silence (void)
 {
-  g_autoptr (peer_view_t) told = peer_view_new ();
+  g_autoptr (peer_view_t) view = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const cfd_time_t start = 10000;
 
-  g_assert_true (peer_view_needs_update (told, &share, start));
+  g_assert_true (peer_view_needs_update (view, &share, start));
   g_assert_false (peer_view_needs_update (
-      told, &share, start + PEER_VIEW_MAX_SILENCE_MS - 1));
+      view, &share, start + PEER_VIEW_MAX_SILENCE_MS - 1));
   g_assert_true (
-      peer_view_needs_update (told, &share, start + PEER_VIEW_MAX_SILENCE_MS));
+      peer_view_needs_update (view, &share, start + PEER_VIEW_MAX_SILENCE_MS));
   g_assert_false (peer_view_needs_update (
-      told, &share, start + PEER_VIEW_MAX_SILENCE_MS + 1));
+      view, &share, start + PEER_VIEW_MAX_SILENCE_MS + 1));
 }
 
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/peer-view/bounded-error", test_reckoning);
-  g_test_add_func ("/peer-view/lifted-account", test_lifted);
-  g_test_add_func ("/peer-view/reset", test_forget);
-  g_test_add_func ("/peer-view/max-entries", test_bounded);
-  g_test_add_func ("/peer-view/max-silence", test_silence);
+  g_test_add_func ("/peer-view/bounded-error", test_bounded_error);
+  g_test_add_func ("/peer-view/lifted-account", test_lifted_account);
+  g_test_add_func ("/peer-view/reset", test_reset);
+  g_test_add_func ("/peer-view/max-entries", test_max_entries);
+  g_test_add_func ("/peer-view/max-silence", test_max_silence);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-router-config.c
+++ b/libcoltsfootdrum/router/test-router-config.c
@@ -28,16 +28,16 @@
 {
   peer_hub_t *hub;
   store_t *store;
-  uint64_t shown; /* newest revision that the router showed it */
-} node_t;
+  uint64_t shown_revision; /* newest revision that the router showed it */
+} fake_peer_t;
 
 typedef struct
 {
   sp_test_t test;
-  struct ev_loop *frozen; /* never run */
-  char net[24];
+  struct ev_loop *frozen_loop; /* never run */
+  char host[24];
   cfd_router_t *router;
-  GHashTable *nodes; /* of node_t by name */
+  GHashTable *fake_peers; /* of node_t by name */
 } fixture_t;
 
 /* ---- played peers ---- */
@@ -46,10 +46,10 @@
 on_message (void *user, const peer_id_t *peer, const msg_t *message,
             cfd_time_t now)
 {
-  node_t *node = user;
+  fake_peer_t *node = user;
   msg_t answer = { .kind = MSG_CONFIG_PART };
 
-  node->shown = MAX (node->shown, message->revision);
+  node->shown_revision = MAX (node->shown_revision, message->revision);
   if (message->kind != MSG_CONFIG_ASK)
     return;
   store_make_part (node->store, peer->role, &message->u.config_ask,
@@ -66,12 +66,12 @@
 static uint64_t
 on_revision (void *user)
 {
-  return store_revision (((node_t *)user)->store);
+  return store_revision (((fake_peer_t *)user)->store);
 }
 
 /* NODE learns what the platform has now.  */
 static void
-learn (fixture_t *f, node_t *node)
+load_from_platform (fixture_t *f, fake_peer_t *node)
 {
   g_autofree char *text
       = sp_model_list (sp_state (f->test.sp), PLAT_CONFIG_KINDS);
@@ -91,12 +91,12 @@
 static char *
 address (const fixture_t *f, const char *name)
 {
-  return g_strdup_printf ("%s:%u", f->net, port_of (name));
+  return g_strdup_printf ("%s:%u", f->host, port_of (name));
 }
 
 /* Plays NAME with what the platform has now.  */
-static node_t *
-play (fixture_t *f, const char *name, struct ev_loop *loop)
+static fake_peer_t *
+start_peer (fixture_t *f, const char *name, struct ev_loop *loop)
 {
   static const peer_events_t events = { .message = on_message,
                                         .up = on_link,
@@ -110,33 +110,34 @@
                              .incarnation = port_of (name),
                              .listen = listen,
                              .secret = "secret" };
-  node_t *node = g_new0 (node_t, 1);
+  fake_peer_t *node = g_new0 (fake_peer_t, 1);
 
   node->store = store_new (NULL, NULL, NULL);
   store_set_self (node->store, self.role, name);
-  learn (f, node);
+  load_from_platform (f, node);
   node->hub = peer_hub_new (loop, &self, NULL, &events, node, NULL);
   g_assert_nonnull (node->hub);
   peer_hub_address (node->hub, SELF, router);
-  g_hash_table_insert (f->nodes, g_strdup (name), node);
+  g_hash_table_insert (f->fake_peers, g_strdup (name), node);
   return node;
 }
 
 static void
-play_others (fixture_t *f)
+start_other_routers (fixture_t *f)
 {
   for (unsigned i = 0; i < ROUTERS; i++)
     {
       g_autofree char *name = g_strdup_printf ("router-%u", i);
 
-      if (!g_str_equal (name, SELF) && !g_hash_table_contains (f->nodes, name))
-        (void)play (f, name, f->test.loop);
+      if (!g_str_equal (name, SELF)
+          && !g_hash_table_contains (f->fake_peers, name))
+        (void)start_peer (f, name, f->test.loop);
     }
 }
 
 /* NODE tells the router that it is ahead.  */
 static void
-tell (fixture_t *f, node_t *node)
+show_revision (fixture_t *f, fake_peer_t *node)
 {
   msg_t message = { .kind = MSG_CONFIG_ASK };
 
@@ -146,9 +147,9 @@
 }
 
 static void
-node_free (gpointer pointer)
+fake_peer_free (gpointer pointer)
 {
-  node_t *node = pointer;
+  fake_peer_t *node = pointer;
 
   peer_hub_free (node->hub);
   store_free (node->store);
@@ -158,7 +159,7 @@
 /* ---- the scene ---- */
 
 static void
-list (fixture_t *f)
+publish_instances (fixture_t *f)
 {
   g_autoptr (GString) text = g_string_new (
       "[{\"name\":\"" AGENT "\",\"role\":\"agent\",\"zone\":\"z\",");
@@ -169,7 +170,7 @@
     g_string_append_printf (text,
                             ",{\"name\":\"router-%u\",\"role\":\"router\","
                             "\"zone\":\"z\",\"address\":\"%s:%u\"}",
-                            i, f->net, PORT_LINK + i);
+                            i, f->host, PORT_LINK + i);
   g_string_append_c (text, ']');
   sp_instances (f->test.sp, text->str);
 }
@@ -180,12 +181,12 @@
   unsigned pid = (unsigned)getpid ();
 
   sp_test_begin (&f->test);
-  f->frozen = ev_loop_new (0);
-  f->nodes
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, node_free);
-  snprintf (f->net, sizeof f->net, "127.%u.%u.%u", 200 + (pid >> 16) % 50,
+  f->frozen_loop = ev_loop_new (0);
+  f->fake_peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                         fake_peer_free);
+  snprintf (f->host, sizeof f->host, "127.%u.%u.%u", 200 + (pid >> 16) % 50,
             (pid >> 8) % 256, pid % 254 + 1);
-  list (f);
+  publish_instances (f);
   sp_test_write (&f->test, ZONE, "z", "{\"schema\":2,\"state\":\"in\"}");
   sp_test_write (&f->test, "client-account", "acc",
                  "{\"schema\":2,\"weight\":1,\"keys\":[]}");
@@ -204,8 +205,8 @@
 start_router (fixture_t *f)
 {
   g_autofree char *peers = address (f, SELF);
-  g_autofree char *callers = g_strconcat (f->net, ":8100", NULL);
-  g_autofree char *admin = g_strconcat (f->net, ":8101", NULL);
+  g_autofree char *callers = g_strconcat (f->host, ":8100", NULL);
+  g_autofree char *admin = g_strconcat (f->host, ":8101", NULL);
   cfd_settings_t settings = { .instance = (char *)SELF,
                               .zone = (char *)"z",
                               .platform = f->test.url,
@@ -227,8 +228,8 @@
 tear_down (fixture_t *f, gconstpointer data)
 {
   cfd_router_free (f->router);
-  g_hash_table_unref (f->nodes);
-  ev_loop_destroy (f->frozen);
+  g_hash_table_unref (f->fake_peers);
+  ev_loop_destroy (f->frozen_loop);
   sp_test_end (&f->test);
 }
 
@@ -240,7 +241,7 @@
 
 /* Milliseconds until HOLDS.  */
 static cfd_time_t
-until (fixture_t *f, bool (*holds) (void *user))
+run_until (fixture_t *f, bool (*holds) (void *user))
 {
   cfd_time_t start = clock_now ();
 
@@ -255,7 +256,7 @@
   ABOVE_DEAD,
   ABOVE_FROZEN,
   ABOVE_BEHIND
-} above_t;
+} above_state_t;
 
 static void
 test_above (fixture_t *f, gconstpointer data)
@@ -264,25 +265,27 @@
      goes down.  The router above this one, which is to tell it, is dead, or
      frozen with its port open, or answers with what it knew before.  This one
      must turn to another, or the zone stays in here as long as that lasts.  */
-  above_t above = (above_t)GPOINTER_TO_INT (data);
+  above_state_t above = (above_state_t)GPOINTER_TO_INT (data);
 
   if (above != ABOVE_DEAD)
-    (void)play (f, ABOVE, above == ABOVE_FROZEN ? f->frozen : f->test.loop);
+    (void)start_peer (f, ABOVE,
+                      above == ABOVE_FROZEN ? f->frozen_loop : f->test.loop);
   start_router (f);
   sp_test_write (&f->test, ZONE, "z", OUT);
-  play_others (f);
+  start_other_routers (f);
   if (above == ABOVE_DEAD)
-    g_hash_table_remove (f->nodes, ABOVE);
-  g_assert_cmpint (until (f, has_change), <, IN_FORCE_MS);
+    g_hash_table_remove (f->fake_peers, ABOVE);
+  g_assert_cmpint (run_until (f, has_change), <, IN_FORCE_MS);
   g_assert_true (store_zone_is_out (f->router->store, "z"));
 }
 
 static bool
 below_was_told (void *user)
 {
-  node_t *below = g_hash_table_lookup (((fixture_t *)user)->nodes, BELOW);
+  fake_peer_t *below
+      = g_hash_table_lookup (((fixture_t *)user)->fake_peers, BELOW);
 
-  return below->shown >= 3;
+  return below->shown_revision >= 3;
 }
 
 static void
@@ -290,11 +293,11 @@
 {
   /* The platform goes down when a change has come as far as the router above.
      It must go on down the tree all the same, at once.  */
-  (void)play (f, BELOW, f->test.loop);
+  (void)start_peer (f, BELOW, f->test.loop);
   start_router (f);
   sp_test_write (&f->test, ZONE, "z", OUT);
-  tell (f, play (f, ABOVE, f->test.loop));
-  g_assert_cmpint (until (f, below_was_told), <, SPREAD_ASK_MS);
+  show_revision (f, start_peer (f, ABOVE, f->test.loop));
+  g_assert_cmpint (run_until (f, below_was_told), <, SPREAD_ASK_MS);
   g_assert_true (store_zone_is_out (f->router->store, "z"));
 }
 
@@ -305,13 +308,13 @@
      tell of.  The router must neither wait for its peers, which are as old as
      itself, nor take the agent's word for the whole: it reads the platform.
      Before, it would do so 8 s after its last word.  */
-  (void)play (f, ABOVE, f->test.loop);
+  (void)start_peer (f, ABOVE, f->test.loop);
   start_router (f);
-  play_others (f);
+  start_other_routers (f);
   sp_test_write (&f->test, "client-account", "acc", NULL);
-  (void)play (f, AGENT, f->test.loop);
+  (void)start_peer (f, AGENT, f->test.loop);
   sp_fault (f->test.sp, SP_UP, 0, 0);
-  g_assert_cmpint (until (f, has_change), <, SPREAD_READ_MS - 1000);
+  g_assert_cmpint (run_until (f, has_change), <, SPREAD_READ_MS - 1000);
   g_assert_null (store_get (f->router->store, REC_ACCOUNT, "acc"));
 }
 
@@ -326,13 +329,13 @@
 
   g_usleep (300000);
   sp_test_write (&f->test, ZONE, "z", OUT);
-  (void)play (f, ABOVE, f->test.loop);
+  (void)start_peer (f, ABOVE, f->test.loop);
   sp_fault (f->test.sp, SP_STALE, 0, 200);
   start_router (f);
   g_assert_false (store_zone_is_out (f->router->store, "z"));
   sp_fault (f->test.sp, SP_STALE, 0, 100000000);
-  tell (f, g_hash_table_lookup (f->nodes, ABOVE));
-  g_assert_cmpint (until (f, has_change), <, SPREAD_ASK_MS);
+  show_revision (f, g_hash_table_lookup (f->fake_peers, ABOVE));
+  g_assert_cmpint (run_until (f, has_change), <, SPREAD_ASK_MS);
   end = clock_now () + 1500;
   while (clock_now () < end)
     ev_run (f->test.loop, EVRUN_ONCE);
@@ -353,7 +356,7 @@
      one before has come, or it takes an ask of its own, one a second at most.
      Twelve runs at once took 2 ms at most, without it 30 s were not enough:
      the bound is far from both.  */
-  node_t *above;
+  fake_peer_t *above;
 
   start_router (f);
   for (unsigned i = 0; i < MANY; i++)
@@ -362,17 +365,18 @@
 
       sp_test_write (&f->test, ZONE, name, OUT);
     }
-  above = play (f, ABOVE, f->test.loop);
+  above = start_peer (f, ABOVE, f->test.loop);
   above->store->deletions_from = 2 + MANY;
   above->store->piece_records = 4;
-  tell (f, above);
-  g_assert_cmpint (until (f, has_many), <, SPREAD_ASK_MS);
+  show_revision (f, above);
+  g_assert_cmpint (run_until (f, has_many), <, SPREAD_ASK_MS);
   g_assert_true (store_zone_is_out (f->router->store, "z0"));
   g_assert_nonnull (store_get (f->router->store, REC_ACCOUNT, "acc"));
 }
 
 static void
-add (const char *path, void (*test) (fixture_t *, gconstpointer), int data)
+add_test (const char *path, void (*test) (fixture_t *, gconstpointer),
+          int data)
 {
   g_test_add (path, fixture_t, GINT_TO_POINTER (data), set_up, test,
               tear_down);
@@ -383,12 +387,12 @@
 {
   g_test_init (&argc, &argv, NULL);
   log_setup ("test", LOG_ERROR, false);
-  add ("/router-config/above-dead", test_above, ABOVE_DEAD);
-  add ("/router-config/above-frozen", test_above, ABOVE_FROZEN);
-  add ("/router-config/above-behind", test_above, ABOVE_BEHIND);
-  add ("/router-config/half-spread", test_half_spread, 0);
-  add ("/router-config/agent-ahead", test_agent_ahead, 0);
-  add ("/router-config/pieces", test_pieces, 0);
-  add ("/router-config/older-platform", test_older_platform, 0);
+  add_test ("/router-config/above-dead", test_above, ABOVE_DEAD);
+  add_test ("/router-config/above-frozen", test_above, ABOVE_FROZEN);
+  add_test ("/router-config/above-behind", test_above, ABOVE_BEHIND);
+  add_test ("/router-config/half-spread", test_half_spread, 0);
+  add_test ("/router-config/agent-ahead", test_agent_ahead, 0);
+  add_test ("/router-config/pieces", test_pieces, 0);
+  add_test ("/router-config/older-platform", test_older_platform, 0);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-router-scene.c
+++ b/libcoltsfootdrum/router/test-router-fixture.c
@@ -1,4 +1,4 @@
-#include "router/test-router-scene.h"
+#include "router/test-router-fixture.h"
 
 #include "base/addr.h"
 #include "config/rec.h"
@@ -31,7 +31,7 @@
 /* ---- the platform ---- */
 
 static char *
-objects (const scene_t *scene)
+format_objects (const fixture_t *fixture)
 {
   g_autofree char *hash = rec_key_hash (KEY);
   g_autofree char *first = address (HOST_AGENTS, 1);
@@ -60,14 +60,14 @@
       "{\"kind\":\"availability-zone\",\"name\":\"z\",\"version\":\"6\","
       "\"revision\":%" G_GUINT64_FORMAT ",\"spec\":{\"schema\":2,"
       "\"state\":\"%s\",\"region\":\"r\"}}]}",
-      scene->revision, hash, first, scene->agents[1].service, second,
-      scene->revision, scene->zone_state);
+      fixture->revision, hash, first, fixture->agents[1].service, second,
+      fixture->revision, fixture->zone_state);
 }
 
 static void
-answer_objects (const scene_t *scene, web_request_t *request)
+answer_objects (const fixture_t *fixture, web_request_t *request)
 {
-  g_autofree char *text = objects (scene);
+  g_autofree char *text = format_objects (fixture);
 
   web_respond (request, 200, "application/json", NULL, text, strlen (text));
 }
@@ -92,44 +92,44 @@
 }
 
 static void
-watch_closed (void *user)
+on_watch_closed (void *user)
 {
-  ((scene_t *)user)->watch = NULL;
+  ((fixture_t *)user)->watch = NULL;
 }
 
 static void
-on_platform (void *user, web_request_t *request)
+on_platform_request (void *user, web_request_t *request)
 {
-  scene_t *scene = user;
+  fixture_t *fixture = user;
   const char *path = web_path (request);
 
   if (strcmp (path, "/v1/watch") == 0)
     {
-      scene->watch = request;
-      web_on_closed (request, watch_closed, scene);
+      fixture->watch = request;
+      web_on_closed (request, on_watch_closed, fixture);
     }
   else if (strcmp (path, "/v1/instances") == 0)
     answer_instances (request);
   else
-    answer_objects (scene, request);
+    answer_objects (fixture, request);
 }
 
 void
-scene_zone (scene_t *scene, const char *state)
+fixture_set_zone_state (fixture_t *fixture, const char *state)
 {
-  web_request_t *watch = scene->watch;
+  web_request_t *watch = fixture->watch;
 
-  scene->zone_state = state;
-  scene->revision++;
-  scene->watch = NULL;
+  fixture->zone_state = state;
+  fixture->revision++;
+  fixture->watch = NULL;
   g_assert_nonnull (watch);
-  answer_objects (scene, watch);
+  answer_objects (fixture, watch);
 }
 
 /* ---- the agents ---- */
 
 void
-scene_grant (scene_agent_t *agent, const char *account, double limit_vt)
+agent_send_grant (fake_agent_t *agent, const char *account, double limit_vt)
 {
   msg_t message = { .kind = MSG_GRANT };
 
@@ -142,19 +142,19 @@
 }
 
 static void
-on_announce (scene_agent_t *agent, const msg_announce_t *announce)
+on_announce (fake_agent_t *agent, const msg_announce_t *announce)
 {
   for (uint32_t i = 0; i < announce->count; i++)
-    if (!agent->silent && announce->entries[i].count > 0
+    if (!agent->withholds_grants && announce->entries[i].count > 0
         && strcmp (announce->service, agent->service) == 0)
-      scene_grant (agent, announce->entries[i].account, INFINITY);
+      agent_send_grant (agent, announce->entries[i].account, INFINITY);
 }
 
 static void
 on_message (void *user, const peer_id_t *peer, const msg_t *message,
             cfd_time_t now)
 {
-  scene_agent_t *agent = user;
+  fake_agent_t *agent = user;
 
   switch (message->kind)
     {
@@ -165,8 +165,8 @@
       g_free (agent->request);
       agent->request = g_strdup (message->u.assign.request);
       agent->assigned++;
-      if (message->u.assign.left.count > 0 && !agent->silent)
-        scene_grant (agent, message->u.assign.account, INFINITY);
+      if (message->u.assign.left.count > 0 && !agent->withholds_grants)
+        agent_send_grant (agent, message->u.assign.account, INFINITY);
       return;
     case MSG_DECLINE:
       agent->declined = message->u.decline.reason;
@@ -190,11 +190,11 @@
 }
 
 static void
-agent_begin (scene_t *scene, unsigned index)
+agent_begin (fixture_t *fixture, unsigned index)
 {
   static const peer_events_t events = { .message = on_message };
   static const char *const services[] = { "draft", "register" };
-  scene_agent_t *agent = &scene->agents[index];
+  fake_agent_t *agent = &fixture->agents[index];
   g_autofree char *listen = address (HOST_AGENTS + index, PORT_LINK);
   peer_self_t self = { .role = ROLE_AGENT,
                        .instance = agent->name,
@@ -204,16 +204,18 @@
                        .secret = SECRET };
   g_autoptr (GError) error = NULL;
 
-  *agent = (scene_agent_t){ .scene = scene,
-                            .service = services[scene->twins ? 0 : index],
-                            .incarnation = self.incarnation };
+  *agent
+      = (fake_agent_t){ .fixture = fixture,
+                        .service = services[fixture->same_service ? 0 : index],
+                        .incarnation = self.incarnation };
   g_snprintf (agent->name, sizeof agent->name, "a%u", index);
-  agent->hub = peer_hub_new (scene->loop, &self, NULL, &events, agent, &error);
+  agent->hub
+      = peer_hub_new (fixture->loop, &self, NULL, &events, agent, &error);
   g_assert_no_error (error);
 }
 
 void
-scene_head (scene_agent_t *agent, const char *request)
+agent_send_head (fake_agent_t *agent, const char *request)
 {
   static const char *const headers[] = { "Content-Type: text/plain" };
   msg_t message = { .kind = MSG_HEAD,
@@ -226,8 +228,8 @@
 }
 
 void
-scene_data (scene_agent_t *agent, const char *request, uint64_t offset,
-            const char *text)
+agent_send_data (fake_agent_t *agent, const char *request, uint64_t offset,
+                 const char *text)
 {
   msg_t message
       = { .kind = MSG_DATA,
@@ -239,8 +241,8 @@
 }
 
 void
-scene_finish (scene_agent_t *agent, const char *request, outcome_t outcome,
-              uint64_t length)
+agent_send_end (fake_agent_t *agent, const char *request, outcome_t outcome,
+                uint64_t length)
 {
   msg_t message = { .kind = MSG_END,
                     .u.end = { .request = request,
@@ -254,7 +256,7 @@
 }
 
 void
-scene_not_started (scene_agent_t *agent, const char *request)
+agent_send_not_started (fake_agent_t *agent, const char *request)
 {
   msg_t message = { .kind = MSG_NOT_STARTED,
                     .u.not_started = { .request = request, .reason = "" } };
@@ -264,31 +266,31 @@
 
 typedef struct
 {
-  const scene_agent_t *agent;
+  const fake_agent_t *agent;
   unsigned count;
-} wanted_t;
+} assignment_wait_t;
 
 static bool
 is_assigned (void *user)
 {
-  const wanted_t *wanted = user;
+  const assignment_wait_t *wait = user;
 
-  return wanted->agent->assigned >= wanted->count;
+  return wait->agent->assigned >= wait->count;
 }
 
 char *
-scene_assigned (scene_agent_t *agent, unsigned count)
+agent_await_assignment (fake_agent_t *agent, unsigned count)
 {
-  wanted_t wanted = { agent, count };
+  assignment_wait_t wait = { agent, count };
 
-  scene_run (agent->scene, is_assigned, &wanted);
+  fixture_run_until (agent->fixture, is_assigned, &wait);
   return g_strdup (agent->request);
 }
 
 /* ---- the callers ---- */
 
 static void
-call_begin (scene_call_t *call, const char *text)
+call_begin (call_t *call, const char *text)
 {
   g_autofree char *to = address (HOST_ROUTER, PORT_CALLERS);
   addr_t addr;
@@ -307,7 +309,7 @@
 #define HEAD "Host: h\r\nAuthorization: Bearer " KEY "\r\n"
 
 void
-scene_stream (scene_t *scene, scene_call_t *call)
+call_post_completion (fixture_t *fixture, call_t *call)
 {
   static const char body[] = "{\"model\":\"draft\",\"max_tokens\":10}";
   g_autofree char *text = g_strdup_printf (
@@ -318,20 +320,20 @@
 }
 
 void
-scene_post (scene_t *scene, scene_call_t *call)
+call_post_register (fixture_t *fixture, call_t *call)
 {
   call_begin (call, "POST /services/register/e HTTP/1.1\r\n" HEAD
                     "Content-Length: 1\r\n\r\nx");
 }
 
 void
-scene_look_up (scene_t *scene, scene_call_t *call)
+call_get_register (fixture_t *fixture, call_t *call)
 {
   call_begin (call, "GET /services/register/e HTTP/1.1\r\n" HEAD "\r\n");
 }
 
 static void
-call_read (scene_call_t *call)
+call_read (call_t *call)
 {
   char part[4096];
   ssize_t got = recv (call->fd, part, sizeof part, MSG_DONTWAIT);
@@ -343,32 +345,32 @@
 }
 
 void
-scene_until (scene_t *scene, scene_call_t *call, const char *part)
+call_read_until (fixture_t *fixture, call_t *call, const char *part)
 {
   cfd_time_t limit = clock_now () + WAIT_MS;
 
   while (strstr (call->text->str, part) == NULL && !call->closed
          && clock_now () < limit)
     {
-      ev_run (scene->loop, EVRUN_NOWAIT);
+      ev_run (fixture->loop, EVRUN_NOWAIT);
       call_read (call);
     }
 }
 
 bool
-scene_whole (scene_t *scene, scene_call_t *call)
+call_read_answer (fixture_t *fixture, call_t *call)
 {
-  scene_until (scene, call, "\r\n\r\n");
+  call_read_until (fixture, call, "\r\n\r\n");
   /* Problems have a length; all else in these tests comes in chunks.  */
-  scene_until (scene, call,
-               strstr (call->text->str, "Content-Length:") != NULL
-                   ? "}"
-                   : "\r\n0\r\n\r\n");
+  call_read_until (fixture, call,
+                   strstr (call->text->str, "Content-Length:") != NULL
+                       ? "}"
+                       : "\r\n0\r\n\r\n");
   return !call->closed;
 }
 
 void
-scene_call_end (scene_call_t *call)
+call_end (call_t *call)
 {
   close (call->fd);
   g_string_free (call->text, TRUE);
@@ -377,23 +379,24 @@
 /* ---- all of it ---- */
 
 void
-scene_run (scene_t *scene, bool (*holds) (void *user), void *user)
+fixture_run_until (fixture_t *fixture, bool (*condition) (void *user),
+                   void *user)
 {
   cfd_time_t limit = clock_now () + WAIT_MS;
 
-  while (!holds (user) && clock_now () < limit)
-    ev_run (scene->loop, EVRUN_NOWAIT);
-  g_assert_true (holds (user));
+  while (!condition (user) && clock_now () < limit)
+    ev_run (fixture->loop, EVRUN_NOWAIT);
+  g_assert_true (condition (user));
 }
 
 static bool
-watches (void *user)
+has_watch (void *user)
 {
-  return ((const scene_t *)user)->watch != NULL;
+  return ((const fixture_t *)user)->watch != NULL;
 }
 
 static void
-begin (scene_t *scene, bool twins)
+begin_with (fixture_t *fixture, bool same_service)
 {
   static const web_limits_t limits = { 100000, 64, 30 };
   g_autofree char *platform = address (HOST_ROUTER, PORT_PLATFORM);
@@ -412,39 +415,41 @@
                               .request_s = 1 };
   g_autoptr (GError) error = NULL;
 
-  *scene = (scene_t){ .zone_state = "in", .twins = twins, .revision = 10 };
-  scene->loop = ev_loop_new (EVFLAG_AUTO);
-  scene->platform = web_server_new (scene->loop, platform, &limits,
-                                    on_platform, scene, &error);
+  *fixture = (fixture_t){ .zone_state = "in",
+                          .same_service = same_service,
+                          .revision = 10 };
+  fixture->loop = ev_loop_new (EVFLAG_AUTO);
+  fixture->platform = web_server_new (fixture->loop, platform, &limits,
+                                      on_platform_request, fixture, &error);
   g_assert_no_error (error);
-  for (unsigned i = 0; i < SCENE_AGENTS; i++)
-    agent_begin (scene, i);
-  scene->router = cfd_router_new (scene->loop, &settings, &error);
+  for (unsigned i = 0; i < FAKE_AGENTS; i++)
+    agent_begin (fixture, i);
+  fixture->router = cfd_router_new (fixture->loop, &settings, &error);
   g_assert_no_error (error);
-  scene_run (scene, watches, scene);
+  fixture_run_until (fixture, has_watch, fixture);
 }
 
 void
-scene_begin (scene_t *scene)
+fixture_begin (fixture_t *fixture)
 {
-  begin (scene, false);
+  begin_with (fixture, false);
 }
 
 void
-scene_begin_twins (scene_t *scene)
+fixture_begin_same_service (fixture_t *fixture)
 {
-  begin (scene, true);
+  begin_with (fixture, true);
 }
 
 void
-scene_end (scene_t *scene)
+fixture_end (fixture_t *fixture)
 {
-  cfd_router_free (scene->router);
-  for (unsigned i = 0; i < SCENE_AGENTS; i++)
+  cfd_router_free (fixture->router);
+  for (unsigned i = 0; i < FAKE_AGENTS; i++)
     {
-      peer_hub_free (scene->agents[i].hub);
-      g_free (scene->agents[i].request);
+      peer_hub_free (fixture->agents[i].hub);
+      g_free (fixture->agents[i].request);
     }
-  web_server_free (scene->platform);
-  ev_loop_destroy (scene->loop);
+  web_server_free (fixture->platform);
+  ev_loop_destroy (fixture->loop);
 }
--- a/libcoltsfootdrum/router/test-router-request.c
+++ b/libcoltsfootdrum/router/test-router-request.c
@@ -4,10 +4,10 @@
 #include "router/router-step.h"
 #include <glib.h>
 
-#define IDEM 1u   /* idempotent */
-#define RAN 2u    /* may have run before */
-#define GONE 4u   /* caller gone */
-#define BUDGET 8u /* may retry */
+#define IDEMPOTENT 1u   /* idempotent */
+#define MAY_HAVE_RUN 2u /* may have run before */
+#define CALLER_GONE 4u  /* caller gone */
+#define MAY_RETRY 8u    /* may retry */
 
 typedef struct
 {
@@ -24,62 +24,67 @@
   /* The claim comes after the caller left: given back, nothing ran.  */
   { REQ_CLAIMING, REQ_EV_CALLER_GONE, 0, REQ_CLAIMING, REQ_DO_NOTHING,
     RUN_NOT_RUN },
-  { REQ_CLAIMING, REQ_EV_CLAIMED, GONE, REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN },
+  { REQ_CLAIMING, REQ_EV_CLAIMED, CALLER_GONE, REQ_OVER, REQ_DO_DROP,
+    RUN_NOT_RUN },
   { REQ_CLAIMING, REQ_EV_SHUTDOWN, 0, REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN },
   { REQ_QUEUED, REQ_EV_ASSIGNED, 0, REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN },
   { REQ_QUEUED, REQ_EV_DEADLINE, 0, REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN },
   /* Queued again after an agent was lost: that agent may have run it.  */
-  { REQ_QUEUED, REQ_EV_DEADLINE, IDEM | RAN, REQ_OVER, REQ_DO_REFUSE,
-    RUN_UNKNOWN },
-  { REQ_QUEUED, REQ_EV_SHUTDOWN, IDEM | RAN, REQ_OVER, REQ_DO_REFUSE,
-    RUN_UNKNOWN },
+  { REQ_QUEUED, REQ_EV_DEADLINE, IDEMPOTENT | MAY_HAVE_RUN, REQ_OVER,
+    REQ_DO_REFUSE, RUN_UNKNOWN },
+  { REQ_QUEUED, REQ_EV_SHUTDOWN, IDEMPOTENT | MAY_HAVE_RUN, REQ_OVER,
+    REQ_DO_REFUSE, RUN_UNKNOWN },
   { REQ_QUEUED, REQ_EV_SHUTDOWN, 0, REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN },
   { REQ_QUEUED, REQ_EV_CALLER_GONE, 0, REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN },
   { REQ_SENT, REQ_EV_DATA, 0, REQ_ANSWERING, REQ_DO_ANSWER, RUN_UNKNOWN },
-  { REQ_SENT, REQ_EV_DATA, GONE, REQ_ANSWERING, REQ_DO_NOTHING, RUN_UNKNOWN },
+  { REQ_SENT, REQ_EV_DATA, CALLER_GONE, REQ_ANSWERING, REQ_DO_NOTHING,
+    RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_COMPLETE, 0, REQ_OVER, REQ_DO_FINISH, RUN_DONE },
   /* The agent's word lets even a non-idempotent one go again, budget or no. */
   { REQ_SENT, REQ_EV_NOT_RUN, 0, REQ_QUEUED, REQ_DO_REQUEUE, RUN_NOT_RUN },
-  { REQ_SENT, REQ_EV_NOT_RUN, IDEM | RAN, REQ_QUEUED, REQ_DO_REQUEUE,
-    RUN_UNKNOWN },
-  { REQ_SENT, REQ_EV_NOT_RUN, GONE, REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN },
+  { REQ_SENT, REQ_EV_NOT_RUN, IDEMPOTENT | MAY_HAVE_RUN, REQ_QUEUED,
+    REQ_DO_REQUEUE, RUN_UNKNOWN },
+  { REQ_SENT, REQ_EV_NOT_RUN, CALLER_GONE, REQ_OVER, REQ_DO_DROP,
+    RUN_NOT_RUN },
   /* Without it: non-idempotent never, idempotent within the budget.  */
-  { REQ_SENT, REQ_EV_LOST, BUDGET, REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN },
-  { REQ_SENT, REQ_EV_LOST, IDEM | BUDGET, REQ_QUEUED, REQ_DO_RETRY,
+  { REQ_SENT, REQ_EV_LOST, MAY_RETRY, REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN },
+  { REQ_SENT, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY, REQ_QUEUED, REQ_DO_RETRY,
     RUN_UNKNOWN },
-  { REQ_SENT, REQ_EV_LOST, IDEM, REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN },
-  { REQ_SENT, REQ_EV_LOST, IDEM | BUDGET | GONE, REQ_OVER, REQ_DO_DROP,
+  { REQ_SENT, REQ_EV_LOST, IDEMPOTENT, REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN },
+  { REQ_SENT, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY | CALLER_GONE, REQ_OVER,
+    REQ_DO_DROP, RUN_UNKNOWN },
+  { REQ_SENT, REQ_EV_SHUTDOWN, IDEMPOTENT, REQ_OVER, REQ_DO_FAIL,
     RUN_UNKNOWN },
-  { REQ_SENT, REQ_EV_SHUTDOWN, IDEM, REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN },
   /* A caller who leaves stops what may be repeated, not a post.  */
-  { REQ_SENT, REQ_EV_CALLER_GONE, IDEM, REQ_SENT, REQ_DO_CANCEL, RUN_UNKNOWN },
+  { REQ_SENT, REQ_EV_CALLER_GONE, IDEMPOTENT, REQ_SENT, REQ_DO_CANCEL,
+    RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_CALLER_GONE, 0, REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_DATA, 0, REQ_ANSWERING, REQ_DO_NOTHING,
     RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_COMPLETE, 0, REQ_OVER, REQ_DO_FINISH, RUN_DONE },
   /* Bytes were delivered: never a second answer behind the first part.  */
-  { REQ_ANSWERING, REQ_EV_LOST, IDEM | BUDGET, REQ_OVER, REQ_DO_TRUNCATE,
-    RUN_UNKNOWN },
+  { REQ_ANSWERING, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY, REQ_OVER,
+    REQ_DO_TRUNCATE, RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_NOT_RUN, 0, REQ_OVER, REQ_DO_TRUNCATE, RUN_UNKNOWN },
-  { REQ_ANSWERING, REQ_EV_LOST, IDEM | GONE, REQ_OVER, REQ_DO_DROP,
-    RUN_UNKNOWN },
-  { REQ_ANSWERING, REQ_EV_CALLER_GONE, IDEM, REQ_ANSWERING, REQ_DO_CANCEL,
-    RUN_UNKNOWN },
+  { REQ_ANSWERING, REQ_EV_LOST, IDEMPOTENT | CALLER_GONE, REQ_OVER,
+    REQ_DO_DROP, RUN_UNKNOWN },
+  { REQ_ANSWERING, REQ_EV_CALLER_GONE, IDEMPOTENT, REQ_ANSWERING,
+    REQ_DO_CANCEL, RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_SHUTDOWN, 0, REQ_OVER, REQ_DO_TRUNCATE,
     RUN_UNKNOWN },
   /* Late events of a request that has ended do nothing.  */
   { REQ_OVER, REQ_EV_COMPLETE, 0, REQ_OVER, REQ_DO_NOTHING, RUN_UNKNOWN },
-  { REQ_OVER, REQ_EV_LOST, IDEM | BUDGET, REQ_OVER, REQ_DO_NOTHING,
+  { REQ_OVER, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY, REQ_OVER, REQ_DO_NOTHING,
     RUN_UNKNOWN },
 };
 
 static req_facts_t
 facts_of (unsigned bits)
 {
-  return (req_facts_t){ .idempotent = bits & IDEM,
-                        .may_have_run = bits & RAN,
-                        .caller_gone = bits & GONE,
-                        .may_retry = bits & BUDGET };
+  return (req_facts_t){ .idempotent = bits & IDEMPOTENT,
+                        .may_have_run = bits & MAY_HAVE_RUN,
+                        .caller_gone = bits & CALLER_GONE,
+                        .may_retry = bits & MAY_RETRY };
 }
 
 static void
@@ -100,7 +105,7 @@
 
 /* Over every state, event and set of facts: what must never come out.  */
 static void
-test_never (void)
+test_invariants (void)
 {
   for (req_state_t state = 0; state < REQ_STATE_COUNT; state++)
     for (req_event_t event = 0; event < REQ_EVENT_COUNT; event++)
@@ -132,35 +137,36 @@
   unsigned facts;
   bool frozen;
   cfd_time_t wait;
-} waits[] = {
+} link_waits[] = {
   /* Another agent can take it.  */
-  { REQ_SENT, IDEM | BUDGET, FROZEN, REQ_RETRY_WAIT_MS },
-  { REQ_SENT, IDEM | BUDGET, DEAD, REQ_RETRY_WAIT_MS },
+  { REQ_SENT, IDEMPOTENT | MAY_RETRY, FROZEN, REQ_RETRY_WAIT_MS },
+  { REQ_SENT, IDEMPOTENT | MAY_RETRY, DEAD, REQ_RETRY_WAIT_MS },
   /* Only its own agent can answer: without budget, a post, a begun answer.  */
-  { REQ_SENT, IDEM, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
-  { REQ_SENT, BUDGET, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
-  { REQ_ANSWERING, IDEM | BUDGET, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
+  { REQ_SENT, IDEMPOTENT, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
+  { REQ_SENT, MAY_RETRY, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
+  { REQ_ANSWERING, IDEMPOTENT | MAY_RETRY, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
   /* A post's claim wants the true answer, though its caller left.  */
-  { REQ_SENT, BUDGET | GONE, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
+  { REQ_SENT, MAY_RETRY | CALLER_GONE, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
   /* It is gone: the caller hears soon.  */
-  { REQ_SENT, IDEM, DEAD, REQ_AGENT_GONE_WAIT_MS },
-  { REQ_SENT, BUDGET, DEAD, REQ_AGENT_GONE_WAIT_MS },
-  { REQ_ANSWERING, IDEM | BUDGET, DEAD, REQ_AGENT_GONE_WAIT_MS },
+  { REQ_SENT, IDEMPOTENT, DEAD, REQ_AGENT_GONE_WAIT_MS },
+  { REQ_SENT, MAY_RETRY, DEAD, REQ_AGENT_GONE_WAIT_MS },
+  { REQ_ANSWERING, IDEMPOTENT | MAY_RETRY, DEAD, REQ_AGENT_GONE_WAIT_MS },
   /* Nobody waits.  */
-  { REQ_ANSWERING, IDEM | BUDGET | GONE, FROZEN, REQ_AGENT_GONE_WAIT_MS },
+  { REQ_ANSWERING, IDEMPOTENT | MAY_RETRY | CALLER_GONE, FROZEN,
+    REQ_AGENT_GONE_WAIT_MS },
 };
 
 static void
-test_patience (void)
+test_link_wait (void)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (waits); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (link_waits); i++)
     {
-      req_facts_t facts = facts_of (waits[i].facts);
+      req_facts_t facts = facts_of (link_waits[i].facts);
 
       g_test_message ("wait %u", i);
       g_assert_cmpint (
-          req_link_wait_ms (waits[i].state, &facts, waits[i].frozen), ==,
-          waits[i].wait);
+          req_link_wait_ms (link_waits[i].state, &facts, link_waits[i].frozen),
+          ==, link_waits[i].wait);
     }
 }
 
@@ -169,7 +175,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/router-request/cases", test_cases);
-  g_test_add_func ("/router-request/never", test_never);
-  g_test_add_func ("/router-request/patience", test_patience);
+  g_test_add_func ("/router-request/never", test_invariants);
+  g_test_add_func ("/router-request/patience", test_link_wait);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-router.c
+++ b/libcoltsfootdrum/router/test-router.c
@@ -1,14 +1,14 @@
 /* A whole router against agents that send late, doubled, crossed or wrong
    words: what the caller gets, and what the agent hears.  */
 
-#include "router/test-router-scene.h"
+#include "router/test-router-fixture.h"
 
 #include <math.h>
 #include <signal.h>
 #include <string.h>
 
-#define DRAFT(scene) (&(scene)->agents[0])
-#define REGISTER(scene) (&(scene)->agents[1])
+#define DRAFT(fixture) (&(fixture)->agents[0])
+#define REGISTER(fixture) (&(fixture)->agents[1])
 
 /* ---- the answer's pieces ---- */
 
@@ -20,7 +20,7 @@
 typedef struct
 {
   const char *name;
-  const char *words;
+  const char *steps;
   const char *body; /* NULL: broken off after a part */
 } answer_case_t;
 
@@ -38,14 +38,14 @@
 
 typedef struct
 {
-  const scene_agent_t *agent;
+  const fake_agent_t *agent;
   uint64_t offset;
-} resumed_t;
+} resume_wait_t;
 
 static bool
 is_resumed (void *user)
 {
-  const resumed_t *resumed = user;
+  const resume_wait_t *resumed = user;
 
   return resumed->agent->resumed > 0
          && resumed->agent->resume_offset == resumed->offset;
@@ -54,45 +54,45 @@
 static bool
 is_acked (void *user)
 {
-  return ((const scene_agent_t *)user)->acked > 0;
+  return ((const fake_agent_t *)user)->acked > 0;
 }
 
 static void
-play (scene_t *scene, scene_agent_t *agent, const char *request,
-      const char *word)
+run_step (fixture_t *fixture, fake_agent_t *agent, const char *request,
+          const char *step)
 {
-  uint64_t offset = g_ascii_strtoull (word + 1, NULL, 10);
-  const char *text = strchr (word, '=');
-  resumed_t resumed = { agent, offset };
+  uint64_t offset = g_ascii_strtoull (step + 1, NULL, 10);
+  const char *text = strchr (step, '=');
+  resume_wait_t resumed = { agent, offset };
 
-  switch (word[0])
+  switch (step[0])
     {
     case 'H':
-      scene_head (agent, request);
+      agent_send_head (agent, request);
       return;
     case 'D':
-      scene_data (agent, request, offset, text + 1);
+      agent_send_data (agent, request, offset, text + 1);
       return;
     case 'X':
-      scene_data (REGISTER (scene), request, offset, text + 1);
+      agent_send_data (REGISTER (fixture), request, offset, text + 1);
       /* Taken off its hands: it is nobody's there.  */
-      scene_run (scene, is_acked, REGISTER (scene));
+      fixture_run_until (fixture, is_acked, REGISTER (fixture));
       return;
     case 'E':
-      scene_finish (agent, request, OUTCOME_COMPLETE, offset);
+      agent_send_end (agent, request, OUTCOME_COMPLETE, offset);
       return;
     case 'B':
-      scene_finish (agent, request, OUTCOME_BROKEN, offset);
+      agent_send_end (agent, request, OUTCOME_BROKEN, offset);
       return;
     default:
-      scene_run (scene, is_resumed, &resumed);
+      fixture_run_until (fixture, is_resumed, &resumed);
       return;
     }
 }
 
 /* The body that came, without the chunks' framing.  */
 static char *
-body_of (const scene_call_t *call)
+decode_body (const call_t *call)
 {
   const char *at = strstr (call->text->str, "\r\n\r\n");
   GString *body = g_string_new (NULL);
@@ -116,28 +116,29 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (answers); i++)
     {
       const answer_case_t *c = &answers[i];
-      scene_t scene;
-      scene_call_t call;
-      scene_call_t other;
+      fixture_t fixture;
+      call_t call;
+      call_t other;
 
       g_test_message ("%s", c->name);
-      scene_begin (&scene);
+      fixture_begin (&fixture);
       /* The other agent has a link too, for a request of its own.  */
-      scene_post (&scene, &other);
-      g_autofree char *posted = scene_assigned (REGISTER (&scene), 1);
-      scene_stream (&scene, &call);
-      g_autofree char *request = scene_assigned (DRAFT (&scene), 1);
-      g_auto (GStrv) words = g_strsplit (c->words, " ", 0);
-      for (unsigned j = 0; words[j] != NULL; j++)
-        play (&scene, DRAFT (&scene), request, words[j]);
-      bool whole = scene_whole (&scene, &call);
-      g_autofree char *body = body_of (&call);
+      call_post_register (&fixture, &other);
+      g_autofree char *posted
+          = agent_await_assignment (REGISTER (&fixture), 1);
+      call_post_completion (&fixture, &call);
+      g_autofree char *request = agent_await_assignment (DRAFT (&fixture), 1);
+      g_auto (GStrv) steps = g_strsplit (c->steps, " ", 0);
+      for (unsigned j = 0; steps[j] != NULL; j++)
+        run_step (&fixture, DRAFT (&fixture), request, steps[j]);
+      bool is_whole = call_read_answer (&fixture, &call);
+      g_autofree char *body = decode_body (&call);
       if (c->body != NULL)
         g_assert_cmpstr (body, ==, c->body);
-      g_assert_cmpint (whole, ==, c->body != NULL);
-      scene_call_end (&call);
-      scene_call_end (&other);
-      scene_end (&scene);
+      g_assert_cmpint (is_whole, ==, c->body != NULL);
+      call_end (&call);
+      call_end (&other);
+      fixture_end (&fixture);
     }
 }
 
@@ -145,33 +146,33 @@
 static void
 test_crossed (void)
 {
-  scene_t scene;
-  scene_call_t calls[2];
+  fixture_t fixture;
+  call_t calls[2];
   char *requests[2];
 
-  scene_begin (&scene);
+  fixture_begin (&fixture);
   for (unsigned i = 0; i < 2; i++)
     {
-      scene_stream (&scene, &calls[i]);
-      requests[i] = scene_assigned (DRAFT (&scene), i + 1);
+      call_post_completion (&fixture, &calls[i]);
+      requests[i] = agent_await_assignment (DRAFT (&fixture), i + 1);
     }
   for (unsigned i = 0; i < 2; i++)
-    scene_head (DRAFT (&scene), requests[i]);
-  scene_data (DRAFT (&scene), requests[1], 0, "22");
-  scene_data (DRAFT (&scene), requests[0], 0, "11");
-  scene_data (DRAFT (&scene), requests[1], 2, "22");
-  scene_finish (DRAFT (&scene), requests[1], OUTCOME_COMPLETE, 4);
-  scene_data (DRAFT (&scene), requests[0], 2, "11");
-  scene_finish (DRAFT (&scene), requests[0], OUTCOME_COMPLETE, 4);
+    agent_send_head (DRAFT (&fixture), requests[i]);
+  agent_send_data (DRAFT (&fixture), requests[1], 0, "22");
+  agent_send_data (DRAFT (&fixture), requests[0], 0, "11");
+  agent_send_data (DRAFT (&fixture), requests[1], 2, "22");
+  agent_send_end (DRAFT (&fixture), requests[1], OUTCOME_COMPLETE, 4);
+  agent_send_data (DRAFT (&fixture), requests[0], 2, "11");
+  agent_send_end (DRAFT (&fixture), requests[0], OUTCOME_COMPLETE, 4);
   for (unsigned i = 0; i < 2; i++)
     {
-      g_assert_true (scene_whole (&scene, &calls[i]));
-      g_autofree char *body = body_of (&calls[i]);
+      g_assert_true (call_read_answer (&fixture, &calls[i]));
+      g_autofree char *body = decode_body (&calls[i]);
       g_assert_cmpstr (body, ==, i == 0 ? "1111" : "2222");
-      scene_call_end (&calls[i]);
+      call_end (&calls[i]);
       g_free (requests[i]);
     }
-  scene_end (&scene);
+  fixture_end (&fixture);
 }
 
 /* ---- the end of an attempt that gave nothing ---- */
@@ -188,7 +189,7 @@
 {
   attempt_t attempt;
   bool post;       /* else a lookup, which may be repeated */
-  bool again;      /* it is sent to an agent once more */
+  bool is_resent;  /* it is sent to an agent once more */
   const char *run; /* of the refusal otherwise */
 } attempts[] = {
   { ATTEMPT_NOT_STARTED, true, true, NULL },
@@ -201,7 +202,7 @@
 };
 
 static void
-end_attempt (scene_agent_t *agent, const char *request, attempt_t attempt)
+end_attempt (fake_agent_t *agent, const char *request, attempt_t attempt)
 {
   static const outcome_t outcomes[]
       = { [ATTEMPT_UNREACHED] = OUTCOME_UNREACHED,
@@ -209,9 +210,9 @@
           [ATTEMPT_BROKEN] = OUTCOME_BROKEN };
 
   if (attempt == ATTEMPT_NOT_STARTED)
-    scene_not_started (agent, request);
+    agent_send_not_started (agent, request);
   else
-    scene_finish (agent, request, outcomes[attempt], 0);
+    agent_send_end (agent, request, outcomes[attempt], 0);
 }
 
 static void
@@ -219,42 +220,42 @@
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (attempts); i++)
     {
-      scene_t scene;
-      scene_call_t call;
-      scene_agent_t *agent = REGISTER (&scene);
+      fixture_t fixture;
+      call_t call;
+      fake_agent_t *agent = REGISTER (&fixture);
 
       g_test_message ("attempt %u", i);
-      scene_begin (&scene);
+      fixture_begin (&fixture);
       if (attempts[i].post)
-        scene_post (&scene, &call);
+        call_post_register (&fixture, &call);
       else
-        scene_look_up (&scene, &call);
-      g_autofree char *first = scene_assigned (agent, 1);
+        call_get_register (&fixture, &call);
+      g_autofree char *first = agent_await_assignment (agent, 1);
       end_attempt (agent, first, attempts[i].attempt);
-      if (attempts[i].again)
+      if (attempts[i].is_resent)
         {
-          g_autofree char *second = scene_assigned (agent, 2);
+          g_autofree char *second = agent_await_assignment (agent, 2);
 
           /* Late words of the former attempt are nobody's.  */
           g_assert_cmpstr (first, !=, second);
-          scene_head (agent, first);
-          scene_data (agent, first, 0, "old");
-          scene_finish (agent, first, OUTCOME_COMPLETE, 3);
-          scene_head (agent, second);
-          scene_data (agent, second, 0, "new");
-          scene_finish (agent, second, OUTCOME_COMPLETE, 3);
-          g_assert_true (scene_whole (&scene, &call));
-          g_autofree char *body = body_of (&call);
+          agent_send_head (agent, first);
+          agent_send_data (agent, first, 0, "old");
+          agent_send_end (agent, first, OUTCOME_COMPLETE, 3);
+          agent_send_head (agent, second);
+          agent_send_data (agent, second, 0, "new");
+          agent_send_end (agent, second, OUTCOME_COMPLETE, 3);
+          g_assert_true (call_read_answer (&fixture, &call));
+          g_autofree char *body = decode_body (&call);
           g_assert_cmpstr (body, ==, "new");
         }
       else
         {
-          g_assert_true (scene_whole (&scene, &call));
+          g_assert_true (call_read_answer (&fixture, &call));
           g_assert_nonnull (strstr (call.text->str, attempts[i].run));
           g_assert_cmpuint (agent->assigned, ==, 1);
         }
-      scene_call_end (&call);
-      scene_end (&scene);
+      call_end (&call);
+      fixture_end (&fixture);
     }
 }
 
@@ -263,7 +264,7 @@
 static bool
 is_declined (void *user)
 {
-  return ((const scene_agent_t *)user)->declined != 0;
+  return ((const fake_agent_t *)user)->declined != 0;
 }
 
 /* An agent breaks off a request before its answer began, is free at once, and
@@ -274,49 +275,49 @@
 static void
 test_retry_elsewhere (void)
 {
-  scene_t scene;
-  scene_call_t calls[2];
-  scene_agent_t *fails = &scene.agents[0];
-  scene_agent_t *serves = &scene.agents[1];
-
-  scene_begin_twins (&scene);
-  serves->silent = true;
-  scene_stream (&scene, &calls[0]);
-  g_autofree char *first = scene_assigned (fails, 1);
-  fails->silent = true;
-  scene_finish (fails, first, OUTCOME_BROKEN, 0);
-  scene_grant (fails, "a", INFINITY);
-  scene_run (&scene, is_declined, fails);
-  g_assert_cmpint (fails->declined, ==, DECLINE_NO_WORK);
-  g_assert_cmpuint (fails->left, ==, 0);
-  g_assert_cmpuint (fails->assigned, ==, 1);
-  fails->silent = false;
-  scene_stream (&scene, &calls[1]);
-  scene_grant (fails, "a", INFINITY);
-  g_autofree char *second = scene_assigned (fails, 2);
-  scene_grant (serves, "a", INFINITY);
-  g_autofree char *again = scene_assigned (serves, 1);
-  g_assert_true (strncmp (first, again, strlen (first) - 1) == 0);
-  scene_head (serves, again);
-  scene_data (serves, again, 0, "new");
-  scene_finish (serves, again, OUTCOME_COMPLETE, 3);
-  g_assert_true (scene_whole (&scene, &calls[0]));
+  fixture_t fixture;
+  call_t calls[2];
+  fake_agent_t *failing = &fixture.agents[0];
+  fake_agent_t *working = &fixture.agents[1];
+
+  fixture_begin_same_service (&fixture);
+  working->withholds_grants = true;
+  call_post_completion (&fixture, &calls[0]);
+  g_autofree char *first = agent_await_assignment (failing, 1);
+  failing->withholds_grants = true;
+  agent_send_end (failing, first, OUTCOME_BROKEN, 0);
+  agent_send_grant (failing, "a", INFINITY);
+  fixture_run_until (&fixture, is_declined, failing);
+  g_assert_cmpint (failing->declined, ==, DECLINE_NO_WORK);
+  g_assert_cmpuint (failing->left, ==, 0);
+  g_assert_cmpuint (failing->assigned, ==, 1);
+  failing->withholds_grants = false;
+  call_post_completion (&fixture, &calls[1]);
+  agent_send_grant (failing, "a", INFINITY);
+  g_autofree char *second = agent_await_assignment (failing, 2);
+  agent_send_grant (working, "a", INFINITY);
+  g_autofree char *is_resent = agent_await_assignment (working, 1);
+  g_assert_true (strncmp (first, is_resent, strlen (first) - 1) == 0);
+  agent_send_head (working, is_resent);
+  agent_send_data (working, is_resent, 0, "new");
+  agent_send_end (working, is_resent, OUTCOME_COMPLETE, 3);
+  g_assert_true (call_read_answer (&fixture, &calls[0]));
   g_assert_nonnull (strstr (calls[0].text->str, " 200 "));
   for (unsigned i = 0; i < 2; i++)
-    scene_call_end (&calls[i]);
-  scene_end (&scene);
+    call_end (&calls[i]);
+  fixture_end (&fixture);
 }
 
 static bool
 has_queue (void *user)
 {
-  scene_agent_t *agent = user;
+  fake_agent_t *agent = user;
 
   /* Asks in vain until something waits: what is left comes with the word. */
   if (agent->declined == DECLINE_NO_WORK)
     {
       agent->declined = 0;
-      scene_grant (agent, "a", -1e9);
+      agent_send_grant (agent, "a", -1e9);
     }
   return agent->left > 0;
 }
@@ -324,65 +325,65 @@
 static void
 test_declines (void)
 {
-  scene_t scene;
-  scene_call_t call;
-  scene_agent_t *agent = DRAFT (&scene);
+  fixture_t fixture;
+  call_t call;
+  fake_agent_t *agent = DRAFT (&fixture);
 
-  scene_begin (&scene);
+  fixture_begin (&fixture);
   /* One request is served, so that a link and a virtual time are there.  */
-  scene_stream (&scene, &call);
-  g_autofree char *request = scene_assigned (agent, 1);
-  scene_head (agent, request);
-  scene_finish (agent, request, OUTCOME_COMPLETE, 0);
-  g_assert_true (scene_whole (&scene, &call));
-  scene_call_end (&call);
-  agent->silent = true;
+  call_post_completion (&fixture, &call);
+  g_autofree char *request = agent_await_assignment (agent, 1);
+  agent_send_head (agent, request);
+  agent_send_end (agent, request, OUTCOME_COMPLETE, 0);
+  g_assert_true (call_read_answer (&fixture, &call));
+  call_end (&call);
+  agent->withholds_grants = true;
   agent->declined = 0;
-  scene_grant (agent, "a", 1e9);
-  scene_run (&scene, is_declined, agent);
+  agent_send_grant (agent, "a", 1e9);
+  fixture_run_until (&fixture, is_declined, agent);
   g_assert_cmpint (agent->declined, ==, DECLINE_NO_WORK);
-  scene_stream (&scene, &call);
-  scene_run (&scene, has_queue, agent);
+  call_post_completion (&fixture, &call);
+  fixture_run_until (&fixture, has_queue, agent);
   g_assert_cmpint (agent->declined, ==, DECLINE_STALE);
-  scene_zone (&scene, "out");
+  fixture_set_zone_state (&fixture, "out");
   for (int i = 0; i < 1000 && agent->declined != DECLINE_ZONE; i++)
     {
       agent->declined = 0;
-      scene_grant (agent, "a", -1e9);
-      scene_run (&scene, is_declined, agent);
+      agent_send_grant (agent, "a", -1e9);
+      fixture_run_until (&fixture, is_declined, agent);
     }
   g_assert_cmpint (agent->declined, ==, DECLINE_ZONE);
   /* Nobody took it in time: told at the deadline, truly not run.  */
-  g_assert_true (scene_whole (&scene, &call));
+  g_assert_true (call_read_answer (&fixture, &call));
   g_assert_nonnull (strstr (call.text->str, " 504 "));
   g_assert_nonnull (strstr (call.text->str, "\"run\":\"not-run\""));
   g_assert_nonnull (strstr (call.text->str, "Retry-After: "));
-  scene_call_end (&call);
-  scene_end (&scene);
+  call_end (&call);
+  fixture_end (&fixture);
 }
 
 static void
 test_queue_full (void)
 {
-  scene_t scene;
-  scene_call_t calls[4];
+  fixture_t fixture;
+  call_t calls[4];
 
-  scene_begin (&scene);
-  DRAFT (&scene)->silent = true;
+  fixture_begin (&fixture);
+  DRAFT (&fixture)->withholds_grants = true;
   for (unsigned i = 0; i < G_N_ELEMENTS (calls); i++)
-    scene_stream (&scene, &calls[i]);
+    call_post_completion (&fixture, &calls[i]);
   unsigned refused = 0;
   for (unsigned i = 0; i < G_N_ELEMENTS (calls); i++)
     {
-      g_assert_true (scene_whole (&scene, &calls[i]));
+      g_assert_true (call_read_answer (&fixture, &calls[i]));
       g_assert_nonnull (strstr (calls[i].text->str, "\"run\":\"not-run\""));
       g_assert_nonnull (strstr (calls[i].text->str, "Retry-After: "));
       refused += strstr (calls[i].text->str, " 429 ") != NULL;
-      scene_call_end (&calls[i]);
+      call_end (&calls[i]);
     }
   /* Three wait until their deadline; the fourth hears at once.  */
   g_assert_cmpuint (refused, ==, 1);
-  scene_end (&scene);
+  fixture_end (&fixture);
 }
 
 /* ---- the wall clock ---- */
@@ -391,7 +392,7 @@
 
 /* Ahead by a day and back again at each look.  */
 static int64_t
-jumping_wall (void)
+jumping_wall_ms (void)
 {
   static bool ahead;
 
@@ -406,30 +407,30 @@
 static void
 test_wall_clock (void)
 {
-  scene_t scene;
-  scene_call_t call;
-  scene_agent_t *agent = REGISTER (&scene);
-
-  clock_set_wall (jumping_wall);
-  scene_begin (&scene);
-  scene_post (&scene, &call);
-  g_autofree char *request = scene_assigned (agent, 1);
-  scene_head (agent, request);
-  scene_data (agent, request, 0, "abc");
-  scene_finish (agent, request, OUTCOME_COMPLETE, 3);
-  g_assert_true (scene_whole (&scene, &call));
-  g_autofree char *body = body_of (&call);
+  fixture_t fixture;
+  call_t call;
+  fake_agent_t *agent = REGISTER (&fixture);
+
+  clock_set_wall (jumping_wall_ms);
+  fixture_begin (&fixture);
+  call_post_register (&fixture, &call);
+  g_autofree char *request = agent_await_assignment (agent, 1);
+  agent_send_head (agent, request);
+  agent_send_data (agent, request, 0, "abc");
+  agent_send_end (agent, request, OUTCOME_COMPLETE, 3);
+  g_assert_true (call_read_answer (&fixture, &call));
+  g_autofree char *body = decode_body (&call);
   g_assert_cmpstr (body, ==, "abc");
-  scene_call_end (&call);
+  call_end (&call);
 
-  DRAFT (&scene)->silent = true;
+  DRAFT (&fixture)->withholds_grants = true;
   cfd_time_t asked = clock_now ();
-  scene_stream (&scene, &call);
-  g_assert_true (scene_whole (&scene, &call));
+  call_post_completion (&fixture, &call);
+  g_assert_true (call_read_answer (&fixture, &call));
   g_assert_nonnull (strstr (call.text->str, " 504 "));
   g_assert_cmpint (clock_now () - asked, >=, 900);
-  scene_call_end (&call);
-  scene_end (&scene);
+  call_end (&call);
+  fixture_end (&fixture);
   clock_set_wall (NULL);
 }
 
--- a/libcoltsfootdrum/router/test-wfq.c
+++ b/libcoltsfootdrum/router/test-wfq.c
@@ -12,10 +12,10 @@
     wfq_set_backlogged (wfq, names[i], "s");
   for (unsigned i = 0; i < rounds; i++)
     {
-      unsigned who = wfq_next_account (wfq, "s")[0] - 'a';
+      unsigned index = wfq_next_account (wfq, "s")[0] - 'a';
 
-      served[who]++;
-      wfq_charge (wfq, names[who], "s", 100, weights[who]);
+      served[index]++;
+      wfq_charge (wfq, names[index], "s", 100, weights[index]);
     }
 }
 
@@ -45,7 +45,7 @@
 }
 
 static void
-test_idle_earns_nothing (void)
+test_idle_earns_no_credit (void)
 {
   /* An account away while another was served a lot must not then take all. */
   g_autoptr (wfq_t) wfq = wfq_new ();
@@ -77,7 +77,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/wfq/weights", test_weights);
-  g_test_add_func ("/wfq/idle-earns-nothing", test_idle_earns_nothing);
+  g_test_add_func ("/wfq/idle-earns-nothing", test_idle_earns_no_credit);
   g_test_add_func ("/wfq/idle-and-services", test_idle_and_services);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/wfq.c
+++ b/libcoltsfootdrum/router/wfq.c
@@ -47,7 +47,7 @@
 }
 
 static const entry_t *
-least (const wfq_t *wfq, const char *service)
+find_least (const wfq_t *wfq, const char *service)
 {
   const entry_t *best = NULL;
   GHashTableIter iter;
@@ -74,7 +74,7 @@
 
   if (entry->backlogged)
     return;
-  first = least (wfq, service);
+  first = find_least (wfq, service);
   if (first != NULL && first->virtual_time > entry->virtual_time)
     entry->virtual_time = first->virtual_time;
   entry->backlogged = true;
@@ -89,7 +89,7 @@
 const char *
 wfq_next_account (const wfq_t *wfq, const char *service)
 {
-  const entry_t *entry = least (wfq, service);
+  const entry_t *entry = find_least (wfq, service);
 
   return entry != NULL ? entry->key.account : NULL;
 }
