--- a/libcoltsfootdrum/router/test-avoid.c
+++ b/libcoltsfootdrum/router/test-avoid.c
@@ -20,7 +20,7 @@
 };
 
 static void
-test_expiry (void)
+test_cases (void)
 {
   avoid_t avoid = { 0 };
 
@@ -36,7 +36,7 @@
 
 /* More agents than are remembered: the newest are.  */
 static void
-test_max_agents (void)
+test_many (void)
 {
   avoid_t avoid = { 0 };
 
@@ -56,7 +56,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/avoid/cases", test_expiry);
-  g_test_add_func ("/avoid/many", test_max_agents);
+  g_test_add_func ("/avoid/cases", test_cases);
+  g_test_add_func ("/avoid/many", test_many);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-cost.c
+++ b/libcoltsfootdrum/router/test-cost.c
@@ -3,7 +3,7 @@
 #include "router/cost.h"
 
 static void
-test_update (void)
+test_learns (void)
 {
   /* Hint and actual of 50 requests, then what to expect of a hint of 1000. */
   static const struct
@@ -35,7 +35,7 @@
 }
 
 static void
-test_expire (void)
+test_expires (void)
 {
   g_autoptr (cost_t) cost = cost_new ();
 
@@ -50,7 +50,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/cost/learns", test_update);
-  g_test_add_func ("/cost/expires", test_expire);
+  g_test_add_func ("/cost/learns", test_learns);
+  g_test_add_func ("/cost/expires", test_expires);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-wfq.c
+++ b/libcoltsfootdrum/router/test-wfq.c
@@ -45,7 +45,7 @@
 }
 
 static void
-test_idle_earns_no_credit (void)
+test_idle_earns_nothing (void)
 {
   /* An account away while another was served a lot must not then take all. */
   g_autoptr (wfq_t) wfq = wfq_new ();
@@ -77,7 +77,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/wfq/weights", test_weights);
-  g_test_add_func ("/wfq/idle-earns-nothing", test_idle_earns_no_credit);
+  g_test_add_func ("/wfq/idle-earns-nothing", test_idle_earns_nothing);
   g_test_add_func ("/wfq/idle-and-services", test_idle_and_services);
   return g_test_run ();
 }
