--- a/libcoltsfootdrum/admit/adm.c
+++ b/libcoltsfootdrum/admit/adm.c
@@ -131,8 +131,8 @@
 }
 
 bool
-adm_offer (adm_t *adm, adm_item_t *item, unsigned queue_max, cfd_time_t now,
-           int *retry_after_s)
+adm_enqueue (adm_t *adm, adm_item_t *item, unsigned queue_max, cfd_time_t now,
+             int *retry_after_s)
 {
   queue_t *queue = find (adm, item->account, item->service);
 
@@ -148,7 +148,7 @@
 }
 
 void
-adm_return (adm_t *adm, adm_item_t *item)
+adm_requeue (adm_t *adm, adm_item_t *item)
 {
   link_item (adm, find_or_add (adm, item, item->since), item);
 }
@@ -158,7 +158,7 @@
 static unsigned
 aged_rank (const adm_item_t *item, unsigned rank, cfd_time_t now)
 {
-  cfd_time_t gained = (now - item->since) / ADM_AGEING_MS;
+  cfd_time_t gained = (now - item->since) / ADM_AGEING_INTERVAL_MS;
 
   return gained >= rank ? 0 : rank - (unsigned)gained;
 }
@@ -240,15 +240,17 @@
 }
 
 adm_item_t *
-adm_take (adm_t *adm, const char *account, const char *service, cfd_time_t now)
+adm_dequeue (adm_t *adm, const char *account, const char *service,
+             cfd_time_t now)
 {
   return take (adm, account, service, now, &any);
 }
 
 adm_item_t *
-adm_take_allowed (adm_t *adm, const char *account, const char *service,
-                  cfd_time_t now,
-                  bool (*may) (void *user, const adm_item_t *item), void *user)
+adm_dequeue_allowed (adm_t *adm, const char *account, const char *service,
+                     cfd_time_t now,
+                     bool (*may) (void *user, const adm_item_t *item),
+                     void *user)
 {
   const filter_t filter = { may, user };
 
@@ -269,7 +271,7 @@
 }
 
 void
-adm_drop (adm_t *adm, adm_item_t *item)
+adm_remove (adm_t *adm, adm_item_t *item)
 {
   if (item->node.next == NULL || !list_is_linked (&item->node))
     return;
@@ -277,8 +279,8 @@
 }
 
 void
-adm_info (const adm_t *adm, const char *account, const char *service,
-          cfd_time_t now, adm_queue_info_t *info)
+adm_get_queue_info (const adm_t *adm, const char *account, const char *service,
+                    cfd_time_t now, adm_queue_info_t *info)
 {
   const queue_t *queue = find (adm, account, service);
 
@@ -308,9 +310,9 @@
       /* Before it goes: with its last item the queue forgets that nothing was
          taken, and the caller who waited in vain would be told to ask again
          in a second.  */
-      item->retry_after_s
-          = adm_retry_after (adm, item->account, item->service, now);
-      adm_drop (adm, item);
+      item->retry_after_s = adm_estimate_retry_after_s (adm, item->account,
+                                                        item->service, now);
+      adm_remove (adm, item);
       give_up (user, item);
     }
 }
@@ -324,9 +326,10 @@
 }
 
 void
-adm_each (const adm_t *adm,
-          void (*visit) (void *user, const char *account, const char *service),
-          void *user)
+adm_for_each_queue (const adm_t *adm,
+                    void (*visit) (void *user, const char *account,
+                                   const char *service),
+                    void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -341,14 +344,14 @@
 }
 
 unsigned
-adm_waiting (const adm_t *adm)
+adm_count_waiting (const adm_t *adm)
 {
   return adm->waiting;
 }
 
 int
-adm_retry_after (const adm_t *adm, const char *account, const char *service,
-                 cfd_time_t now)
+adm_estimate_retry_after_s (const adm_t *adm, const char *account,
+                            const char *service, cfd_time_t now)
 {
   const queue_t *queue = find (adm, account, service);
 
--- a/libcoltsfootdrum/admit/test-adm.c
+++ b/libcoltsfootdrum/admit/test-adm.c
@@ -18,7 +18,7 @@
 {
   int retry;
 
-  g_assert_true (adm_offer (adm, item, 100, item->since, &retry));
+  g_assert_true (adm_enqueue (adm, item, 100, item->since, &retry));
 }
 
 static void
@@ -32,12 +32,21 @@
     cfd_time_t now;
     unsigned first;
   } cases[] = {
-    { { 0, 1 }, { 100, 0 }, 200, 0 },             /* better class */
-    { { 0, 0 }, { 100, 0 }, 200, 1 },             /* older */
-    { { 0, 1 }, { 14000, 0 }, 14999, 0 },         /* not aged yet */
-    { { 0, 1 }, { 14000, 0 }, ADM_AGEING_MS, 1 }, /* aged: as good and older */
-    { { 0, 2 }, { 16000, 0 }, ADM_AGEING_MS + 1000, 0 }, /* one class gained */
-    { { 0, 99 }, { 1, 0 }, 1000 * ADM_AGEING_MS, 1 },    /* never starves */
+    { { 0, 1 }, { 100, 0 }, 200, 0 },     /* better class */
+    { { 0, 0 }, { 100, 0 }, 200, 1 },     /* older */
+    { { 0, 1 }, { 14000, 0 }, 14999, 0 }, /* not aged yet */
+    { { 0, 1 },
+      { 14000, 0 },
+      ADM_AGEING_INTERVAL_MS,
+      1 }, /* aged: as good and older */
+    { { 0, 2 },
+      { 16000, 0 },
+      ADM_AGEING_INTERVAL_MS + 1000,
+      0 }, /* one class gained */
+    { { 0, 99 },
+      { 1, 0 },
+      1000 * ADM_AGEING_INTERVAL_MS,
+      1 }, /* never starves */
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -50,11 +59,11 @@
           items[j] = item_of ("a", cases[i].rank[j], cases[i].since[j]);
           offer (adm, &items[j]);
         }
-      g_assert_true (adm_take (adm, "a", "draft", cases[i].now)
+      g_assert_true (adm_dequeue (adm, "a", "draft", cases[i].now)
                      == &items[cases[i].first]);
-      g_assert_true (adm_take (adm, "a", "draft", cases[i].now)
+      g_assert_true (adm_dequeue (adm, "a", "draft", cases[i].now)
                      == &items[1 - cases[i].first]);
-      g_assert_null (adm_take (adm, "a", "draft", cases[i].now));
+      g_assert_null (adm_dequeue (adm, "a", "draft", cases[i].now));
     }
 }
 
@@ -69,15 +78,15 @@
   adm_item_t other = item_of ("b", 0, 3);
   int retry;
 
-  g_assert_true (adm_offer (adm, &items[0], 2, 0, &retry));
-  g_assert_true (adm_offer (adm, &items[1], 2, 1, &retry));
-  g_assert_false (adm_offer (adm, &items[2], 2, 2, &retry));
-  g_assert_true (adm_offer (adm, &other, 2, 3, &retry));
-  g_assert_true (adm_take (adm, "a", "draft", 4) == &items[0]);
-  g_assert_true (adm_offer (adm, &items[2], 2, 4, &retry));
-  adm_return (adm, &items[0]);
-  g_assert_cmpuint (adm_waiting (adm), ==, 4);
-  g_assert_true (adm_take (adm, "a", "draft", 5) == &items[0]);
+  g_assert_true (adm_enqueue (adm, &items[0], 2, 0, &retry));
+  g_assert_true (adm_enqueue (adm, &items[1], 2, 1, &retry));
+  g_assert_false (adm_enqueue (adm, &items[2], 2, 2, &retry));
+  g_assert_true (adm_enqueue (adm, &other, 2, 3, &retry));
+  g_assert_true (adm_dequeue (adm, "a", "draft", 4) == &items[0]);
+  g_assert_true (adm_enqueue (adm, &items[2], 2, 4, &retry));
+  adm_requeue (adm, &items[0]);
+  g_assert_cmpuint (adm_count_waiting (adm), ==, 4);
+  g_assert_true (adm_dequeue (adm, "a", "draft", 5) == &items[0]);
 }
 
 static bool
@@ -96,12 +105,13 @@
 
   offer (adm, &items[0]);
   g_assert_false (adm_has_allowed (adm, "a", "draft", is_not, &items[0]));
-  g_assert_null (adm_take_allowed (adm, "a", "draft", 2, is_not, &items[0]));
+  g_assert_null (
+      adm_dequeue_allowed (adm, "a", "draft", 2, is_not, &items[0]));
   offer (adm, &items[1]);
   g_assert_true (adm_has_allowed (adm, "a", "draft", is_not, &items[0]));
-  g_assert_true (adm_take_allowed (adm, "a", "draft", 2, is_not, &items[0])
+  g_assert_true (adm_dequeue_allowed (adm, "a", "draft", 2, is_not, &items[0])
                  == &items[1]);
-  g_assert_true (adm_take (adm, "a", "draft", 3) == &items[0]);
+  g_assert_true (adm_dequeue (adm, "a", "draft", 3) == &items[0]);
   g_assert_false (adm_has_allowed (adm, "a", "draft", is_not, NULL));
 }
 
@@ -114,18 +124,18 @@
 
   offer (adm, &items[0]);
   offer (adm, &items[1]);
-  adm_info (adm, "a", "draft", 300, &info);
+  adm_get_queue_info (adm, "a", "draft", 300, &info);
   g_assert_cmpuint (info.count, ==, 2);
   g_assert_cmpuint (info.class_rank, ==, 0);
   g_assert_cmpint (info.oldest, ==, 100);
   g_assert_cmpfloat (info.cost, ==, 200);
-  adm_drop (adm, &items[1]);
-  adm_drop (adm, &items[1]);
-  adm_info (adm, "a", "draft", 300, &info);
+  adm_remove (adm, &items[1]);
+  adm_remove (adm, &items[1]);
+  adm_get_queue_info (adm, "a", "draft", 300, &info);
   g_assert_cmpuint (info.count, ==, 1);
   g_assert_cmpuint (info.class_rank, ==, 1);
-  adm_drop (adm, &items[0]);
-  adm_info (adm, "a", "draft", 300, &info);
+  adm_remove (adm, &items[0]);
+  adm_get_queue_info (adm, "a", "draft", 300, &info);
   g_assert_cmpuint (info.count, ==, 0);
 }
 
@@ -155,7 +165,7 @@
   adm_expire (adm, 200, count_one, &expired);
   g_assert_cmpuint (expired, ==, 2);
   g_assert_cmpint (adm_next_deadline (adm), ==, 300);
-  g_assert_null (adm_take (adm, "b", "draft", 201));
+  g_assert_null (adm_dequeue (adm, "b", "draft", 201));
 }
 
 static void
@@ -197,7 +207,7 @@
           offer (adm, &items[j]);
         }
       for (unsigned j = 0; j < takes; j++)
-        g_assert_true (adm_take (adm, "a", "draft", 500 * (j + 1))
+        g_assert_true (adm_dequeue (adm, "a", "draft", 500 * (j + 1))
                        == &items[j]);
       adm_expire (adm, end, keep_retry, &retry);
       g_assert_cmpint (retry, ==, cases[i].retry);
@@ -239,9 +249,10 @@
       for (unsigned j = 0; j < cases[i].takes; j++)
         {
           now += cases[i].gap;
-          adm_take (adm, "a", "draft", now);
+          adm_dequeue (adm, "a", "draft", now);
         }
-      retry = adm_retry_after (adm, "a", "draft", now + cases[i].pause);
+      retry = adm_estimate_retry_after_s (adm, "a", "draft",
+                                          now + cases[i].pause);
       g_assert_cmpint (retry, >=, cases[i].least);
       g_assert_cmpint (retry, <=, cases[i].most);
     }
--- a/libcoltsfootdrum/agent/agent-admin.c
+++ b/libcoltsfootdrum/agent/agent-admin.c
@@ -47,7 +47,7 @@
 {
   unsigned slots = agent->lim.slots;
 
-  if (slots == 0 || (!pick_any_waits (agent->pick) && agent->queued == 0))
+  if (slots == 0 || (!pick_has_waiting (agent->pick) && agent->queued == 0))
     return 1;
   return (double)MIN (agent->running, slots) / slots;
 }
@@ -58,11 +58,11 @@
   add (text, "running", "gauge", agent->running);
   add (text, "slots", "gauge", agent->lim.slots);
   add (text, "limit_state", "gauge", agent->lim.state);
-  add (text, "waiting_announced", "gauge", pick_waiting (agent->pick));
+  add (text, "waiting_announced", "gauge", pick_count_waiting (agent->pick));
   add (text, "queued", "gauge", agent->queued);
   add (text, "may_grant", "gauge", agent_reason (agent, now) == GRANT_MAY);
   prom_sample (text, "cfd_fairness_spread", "gauge", NULL,
-               pick_spread (agent->pick, now));
+               pick_compute_vt_spread (agent->pick, now));
   prom_sample (text, "cfd_utilisation", "gauge", NULL, utilisation (agent));
 }
 
@@ -95,7 +95,7 @@
   admin_text (out, "limit", lim_state_name (agent->lim.state));
   admin_number (out, "in_flight", agent->running);
   admin_number (out, "slots", agent->lim.slots);
-  admin_number (out, "waiting", pick_waiting (agent->pick));
+  admin_number (out, "waiting", pick_count_waiting (agent->pick));
 }
 
 bool
--- a/libcoltsfootdrum/agent/agent-config.c
+++ b/libcoltsfootdrum/agent/agent-config.c
@@ -220,7 +220,7 @@
     .token_interval_ms = agent->is_model ? TOKEN_INTERVAL_MS : 0,
   };
 
-  lim_settings (&agent->lim, &settings, now);
+  lim_apply_settings (&agent->lim, &settings, now);
 }
 
 static void
@@ -243,7 +243,7 @@
   agent->slots_max = endpoint->slots_max;
   agent->slots_cold = endpoint->slots_cold;
   if (moved)
-    lim_restarted (&agent->lim, now);
+    lim_reset_to_cold (&agent->lim, now);
   if (changed)
     {
       pick_free (agent->pick);
--- a/libcoltsfootdrum/agent/agent-local.c
+++ b/libcoltsfootdrum/agent/agent-local.c
@@ -64,7 +64,7 @@
           refuse (agent, run, grant_reason_name (reason), now);
           continue;
         }
-      if (lim_free (&agent->lim, agent->running, now) == 0)
+      if (lim_count_free_slots (&agent->lim, agent->running, now) == 0)
         return;
       local_drop (run);
       ids_set (agent->ids, run->request, IDS_STARTED, now);
--- a/libcoltsfootdrum/agent/agent-peers.c
+++ b/libcoltsfootdrum/agent/agent-peers.c
@@ -17,7 +17,7 @@
 {
   if (g_strcmp0 (announce->service, agent->service) != 0)
     return;
-  pick_announce (agent->pick, router, announce, now);
+  pick_apply_announcement (agent->pick, router, announce, now);
   agent_pump (agent, now);
 }
 
@@ -180,7 +180,7 @@
   peer_hub_counters (agent->hub, &counters);
   links_down (agent->links, peer->instance,
               counters.silences > agent->silences[1], now);
-  pick_router_gone (agent->pick, peer->instance);
+  pick_remove_router (agent->pick, peer->instance);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (g_str_equal (((run_t *)value)->router, peer->instance))
--- a/libcoltsfootdrum/agent/agent-reader.c
+++ b/libcoltsfootdrum/agent/agent-reader.c
@@ -256,9 +256,9 @@
   if (!is_timed (run))
     return;
   if (run->sse.first == 0)
-    lim_first_token (lim, (double)(now - run->started), now);
-  lim_slow (lim, interval, now);
-  lim_proof (lim, sse_newest_gap (&run->sse), run->sse.last, now);
+    lim_check_first_token (lim, (double)(now - run->started), now);
+  lim_check_token_interval (lim, interval, now);
+  lim_confirm_warm (lim, sse_newest_gap (&run->sse), run->sse.last, now);
 }
 
 static bool
--- a/libcoltsfootdrum/agent/agent-run.c
+++ b/libcoltsfootdrum/agent/agent-run.c
@@ -154,10 +154,10 @@
   lim_t *lim = &run->agent->lim;
 
   if (run->sse.streamed && !run->untimed)
-    lim_proof (lim, sse_newest_gap (&run->sse), run->sse.last, now);
+    lim_confirm_warm (lim, sse_newest_gap (&run->sse), run->sse.last, now);
   else
-    lim_proof_whole (lim, token_interval (run, now),
-                     sse_output_tokens (&run->sse), now);
+    lim_confirm_warm_unstreamed (lim, token_interval (run, now),
+                                 sse_output_tokens (&run->sse), now);
 }
 
 static void
@@ -172,21 +172,21 @@
     {
     case OUTCOME_COMPLETE:
       if (is_endpoint_fault (run->stream.status))
-        lim_failed (lim, now);
+        lim_record_failure (lim, now);
       else
         {
-          lim_completed (lim, first_token (run), token_interval (run, now),
-                         run->started, now);
+          lim_record_completion (lim, first_token (run),
+                                 token_interval (run, now), run->started, now);
           prove (run, now);
         }
       return;
     case OUTCOME_BROKEN:
-      lim_failed (lim, now);
+      lim_record_failure (lim, now);
       return;
     case OUTCOME_UNREACHED:
       /* Nobody listens: it was stopped, and will come back cold.  */
-      lim_restarted (lim, now);
-      lim_failed (lim, now);
+      lim_reset_to_cold (lim, now);
+      lim_record_failure (lim, now);
       return;
     case OUTCOME_CANCELLED:
     case OUTCOME_UNKNOWN:
@@ -327,7 +327,7 @@
     {
       /* The engine lost the stream: it was restarted and is cold again.  */
       agent->counters.engine_resume_failed++;
-      lim_restarted (&agent->lim, now);
+      lim_reset_to_cold (&agent->lim, now);
       run_finish (run, OUTCOME_BROKEN, "the engine no longer knows the stream",
                   now);
       return;
--- a/libcoltsfootdrum/agent/agent-work.c
+++ b/libcoltsfootdrum/agent/agent-work.c
@@ -28,7 +28,7 @@
 grant_one (cfd_agent_t *agent, cfd_time_t now)
 {
   pick_choice_t choice;
-  uint64_t grant = pick_grant (agent->pick, now, &choice);
+  uint64_t grant = pick_make_grant (agent->pick, now, &choice);
   g_autofree char *router = NULL;
 
   if (grant == 0)
@@ -43,8 +43,8 @@
       return true;
     }
   router = g_strdup (choice.router);
-  (void)pick_answered (agent->pick, grant, now);
-  pick_router_gone (agent->pick, router);
+  (void)pick_complete_grant (agent->pick, grant, now);
+  pick_remove_router (agent->pick, router);
   return true;
 }
 
@@ -63,8 +63,8 @@
     }
   if (agent_reason (agent, now) != GRANT_MAY)
     return;
-  flying = pick_expire (agent->pick, now);
-  slots = lim_free (&agent->lim, agent->running + flying, now);
+  flying = pick_expire_grants (agent->pick, now);
+  slots = lim_count_free_slots (&agent->lim, agent->running + flying, now);
   while (slots-- > 0)
     if (!grant_one (agent, now))
       return;
@@ -104,7 +104,7 @@
   if (g_strcmp0 (assign->service, agent->service) != 0)
     return "the endpoint is of another service";
   /* The limit may have been cut back since the grant.  */
-  if (lim_free (&agent->lim, agent->running, now) == 0)
+  if (lim_count_free_slots (&agent->lim, agent->running, now) == 0)
     return "no slot is free any more";
   return NULL;
 }
@@ -138,9 +138,9 @@
       local_push (agent, peer, assign, now);
       return;
     }
-  alive = pick_answered (agent->pick, assign->grant, now);
+  alive = pick_complete_grant (agent->pick, assign->grant, now);
   if (g_strcmp0 (assign->service, agent->service) == 0)
-    pick_left (agent->pick, peer->instance, &assign->left, now);
+    pick_update_waiting (agent->pick, peer->instance, &assign->left, now);
   if (ids_get (agent->ids, assign->request) == IDS_STARTED)
     {
       /* No word is given: it did start.  */
@@ -172,9 +172,9 @@
 agent_decline (cfd_agent_t *agent, const peer_id_t *peer,
                const msg_decline_t *decline, cfd_time_t now)
 {
-  (void)pick_answered (agent->pick, decline->grant, now);
+  (void)pick_complete_grant (agent->pick, decline->grant, now);
   if (g_strcmp0 (decline->service, agent->service) == 0)
-    pick_left (agent->pick, peer->instance, &decline->left, now);
+    pick_update_waiting (agent->pick, peer->instance, &decline->left, now);
   switch (decline->reason)
     {
     case DECLINE_STALE:
@@ -187,7 +187,7 @@
     case DECLINE_ZONE:
     case DECLINE_DRAINING:
       agent->counters.declined_other++;
-      pick_router_gone (agent->pick, peer->instance);
+      pick_remove_router (agent->pick, peer->instance);
       break;
     }
   if (agent->repicks++ < REPICKS_MAX)
--- a/libcoltsfootdrum/agent/agent.c
+++ b/libcoltsfootdrum/agent/agent.c
@@ -85,7 +85,7 @@
 {
   agent->counters.busy_ms += (uint64_t)agent->running * AGENT_TICK_MS;
   agent->counters.slot_ms += (uint64_t)agent->lim.slots * AGENT_TICK_MS;
-  if (!pick_any_waits (agent->pick) && agent->queued == 0)
+  if (!pick_has_waiting (agent->pick) && agent->queued == 0)
     return;
   agent->counters.needed_busy_ms += (uint64_t)agent->running * AGENT_TICK_MS;
   agent->counters.needed_slot_ms += (uint64_t)agent->lim.slots * AGENT_TICK_MS;
--- a/libcoltsfootdrum/dispatch/disp-entry.c
+++ b/libcoltsfootdrum/dispatch/disp-entry.c
@@ -85,11 +85,11 @@
   if (waiting->count < former)
     entry->served = now;
   if (waiting->count == 0)
-    return now + DISP_WITHDRAW_MS;
+    return now + DISP_WITHDRAWAL_DELAY_MS;
   if (former == 0)
     return now;
   if (is_behind (service, entry, now))
-    return MAX (now, entry->told + DISP_CORRECT_MS);
+    return MAX (now, entry->told + DISP_CORRECTION_INTERVAL_MS);
   return CFD_TIME_NEVER;
 }
 
@@ -120,7 +120,8 @@
 width_for (const service_t *service, const entry_t *entry, unsigned wanted,
            cfd_time_t now)
 {
-  unsigned most = MIN (wanted * DISP_SEARCH, service->agents->len);
+  unsigned most
+      = MIN (wanted * DISP_MAX_CANDIDATES_PER_AGENT, service->agents->len);
   unsigned width = 0;
 
   for (unsigned reached = 0; reached < wanted && width < most; width++)
@@ -138,8 +139,8 @@
   cfd_time_t unserved = now - entry->served;
 
   if (entry->width == 0)
-    entry->wanted = MAX (DISP_FIRST, entry->waiting.count);
-  else if (count <= DISP_ALL)
+    entry->wanted = MAX (DISP_INITIAL_AGENTS, entry->waiting.count);
+  else if (count <= DISP_SMALL_FLEET_AGENTS)
     entry->wanted = count;
   else if (unserved >= DISP_WIDEN_MS && entry->waiting.count > 0)
     {
@@ -155,12 +156,12 @@
 next_due (const service_t *service, const entry_t *entry, cfd_time_t now)
 {
   unsigned count = service->agents->len;
-  cfd_time_t check = now + DISP_CHECK_MS;
+  cfd_time_t check = now + DISP_CHECK_INTERVAL_MS;
 
   if (entry->width >= count)
     return check;
-  if (count <= DISP_ALL)
-    return now + DISP_QUICK_MS;
+  if (count <= DISP_SMALL_FLEET_AGENTS)
+    return now + DISP_SMALL_FLEET_WIDEN_MS;
   return MIN (check, entry->served + DISP_WIDEN_MS);
 }
 
@@ -205,7 +206,7 @@
 disp_entry_gather (const service_t *service, entry_t *entry, cfd_time_t now)
 {
   msg_waiting_t waiting = entry->waiting;
-  cfd_time_t refresh = service->refresh_ms - DISP_GATHER_MS;
+  cfd_time_t refresh = service->refresh_ms - DISP_EARLY_REFRESH_MS;
 
   waiting.oldest_ms = (uint32_t)(now - entry->oldest);
   for (unsigned rank = 0; rank < entry->width; rank++)
--- a/libcoltsfootdrum/dispatch/disp-private.h
+++ b/libcoltsfootdrum/dispatch/disp-private.h
@@ -14,8 +14,8 @@
 {
   char *name;
   bool forgot;     /* it knows nothing: the next word is a full one */
-  bool must_hear;  /* of some entry, while disp_due gathers */
-  GArray *entries; /* of msg_waiting_t, while disp_due gathers */
+  bool must_hear;  /* of some entry, while disp_send_due gathers */
+  GArray *entries; /* of msg_waiting_t, while disp_send_due gathers */
   reach_t reach;
 } agent_t;
 
--- a/libcoltsfootdrum/dispatch/disp.c
+++ b/libcoltsfootdrum/dispatch/disp.c
@@ -91,7 +91,7 @@
 }
 
 void
-disp_agents (disp_t *disp, const char *name, const GPtrArray *names)
+disp_set_agents (disp_t *disp, const char *name, const GPtrArray *names)
 {
   service_t *service = find_or_add (disp, name);
   GPtrArray *former = service->agents;
@@ -120,8 +120,9 @@
       agent->reach = old->reach;
     }
   g_ptr_array_unref (former);
-  service->refresh_ms
-      = names->len <= DISP_ALL ? DISP_REFRESH_ALL_MS : DISP_REFRESH_MS;
+  service->refresh_ms = names->len <= DISP_SMALL_FLEET_AGENTS
+                            ? DISP_SMALL_FLEET_REFRESH_MS
+                            : DISP_REFRESH_MS;
   g_hash_table_iter_init (&iter, service->entries);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
@@ -142,8 +143,8 @@
 }
 
 void
-disp_waiting (disp_t *disp, const char *name, const msg_waiting_t *waiting,
-              cfd_time_t now)
+disp_update_waiting (disp_t *disp, const char *name,
+                     const msg_waiting_t *waiting, cfd_time_t now)
 {
   service_t *service = find_or_add (disp, name);
   entry_t *entry = g_hash_table_lookup (service->entries, waiting->account);
@@ -167,7 +168,7 @@
    gave a reason to doubt it.  */
 static bool
 tell_agent (const service_t *service, agent_t *agent, cfd_time_t now,
-            disp_tell_t *tell, void *user)
+            disp_send_t *tell, void *user)
 {
   const msg_waiting_t *entries = (const msg_waiting_t *)agent->entries->data;
   bool doubted = reach_is_doubted (&agent->reach, now);
@@ -177,7 +178,7 @@
     {
       msg_announce_t announce = { .service = service->name,
                                   .full = agent->forgot,
-                                  .life_ms = DISP_LIFE_MS,
+                                  .life_ms = DISP_LIFETIME_MS,
                                   .entries = entries + told };
 
       announce.count = MIN (agent->entries->len - told, MSG_ENTRIES_MAX);
@@ -230,7 +231,7 @@
 
 static void
 service_due (disp_t *disp, service_t *service, cfd_time_t now,
-             disp_tell_t *tell, void *user)
+             disp_send_t *tell, void *user)
 {
   g_autoptr (GPtrArray) ended = g_ptr_array_new ();
   bool any_doubt = false;
@@ -253,7 +254,7 @@
 }
 
 void
-disp_due (disp_t *disp, cfd_time_t now, disp_tell_t *tell, void *user)
+disp_send_due (disp_t *disp, cfd_time_t now, disp_send_t *tell, void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -274,8 +275,8 @@
 }
 
 void
-disp_answered (disp_t *disp, const char *name, const char *agent,
-               const msg_waiting_t *left, cfd_time_t now)
+disp_record_answer (disp_t *disp, const char *name, const char *agent,
+                    const msg_waiting_t *left, cfd_time_t now)
 {
   const service_t *service = g_hash_table_lookup (disp->services, name);
   const entry_t *entry = find_entry (service, left->account);
@@ -314,7 +315,7 @@
 }
 
 void
-disp_forgot (disp_t *disp, const char *name)
+disp_record_link_up (disp_t *disp, const char *name)
 {
   each_named (disp, name, forget, 0);
 }
@@ -327,13 +328,13 @@
 }
 
 void
-disp_lost (disp_t *disp, const char *name, cfd_time_t now)
+disp_record_link_lost (disp_t *disp, const char *name, cfd_time_t now)
 {
   each_named (disp, name, lose, now);
 }
 
 cfd_time_t
-disp_next (const disp_t *disp, cfd_time_t now)
+disp_next_due (const disp_t *disp, cfd_time_t now)
 {
   return disp->next;
 }
@@ -353,7 +354,7 @@
 }
 
 unsigned
-disp_doubted (const disp_t *disp, cfd_time_t now)
+disp_count_suspect_agents (const disp_t *disp, cfd_time_t now)
 {
   unsigned doubted = 0;
   GHashTableIter iter;
@@ -366,7 +367,7 @@
 }
 
 unsigned
-disp_width (const disp_t *disp, const char *name, const char *account)
+disp_fanout (const disp_t *disp, const char *name, const char *account)
 {
   const service_t *service = g_hash_table_lookup (disp->services, name);
   const entry_t *entry = find_entry (service, account);
--- a/libcoltsfootdrum/dispatch/pick-words.c
+++ b/libcoltsfootdrum/dispatch/pick-words.c
@@ -203,8 +203,8 @@
 }
 
 void
-pick_announce (pick_t *pick, const char *router,
-               const msg_announce_t *announce, cfd_time_t now)
+pick_apply_announcement (pick_t *pick, const char *router,
+                         const msg_announce_t *announce, cfd_time_t now)
 {
   (void)source_heard (pick, router);
   for (uint32_t i = 0; i < announce->count; i++)
@@ -234,8 +234,8 @@
 }
 
 void
-pick_left (pick_t *pick, const char *router, const msg_waiting_t *left,
-           cfd_time_t now)
+pick_update_waiting (pick_t *pick, const char *router,
+                     const msg_waiting_t *left, cfd_time_t now)
 {
   claimant_t *claimant = g_hash_table_lookup (pick->by_account, left->account);
   entry_t *entry
@@ -251,7 +251,7 @@
 }
 
 void
-pick_router_gone (pick_t *pick, const char *router)
+pick_remove_router (pick_t *pick, const char *router)
 {
   GHashTableIter iter;
   gpointer value;
--- a/libcoltsfootdrum/dispatch/pick.c
+++ b/libcoltsfootdrum/dispatch/pick.c
@@ -5,7 +5,7 @@
 /* Weight of the newest round trip.  */
 #define TRIP_WEIGHT 0.2
 
-/* Round trips that a router may take beyond PICK_OVERDUE_MS.  */
+/* Round trips that a router may take beyond PICK_ANSWER_TIMEOUT_MS.  */
 #define TRIPS 2
 
 static bool
@@ -15,7 +15,7 @@
     return true;
   return source->asked != CFD_TIME_NEVER
          && (double)(now - source->asked)
-                >= PICK_OVERDUE_MS + TRIPS * source->round_trip;
+                >= PICK_ANSWER_TIMEOUT_MS + TRIPS * source->round_trip;
 }
 
 static bool
@@ -92,7 +92,7 @@
   flight->router = g_strdup (found->entry->source->name);
   flight->account = g_strdup (found->claimant->name);
   flight->made = now;
-  flight->until = now + PICK_GRANT_MS;
+  flight->until = now + PICK_GRANT_LIFETIME_MS;
   g_hash_table_insert (pick->flights, &flight->id, flight);
   if (found->entry->source->asked == CFD_TIME_NEVER)
     found->entry->source->asked = now;
@@ -103,7 +103,7 @@
 }
 
 uint64_t
-pick_grant (pick_t *pick, cfd_time_t now, pick_choice_t *choice)
+pick_make_grant (pick_t *pick, cfd_time_t now, pick_choice_t *choice)
 {
   search_t search = { .second = INFINITY, .floor = INFINITY };
 
@@ -161,7 +161,7 @@
 }
 
 bool
-pick_answered (pick_t *pick, uint64_t grant, cfd_time_t now)
+pick_complete_grant (pick_t *pick, uint64_t grant, cfd_time_t now)
 {
   flight_t *flight = g_hash_table_lookup (pick->flights, &grant);
   bool alive;
@@ -216,7 +216,7 @@
 }
 
 unsigned
-pick_expire (pick_t *pick, cfd_time_t now)
+pick_expire_grants (pick_t *pick, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -240,7 +240,7 @@
 }
 
 unsigned
-pick_waiting (const pick_t *pick)
+pick_count_waiting (const pick_t *pick)
 {
   unsigned waiting = 0;
 
@@ -273,7 +273,7 @@
 }
 
 bool
-pick_any_waits (const pick_t *pick)
+pick_has_waiting (const pick_t *pick)
 {
   list_for_each (node, &pick->accounts)
     if (claimant_has_free (list_entry (node, claimant_t, node)))
@@ -291,7 +291,7 @@
 }
 
 double
-pick_spread (const pick_t *pick, cfd_time_t now)
+pick_compute_vt_spread (const pick_t *pick, cfd_time_t now)
 {
   double least = INFINITY;
   double most = -INFINITY;
--- a/libcoltsfootdrum/dispatch/reach.c
+++ b/libcoltsfootdrum/dispatch/reach.c
@@ -11,17 +11,17 @@
 }
 
 void
-reach_told (reach_t *reach, reach_word_t word, cfd_time_t now)
+reach_told (reach_t *reach, reach_result_t word, cfd_time_t now)
 {
   switch (word)
     {
     case REACH_SENT:
       *reach = reach_fresh;
       return;
-    case REACH_DIALLED:
+    case REACH_DIALLING:
       reach->doubted = MIN (reach->doubted, now + REACH_DIAL_MS);
       return;
-    case REACH_QUIET:
+    case REACH_UNRESPONSIVE:
       reach->doubted = MIN (reach->doubted, now);
       return;
     }
--- a/libcoltsfootdrum/dispatch/reach.h
+++ b/libcoltsfootdrum/dispatch/reach.h
@@ -24,13 +24,13 @@
 typedef enum
 {
   REACH_SENT,
-  REACH_DIALLED, /* not sent: there is no link, and it is dialled now */
-  REACH_QUIET    /* sent on a link whose other side answers no heartbeat */
-} reach_word_t;
+  REACH_DIALLING,    /* not sent: there is no link, and it is dialled now */
+  REACH_UNRESPONSIVE /* sent on a link whose other side answers no heartbeat */
+} reach_result_t;
 
 /* The agent's link was lost while it was in use.  */
 void reach_lost (reach_t *reach, cfd_time_t now);
-void reach_told (reach_t *reach, reach_word_t word, cfd_time_t now);
+void reach_told (reach_t *reach, reach_result_t word, cfd_time_t now);
 bool reach_is_doubted (const reach_t *reach, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/dispatch/test-disp-help.c
+++ b/libcoltsfootdrum/dispatch/test-disp-help.c
@@ -9,7 +9,7 @@
   return strtoul (agent + strlen ("agent-"), NULL, 10) >= heard->dead;
 }
 
-reach_word_t
+reach_result_t
 tell (void *user, const char *agent, const msg_announce_t *announce)
 {
   heard_t *heard = user;
@@ -23,7 +23,7 @@
                           GUINT_TO_POINTER (announce->entries[i].count));
   if (has_link (heard, agent))
     return REACH_SENT;
-  return heard->frozen ? REACH_QUIET : REACH_DIALLED;
+  return heard->frozen ? REACH_UNRESPONSIVE : REACH_DIALLING;
 }
 
 heard_t
@@ -33,7 +33,7 @@
                                                      g_free, NULL),
                     .dead = dead };
 
-  disp_due (disp, now, tell, &heard);
+  disp_send_due (disp, now, tell, &heard);
   return heard;
 }
 
@@ -62,7 +62,7 @@
   for (unsigned i = 0; i < count; i++)
     g_ptr_array_insert (names, g_rand_int_range (random, 0, (int)i + 1),
                         g_strdup_printf ("agent-%u", i));
-  disp_agents (disp, "draft", names);
+  disp_set_agents (disp, "draft", names);
 }
 
 void
@@ -70,5 +70,5 @@
 {
   msg_waiting_t waiting = { .account = account, .count = count };
 
-  disp_waiting (disp, "draft", &waiting, now);
+  disp_update_waiting (disp, "draft", &waiting, now);
 }
--- a/libcoltsfootdrum/dispatch/test-disp-help.h
+++ b/libcoltsfootdrum/dispatch/test-disp-help.h
@@ -18,9 +18,9 @@
 } heard_t;
 
 bool has_link (const heard_t *heard, const char *agent);
-/* For disp_due, with a heard_t.  */
-reach_word_t tell (void *user, const char *agent,
-                   const msg_announce_t *announce);
+/* For disp_send_due, with a heard_t.  */
+reach_result_t tell (void *user, const char *agent,
+                     const msg_announce_t *announce);
 /* The AGENTS of what is returned are to be unreferenced.  */
 heard_t due_with_dead (disp_t *disp, unsigned dead, cfd_time_t now);
 heard_t due (disp_t *disp, cfd_time_t now);
--- a/libcoltsfootdrum/dispatch/test-disp.c
+++ b/libcoltsfootdrum/dispatch/test-disp.c
@@ -16,8 +16,14 @@
   } cases[] = {
     { 0, 1, { 0, 0, 0, 0 } },
     { 1, 1, { 1, 1, 1, 1 } },
-    { DISP_ALL, 1, { 2, DISP_ALL, DISP_ALL, DISP_ALL } },
-    { DISP_ALL, 9, { 9, DISP_ALL, DISP_ALL, DISP_ALL } },
+    { DISP_SMALL_FLEET_AGENTS,
+      1,
+      { 2, DISP_SMALL_FLEET_AGENTS, DISP_SMALL_FLEET_AGENTS,
+        DISP_SMALL_FLEET_AGENTS } },
+    { DISP_SMALL_FLEET_AGENTS,
+      9,
+      { 9, DISP_SMALL_FLEET_AGENTS, DISP_SMALL_FLEET_AGENTS,
+        DISP_SMALL_FLEET_AGENTS } },
     { 600, 1, { 2, 4, 8, 600 } },
     { 600, 10, { 10, 20, 40, 600 } },
     { 30, 9000, { 30, 30, 30, 30 } },
@@ -35,7 +41,7 @@
         {
           now += DISP_WIDEN_MS;
           agents_told (disp, now);
-          g_assert_cmpuint (disp_width (disp, "draft", "a"), ==,
+          g_assert_cmpuint (disp_fanout (disp, "draft", "a"), ==,
                             cases[i].told[round]);
         }
       for (unsigned round = 0; round < 10; round++)
@@ -49,18 +55,19 @@
 test_quick (void)
 {
   /* In a small fleet the few first agents were busy: all others must hear of
-     the work after DISP_QUICK_MS, not only with the refresh a second later,
-     or a slot would idle beside waiting work.  */
+     the work after DISP_SMALL_FLEET_WIDEN_MS, not only with the refresh a
+     second later, or a slot would idle beside waiting work.  */
   g_autoptr (disp_t) disp = disp_new (7);
 
   set_agents (disp, 12);
   wait_for (disp, "a", 1, 1000);
-  g_assert_cmpuint (agents_told (disp, 1000), ==, DISP_FIRST);
-  g_assert_cmpint (disp_next (disp, 1000), ==, 1000 + DISP_QUICK_MS);
+  g_assert_cmpuint (agents_told (disp, 1000), ==, DISP_INITIAL_AGENTS);
+  g_assert_cmpint (disp_next_due (disp, 1000), ==,
+                   1000 + DISP_SMALL_FLEET_WIDEN_MS);
   /* The first need not hear it again.  */
-  g_assert_cmpuint (agents_told (disp, 1000 + DISP_QUICK_MS), ==,
-                    12 - DISP_FIRST);
-  g_assert_cmpuint (disp_width (disp, "draft", "a"), ==, 12);
+  g_assert_cmpuint (agents_told (disp, 1000 + DISP_SMALL_FLEET_WIDEN_MS), ==,
+                    12 - DISP_INITIAL_AGENTS);
+  g_assert_cmpuint (disp_fanout (disp, "draft", "a"), ==, 12);
 }
 
 static void
@@ -76,7 +83,7 @@
       wait_for (disp, "a", 3, now);
       agents_told (disp, now);
     }
-  g_assert_cmpuint (disp_width (disp, "draft", "a"), ==, 3);
+  g_assert_cmpuint (disp_fanout (disp, "draft", "a"), ==, 3);
 }
 
 static void
@@ -89,13 +96,14 @@
   wait_for (disp, "a", 1, 0);
   agents_told (disp, 0);
   wait_for (disp, "a", 0, 10);
-  g_assert_cmpint (disp_next (disp, 10), ==, 10 + DISP_WITHDRAW_MS);
-  heard = due (disp, 10 + DISP_WITHDRAW_MS);
+  g_assert_cmpint (disp_next_due (disp, 10), ==,
+                   10 + DISP_WITHDRAWAL_DELAY_MS);
+  heard = due (disp, 10 + DISP_WITHDRAWAL_DELAY_MS);
   g_assert_cmpuint (heard.entries, ==, 2);
   g_assert_cmpuint (
       GPOINTER_TO_UINT (g_hash_table_lookup (heard.agents, "agent-0")), ==, 0);
   g_hash_table_unref (heard.agents);
-  g_assert_cmpint (disp_next (disp, 1000), ==, CFD_TIME_NEVER);
+  g_assert_cmpint (disp_next_due (disp, 1000), ==, CFD_TIME_NEVER);
   /* Never told, nothing to withdraw.  */
   wait_for (disp, "b", 1, 1000);
   wait_for (disp, "b", 0, 1000);
@@ -115,8 +123,8 @@
   wait_for (disp, "b", 1, 0);
   g_assert_cmpuint (agents_told (disp, 0), ==, 2);
   g_assert_cmpuint (agents_told (disp, 5), ==, 0);
-  disp_forgot (disp, "agent-1");
-  g_assert_cmpint (disp_next (disp, 10), <=, 10);
+  disp_record_link_up (disp, "agent-1");
+  g_assert_cmpint (disp_next_due (disp, 10), <=, 10);
   heard = due (disp, 10);
   g_assert_cmpuint (heard.frames, ==, 1);
   g_assert_cmpuint (heard.full, ==, 1);
@@ -147,19 +155,19 @@
   msg_waiting_t starved = { .account = "b", .count = 9 };
   heard_t heard;
   cfd_time_t start = 1000;
-  cfd_time_t end = start + DISP_REFRESH_ALL_MS - DISP_GATHER_MS;
+  cfd_time_t end = start + DISP_SMALL_FLEET_REFRESH_MS - DISP_EARLY_REFRESH_MS;
   cfd_time_t now;
 
   set_agents (disp, 1);
-  disp_waiting (disp, "draft", &served, start);
-  disp_waiting (disp, "draft", &starved, start);
+  disp_update_waiting (disp, "draft", &served, start);
+  disp_update_waiting (disp, "draft", &starved, start);
   agents_told (disp, start);
   for (now = start + 50; now < end; now += 50)
     {
       served.virtual_time = 10.0 * (double)(now - start);
-      disp_waiting (disp, "draft", &served, now);
-      disp_waiting (disp, "draft", &starved, now);
-      if (disp_next (disp, now) <= now)
+      disp_update_waiting (disp, "draft", &served, now);
+      disp_update_waiting (disp, "draft", &starved, now);
+      if (disp_next_due (disp, now) <= now)
         break;
     }
   g_assert_cmpint (now, <, end);
@@ -190,21 +198,21 @@
   cfd_time_t now = 1000;
 
   set_agents (disp, 2);
-  disp_waiting (disp, "draft", &waiting, now);
+  disp_update_waiting (disp, "draft", &waiting, now);
   g_assert_cmpuint (agents_told (disp, now), ==, 2);
   waiting.virtual_time = 400;
-  now += DISP_CORRECT_MS;
-  disp_answered (disp, "draft", "agent-0", &waiting, now);
-  disp_waiting (disp, "draft", &waiting, now);
-  g_assert_cmpint (disp_next (disp, now), <=, now);
+  now += DISP_CORRECTION_INTERVAL_MS;
+  disp_record_answer (disp, "draft", "agent-0", &waiting, now);
+  disp_update_waiting (disp, "draft", &waiting, now);
+  g_assert_cmpint (disp_next_due (disp, now), <=, now);
   g_assert_cmpuint (agents_told (disp, now), ==, 1);
-  for (; now < 1000 + DISP_LIFE_MS; now += DISP_CHECK_MS)
+  for (; now < 1000 + DISP_LIFETIME_MS; now += DISP_CHECK_INTERVAL_MS)
     if (hears (disp, "agent-0", now))
       break;
-  g_assert_cmpint (now, <, 1000 + DISP_LIFE_MS);
-  disp_answered (disp, "draft", "agent-0", &none, now);
-  disp_waiting (disp, "draft", &none, now);
-  now += DISP_WITHDRAW_MS;
+  g_assert_cmpint (now, <, 1000 + DISP_LIFETIME_MS);
+  disp_record_answer (disp, "draft", "agent-0", &none, now);
+  disp_update_waiting (disp, "draft", &none, now);
+  now += DISP_WITHDRAWAL_DELAY_MS;
   g_assert_cmpuint (agents_told (disp, now), ==, 1);
 }
 
@@ -221,7 +229,8 @@
   agents_told (disp, 1000);
   wait_for (disp, "a", 0, 1010);
   set_agents (disp, 2);
-  g_assert_cmpuint (agents_told (disp, 1010 + DISP_WITHDRAW_MS), ==, 2);
+  g_assert_cmpuint (agents_told (disp, 1010 + DISP_WITHDRAWAL_DELAY_MS), ==,
+                    2);
 }
 
 /* At the target size: 1,800 pairs that wait at one router, 600 agents.  Prints
@@ -246,7 +255,7 @@
   g_test_message ("1,800 pairs to 600 agents: %u frames, %u entries, %" PRIi64
                   " us",
                   heard.frames, heard.entries, clock_now_us () - began);
-  g_assert_cmpuint (heard.entries, ==, 1800 * DISP_FIRST);
+  g_assert_cmpuint (heard.entries, ==, 1800 * DISP_INITIAL_AGENTS);
   g_hash_table_unref (heard.agents);
 }
 
--- a/libcoltsfootdrum/dispatch/test-pick.c
+++ b/libcoltsfootdrum/dispatch/test-pick.c
@@ -22,7 +22,7 @@
                               .count = word != NULL,
                               .entries = word };
 
-  pick_announce (pick, router, &announce, now);
+  pick_apply_announcement (pick, router, &announce, now);
 }
 
 static const struct
@@ -76,7 +76,7 @@
       for (int k = 0; k < 4 && choices[i].told[k].router != NULL; k++)
         tell (pick, choices[i].told[k].router, &choices[i].told[k].word, false,
               0);
-      grant = pick_grant (pick, 1, &choice);
+      grant = pick_make_grant (pick, 1, &choice);
       g_test_message ("%s", choices[i].name);
       g_assert_cmpint (grant != 0, ==, choices[i].router != NULL);
       if (grant == 0)
@@ -99,20 +99,25 @@
   uint64_t second;
 
   tell (pick, "r1", &two, false, 0);
-  first = pick_grant (pick, 0, &choice);
-  second = pick_grant (pick, 10, &choice);
-  g_assert_cmpuint (pick_grant (pick, 10, &choice), ==, 0);
-  g_assert_cmpuint (pick_expire (pick, 10), ==, 2);
-  g_assert_true (pick_answered (pick, first, PICK_GRANT_MS - 1));
-  g_assert_false (pick_answered (pick, first, PICK_GRANT_MS - 1));
-  g_assert_false (pick_answered (pick, second, 10 + PICK_GRANT_MS));
+  first = pick_make_grant (pick, 0, &choice);
+  second = pick_make_grant (pick, 10, &choice);
+  g_assert_cmpuint (pick_make_grant (pick, 10, &choice), ==, 0);
+  g_assert_cmpuint (pick_expire_grants (pick, 10), ==, 2);
+  g_assert_true (
+      pick_complete_grant (pick, first, PICK_GRANT_LIFETIME_MS - 1));
+  g_assert_false (
+      pick_complete_grant (pick, first, PICK_GRANT_LIFETIME_MS - 1));
+  g_assert_false (
+      pick_complete_grant (pick, second, 10 + PICK_GRANT_LIFETIME_MS));
 
   tell (pick, "r1", &two, false, 2000);
-  g_assert_cmpuint (pick_grant (pick, 2000, &choice), !=, 0);
-  g_assert_cmpuint (pick_expire (pick, 2000 + PICK_GRANT_MS), ==, 0);
-  g_assert_cmpuint (pick_grant (pick, 2000 + PICK_GRANT_MS, &choice), ==, 0);
+  g_assert_cmpuint (pick_make_grant (pick, 2000, &choice), !=, 0);
+  g_assert_cmpuint (pick_expire_grants (pick, 2000 + PICK_GRANT_LIFETIME_MS),
+                    ==, 0);
+  g_assert_cmpuint (
+      pick_make_grant (pick, 2000 + PICK_GRANT_LIFETIME_MS, &choice), ==, 0);
   tell (pick, "r1", &two, false, 3100);
-  g_assert_cmpuint (pick_grant (pick, 3100, &choice), !=, 0);
+  g_assert_cmpuint (pick_make_grant (pick, 3100, &choice), !=, 0);
 }
 
 /* The agent sees a router fall silent with grants unanswered: cut off, frozen,
@@ -130,13 +135,14 @@
 } overdue_case_t;
 
 static const overdue_case_t overdue_cases[] = {
-  { "in time", 0, 0, PICK_OVERDUE_MS - 1, "r1", 1 },
-  { "overdue", 0, 0, PICK_OVERDUE_MS, "r2", 0 },
-  { "dead", 0, 0, PICK_GRANT_MS + 1, "r2", 0 },
-  { "spoke", 0, 150, PICK_OVERDUE_MS, "r1", 1 },
-  { "spoke late", 0, PICK_OVERDUE_MS + 1, PICK_OVERDUE_MS + 2, "r1", 1 },
-  { "far", 100, 0, PICK_OVERDUE_MS + 199, "r1", 1 },
-  { "far and overdue", 100, 0, PICK_OVERDUE_MS + 200, "r2", 0 },
+  { "in time", 0, 0, PICK_ANSWER_TIMEOUT_MS - 1, "r1", 1 },
+  { "overdue", 0, 0, PICK_ANSWER_TIMEOUT_MS, "r2", 0 },
+  { "dead", 0, 0, PICK_GRANT_LIFETIME_MS + 1, "r2", 0 },
+  { "spoke", 0, 150, PICK_ANSWER_TIMEOUT_MS, "r1", 1 },
+  { "spoke late", 0, PICK_ANSWER_TIMEOUT_MS + 1, PICK_ANSWER_TIMEOUT_MS + 2,
+    "r1", 1 },
+  { "far", 100, 0, PICK_ANSWER_TIMEOUT_MS + 199, "r1", 1 },
+  { "far and overdue", 100, 0, PICK_ANSWER_TIMEOUT_MS + 200, "r2", 0 },
 };
 
 static void
@@ -152,14 +158,15 @@
   tell (pick, "r1", &least, false, 0);
   tell (pick, "r2", &next, false, 0);
   if (c->trip > 0)
-    g_assert_true (
-        pick_answered (pick, pick_grant (pick, 0, &choice), c->trip));
-  g_assert_cmpuint (pick_grant (pick, start, &choice), !=, 0);
+    g_assert_true (pick_complete_grant (
+        pick, pick_make_grant (pick, 0, &choice), c->trip));
+  g_assert_cmpuint (pick_make_grant (pick, start, &choice), !=, 0);
   g_assert_cmpstr (choice.router, ==, "r1");
   if (c->word > 0)
     tell (pick, "r1", NULL, false, start + c->word);
-  g_assert_cmpuint (pick_expire (pick, start + c->again), ==, c->holding);
-  g_assert_cmpuint (pick_grant (pick, start + c->again, &choice), !=, 0);
+  g_assert_cmpuint (pick_expire_grants (pick, start + c->again), ==,
+                    c->holding);
+  g_assert_cmpuint (pick_make_grant (pick, start + c->again, &choice), !=, 0);
   g_assert_cmpstr (choice.router, ==, c->router);
 }
 
@@ -175,22 +182,22 @@
 
   tell (pick, "r1", &a, false, 0);
   tell (pick, "r1", &b, true, 0);
-  g_assert_cmpuint (pick_waiting (pick), ==, 1);
-  grant = pick_grant (pick, 0, &choice);
+  g_assert_cmpuint (pick_count_waiting (pick), ==, 1);
+  grant = pick_make_grant (pick, 0, &choice);
   g_assert_cmpstr (choice.account, ==, "b");
-  pick_left (pick, "r1", &none, 1);
-  g_assert_true (pick_answered (pick, grant, 1));
-  g_assert_cmpuint (pick_grant (pick, 1, &choice), ==, 0);
+  pick_update_waiting (pick, "r1", &none, 1);
+  g_assert_true (pick_complete_grant (pick, grant, 1));
+  g_assert_cmpuint (pick_make_grant (pick, 1, &choice), ==, 0);
 
   tell (pick, "r1", &a, false, 10);
   tell (pick, "r2", &b, false, 10);
-  grant = pick_grant (pick, 10, &choice);
-  pick_router_gone (pick, "r1");
-  g_assert_false (pick_answered (pick, grant, 10));
-  g_assert_cmpuint (pick_grant (pick, 10, &choice), !=, 0);
+  grant = pick_make_grant (pick, 10, &choice);
+  pick_remove_router (pick, "r1");
+  g_assert_false (pick_complete_grant (pick, grant, 10));
+  g_assert_cmpuint (pick_make_grant (pick, 10, &choice), !=, 0);
   g_assert_cmpstr (choice.router, ==, "r2");
-  g_assert_cmpuint (pick_expire (pick, 10 + LIFE_MS), ==, 0);
-  g_assert_cmpuint (pick_waiting (pick), ==, 0);
+  g_assert_cmpuint (pick_expire_grants (pick, 10 + LIFE_MS), ==, 0);
+  g_assert_cmpuint (pick_count_waiting (pick), ==, 0);
 }
 
 /* Equal accounts take turns, and grants made in one burst are spread once the
@@ -207,19 +214,19 @@
 
   tell (pick, "r1", &a, false, 0);
   tell (pick, "r1", &b, false, 0);
-  (void)pick_grant (pick, 0, &choice);
+  (void)pick_make_grant (pick, 0, &choice);
   first = choice.account[0];
-  (void)pick_grant (pick, 0, &choice);
+  (void)pick_make_grant (pick, 0, &choice);
   g_assert_true (choice.account[0] != first);
 
-  pick_left (pick, "r1", &moved, 1);
+  pick_update_waiting (pick, "r1", &moved, 1);
   moved = (msg_waiting_t){ "b", 8, 0, 0, 110 };
-  pick_left (pick, "r1", &moved, 1);
-  (void)pick_expire (pick, PICK_GRANT_MS);
-  tell (pick, "r1", NULL, false, PICK_GRANT_MS);
-  (void)pick_grant (pick, PICK_GRANT_MS, &choice);
+  pick_update_waiting (pick, "r1", &moved, 1);
+  (void)pick_expire_grants (pick, PICK_GRANT_LIFETIME_MS);
+  tell (pick, "r1", NULL, false, PICK_GRANT_LIFETIME_MS);
+  (void)pick_make_grant (pick, PICK_GRANT_LIFETIME_MS, &choice);
   g_assert_cmpstr (choice.account, ==, "a");
-  (void)pick_grant (pick, PICK_GRANT_MS, &choice);
+  (void)pick_make_grant (pick, PICK_GRANT_LIFETIME_MS, &choice);
   g_assert_cmpstr (choice.account, ==, "b");
   g_assert_true (choice.floor == 100);
 }
@@ -242,7 +249,7 @@
       a.virtual_time = (double)(now - 1000);
       tell (pick, "r1", &a, false, now);
     }
-  (void)pick_grant (pick, 1500, &choice);
+  (void)pick_make_grant (pick, 1500, &choice);
   g_assert_cmpstr (choice.account, ==, "a");
   g_assert_cmpfloat (fabs (choice.limit_vt - 540), <, 1e-6);
 }
--- a/libcoltsfootdrum/dispatch/test-reach.c
+++ b/libcoltsfootdrum/dispatch/test-reach.c
@@ -22,7 +22,7 @@
     {
       g_autofree char *name = g_strdup_printf ("agent-%u", i);
 
-      disp_lost (disp, name, now);
+      disp_record_link_lost (disp, name, now);
     }
 }
 
@@ -56,7 +56,8 @@
         heard = due_with_dead (disp, cases[i].dead, 1000);
         g_assert_cmpuint (told_alive (&heard), >=, cases[i].alive);
         g_assert_cmpuint (heard.entries, <=,
-                          MAX (DISP_FIRST, cases[i].count) * DISP_SEARCH);
+                          MAX (DISP_INITIAL_AGENTS, cases[i].count)
+                              * DISP_MAX_CANDIDATES_PER_AGENT);
         g_hash_table_unref (heard.agents);
       }
 }
@@ -76,10 +77,10 @@
   heard = due (disp, 1000);
   g_hash_table_iter_init (&iter, heard.agents);
   while (g_hash_table_iter_next (&iter, &name, NULL))
-    disp_lost (disp, name, 1010);
+    disp_record_link_lost (disp, name, 1010);
   g_hash_table_unref (heard.agents);
-  g_assert_cmpint (disp_next (disp, 1010), <=, 1010);
-  g_assert_cmpuint (agents_told (disp, 1010), ==, DISP_FIRST);
+  g_assert_cmpint (disp_next_due (disp, 1010), <=, 1010);
+  g_assert_cmpuint (agents_told (disp, 1010), ==, DISP_INITIAL_AGENTS);
 }
 
 static void
@@ -104,24 +105,26 @@
   told_dead (disp, now);
   wait_for (disp, "early", 1, now);
   told_dead (disp, now);
-  g_assert_cmpuint (disp_width (disp, "draft", "early"), ==, DISP_FIRST);
+  g_assert_cmpuint (disp_fanout (disp, "draft", "early"), ==,
+                    DISP_INITIAL_AGENTS);
   now += REACH_DIAL_MS;
   wait_for (disp, "late", 1, now);
-  g_assert_cmpuint (disp_doubted (disp, now - 1), ==, 0);
-  g_assert_cmpuint (disp_doubted (disp, now), ==, 30);
+  g_assert_cmpuint (disp_count_suspect_agents (disp, now - 1), ==, 0);
+  g_assert_cmpuint (disp_count_suspect_agents (disp, now), ==, 30);
   told_dead (disp, now);
-  g_assert_cmpuint (disp_width (disp, "draft", "late"), ==,
-                    DISP_FIRST * DISP_SEARCH);
+  g_assert_cmpuint (disp_fanout (disp, "draft", "late"), ==,
+                    DISP_INITIAL_AGENTS * DISP_MAX_CANDIDATES_PER_AGENT);
   for (unsigned i = 0; i < 30; i++)
     {
       g_autofree char *name = g_strdup_printf ("agent-%u", i);
 
-      disp_forgot (disp, name);
+      disp_record_link_up (disp, name);
     }
-  g_assert_cmpuint (disp_doubted (disp, now), ==, 0);
+  g_assert_cmpuint (disp_count_suspect_agents (disp, now), ==, 0);
   wait_for (disp, "back", 1, now);
   agents_told (disp, now);
-  g_assert_cmpuint (disp_width (disp, "draft", "back"), ==, DISP_FIRST);
+  g_assert_cmpuint (disp_fanout (disp, "draft", "back"), ==,
+                    DISP_INITIAL_AGENTS);
 }
 
 static void
@@ -139,15 +142,17 @@
       heard.frozen = true;
       set_agents (disp, 600);
       wait_for (disp, "a", 1, 1000);
-      for (cfd_time_t now = 1000; now < 1000 + DISP_QUICK_MS; now++)
-        disp_due (disp, now, tell, &heard);
-      g_assert_cmpuint (told_alive (&heard), >=, DISP_FIRST);
+      for (cfd_time_t now = 1000; now < 1000 + DISP_SMALL_FLEET_WIDEN_MS;
+           now++)
+        disp_send_due (disp, now, tell, &heard);
+      g_assert_cmpuint (told_alive (&heard), >=, DISP_INITIAL_AGENTS);
       g_hash_table_unref (heard.agents);
       wait_for (disp, "thawed", 600, 2000);
       agents_told (disp, 2000);
       wait_for (disp, "b", 1, 2000);
       agents_told (disp, 2000);
-      g_assert_cmpuint (disp_width (disp, "draft", "b"), ==, DISP_FIRST);
+      g_assert_cmpuint (disp_fanout (disp, "draft", "b"), ==,
+                        DISP_INITIAL_AGENTS);
     }
 }
 
--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -51,7 +51,7 @@
 }
 
 void
-lim_settings (lim_t *lim, const lim_settings_t *settings, cfd_time_t now)
+lim_apply_settings (lim_t *lim, const lim_settings_t *settings, cfd_time_t now)
 {
   unsigned was = lim->slots;
 
@@ -64,7 +64,7 @@
   if (lim->slots == 0)
     lim->slots = bearable_cold (lim);
   if (lim->state == LIM_WARM && lim->slots < settings->max)
-    lim->state = LIM_RAMP;
+    lim->state = LIM_RAMPING;
   if (lim->slots != was)
     lim->changed = now;
 }
@@ -74,12 +74,12 @@
 {
   if (lim->settings.token_interval_ms <= 0)
     return;
-  if (now - lim->proved > LIM_PROOF_MS)
+  if (now - lim->proved > LIM_CONFIRMATION_MS)
     lim->doubted = true;
 }
 
 unsigned
-lim_free (lim_t *lim, unsigned busy, cfd_time_t now)
+lim_count_free_slots (lim_t *lim, unsigned busy, cfd_time_t now)
 {
   unsigned slots;
 
@@ -135,11 +135,11 @@
   unsigned slots = (unsigned)floor (lim->slots * CUT_FACTOR);
 
   lim->completed = 0;
-  if (lim->state == LIM_EJECTED || now < lim->changed + LIM_CUT_MS)
+  if (lim->state == LIM_EJECTED || now < lim->changed + LIM_CUT_INTERVAL_MS)
     return;
   if (lim->slots <= cold)
     return;
-  set_slots (lim, slots > cold ? slots : cold, LIM_RAMP, now);
+  set_slots (lim, slots > cold ? slots : cold, LIM_RAMPING, now);
 }
 
 static void
@@ -157,7 +157,7 @@
   if (!was_used)
     return;
   if (lim->slots < lim->settings.max)
-    set_slots (lim, lim->slots + 1, LIM_RAMP, now);
+    set_slots (lim, lim->slots + 1, LIM_RAMPING, now);
   if (lim->slots >= lim->settings.max)
     lim->state = LIM_WARM;
 }
@@ -175,8 +175,9 @@
 }
 
 void
-lim_completed (lim_t *lim, double first_token_ms, double token_interval_ms,
-               cfd_time_t started, cfd_time_t now)
+lim_record_completion (lim_t *lim, double first_token_ms,
+                       double token_interval_ms, cfd_time_t started,
+                       cfd_time_t now)
 {
   bool slow = is_first_token_slow (lim, first_token_ms)
               || is_interval_slow (lim, token_interval_ms);
@@ -187,8 +188,8 @@
     return;
   if (slow)
     {
-      lim_first_token (lim, first_token_ms, now);
-      lim_slow (lim, token_interval_ms, now);
+      lim_check_first_token (lim, first_token_ms, now);
+      lim_check_token_interval (lim, token_interval_ms, now);
       return;
     }
   /* Of a model only token times tell that it bore its load well; an answer
@@ -213,7 +214,7 @@
 }
 
 void
-lim_first_token (lim_t *lim, double first_token_ms, cfd_time_t now)
+lim_check_first_token (lim_t *lim, double first_token_ms, cfd_time_t now)
 {
   bool cold = lim->first_token_usual > 0
               && is_over (first_token_ms, lim->settings.first_token_ms,
@@ -224,7 +225,7 @@
 }
 
 void
-lim_slow (lim_t *lim, double token_interval_ms, cfd_time_t now)
+lim_check_token_interval (lim_t *lim, double token_interval_ms, cfd_time_t now)
 {
   bool cold = lim->token_interval_usual > 0
               && is_over (token_interval_ms, lim->settings.token_interval_ms,
@@ -235,25 +236,25 @@
 }
 
 void
-lim_proof (lim_t *lim, double token_interval_ms, cfd_time_t seen,
-           cfd_time_t now)
+lim_confirm_warm (lim_t *lim, double token_interval_ms, cfd_time_t seen,
+                  cfd_time_t now)
 {
   if (token_interval_ms <= 0 || is_interval_slow (lim, token_interval_ms))
     return;
-  if (seen <= lim->proved || now - seen > LIM_PROOF_MS)
+  if (seen <= lim->proved || now - seen > LIM_CONFIRMATION_MS)
     return;
   lim->proved = seen;
   lim->doubted = false;
 }
 
 void
-lim_proof_whole (lim_t *lim, double token_interval_ms, unsigned tokens,
-                 cfd_time_t now)
+lim_confirm_warm_unstreamed (lim_t *lim, double token_interval_ms,
+                             unsigned tokens, cfd_time_t now)
 {
   double excess = (token_interval_ms - lim->token_interval_usual) * tokens;
   double cold_end = fmax (excess, 0) / (1 - 1 / COLD_INTERVAL_FACTOR);
 
-  lim_proof (lim, token_interval_ms, now - (cfd_time_t)cold_end, now);
+  lim_confirm_warm (lim, token_interval_ms, now - (cfd_time_t)cold_end, now);
 }
 
 /* xorshift64*: enough for spreading retries.  */
@@ -273,8 +274,8 @@
 eject (lim_t *lim, cfd_time_t now)
 {
   unsigned doublings = least (lim->ejections, BACKOFF_DOUBLINGS_MAX);
-  double pause
-      = fmin ((double)LIM_BACKOFF_MS * (1u << doublings), LIM_BACKOFF_MAX_MS);
+  double pause = fmin ((double)LIM_BACKOFF_BASE_MS * (1u << doublings),
+                       LIM_BACKOFF_MAX_MS);
 
   set_slots (lim, bearable_cold (lim), LIM_EJECTED, now);
   lim->ejections++;
@@ -282,7 +283,7 @@
 }
 
 void
-lim_failed (lim_t *lim, cfd_time_t now)
+lim_record_failure (lim_t *lim, cfd_time_t now)
 {
   lim->failures++;
   lim->failed = now;
@@ -290,17 +291,17 @@
      lengthen the backoff.  Only the probe's failure does.  */
   if (lim->state == LIM_EJECTED && now < lim->ejected_until)
     return;
-  if (lim->state == LIM_EJECTED || lim->failures >= LIM_FAILURES)
+  if (lim->state == LIM_EJECTED || lim->failures >= LIM_EJECTION_FAILURES)
     {
       eject (lim, now);
       return;
     }
-  lim->paused_until = now + (LIM_PAUSE_MS << (lim->failures - 1));
+  lim->paused_until = now + (LIM_FAILURE_PAUSE_MS << (lim->failures - 1));
   cut_back (lim, now);
 }
 
 void
-lim_restarted (lim_t *lim, cfd_time_t now)
+lim_reset_to_cold (lim_t *lim, cfd_time_t now)
 {
   if (lim->state != LIM_EJECTED)
     turn_cold (lim, now);
@@ -313,7 +314,7 @@
     {
     case LIM_COLD:
       return "cold";
-    case LIM_RAMP:
+    case LIM_RAMPING:
       return "ramp";
     case LIM_WARM:
       return "warm";
--- a/libcoltsfootdrum/limits/test-lim.c
+++ b/libcoltsfootdrum/limits/test-lim.c
@@ -14,9 +14,9 @@
     {
       unsigned slots = lim->slots;
 
-      (void)lim_free (lim, slots, now);
+      (void)lim_count_free_slots (lim, slots, now);
       for (unsigned i = 0; i < slots; i++)
-        lim_completed (lim, 300, 20, now, now);
+        lim_record_completion (lim, 300, 20, now, now);
       now += 2000;
     }
   return now;
@@ -32,9 +32,9 @@
   lim_state_t state;
 } cases[] = {
   { "begins-cold", 0, 0, 0, 2, LIM_COLD },
-  { "one-round-one-slot", 1, 0, 0, 3, LIM_RAMP },
+  { "one-round-one-slot", 1, 0, 0, 3, LIM_RAMPING },
   { "up-to-the-maximum", 20, 0, 0, 8, LIM_WARM },
-  { "slow-interval-cuts", 20, 300, 45, 5, LIM_RAMP },
+  { "slow-interval-cuts", 20, 300, 45, 5, LIM_RAMPING },
   { "much-slower-interval-is-cold", 20, 300, 70, 2, LIM_COLD },
   { "first-token-under-the-limit", 20, 1180, 20, 8, LIM_WARM },
   { "much-slower-first-token-is-cold", 20, 5000, 20, 2, LIM_COLD },
@@ -52,8 +52,8 @@
       lim_init (&lim, &settings, 0);
       now = warm_up (&lim, cases[i].rounds, 0);
       if (cases[i].first_token > 0)
-        lim_completed (&lim, cases[i].first_token, cases[i].interval, now,
-                       now);
+        lim_record_completion (&lim, cases[i].first_token, cases[i].interval,
+                               now, now);
       g_test_message ("%s", cases[i].name);
       g_assert_cmpuint (lim.slots, ==, cases[i].slots);
       g_assert_cmpint (lim.state, ==, cases[i].state);
@@ -67,9 +67,9 @@
   lim_t lim;
 
   lim_init (&lim, &settings, 0);
-  (void)lim_free (&lim, 1, 0);
+  (void)lim_count_free_slots (&lim, 1, 0);
   for (int i = 0; i < 50; i++)
-    lim_completed (&lim, 300, 20, i, i);
+    lim_record_completion (&lim, 300, 20, i, i);
   g_assert_cmpuint (lim.slots, ==, 2);
 }
 
@@ -84,12 +84,12 @@
 
   lim_init (&model_lim, &settings, 0);
   lim_init (&plain_lim, &plain, 0);
-  (void)lim_free (&model_lim, 2, 0);
-  (void)lim_free (&plain_lim, 2, 0);
+  (void)lim_count_free_slots (&model_lim, 2, 0);
+  (void)lim_count_free_slots (&plain_lim, 2, 0);
   for (int i = 0; i < 2; i++)
     {
-      lim_completed (&model_lim, 0, 0, i, i);
-      lim_completed (&plain_lim, 0, 0, i, i);
+      lim_record_completion (&model_lim, 0, 0, i, i);
+      lim_record_completion (&plain_lim, 0, 0, i, i);
     }
   g_assert_cmpuint (model_lim.slots, ==, 2);
   g_assert_cmpuint (plain_lim.slots, ==, 3);
@@ -105,20 +105,22 @@
 
   lim_init (&lim, &settings, 0);
   now = warm_up (&lim, 20, 0);
-  lim_proof (&lim, 20, now, now);
-  g_assert_cmpuint (lim_free (&lim, 0, now + LIM_PROOF_MS), ==, 8);
-  g_assert_cmpuint (lim_free (&lim, 0, now + LIM_PROOF_MS + 1), ==, 2);
-  lim_proof (&lim, 70, now + 500, now + 500);
-  g_assert_cmpuint (lim_free (&lim, 3, now + 500), ==, 0);
-  lim_proof (&lim, 20, now + 100, now + 600);
-  g_assert_cmpuint (lim_free (&lim, 3, now + 600), ==, 0);
-  lim_proof (&lim, 20, now + 600, now + 600);
-  g_assert_cmpuint (lim_free (&lim, 3, now + 600), ==, 5);
+  lim_confirm_warm (&lim, 20, now, now);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + LIM_CONFIRMATION_MS),
+                    ==, 8);
+  g_assert_cmpuint (
+      lim_count_free_slots (&lim, 0, now + LIM_CONFIRMATION_MS + 1), ==, 2);
+  lim_confirm_warm (&lim, 70, now + 500, now + 500);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 500), ==, 0);
+  lim_confirm_warm (&lim, 20, now + 100, now + 600);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 600), ==, 0);
+  lim_confirm_warm (&lim, 20, now + 600, now + 600);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 600), ==, 5);
 
   /* Answers in one piece give no proof before they end.  */
-  g_assert_cmpuint (lim_free (&lim, 3, now + 1001), ==, 0);
-  lim_proof_whole (&lim, 20, 40, now + 1300);
-  g_assert_cmpuint (lim_free (&lim, 3, now + 1300), ==, 5);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 1001), ==, 0);
+  lim_confirm_warm_unstreamed (&lim, 20, 40, now + 1300);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 3, now + 1300), ==, 5);
 }
 
 /* An endpoint turns cold while answers in one piece run.  The mean of one that
@@ -132,12 +134,13 @@
 
   lim_init (&lim, &settings, 0);
   now = warm_up (&lim, 20, 0);
-  (void)lim_free (&lim, 0, now);
-  g_assert_cmpuint (lim_free (&lim, 0, now + 1000), ==, 2);
+  (void)lim_count_free_slots (&lim, 0, now);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1000), ==, 2);
   /* 20 tokens at the usual 20 ms, then 3 at 70: 610 ms for 23.  */
-  lim_proof_whole (&lim, 610.0 / 23, 23, now + 1610);
-  g_assert_cmpuint (lim_free (&lim, 0, now + 1610), ==, 8);
-  g_assert_cmpuint (lim_free (&lim, 0, now + 1400 + LIM_PROOF_MS), ==, 2);
+  lim_confirm_warm_unstreamed (&lim, 610.0 / 23, 23, now + 1610);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, now + 1610), ==, 8);
+  g_assert_cmpuint (
+      lim_count_free_slots (&lim, 0, now + 1400 + LIM_CONFIRMATION_MS), ==, 2);
 }
 
 /* All requests that run when the endpoint gets slow tell it; the limit is cut
@@ -151,9 +154,9 @@
   lim_init (&lim, &settings, 0);
   now = warm_up (&lim, 20, 0);
   for (int i = 0; i < 8; i++)
-    lim_slow (&lim, 45, now + i);
+    lim_check_token_interval (&lim, 45, now + i);
   g_assert_cmpuint (lim.slots, ==, 5);
-  lim_slow (&lim, 45, now + LIM_CUT_MS + 8);
+  lim_check_token_interval (&lim, 45, now + LIM_CUT_INTERVAL_MS + 8);
   g_assert_cmpuint (lim.slots, ==, 3);
 }
 
@@ -167,9 +170,9 @@
 
   lim_init (&lim, &settings, 0);
   now = warm_up (&lim, 20, 0);
-  lim_first_token (&lim, 1300, now);
+  lim_check_first_token (&lim, 1300, now);
   g_assert_cmpuint (lim.slots, ==, 8);
-  lim_first_token (&lim, 1500, now);
+  lim_check_first_token (&lim, 1500, now);
   g_assert_cmpuint (lim.slots, ==, 2);
   g_assert_cmpint (lim.state, ==, LIM_COLD);
 }
@@ -183,24 +186,25 @@
 
   lim_init (&lim, &settings, 0);
   lim.seed = 7;
-  for (unsigned i = 0; i < LIM_FAILURES; i++)
-    lim_failed (&lim, 100);
+  for (unsigned i = 0; i < LIM_EJECTION_FAILURES; i++)
+    lim_record_failure (&lim, 100);
   g_assert_cmpint (lim.state, ==, LIM_EJECTED);
   first = lim.ejected_until - 100;
-  g_assert_cmpint (first, >=, LIM_BACKOFF_MS / 2);
-  g_assert_cmpuint (lim_free (&lim, 0, 101), ==, 0);
+  g_assert_cmpint (first, >=, LIM_BACKOFF_BASE_MS / 2);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, 101), ==, 0);
   /* What ran before fails later, and does not lengthen the backoff.  */
-  lim_failed (&lim, 101);
+  lim_record_failure (&lim, 101);
   g_assert_cmpint (lim.ejected_until, ==, 100 + first);
 
-  g_assert_cmpuint (lim_free (&lim, 0, 100 + first), ==, 1);
-  g_assert_cmpuint (lim_free (&lim, 1, 100 + first), ==, 0);
-  lim_failed (&lim, 2000);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, 100 + first), ==, 1);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 1, 100 + first), ==, 0);
+  lim_record_failure (&lim, 2000);
   second = lim.ejected_until - 2000;
-  g_assert_cmpint (second, >=, LIM_BACKOFF_MS);
-  lim_completed (&lim, 300, 20, 2000 + second, 2600 + second);
+  g_assert_cmpint (second, >=, LIM_BACKOFF_BASE_MS);
+  lim_record_completion (&lim, 300, 20, 2000 + second, 2600 + second);
   g_assert_cmpint (lim.state, ==, LIM_COLD);
-  g_assert_cmpuint (lim_free (&lim, 0, 2600 + second), ==, settings.cold);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, 2600 + second), ==,
+                    settings.cold);
 }
 
 /* An endpoint turns all new work away, and ends between its refusals what it
@@ -214,16 +218,17 @@
 
   lim_init (&lim, &settings, 0);
   lim.seed = 7;
-  for (cfd_time_t now = 100; now < 100 + LIM_FAILURES; now++)
+  for (cfd_time_t now = 100; now < 100 + LIM_EJECTION_FAILURES; now++)
     {
       g_assert_cmpint (lim.state, !=, LIM_EJECTED);
-      lim_failed (&lim, now);
-      lim_completed (&lim, 300, 20, 50, now);
+      lim_record_failure (&lim, now);
+      lim_record_completion (&lim, 300, 20, 50, now);
     }
   g_assert_cmpint (lim.state, ==, LIM_EJECTED);
-  lim_completed (&lim, 300, 20, 50, 200);
+  lim_record_completion (&lim, 300, 20, 50, 200);
   g_assert_cmpint (lim.state, ==, LIM_EJECTED);
-  lim_completed (&lim, 300, 20, lim.ejected_until, lim.ejected_until + 300);
+  lim_record_completion (&lim, 300, 20, lim.ejected_until,
+                         lim.ejected_until + 300);
   g_assert_cmpint (lim.state, ==, LIM_COLD);
 }
 
@@ -234,12 +239,16 @@
   lim_t lim;
 
   lim_init (&lim, &settings, 0);
-  lim_failed (&lim, 0);
-  g_assert_cmpuint (lim_free (&lim, 0, LIM_PAUSE_MS - 1), ==, 0);
-  g_assert_cmpuint (lim_free (&lim, 0, LIM_PAUSE_MS), ==, 2);
-  lim_failed (&lim, LIM_PAUSE_MS);
-  g_assert_cmpuint (lim_free (&lim, 0, 3 * LIM_PAUSE_MS - 1), ==, 0);
-  g_assert_cmpuint (lim_free (&lim, 0, 3 * LIM_PAUSE_MS), ==, 2);
+  lim_record_failure (&lim, 0);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, LIM_FAILURE_PAUSE_MS - 1),
+                    ==, 0);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, LIM_FAILURE_PAUSE_MS), ==,
+                    2);
+  lim_record_failure (&lim, LIM_FAILURE_PAUSE_MS);
+  g_assert_cmpuint (
+      lim_count_free_slots (&lim, 0, 3 * LIM_FAILURE_PAUSE_MS - 1), ==, 0);
+  g_assert_cmpuint (lim_count_free_slots (&lim, 0, 3 * LIM_FAILURE_PAUSE_MS),
+                    ==, 2);
 }
 
 static void
@@ -251,12 +260,12 @@
 
   lim_init (&lim, &settings, 0);
   now = warm_up (&lim, 20, 0);
-  lim_settings (&lim, &smaller, now);
+  lim_apply_settings (&lim, &smaller, now);
   g_assert_cmpuint (lim.slots, ==, 4);
-  lim_settings (&lim, &settings, now);
+  lim_apply_settings (&lim, &settings, now);
   g_assert_cmpuint (lim.slots, ==, 4);
-  g_assert_cmpint (lim.state, ==, LIM_RAMP);
-  lim_restarted (&lim, now);
+  g_assert_cmpint (lim.state, ==, LIM_RAMPING);
+  lim_reset_to_cold (&lim, now);
   g_assert_cmpuint (lim.slots, ==, 2);
 }
 
--- a/libcoltsfootdrum/router/fairness.h
+++ b/libcoltsfootdrum/router/fairness.h
@@ -30,7 +30,8 @@
 #include <stdbool.h>
 
 /* An account that took no slot for so long is forgotten, and counted as a new
-   one.  Shorter than SHARE_KEEP_MS: what share forgets must be new here.  */
+   one.  Shorter than SHARE_ROUTER_EXPIRY_MS: what share forgets must be new
+   here.  */
 #define FAIRNESS_EXPIRY_MS 60000
 
 typedef struct fairness fairness_t;
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -120,7 +120,8 @@
 find_least_time (void *user, const char *account, const char *service)
 {
   vt_spread_t *found = user;
-  double time = share_virtual_time (found->router->share, account, service);
+  double time
+      = share_get_virtual_time (found->router->share, account, service);
   double *least = g_hash_table_lookup (found->least, service);
 
   if (least == NULL)
@@ -137,7 +138,8 @@
 {
   vt_spread_t *found = user;
   double *least = g_hash_table_lookup (found->least, service);
-  double time = share_virtual_time (found->router->share, account, service);
+  double time
+      = share_get_virtual_time (found->router->share, account, service);
 
   found->virtual_time_spread = MAX (found->virtual_time_spread, time - *least);
 }
@@ -150,8 +152,8 @@
   vt_spread_t found = { router, NULL, 0 };
 
   found.least = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  adm_each (router->adm, find_least_time, &found);
-  adm_each (router->adm, find_widest_spread, &found);
+  adm_for_each_queue (router->adm, find_least_time, &found);
+  adm_for_each_queue (router->adm, find_widest_spread, &found);
   g_hash_table_unref (found.least);
   return found.virtual_time_spread;
 }
@@ -165,17 +167,17 @@
   put_control (router, out);
   put_claims (router, out);
   prom_sample (out, "cfd_router_waiting", "gauge", NULL,
-               adm_waiting (router->adm));
+               adm_count_waiting (router->adm));
   prom_sample (out, "cfd_router_in_flight", "gauge", NULL, router->in_flight);
   prom_sample (out, "cfd_router_agents_doubted", "gauge", NULL,
-               disp_doubted (router->disp, clock_now ()));
+               disp_count_suspect_agents (router->disp, clock_now ()));
   prom_sample (out, "cfd_router_retry_budget", "gauge", NULL,
                router->retry_budget);
   prom_sample (out, "cfd_router_accounts", "gauge", "side=\"share\"",
-               share_accounts (router->share));
+               share_count_accounts (router->share));
   prom_sample (out, "cfd_router_accounts", "gauge", "side=\"home\"",
-               home_accounts (router->home));
-  const home_bounded_t bounded = home_bounded (router->home);
+               home_count_accounts (router->home));
+  const home_clamped_t bounded = home_get_clamped (router->home);
   prom_sample (out, "cfd_share_bounded_tokens_total", "counter",
                "side=\"debt\"", bounded.debt);
   prom_sample (out, "cfd_share_bounded_tokens_total", "counter",
@@ -219,7 +221,7 @@
   admin_text (out, "state", router->draining ? "draining" : "serving");
   admin_text (out, "policy",
               router->policy == CFD_POLICY_LOCAL ? "local" : "fleet");
-  admin_number (out, "waiting", adm_waiting (router->adm));
+  admin_number (out, "waiting", adm_count_waiting (router->adm));
   admin_number (out, "in_flight", router->in_flight);
   put_agents (router, out);
 }
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -206,7 +206,7 @@
           && serves_service (agent, record->name))
         g_ptr_array_add (names, agent->name);
     }
-  disp_agents (router->disp, record->name, names);
+  disp_set_agents (router->disp, record->name, names);
 }
 
 void
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -317,7 +317,7 @@
       agent->has_load = false;
     }
   agent->incarnation = peer->incarnation;
-  disp_forgot (router->disp, agent->name);
+  disp_record_link_up (router->disp, agent->name);
   router_schedule (router, now);
   send_pending_cancels (router, agent);
   list_for_each_safe (node, &agent->requests)
@@ -362,7 +362,7 @@
   /* One that nobody holds is closed for being idle, at either end.  */
   if (agent->link_held)
     {
-      disp_lost (router->disp, agent->name, now);
+      disp_record_link_lost (router->disp, agent->name, now);
       router_schedule (router, now);
     }
   if (agent->in_flight == 0)
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -169,8 +169,8 @@
 {
   adm_queue_info_t info;
 
-  adm_info (request->router->adm, request->item.account, request->item.service,
-            now, &info);
+  adm_get_queue_info (request->router->adm, request->item.account,
+                      request->item.service, now, &info);
   return info.count >= request_queue_limit (request);
 }
 
@@ -185,8 +185,9 @@
   if (queue_is_full (request, now))
     {
       request_refuse_queue_full (
-          request, adm_retry_after (router->adm, request->item.account,
-                                    request->item.service, now));
+          request,
+          adm_estimate_retry_after_s (router->adm, request->item.account,
+                                      request->item.service, now));
       request->state = REQ_OVER;
       request_free (request);
       return;
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -14,13 +14,13 @@
 {
   adm_queue_info_t info;
 
-  adm_info (router->adm, account, service, now, &info);
+  adm_get_queue_info (router->adm, account, service, now, &info);
   *left = (msg_waiting_t){
     .account = account,
     .count = info.count,
     .class_rank = info.class_rank,
     .oldest_ms = info.count > 0 ? (uint32_t)(now - info.oldest) : 0,
-    .virtual_time = share_virtual_time (router->share, account, service),
+    .virtual_time = share_get_virtual_time (router->share, account, service),
   };
 }
 
@@ -31,7 +31,7 @@
   msg_waiting_t left;
 
   grant_describe_queue (router, account, service, now, &left);
-  share_backlog (router->share, account, service, left.count > 0, now);
+  share_set_backlogged (router->share, account, service, left.count > 0, now);
   if (left.count == 0)
     fairness_end_wait (router->fairness, account, service);
   shares_schedule_report (router, now);
@@ -41,15 +41,15 @@
       return;
     }
   /* The backlog may have lifted the account to the floor.  */
-  left.virtual_time = share_virtual_time (router->share, account, service);
-  disp_waiting (router->disp, service, &left, now);
-  router_schedule (router, MIN (disp_next (router->disp, now),
+  left.virtual_time = share_get_virtual_time (router->share, account, service);
+  disp_update_waiting (router->disp, service, &left, now);
+  router_schedule (router, MIN (disp_next_due (router->disp, now),
                                 adm_next_deadline (router->adm)));
 }
 
 /* ---- announcements ---- */
 
-static reach_word_t
+static reach_result_t
 send_announcement (void *user, const char *name,
                    const msg_announce_t *announcement)
 {
@@ -59,21 +59,22 @@
   cfd_time_t now = clock_now ();
 
   if (agent == NULL)
-    return REACH_DIALLED;
-  agent->announced_until = now + DISP_LIFE_MS;
+    return REACH_DIALLING;
+  agent->announced_until = now + DISP_LIFETIME_MS;
   agents_hold_link (router, agent);
   /* Not sent: the agent hears all when its link is up.  */
   if (!router_send (router, name, &message))
-    return REACH_DIALLED;
+    return REACH_DIALLING;
   router->counters.announces++;
   router->counters.announced_entries += announcement->count;
-  return peer_hub_is_quiet (router->hub, name, now) ? REACH_QUIET : REACH_SENT;
+  return peer_hub_is_quiet (router->hub, name, now) ? REACH_UNRESPONSIVE
+                                                    : REACH_SENT;
 }
 
 void
 grant_announce (cfd_router_t *router, cfd_time_t now)
 {
-  disp_due (router->disp, now, send_announcement, router);
+  disp_send_due (router->disp, now, send_announcement, router);
 }
 
 /* ---- grants ---- */
@@ -118,8 +119,8 @@
     message.u.decline.left.count = 0;
   router->counters.declined[reason]++;
   if (router_send (router, peer->instance, &message))
-    disp_answered (router->disp, grant->service, peer->instance,
-                   &message.u.decline.left, now);
+    disp_record_answer (router->disp, grant->service, peer->instance,
+                        &message.u.decline.left, now);
 }
 
 typedef struct
@@ -139,7 +140,7 @@
 
   if (strcmp (service, least->service) != 0)
     return;
-  time = share_virtual_time (least->router->share, account, service);
+  time = share_get_virtual_time (least->router->share, account, service);
   if (least->account != NULL && time >= least->time)
     return;
   if (!adm_has_allowed (least->router->adm, account, service, is_eligible,
@@ -159,7 +160,7 @@
   double weight = record != NULL ? record->u.account.weight : 1;
   adm_queue_info_t info;
 
-  adm_info (router->adm, least->account, grant->service, now, &info);
+  adm_get_queue_info (router->adm, least->account, grant->service, now, &info);
   return least->time > grant->limit_vt + info.cost / info.count / weight;
 }
 
@@ -175,7 +176,7 @@
                             .target = { router, agent, now },
                             .service = grant->service };
 
-  adm_each (router->adm, consider_account, &least);
+  adm_for_each_queue (router->adm, consider_account, &least);
   if (least.account == NULL)
     decline (router, peer, grant, DECLINE_NO_WORK, now);
   else if (is_stale_grant (router, grant, &least, now))
@@ -194,7 +195,7 @@
 
   router->counters.grants++;
   agents_set_service (router, agent, grant->service);
-  share_floor (router->share, grant->service, grant->floor, now);
+  share_record_floor (router->share, grant->service, grant->floor, now);
   request_expire_queued (router, now);
   if (!agents_accepts_work (router, agent))
     decline (router, peer, grant, DECLINE_ZONE, now);
@@ -289,8 +290,8 @@
                         now, &assign->left);
   if (!router_send (router, request->agent->name, &message))
     return false;
-  disp_answered (router->disp, request->item.service, request->agent->name,
-                 &assign->left, now);
+  disp_record_answer (router->disp, request->item.service,
+                      request->agent->name, &assign->left, now);
   return true;
 }
 
@@ -318,7 +319,7 @@
 {
   return router->policy == CFD_POLICY_LOCAL
              ? wfq_virtual_time (router->wfq, account, service)
-             : share_virtual_time (router->share, account, service);
+             : share_get_virtual_time (router->share, account, service);
 }
 
 typedef struct
@@ -364,7 +365,7 @@
           .charge = request->charged_tokens / request->weight };
   passed_over_t passing = { router, target, &turn };
 
-  adm_each (router->adm, check_passed_over, &passing);
+  adm_for_each_queue (router->adm, check_passed_over, &passing);
   fairness_assign (router->fairness, &turn, target->now);
 }
 
@@ -374,8 +375,8 @@
               cfd_time_t now)
 {
   target_t target = { router, agent, now };
-  adm_item_t *item = adm_take_allowed (router->adm, account, service, now,
-                                       is_eligible, &target);
+  adm_item_t *item = adm_dequeue_allowed (router->adm, account, service, now,
+                                          is_eligible, &target);
   request_t *request;
   double time;
   double order;
@@ -383,7 +384,7 @@
   if (item == NULL)
     return false;
   /* ACCOUNT and SERVICE may be of the queue, which goes with its last item. */
-  time = share_virtual_time (router->share, item->account, item->service);
+  time = share_get_virtual_time (router->share, item->account, item->service);
   order = policy_virtual_time (router, item->account, item->service);
   request = list_entry (item, request_t, item);
   attach_agent (router, request, agent, incarnation, now);
@@ -392,7 +393,7 @@
     {
       grant_correct_charge (request, 0, now);
       request_detach_agent (request);
-      adm_return (router->adm, item);
+      adm_requeue (router->adm, item);
       return false;
     }
   router->counters.assigned++;
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -122,8 +122,8 @@
   if (peer->answer_late == is_late)
     return;
   peer->answer_late = is_late;
-  share_late (router->share, homes_hash (peer->name), is_late,
-              on_virtual_time_changed, router);
+  share_set_home_late (router->share, homes_hash (peer->name), is_late,
+                       on_virtual_time_changed, router);
 }
 
 /* Passes over PEER as a home until its link is up: its accounts move to their
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -71,7 +71,8 @@
 void
 baseline_dispatch (cfd_router_t *router, cfd_time_t now)
 {
-  if (router->policy == CFD_POLICY_LOCAL && adm_waiting (router->adm) > 0)
+  if (router->policy == CFD_POLICY_LOCAL
+      && adm_count_waiting (router->adm) > 0)
     store_each (router->store, REC_SERVICE, push_record, router);
 }
 
@@ -91,7 +92,7 @@
       if (!agent->listed
           || (agent->service != NULL && strcmp (agent->service, service) != 0))
         continue;
-      agent->announced_until = now + DISP_LIFE_MS;
+      agent->announced_until = now + DISP_LIFETIME_MS;
       agents_hold_link (router, agent);
     }
 }
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -179,8 +179,8 @@
   cfd_router_t *router = request->router;
   int retry_after_s = ADM_RETRY_MIN_S;
 
-  if (!adm_offer (router->adm, &request->item, request_queue_limit (request),
-                  now, &retry_after_s))
+  if (!adm_enqueue (router->adm, &request->item, request_queue_limit (request),
+                    now, &retry_after_s))
     {
       request_refuse_queue_full (request, retry_after_s);
       return false;
@@ -219,7 +219,7 @@
   request->acked_bytes = 0;
   /* The deadline limits the time in the queue, not that at the agent.  */
   request->item.deadline += now - request->assigned_at;
-  adm_return (request->router->adm, &request->item);
+  adm_requeue (request->router->adm, &request->item);
 }
 
 static void
@@ -251,7 +251,7 @@
   INVARIANT ("caller-told", request->web == NULL, req_state_name (REQ_OVER));
   release_agent (request);
   claim_settle (request, step);
-  adm_drop (router->adm, &request->item);
+  adm_remove (router->adm, &request->item);
   if (router->draining)
     router_schedule (router, now);
   if (!request->claim_pending)
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -54,8 +54,8 @@
 
   router->counters.report_entries++;
   if (strcmp (home, router->instance) == 0)
-    home_report (router->home, router->instance, router->incarnation, entry,
-                 report_batches->now);
+    home_apply_report (router->home, router->instance, router->incarnation,
+                       entry, report_batches->now);
   else
     g_array_append_val (
         find_or_add_batch (report_batches, homes_find_or_add (router, home)),
@@ -121,7 +121,7 @@
   gpointer peer;
   gpointer batch;
 
-  share_due (router->share, now, add_report_entry, &report_batches);
+  share_emit_due (router->share, now, add_report_entry, &report_batches);
   g_hash_table_iter_init (&iter, batches);
   while (g_hash_table_iter_next (&iter, &peer, &batch))
     send_or_store_report (router, peer, batch, now);
@@ -143,18 +143,18 @@
              cfd_time_t now)
 {
   double before
-      = share_virtual_time (router->share, entry->account, entry->service);
+      = share_get_virtual_time (router->share, entry->account, entry->service);
   msg_waiting_t left;
 
   router->counters.shares++;
-  share_take (router->share, entry, now);
+  share_apply_answer (router->share, entry, now);
   if (router->policy == CFD_POLICY_LOCAL)
     return;
   grant_describe_queue (router, entry->account, entry->service, now, &left);
   fairness_adjust (router->fairness, entry->account, entry->service,
                    left.virtual_time - before);
   if (left.count > 0)
-    disp_waiting (router->disp, entry->service, &left, now);
+    disp_update_waiting (router->disp, entry->service, &left, now);
 }
 
 static void
@@ -205,7 +205,7 @@
   gpointer name;
   gpointer batch;
 
-  home_due (router->home, now, add_share_entry, &share_batches);
+  home_emit_due (router->home, now, add_share_entry, &share_batches);
   g_hash_table_iter_init (&iter, batches);
   while (g_hash_table_iter_next (&iter, &name, &batch))
     send_shares (router, name, batch);
@@ -221,7 +221,7 @@
   router->report_at = CFD_TIME_NEVER;
   router->homes_changed = false;
   if (is_moved)
-    share_moved (router->share, now, homes_hash_of_account, router);
+    share_mark_moved_due (router->share, now, homes_hash_of_account, router);
   send_all_reports (router, now);
   send_all_shares (router, now);
 }
@@ -234,8 +234,8 @@
 
   for (uint32_t i = 0; i < report->count; i++)
     {
-      home_report (router->home, peer->instance, peer->incarnation,
-                   &report->entries[i], now);
+      home_apply_report (router->home, peer->instance, peer->incarnation,
+                         &report->entries[i], now);
       peer_view_apply_report (view, &report->entries[i]);
     }
   shares_schedule_report (router, now);
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -136,7 +136,7 @@
     grant_announce (router, now);
   check_drained (router, now);
   next = MIN (next, adm_next_deadline (router->adm));
-  next = MIN (next, disp_next (router->disp, now));
+  next = MIN (next, disp_next_due (router->disp, now));
   next = MIN (next, router->report_at);
   next = MIN (next, router->housekeeping_at);
   if (router->draining)
@@ -391,7 +391,7 @@
   web_server_quiesce (router->web);
   tl_add (router->ring, TL_STOP, NULL, router->zone, NULL, NULL, "draining");
   log_info ("router", "Draining: waiting=%u in_flight=%u.",
-            adm_waiting (router->adm), router->in_flight);
+            adm_count_waiting (router->adm), router->in_flight);
   router_schedule (router, 0);
 }
 
--- a/libcoltsfootdrum/share/home.c
+++ b/libcoltsfootdrum/share/home.c
@@ -10,10 +10,10 @@
 #define ROUNDING_TOKENS 0.5
 #define ROUNDING_PART 1e-9
 /* All writers of a backlogged account report to a new home within this.  */
-#define REBUILD_MS (2 * SHARE_REFRESH_MS)
+#define REBUILD_MS (2 * SHARE_REFRESH_INTERVAL_MS)
 /* A writer with waiting work that wasn't heard for so long could not be heard:
-   it reports each SHARE_REFRESH_MS.  */
-#define AWAY_MS (3 * SHARE_REFRESH_MS / 2)
+   it reports each SHARE_REFRESH_INTERVAL_MS.  */
+#define AWAY_MS (3 * SHARE_REFRESH_INTERVAL_MS / 2)
 /* All writers report within this to a home that is back: a round trip, and
    reports that a stopped process finds in its sockets.  */
 #define SETTLE_MS 500
@@ -53,7 +53,7 @@
   GHashTable *entries; /* pair_t to entry_t */
   GHashTable *levels;  /* service to level_t */
   list_node_t dirty;
-  home_bounded_t bounded;
+  home_clamped_t bounded;
 };
 
 static void
@@ -273,7 +273,7 @@
 static bool
 is_step (const writer_t *writer, bool is_known, cfd_time_t now)
 {
-  return is_known && now - writer->heard <= SHARE_REFRESH_MS;
+  return is_known && now - writer->heard <= SHARE_REFRESH_INTERVAL_MS;
 }
 
 static bool
@@ -308,8 +308,8 @@
 }
 
 void
-home_report (home_t *home, const char *router, uint64_t incarnation,
-             const msg_report_entry_t *in, cfd_time_t now)
+home_apply_report (home_t *home, const char *router, uint64_t incarnation,
+                   const msg_report_entry_t *in, cfd_time_t now)
 {
   entry_t *entry = find_or_add (home, in->account, in->service, now);
   level_t *level = level_of (home, in->service);
@@ -356,10 +356,10 @@
 }
 
 void
-home_due (home_t *home, cfd_time_t now,
-          void (*emit) (void *user, const char *router,
-                        const msg_share_entry_t *entry),
-          void *user)
+home_emit_due (home_t *home, cfd_time_t now,
+               void (*emit) (void *user, const char *router,
+                             const msg_share_entry_t *entry),
+               void *user)
 {
   list_for_each_safe (entry_node, &home->dirty)
     {
@@ -396,7 +396,7 @@
     {
       writer_t *writer = list_entry (node, writer_t, node);
 
-      if (*now - writer->heard <= SHARE_FORGET_MS)
+      if (*now - writer->heard <= SHARE_HOME_EXPIRY_MS)
         continue;
       entry->settled += counted_of (writer);
       writer_free (writer);
@@ -411,13 +411,13 @@
 }
 
 unsigned
-home_accounts (const home_t *home)
+home_count_accounts (const home_t *home)
 {
   return g_hash_table_size (home->entries);
 }
 
-home_bounded_t
-home_bounded (const home_t *home)
+home_clamped_t
+home_get_clamped (const home_t *home)
 {
   return home->bounded;
 }
--- a/libcoltsfootdrum/share/level.c
+++ b/libcoltsfootdrum/share/level.c
@@ -8,7 +8,8 @@
 level_take_floor (level_t *level, double floor, cfd_time_t now)
 {
   if (!isfinite (floor)
-      || (floor < level->floor && now - level->heard <= SHARE_FLOOR_MS))
+      || (floor < level->floor
+          && now - level->heard <= SHARE_FLOOR_MAX_AGE_MS))
     return;
   level->floor = floor;
   level->heard = now;
@@ -19,7 +20,7 @@
 {
   level_step_t *steps = &level->step;
 
-  if (now - steps->span_start > SHARE_FORGET_MS)
+  if (now - steps->span_start > SHARE_HOME_EXPIRY_MS)
     {
       steps->past = steps->present;
       steps->present = 0;
@@ -36,6 +37,6 @@
 {
   double step = fmax (level->step.present, level->step.past);
 
-  return fmin (fmax (SHARE_WINDOW_STEPS * step, SHARE_WINDOW),
-               SHARE_WINDOW_MOST);
+  return fmin (fmax (SHARE_WINDOW_CHARGES * step, SHARE_WINDOW_MIN_TOKENS),
+               SHARE_WINDOW_MAX_TOKENS);
 }
--- a/libcoltsfootdrum/share/share.c
+++ b/libcoltsfootdrum/share/share.c
@@ -44,7 +44,7 @@
   cfd_time_t heard;
 } floor_t;
 
-#define FLOOR_SPAN_MS (SHARE_FLOOR_MS / 2)
+#define FLOOR_SPAN_MS (SHARE_FLOOR_MAX_AGE_MS / 2)
 
 struct share
 {
@@ -142,7 +142,7 @@
 note_part (entry_t *entry, double own, double all)
 {
   /* A lift, a rebuilt home or the window, and no service.  */
-  if (fabs (all) > SHARE_WINDOW)
+  if (fabs (all) > SHARE_WINDOW_MIN_TOKENS)
     return;
   entry->own_lately += own;
   entry->all_lately += all;
@@ -168,7 +168,7 @@
 static void
 lift (share_t *share, entry_t *entry, cfd_time_t now)
 {
-  double floor = share_floor_now (share, entry->key.service, now);
+  double floor = share_get_floor (share, entry->key.service, now);
 
   if (entry->touched != 0 && now - entry->touched < SHARE_IDLE_MS)
     return;
@@ -177,8 +177,8 @@
 }
 
 void
-share_backlog (share_t *share, const char *account, const char *service,
-               bool backlogged, cfd_time_t now)
+share_set_backlogged (share_t *share, const char *account, const char *service,
+                      bool backlogged, cfd_time_t now)
 {
   entry_t *entry = find_or_add (share, account, service);
 
@@ -198,8 +198,8 @@
 }
 
 double
-share_virtual_time (const share_t *share, const char *account,
-                    const char *service)
+share_get_virtual_time (const share_t *share, const char *account,
+                        const char *service)
 {
   const entry_t *entry = find (share, account, service);
 
@@ -219,7 +219,8 @@
 }
 
 void
-share_floor (share_t *share, const char *service, double value, cfd_time_t now)
+share_record_floor (share_t *share, const char *service, double value,
+                    cfd_time_t now)
 {
   floor_t *floor = g_hash_table_lookup (share->floors, service);
 
@@ -240,7 +241,7 @@
 }
 
 double
-share_floor_now (const share_t *share, const char *service, cfd_time_t now)
+share_get_floor (const share_t *share, const char *service, cfd_time_t now)
 {
   const floor_t *floor = g_hash_table_lookup (share->floors, service);
 
@@ -252,7 +253,7 @@
 {
   const floor_t *floor = g_hash_table_lookup (share->floors, service);
 
-  if (floor == NULL || now - floor->heard > SHARE_FLOOR_MS)
+  if (floor == NULL || now - floor->heard > SHARE_FLOOR_MAX_AGE_MS)
     return -INFINITY;
   return floor->last_known;
 }
@@ -283,7 +284,7 @@
 }
 
 void
-share_due (share_t *share, cfd_time_t now, share_emit_t emit, void *user)
+share_emit_due (share_t *share, cfd_time_t now, share_emit_t emit, void *user)
 {
   list_for_each_safe (node, &share->dirty)
     report (share, list_entry (node, entry_t, dirty), now, emit, user);
@@ -291,7 +292,7 @@
     {
       entry_t *entry = list_entry (share->waiting.next, entry_t, waiting);
 
-      if (now - entry->reported < SHARE_REFRESH_MS)
+      if (now - entry->reported < SHARE_REFRESH_INTERVAL_MS)
         break;
       entry->touched = now;
       report (share, entry, now, emit, user);
@@ -299,7 +300,8 @@
 }
 
 void
-share_moved (share_t *share, cfd_time_t now, share_home_t home, void *user)
+share_mark_moved_due (share_t *share, cfd_time_t now, share_find_home_t home,
+                      void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -320,8 +322,8 @@
 }
 
 void
-share_late (share_t *share, uint64_t home, bool is_late,
-            share_moved_by_t moved, void *user)
+share_set_home_late (share_t *share, uint64_t home, bool is_late,
+                     share_vt_changed_t moved, void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -341,7 +343,8 @@
 }
 
 void
-share_take (share_t *share, const msg_share_entry_t *in, cfd_time_t now)
+share_apply_answer (share_t *share, const msg_share_entry_t *in,
+                    cfd_time_t now)
 {
   entry_t *entry = find (share, in->account, in->service);
 
@@ -366,7 +369,7 @@
   const entry_t *entry = value;
   const cfd_time_t *now = user;
 
-  return !entry->backlogged && *now - entry->touched > SHARE_KEEP_MS;
+  return !entry->backlogged && *now - entry->touched > SHARE_ROUTER_EXPIRY_MS;
 }
 
 void
@@ -376,7 +379,7 @@
 }
 
 unsigned
-share_accounts (const share_t *share)
+share_count_accounts (const share_t *share)
 {
   return g_hash_table_size (share->entries);
 }
--- a/libcoltsfootdrum/share/test-home.c
+++ b/libcoltsfootdrum/share/test-home.c
@@ -24,7 +24,7 @@
 {
   double time = NAN;
 
-  home_due (home, now, keep_time, &time);
+  home_emit_due (home, now, keep_time, &time);
   return time;
 }
 
@@ -61,7 +61,7 @@
   { "what was forgiven is not brought back by the next word",
     { REPORT (5100, 100, 300, 250), REPORT (100, 100, 305, -INFINITY),
       REPORT (100, 100, 300, -INFINITY) },
-    255 + SHARE_WINDOW },
+    255 + SHARE_WINDOW_MIN_TOKENS },
   { "a restarted router adds what it gave since",
     { REPORT (5, 0, 0, 290), REPORT (100, 100, 300, 290),
       REPORT (100, 100, 300, 290) },
@@ -75,7 +75,7 @@
   static const char *const routers[] = { "r0", "r1", "r2" };
   g_autoptr (home_t) home = home_new ();
   for (unsigned i = 0; i < 3; i++)
-    home_report (home, routers[i], 1, &c->reports[i], 10000 + i);
+    home_apply_report (home, routers[i], 1, &c->reports[i], 10000 + i);
   assert_near (told (home, 10010), c->vt);
 }
 
@@ -94,12 +94,13 @@
   { "silence is no idleness", 100, 900, SHARE_IDLE_MS + 1, false, 100 },
   { "a short gap is no idleness", 100, 900, SHARE_IDLE_MS / 2, true, 100 },
   { "ahead of the floor stays", 1200, 900, SHARE_IDLE_MS + 1, true, 1200 },
-  { "debt is bounded", SHARE_WINDOW + 5000, 900, 100, false,
-    SHARE_WINDOW + 900 },
-  { "credit is bounded", 100, SHARE_WINDOW + 5000, 100, false, 5000 },
+  { "debt is bounded", SHARE_WINDOW_MIN_TOKENS + 5000, 900, 100, false,
+    SHARE_WINDOW_MIN_TOKENS + 900 },
+  { "credit is bounded", 100, SHARE_WINDOW_MIN_TOKENS + 5000, 100, false,
+    5000 },
   { "an old floor gives nothing back", 100, -INFINITY, 100, false, 100 },
-  { "an old floor clamps nothing", SHARE_WINDOW + 5000, -INFINITY, 100, false,
-    SHARE_WINDOW + 5000 },
+  { "an old floor clamps nothing", SHARE_WINDOW_MIN_TOKENS + 5000, -INFINITY,
+    100, false, SHARE_WINDOW_MIN_TOKENS + 5000 },
 };
 
 static void
@@ -118,16 +119,16 @@
       cfd_time_t now = 10000;
 
       g_test_message ("%s", c->name);
-      home_report (home, "r0", 1, &entry, now);
+      home_apply_report (home, "r0", 1, &entry, now);
       entry.sequence++;
       entry.backlogged = false;
       if (c->says_idle)
-        home_report (home, "r0", 1, &entry, now);
+        home_apply_report (home, "r0", 1, &entry, now);
       now += c->idle_ms;
       entry.sequence++;
       entry.backlogged = true;
       entry.floor = c->floor;
-      home_report (home, "r0", 1, &entry, now);
+      home_apply_report (home, "r0", 1, &entry, now);
       assert_near (told (home, now), c->vt_after);
     }
 }
@@ -143,8 +144,9 @@
   {
     cfd_time_t silence_ms;
     double vt;
-  } cases[] = { { SHARE_REFRESH_MS, 7000 },
-                { SHARE_REFRESH_MS + 1, 100 + SHARE_WINDOW } };
+  } cases[]
+      = { { SHARE_REFRESH_INTERVAL_MS, 7000 },
+          { SHARE_REFRESH_INTERVAL_MS + 1, 100 + SHARE_WINDOW_MIN_TOKENS } };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -156,10 +158,10 @@
                                    .floor = 100,
                                    .backlogged = true };
 
-      home_report (home, "r0", 1, &entry, 10000);
+      home_apply_report (home, "r0", 1, &entry, 10000);
       entry.sequence = 2;
       entry.charged = 7000;
-      home_report (home, "r0", 1, &entry, 10000 + cases[i].silence_ms);
+      home_apply_report (home, "r0", 1, &entry, 10000 + cases[i].silence_ms);
       assert_near (told (home, 20000), cases[i].vt);
     }
 }
@@ -177,7 +179,7 @@
     cfd_time_t apart_ms;
     double vt;
   } cases[] = { { 10000, 100 + 70 + 40 + 5 },
-                { SHARE_FORGET_MS + 10000, 100 + 70 + 5 } };
+                { SHARE_HOME_EXPIRY_MS + 10000, 100 + 70 + 5 } };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -192,17 +194,17 @@
       cfd_time_t joined = 10000 + cases[i].apart_ms;
 
       second.charged = 40;
-      home_report (home, "r0", 1, &first, 10000);
-      home_report (home, "r1", 2, &second, 10000);
+      home_apply_report (home, "r0", 1, &first, 10000);
+      home_apply_report (home, "r1", 2, &second, 10000);
       first.sequence = 2;
       first.charged += 70;
-      home_report (home, "r0", 1, &first, joined - 1);
+      home_apply_report (home, "r0", 1, &first, joined - 1);
       home_expire (home, joined);
       second.sequence = 9;
       second.charged += 40 + 5;
       second.acked = 80;
       second.last_vt = 140;
-      home_report (home, "r1", 2, &second, joined);
+      home_apply_report (home, "r1", 2, &second, joined);
       assert_near (told (home, joined), cases[i].vt);
     }
 }
@@ -229,16 +231,16 @@
                                    .backlogged = true };
 
       for (unsigned i = 0; i < 3; i++)
-        home_report (home, routers[i], 1, &entry, 10000);
+        home_apply_report (home, routers[i], 1, &entry, 10000);
       entry.sequence++;
       entry.charged = parts[row];
       entry.floor = floor;
       for (unsigned i = 0; i < 3; i++)
-        home_report (home, routers[i], 1, &entry, 15000 + i);
+        home_apply_report (home, routers[i], 1, &entry, 15000 + i);
       assert_near (told (home, 15010), floor);
       entry.sequence++;
-      entry.floor = floor + SHARE_WINDOW + 500;
-      home_report (home, "r0", 1, &entry, 16000);
+      entry.floor = floor + SHARE_WINDOW_MIN_TOKENS + 500;
+      home_apply_report (home, "r0", 1, &entry, 16000);
       assert_near (told (home, 16000), floor + 500);
     }
 }
--- a/libcoltsfootdrum/share/test-share.c
+++ b/libcoltsfootdrum/share/test-share.c
@@ -76,7 +76,7 @@
 {
   char name[] = { 'r', (char)('0' + report->router), '\0' };
 
-  home_report (net->home, name, report->router + 1, &report->entry, now);
+  home_apply_report (net->home, name, report->router + 1, &report->entry, now);
 }
 
 /* Everything due is delivered, once and in order.  */
@@ -84,16 +84,16 @@
 net_settle (net_t *net, cfd_time_t now)
 {
   for (net->from = 0; net->from < ROUTERS; net->from++)
-    share_due (net->shares[net->from], now, collect_report, net);
+    share_emit_due (net->shares[net->from], now, collect_report, net);
   for (unsigned i = 0; i < net->reports->len; i++)
     deliver_report (net, &g_array_index (net->reports, report_t, i), now);
   g_array_set_size (net->reports, 0);
-  home_due (net->home, now, collect_answer, net);
+  home_emit_due (net->home, now, collect_answer, net);
   for (unsigned i = 0; i < net->answers->len; i++)
     {
       answer_t *answer = &g_array_index (net->answers, answer_t, i);
 
-      share_take (net->shares[answer->router], &answer->entry, now);
+      share_apply_answer (net->shares[answer->router], &answer->entry, now);
     }
   g_array_set_size (net->answers, 0);
 }
@@ -101,7 +101,7 @@
 static double
 vt (const net_t *net, unsigned router)
 {
-  return share_virtual_time (net->shares[router], "acme", "draft");
+  return share_get_virtual_time (net->shares[router], "acme", "draft");
 }
 
 static void
@@ -118,7 +118,7 @@
   net_init (&net);
   for (unsigned i = 0; i < ROUTERS; i++)
     {
-      share_backlog (net.shares[i], "acme", "draft", true, 0);
+      share_set_backlogged (net.shares[i], "acme", "draft", true, 0);
       share_charge (net.shares[i], "acme", "draft", 100, 2, 0);
     }
   net_settle (&net, 10);
@@ -145,7 +145,7 @@
 
   net_init (&net);
   for (unsigned i = 0; i < ROUTERS; i++)
-    share_backlog (net.shares[i], "acme", "draft", true, now);
+    share_set_backlogged (net.shares[i], "acme", "draft", true, now);
   for (unsigned step = 0; step < 2000; step++)
     {
       unsigned router = (unsigned)g_rand_int_range (rand, 0, ROUTERS);
@@ -155,7 +155,7 @@
       total += tokens;
       share_charge (net.shares[router], "acme", "draft", tokens, 1, now);
       net.from = router;
-      share_due (net.shares[router], now, collect_report, &net);
+      share_emit_due (net.shares[router], now, collect_report, &net);
       for (unsigned i = 0; i < 2 && net.reports->len > 0; i++)
         {
           unsigned pick
@@ -166,13 +166,14 @@
         }
       if (net.reports->len > 8)
         g_array_set_size (net.reports, 4);
-      home_due (net.home, now, collect_answer, &net);
+      home_emit_due (net.home, now, collect_answer, &net);
       for (unsigned i = 0; i < net.answers->len; i++)
         {
           answer_t *answer = &g_array_index (net.answers, answer_t, i);
 
           if (g_rand_boolean (rand))
-            share_take (net.shares[answer->router], &answer->entry, now);
+            share_apply_answer (net.shares[answer->router], &answer->entry,
+                                now);
         }
       if (net.answers->len > 8)
         g_array_set_size (net.answers, 0);
@@ -180,7 +181,7 @@
   g_array_set_size (net.reports, 0);
   g_array_set_size (net.answers, 0);
   for (unsigned i = 0; i < 3; i++)
-    net_settle (&net, now += SHARE_REFRESH_MS);
+    net_settle (&net, now += SHARE_REFRESH_INTERVAL_MS);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), total);
   net_clear (&net);
@@ -198,7 +199,7 @@
   net_init (&net);
   for (unsigned i = 0; i < ROUTERS; i++)
     {
-      share_backlog (net.shares[i], "acme", "draft", true, 0);
+      share_set_backlogged (net.shares[i], "acme", "draft", true, 0);
       share_charge (net.shares[i], "acme", "draft", 1000, 1, 0);
     }
   net_settle (&net, 10);
@@ -230,11 +231,11 @@
   net_t net = { .home = home };
 
   net.answers = g_array_new (FALSE, FALSE, sizeof (answer_t));
-  home_report (home, "r0", 1, &old, 0);
+  home_apply_report (home, "r0", 1, &old, 0);
   fresh.sequence = 1;
   fresh.charged = 30;
-  home_report (home, "r0", 2, &fresh, 100);
-  home_due (home, 100, collect_answer, &net);
+  home_apply_report (home, "r0", 2, &fresh, 100);
+  home_emit_due (home, 100, collect_answer, &net);
   g_assert_cmpuint (net.answers->len, ==, 1);
   assert_near (g_array_index (net.answers, answer_t, 0).entry.virtual_time,
                530);
@@ -271,7 +272,7 @@
 
   net_init (&net);
   for (unsigned i = 0; i < ROUTERS; i++)
-    share_backlog (net.shares[i], "acme", "draft", true, now);
+    share_set_backlogged (net.shares[i], "acme", "draft", true, now);
   for (unsigned step = 0; step < 400; step++)
     {
       unsigned router = (unsigned)g_rand_int_range (rand, 0, ROUTERS);
@@ -281,10 +282,10 @@
       share_charge (net.shares[router], "acme", "draft", tokens, 1, now);
       if (step % 20 == 19)
         change_home (&net, &other, g_rand_boolean (rand));
-      now += SHARE_REFRESH_MS;
+      now += SHARE_REFRESH_INTERVAL_MS;
       net_settle (&net, now);
     }
-  net_settle (&net, now + SHARE_REFRESH_MS);
+  net_settle (&net, now + SHARE_REFRESH_INTERVAL_MS);
   for (unsigned i = 0; i < ROUTERS; i++)
     assert_near (vt (&net, i), total);
   home_free (other);
@@ -312,7 +313,7 @@
 {
   unsigned reports = 0;
 
-  share_due (share, now, count_report, &reports);
+  share_emit_due (share, now, count_report, &reports);
   return reports;
 }
 
@@ -327,13 +328,13 @@
   g_autoptr (share_t) share = share_new ();
   uint64_t home = HOME;
 
-  share_backlog (share, "acme", "draft", true, 1000);
+  share_set_backlogged (share, "acme", "draft", true, 1000);
   share_charge (share, "idle", "draft", 10, 1, 1);
   g_assert_cmpuint (count_due (share, 1000), ==, 2);
-  share_moved (share, 1500, home_is, &home);
+  share_mark_moved_due (share, 1500, home_is, &home);
   g_assert_cmpuint (count_due (share, 1500), ==, 0);
   home++;
-  share_moved (share, 1500, home_is, &home);
+  share_mark_moved_due (share, 1500, home_is, &home);
   g_assert_cmpuint (count_due (share, 1500), ==, 1);
 }
 
@@ -360,27 +361,28 @@
     {
       for (unsigned i = 0; i < ROUTERS; i++)
         {
-          share_backlog (net.shares[i], "acme", "draft", true, now);
+          share_set_backlogged (net.shares[i], "acme", "draft", true, now);
           share_charge (net.shares[i], "acme", "draft", 10, 1, now);
         }
       share_charge (net.shares[0], "lone", "draft", 10, 1, now);
-      now += SHARE_REFRESH_MS;
+      now += SHARE_REFRESH_INTERVAL_MS;
       net_settle (&net, now);
     }
   double before = vt (&net, 0);
-  double lone = share_virtual_time (net.shares[0], "lone", "draft");
+  double lone = share_get_virtual_time (net.shares[0], "lone", "draft");
 
-  share_late (net.shares[0], HOME + 1, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME + 1, true, add_up, &moved);
   share_charge (net.shares[0], "acme", "draft", 30, 1, now);
   share_charge (net.shares[0], "lone", "draft", 30, 1, now);
   assert_near (vt (&net, 0), before + 30);
-  share_late (net.shares[0], HOME, true, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME, true, add_up, &moved);
   assert_near (vt (&net, 0), before + 90);
   assert_near (moved, 60);
-  share_late (net.shares[0], HOME, false, add_up, &moved);
+  share_set_home_late (net.shares[0], HOME, false, add_up, &moved);
   assert_near (moved, 0);
-  share_late (net.shares[0], HOME, true, add_up, &moved);
-  assert_near (share_virtual_time (net.shares[0], "lone", "draft"), lone + 30);
+  share_set_home_late (net.shares[0], HOME, true, add_up, &moved);
+  assert_near (share_get_virtual_time (net.shares[0], "lone", "draft"),
+               lone + 30);
   net_settle (&net, now + 1);
   assert_near (vt (&net, 0), before + 30);
   net_clear (&net);
@@ -394,16 +396,16 @@
      former, and falls when all grants are lower, as after a partition.  */
   g_autoptr (share_t) share = share_new ();
 
-  share_floor (share, "draft", 500, 1000);
-  share_floor (share, "draft", 700, 1500);
-  share_floor (share, "draft", 20, 1600);
-  assert_near (share_floor_now (share, "draft", 1600), 700);
-  share_floor (share, "draft", 30, 1000 + SHARE_FLOOR_MS / 2);
-  assert_near (share_floor_now (share, "draft", 2000), 700);
-  share_floor (share, "draft", 60, 1000 + SHARE_FLOOR_MS);
-  assert_near (share_floor_now (share, "draft", 3000), 60);
-  share_floor (share, "draft", 50, 5000 + 2 * SHARE_FLOOR_MS);
-  assert_near (share_floor_now (share, "draft", 9000), 50);
+  share_record_floor (share, "draft", 500, 1000);
+  share_record_floor (share, "draft", 700, 1500);
+  share_record_floor (share, "draft", 20, 1600);
+  assert_near (share_get_floor (share, "draft", 1600), 700);
+  share_record_floor (share, "draft", 30, 1000 + SHARE_FLOOR_MAX_AGE_MS / 2);
+  assert_near (share_get_floor (share, "draft", 2000), 700);
+  share_record_floor (share, "draft", 60, 1000 + SHARE_FLOOR_MAX_AGE_MS);
+  assert_near (share_get_floor (share, "draft", 3000), 60);
+  share_record_floor (share, "draft", 50, 5000 + 2 * SHARE_FLOOR_MAX_AGE_MS);
+  assert_near (share_get_floor (share, "draft", 9000), 50);
 }
 
 static void
@@ -416,15 +418,15 @@
   };
 
   share_charge (share, "acme", "draft", 10, 1, 0);
-  home_report (home, "r0", 1, &entry, 0);
-  share_expire (share, SHARE_KEEP_MS);
-  home_expire (home, SHARE_FORGET_MS);
-  g_assert_cmpuint (share_accounts (share), ==, 1);
-  g_assert_cmpuint (home_accounts (home), ==, 1);
-  share_expire (share, SHARE_KEEP_MS + 1);
-  home_expire (home, SHARE_FORGET_MS + 1);
-  g_assert_cmpuint (share_accounts (share), ==, 0);
-  g_assert_cmpuint (home_accounts (home), ==, 0);
+  home_apply_report (home, "r0", 1, &entry, 0);
+  share_expire (share, SHARE_ROUTER_EXPIRY_MS);
+  home_expire (home, SHARE_HOME_EXPIRY_MS);
+  g_assert_cmpuint (share_count_accounts (share), ==, 1);
+  g_assert_cmpuint (home_count_accounts (home), ==, 1);
+  share_expire (share, SHARE_ROUTER_EXPIRY_MS + 1);
+  home_expire (home, SHARE_HOME_EXPIRY_MS + 1);
+  g_assert_cmpuint (share_count_accounts (share), ==, 0);
+  g_assert_cmpuint (home_count_accounts (home), ==, 0);
 }
 
 int
--- a/tests/bench-pick.c
+++ b/tests/bench-pick.c
@@ -30,7 +30,7 @@
                                 .class_rank = i % 2,
                                 .oldest_ms = i % 700,
                                 .virtual_time = (i * 7919 + round) % 5003 };
-  pick_announce (pick, routers[router], &message, now);
+  pick_apply_announcement (pick, routers[router], &message, now);
 }
 
 int
@@ -54,15 +54,15 @@
       for (unsigned i = 0; i < GRANTS; i++)
         {
           pick_choice_t choice;
-          unsigned flying = pick_expire (pick, now);
-          uint64_t grant = pick_grant (pick, now, &choice);
+          unsigned flying = pick_expire_grants (pick, now);
+          uint64_t grant = pick_make_grant (pick, now, &choice);
           msg_waiting_t left = { choice.account, 3, 0, 10, 6000 + i };
           g_autofree char *account = g_strdup (choice.account);
 
           g_assert (flying == 0);
           left.account = account;
-          (void)pick_answered (pick, grant, now);
-          pick_left (pick, choice.router, &left, now);
+          (void)pick_complete_grant (pick, grant, now);
+          pick_update_waiting (pick, choice.router, &left, now);
         }
       choosing += clock_now_us () - start;
     }
