--- a/libcoltsfootdrum/relay/con.c
+++ b/libcoltsfootdrum/relay/con.c
@@ -95,7 +95,7 @@
   if (getsockopt (con->reader.fd, SOL_SOCKET, SO_ERROR, &problem, &length) != 0
       || problem != 0)
     {
-      tell_end (con, CON_END_UNREACHED);
+      tell_end (con, CON_END_CONNECT_FAILED);
       return false;
     }
   con->connected = true;
@@ -193,8 +193,8 @@
 }
 
 con_t *
-con_new_dialled (struct ev_loop *loop, const addr_t *addr,
-                 const con_ops_t *ops, void *user)
+con_new_outbound (struct ev_loop *loop, const addr_t *addr,
+                  const con_ops_t *ops, void *user)
 {
   int fd = addr_dial (addr);
   con_t *con;
@@ -271,7 +271,7 @@
 }
 
 size_t
-con_unwritten (const con_t *con)
+con_get_unsent_bytes (const con_t *con)
 {
   return con->out->len - con->out_done;
 }
@@ -283,7 +283,7 @@
 }
 
 void
-con_end_when_written (con_t *con)
+con_shutdown_after_flush (con_t *con)
 {
   con->ending = true;
   if (con->connected && con->out->len == 0)
@@ -291,7 +291,7 @@
 }
 
 bool
-con_is_open (const con_t *con)
+con_is_peer_open (const con_t *con)
 {
   char byte;
 
@@ -299,7 +299,7 @@
 }
 
 void
-con_hold (con_t *con, bool hold)
+con_set_read_paused (con_t *con, bool hold)
 {
   if (!con->connected || con->failed)
     return;
--- a/libcoltsfootdrum/relay/con.h
+++ b/libcoltsfootdrum/relay/con.h
@@ -15,9 +15,9 @@
 
 typedef enum
 {
-  CON_END_CLOSED,   /* the peer closed in order */
-  CON_END_RESET,    /* reset, timed out or broken */
-  CON_END_UNREACHED /* the connection was never made */
+  CON_END_CLOSED,        /* the peer closed in order */
+  CON_END_RESET,         /* reset, timed out or broken */
+  CON_END_CONNECT_FAILED /* the connection was never made */
 } con_end_t;
 
 typedef struct
@@ -33,8 +33,8 @@
                          void *user);
 
 /* Begins to connect to ADDR; NULL with errno set when that fails at once.  */
-con_t *con_new_dialled (struct ev_loop *loop, const addr_t *addr,
-                        const con_ops_t *ops, void *user);
+con_t *con_new_outbound (struct ev_loop *loop, const addr_t *addr,
+                         const con_ops_t *ops, void *user);
 
 /* Closes; what is still unwritten is given up.  */
 void con_free (con_t *con);
@@ -53,7 +53,7 @@
 void con_write (con_t *con, const void *bytes, size_t length);
 
 /* Bytes that the peer has not taken yet.  */
-size_t con_unwritten (const con_t *con);
+size_t con_get_unsent_bytes (const con_t *con);
 
 /* True once a byte was handed to the system.  */
 bool con_has_sent (const con_t *con);
@@ -61,13 +61,13 @@
 /* Shuts down the sending side once all is written.  Bytes that still come are
    handed on, and the peer's close ends the connection: a close with unread
    bytes would reset it, and the peer might lose what was written last.  */
-void con_end_when_written (con_t *con);
+void con_shutdown_after_flush (con_t *con);
 
 /* False when the peer has closed and all that it sent was read: its end is
    still to be told.  */
-bool con_is_open (const con_t *con);
+bool con_is_peer_open (const con_t *con);
 
 /* Stops and restarts reading.  */
-void con_hold (con_t *con, bool hold);
+void con_set_read_paused (con_t *con, bool hold);
 
 #endif
--- a/libcoltsfootdrum/relay/edp.c
+++ b/libcoltsfootdrum/relay/edp.c
@@ -252,7 +252,7 @@
 {
   list_for_each (node, &set->list)
     {
-      ups_sweep (list_entry (node, edp_t, node)->ups, now);
+      ups_close_expired (list_entry (node, edp_t, node)->ups, now);
     }
   list_for_each_safe (node, &set->retired)
     {
--- a/libcoltsfootdrum/relay/ent.c
+++ b/libcoltsfootdrum/relay/ent.c
@@ -45,7 +45,7 @@
   list_node_t callers; /* ent_call_t */
   unsigned count;
   unsigned accepted; /* since the start */
-  bool left_waiting; /* since the last question */
+  bool backlogged;   /* since the last question */
   bool draining;
 };
 
@@ -140,7 +140,7 @@
 {
   log_info ("entry", "A request was refused: status=%u.", status);
   call->keep = false;
-  ent_answer (call, status, NULL, NULL, 0);
+  ent_respond (call, status, NULL, NULL, 0);
 }
 
 static void
@@ -170,7 +170,7 @@
     refuse (call, 413);
   else if (result == RD_TOO_LARGE)
     refuse (call, 431);
-  else if (result == RD_BAD)
+  else if (result == RD_INVALID)
     refuse (call, 400);
   else if (result == RD_COMPLETE)
     hand_over (call);
@@ -192,7 +192,7 @@
     return;
   g_byte_array_append (call->ahead, (const guint8 *)bytes, (guint)length);
   if (call->ahead->len > AHEAD_MOST)
-    con_hold (call->con, true);
+    con_set_read_paused (call->con, true);
 }
 
 static void
@@ -263,7 +263,7 @@
       add_caller (ent, fd);
       accepted++;
     }
-  ent->left_waiting |= accepted == ACCEPTS_A_WAKE;
+  ent->backlogged |= accepted == ACCEPTS_A_WAKE;
   return accepted;
 }
 
@@ -323,11 +323,11 @@
 }
 
 bool
-ent_left_waiting (ent_t *ent)
+ent_test_and_clear_backlogged (ent_t *ent)
 {
-  bool left = ent->left_waiting;
+  bool left = ent->backlogged;
 
-  ent->left_waiting = false;
+  ent->backlogged = false;
   return left;
 }
 
@@ -338,7 +338,7 @@
 }
 
 unsigned
-ent_port (const ent_t *ent)
+ent_get_port (const ent_t *ent)
 {
   struct sockaddr_in addr = { 0 };
   socklen_t length = sizeof addr;
@@ -355,7 +355,7 @@
     {
       ent_call_t *call = list_entry (node, ent_call_t, node);
 
-      rd_set_head_most (call->rd, limits->head_bytes);
+      rd_set_max_head_bytes (call->rd, limits->head_bytes);
     }
 }
 
@@ -382,7 +382,7 @@
 end_caller (ent_call_t *call)
 {
   set_state (call, STATE_ENDING);
-  con_end_when_written (call->con);
+  con_shutdown_after_flush (call->con);
 }
 
 /* Milliseconds that a connection may stay idle.  Above half of the connections
@@ -423,7 +423,7 @@
         refuse (call, 408);
       break;
     case STATE_ENDING:
-      if (in_state > LINGER_MS && con_unwritten (call->con) == 0)
+      if (in_state > LINGER_MS && con_get_unsent_bytes (call->con) == 0)
         call_free (call);
       break;
     case STATE_SERVING:
@@ -443,31 +443,31 @@
 }
 
 unsigned
-ent_connections (const ent_t *ent)
+ent_count_connections (const ent_t *ent)
 {
   return ent->count;
 }
 
 unsigned
-ent_accepted (const ent_t *ent)
+ent_count_accepted (const ent_t *ent)
 {
   return ent->accepted;
 }
 
 rd_head_t *
-ent_head (ent_call_t *call)
+ent_get_head (ent_call_t *call)
 {
   return rd_head (call->rd);
 }
 
 const GByteArray *
-ent_body (const ent_call_t *call)
+ent_get_body (const ent_call_t *call)
 {
   return call->body;
 }
 
 cfd_time_t
-ent_since (const ent_call_t *call)
+ent_get_start_time (const ent_call_t *call)
 {
   return call->began;
 }
@@ -479,7 +479,7 @@
 }
 
 void *
-ent_data (const ent_call_t *call)
+ent_get_data (const ent_call_t *call)
 {
   return call->data;
 }
@@ -500,7 +500,7 @@
   if (fields != NULL)
     g_string_append (text, fields);
   if (will_close (call))
-    hdr_put (text, "Connection", "close");
+    hdr_append_line (text, "Connection", "close");
   return text;
 }
 
@@ -525,7 +525,7 @@
     return;
   ahead = g_steal_pointer (&call->ahead);
   call->ahead = g_byte_array_new ();
-  con_hold (call->con, false);
+  con_set_read_paused (call->con, false);
   if (call->taking)
     /* The answer came from inside the reading of its request; the bytes that
        follow are looked at when that returns.  */
@@ -541,8 +541,8 @@
 }
 
 void
-ent_answer (ent_call_t *call, unsigned status, const char *fields,
-            const void *body, size_t length)
+ent_respond (ent_call_t *call, unsigned status, const char *fields,
+             const void *body, size_t length)
 {
   g_autoptr (GString) text = head_text (call, status, fields);
 
@@ -554,14 +554,14 @@
 }
 
 void
-ent_begin (ent_call_t *call, unsigned status, const char *fields,
-           int64_t length)
+ent_begin_response (ent_call_t *call, unsigned status, const char *fields,
+                    int64_t length)
 {
   g_autoptr (GString) text = head_text (call, status, fields);
 
   call->chunked = length < 0;
   if (call->chunked)
-    hdr_put (text, "Transfer-Encoding", "chunked");
+    hdr_append_line (text, "Transfer-Encoding", "chunked");
   else
     g_string_append_printf (text, "Content-Length: %" G_GINT64_FORMAT "\r\n",
                             length);
@@ -570,7 +570,7 @@
 }
 
 void
-ent_send (ent_call_t *call, const void *bytes, size_t length)
+ent_send_body (ent_call_t *call, const void *bytes, size_t length)
 {
   g_autoptr (GString) text = NULL;
 
@@ -589,7 +589,7 @@
 }
 
 void
-ent_finish (ent_call_t *call)
+ent_finish_response (ent_call_t *call)
 {
   if (call->chunked)
     con_write (call->con, "0\r\n\r\n", 5);
@@ -597,19 +597,19 @@
 }
 
 void
-ent_break (ent_call_t *call)
+ent_abort (ent_call_t *call)
 {
   call_free (call);
 }
 
 bool
-ent_is_there (const ent_call_t *call)
+ent_is_client_connected (const ent_call_t *call)
 {
-  return con_is_open (call->con);
+  return con_is_peer_open (call->con);
 }
 
 size_t
-ent_unwritten (const ent_call_t *call)
+ent_get_unsent_bytes (const ent_call_t *call)
 {
-  return con_unwritten (call->con);
+  return con_get_unsent_bytes (call->con);
 }
--- a/libcoltsfootdrum/relay/evs.c
+++ b/libcoltsfootdrum/relay/evs.c
@@ -87,14 +87,14 @@
 }
 
 void
-evs_cut (evs_t *sse)
+evs_discard_partial (evs_t *sse)
 {
   g_byte_array_set_size (sse->bytes, 0);
 }
 
 void
-evs_rest (evs_t *sse, GString *out)
+evs_flush (evs_t *sse, GString *out)
 {
   g_string_append_len (out, (const char *)sse->bytes->data, sse->bytes->len);
-  evs_cut (sse);
+  evs_discard_partial (sse);
 }
--- a/libcoltsfootdrum/relay/evs.h
+++ b/libcoltsfootdrum/relay/evs.h
@@ -23,9 +23,9 @@
 unsigned evs_feed (evs_t *sse, const char *bytes, size_t length, GString *out);
 
 /* Drops the begun event, as when its stream broke off.  */
-void evs_cut (evs_t *sse);
+void evs_discard_partial (evs_t *sse);
 
 /* What is left at the end of a whole stream, which no blank line ended.  */
-void evs_rest (evs_t *sse, GString *out);
+void evs_flush (evs_t *sse, GString *out);
 
 #endif
--- a/libcoltsfootdrum/relay/hdr.c
+++ b/libcoltsfootdrum/relay/hdr.c
@@ -52,7 +52,7 @@
 }
 
 const char *
-hdr_name (const hdr_t *hdr, guint i)
+hdr_get_name (const hdr_t *hdr, guint i)
 {
   const hdr_field_t *field = &g_array_index (hdr->fields, hdr_field_t, i);
 
@@ -60,7 +60,7 @@
 }
 
 const char *
-hdr_value (const hdr_t *hdr, guint i)
+hdr_get_value (const hdr_t *hdr, guint i)
 {
   const hdr_field_t *field = &g_array_index (hdr->fields, hdr_field_t, i);
 
@@ -71,8 +71,8 @@
 hdr_get (const hdr_t *hdr, const char *name)
 {
   for (guint i = 0; i < hdr_count (hdr); i++)
-    if (g_ascii_strcasecmp (hdr_name (hdr, i), name) == 0)
-      return hdr_value (hdr, i);
+    if (g_ascii_strcasecmp (hdr_get_name (hdr, i), name) == 0)
+      return hdr_get_value (hdr, i);
   return NULL;
 }
 
@@ -89,7 +89,7 @@
 }
 
 bool
-hdr_is_hop (const hdr_t *hdr, guint i)
+hdr_is_hop_by_hop (const hdr_t *hdr, guint i)
 {
   static const char *const hop[] = { "Connection",
                                      "Keep-Alive",
@@ -102,7 +102,7 @@
                                      "Proxy-Authorization",
                                      "Expect",
                                      NULL };
-  const char *name = hdr_name (hdr, i);
+  const char *name = hdr_get_name (hdr, i);
   const char *connection;
 
   for (const char *const *fixed = hop; *fixed != NULL; fixed++)
@@ -113,7 +113,7 @@
 }
 
 void
-hdr_put (GString *out, const char *name, const char *value)
+hdr_append_line (GString *out, const char *name, const char *value)
 {
   g_string_append (out, name);
   g_string_append_len (out, ": ", 2);
--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -65,7 +65,7 @@
 static void
 pack_prefixes (pal_t *pal, msgpack_packer *packer, cfd_time_t now, bool whole)
 {
-  const GArray *updates = pfx_updates (pal->pfx, now - UPDATES_MS);
+  const GArray *updates = pfx_get_updates (pal->pfx, now - UPDATES_MS);
   guint first = 0;
 
   while (!whole && first < updates->len
@@ -122,7 +122,7 @@
 static void
 pack_seen (const pal_t *pal, msgpack_packer *packer, bool whole)
 {
-  unsigned count = whole ? PAL_LISTS : 0;
+  unsigned count = whole ? PAL_LIST_COUNT : 0;
 
   msgpack_pack_array (packer, count * 2);
   for (unsigned i = 0; i < count; i++)
--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -24,8 +24,8 @@
   uint64_t number; /* of its newest datagram */
   cfd_time_t heard;
   int64_t steady_ms;
-  int64_t seen[PAL_LISTS];
-  int64_t ages[PAL_LISTS]; /* when it told them; -1: not known */
+  int64_t seen[PAL_LIST_COUNT];
+  int64_t ages[PAL_LIST_COUNT]; /* when it told them; -1: not known */
   cfd_time_t ages_told;
   GHashTable *loads; /* endpoint's hash to pal_load_t */
 } pal_peer_t;
@@ -55,8 +55,8 @@
   ret_t *ret;
   lag_t *lag; /* not owned; may be NULL */
   int64_t steady_ms;
-  int64_t seen[PAL_LISTS];
-  int64_t ages[PAL_LISTS];
+  int64_t seen[PAL_LIST_COUNT];
+  int64_t ages[PAL_LIST_COUNT];
   cfd_time_t told_changes; /* when changes were sent */
   cfd_time_t told;         /* when all figures were sent */
   uint64_t prefixes_told;  /* number of the newest */
--- a/libcoltsfootdrum/relay/pal-take.c
+++ b/libcoltsfootdrum/relay/pal-take.c
@@ -69,7 +69,7 @@
          && is_numbers (&items[7], 2)
          && (is_number (&items[8])
              || items[8].type == MSGPACK_OBJECT_NEGATIVE_INTEGER)
-         && is_numbers (&items[9], PAL_LISTS * 2)
+         && is_numbers (&items[9], PAL_LIST_COUNT * 2)
          && is_numbers (&items[10], 3);
 }
 
@@ -96,7 +96,7 @@
   peer->name = g_strdup (name);
   peer->loads
       = g_hash_table_new_full (hash_endpoint, equal_endpoint, NULL, g_free);
-  for (unsigned i = 0; i < PAL_LISTS; i++)
+  for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     peer->ages[i] = -1;
   g_hash_table_insert (pal->peers, peer->name, peer);
   log_info ("peers", "Another router is heard: router=%s.", name);
@@ -238,8 +238,8 @@
 take_prefixes (pal_t *pal, cfd_time_t now, const msgpack_object_array *pairs)
 {
   for (unsigned i = 0; i + 1 < pairs->size; i += 2)
-    pfx_received (pal->pfx, now, pairs->ptr[i].via.u64,
-                  pairs->ptr[i + 1].via.u64);
+    pfx_apply_update (pal->pfx, now, pairs->ptr[i].via.u64,
+                      pairs->ptr[i + 1].via.u64);
 }
 
 static void
@@ -258,10 +258,10 @@
 static void
 take_seen (pal_peer_t *peer, cfd_time_t now, const msgpack_object_array *pairs)
 {
-  if (pairs->size < PAL_LISTS * 2)
+  if (pairs->size < PAL_LIST_COUNT * 2)
     return;
   peer->ages_told = now;
-  for (unsigned i = 0; i < PAL_LISTS; i++)
+  for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     {
       uint64_t age = MIN (pairs->ptr[2 * i + 1].via.u64, AGE_MOST_MS);
 
@@ -271,7 +271,7 @@
 }
 
 bool
-pal_take (pal_t *pal, cfd_time_t now, const void *bytes, size_t length)
+pal_receive (pal_t *pal, cfd_time_t now, const void *bytes, size_t length)
 {
   msgpack_unpacked unpacked;
   const msgpack_object *items;
--- a/libcoltsfootdrum/relay/pal-update.c
+++ b/libcoltsfootdrum/relay/pal-update.c
@@ -31,12 +31,12 @@
 }
 
 void
-pal_send_update (pal_t *pal, unsigned list, int64_t from, int64_t to,
-                 const char *events)
+pal_broadcast_update (pal_t *pal, unsigned list, int64_t from, int64_t to,
+                      const char *events)
 {
   g_autoptr (GByteArray) bytes = NULL;
 
-  g_return_if_fail (list < PAL_LISTS);
+  g_return_if_fail (list < PAL_LIST_COUNT);
   if (strlen (events) > UPDATE_MOST)
     return;
   bytes = pal_pack_update (list, from, to, events);
@@ -44,10 +44,10 @@
 }
 
 void
-pal_on_update (pal_t *pal,
-               void (*back) (void *user, unsigned list, int64_t from,
-                             int64_t to, const char *events),
-               void *user)
+pal_set_update_callback (pal_t *pal,
+                         void (*back) (void *user, unsigned list, int64_t from,
+                                       int64_t to, const char *events),
+                         void *user)
 {
   pal->on_update = back;
   pal->update_user = user;
@@ -63,7 +63,7 @@
   for (unsigned i = 0; i < 4; i++)
     if (items[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER)
       return false;
-  return items[0].via.u64 == UPDATE_FORMAT && items[1].via.u64 < PAL_LISTS
+  return items[0].via.u64 == UPDATE_FORMAT && items[1].via.u64 < PAL_LIST_COUNT
          && items[2].via.u64 < items[3].via.u64
          && items[3].via.u64 <= INT64_MAX
          && items[4].type == MSGPACK_OBJECT_STR;
--- a/libcoltsfootdrum/relay/pal.c
+++ b/libcoltsfootdrum/relay/pal.c
@@ -55,7 +55,7 @@
       if (n < 0)
         break;
       read++;
-      if (!pal_take (pal, clock_now (), buffer, (size_t)n)
+      if (!pal_receive (pal, clock_now (), buffer, (size_t)n)
           && !pal_take_update (pal, buffer, (size_t)n))
         log_warn ("peers", "A datagram was passed over: bytes=%zd.", n);
     }
@@ -115,7 +115,7 @@
   pal->pfx = pfx;
   pal->ret = ret;
   pal->steady_ms = -1;
-  for (unsigned i = 0; i < PAL_LISTS; i++)
+  for (unsigned i = 0; i < PAL_LIST_COUNT; i++)
     pal->ages[i] = -1;
   ev_io_init (&pal->reader, on_readable, fd, EV_READ);
   pal->reader.data = pal;
@@ -148,7 +148,7 @@
 }
 
 void
-pal_set_peers (pal_t *pal, const pal_listed_t *peers, guint count)
+pal_set_peers (pal_t *pal, const pal_member_t *peers, guint count)
 {
   g_array_set_size (pal->addresses, 0);
   g_clear_pointer (&pal->listed, g_ptr_array_unref);
@@ -173,17 +173,17 @@
 }
 
 unsigned
-pal_heard (const pal_t *pal)
+pal_count_alive (const pal_t *pal)
 {
   return g_hash_table_size (pal->peers) + 1;
 }
 
 unsigned
-pal_routers (const pal_t *pal)
+pal_estimate_fleet_size (const pal_t *pal)
 {
   if (may_be_cut_off (pal))
     return pal->listed->len + 1;
-  return pal_heard (pal);
+  return pal_count_alive (pal);
 }
 
 static unsigned
@@ -204,7 +204,7 @@
 }
 
 void
-pal_rank_cold (pal_t *pal, cfd_time_t now)
+pal_update_cold_ranks (pal_t *pal, cfd_time_t now)
 {
   list_for_each (node, edp_set_list (pal->endpoints))
     {
@@ -281,13 +281,13 @@
 }
 
 void
-pal_set_steady (pal_t *pal, int64_t steady_ms)
+pal_set_list_stable_ms (pal_t *pal, int64_t steady_ms)
 {
   pal->steady_ms = steady_ms;
 }
 
 int64_t
-pal_peers_steady (const pal_t *pal, cfd_time_t now)
+pal_get_max_peer_stable_ms (const pal_t *pal, cfd_time_t now)
 {
   GHashTableIter each;
   void *data;
@@ -305,20 +305,20 @@
 }
 
 void
-pal_set_seen (pal_t *pal, unsigned list, int64_t revision)
+pal_set_list_revision (pal_t *pal, unsigned list, int64_t revision)
 {
-  g_return_if_fail (list < PAL_LISTS);
+  g_return_if_fail (list < PAL_LIST_COUNT);
   pal->seen[list] = revision;
 }
 
 int64_t
-pal_peers_seen (const pal_t *pal, cfd_time_t now, unsigned list)
+pal_get_max_peer_revision (const pal_t *pal, cfd_time_t now, unsigned list)
 {
   GHashTableIter each;
   void *data;
   int64_t newest = 0;
 
-  g_return_val_if_fail (list < PAL_LISTS, 0);
+  g_return_val_if_fail (list < PAL_LIST_COUNT, 0);
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &data))
     {
@@ -331,9 +331,9 @@
 }
 
 void
-pal_set_age (pal_t *pal, unsigned list, int64_t age_ms)
+pal_set_list_age (pal_t *pal, unsigned list, int64_t age_ms)
 {
-  g_return_if_fail (list < PAL_LISTS);
+  g_return_if_fail (list < PAL_LIST_COUNT);
   pal->ages[list] = age_ms;
 }
 
@@ -346,13 +346,13 @@
 }
 
 int64_t
-pal_peers_age (const pal_t *pal, cfd_time_t now, unsigned list)
+pal_get_min_peer_age_ms (const pal_t *pal, cfd_time_t now, unsigned list)
 {
   GHashTableIter each;
   void *peer;
   int64_t least = -1;
 
-  g_return_val_if_fail (list < PAL_LISTS, -1);
+  g_return_val_if_fail (list < PAL_LIST_COUNT, -1);
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &peer))
     {
@@ -365,14 +365,14 @@
 }
 
 unsigned
-pal_reader_rank (const pal_t *pal, cfd_time_t now, unsigned list,
-                 int64_t most_ms)
+pal_get_reader_rank (const pal_t *pal, cfd_time_t now, unsigned list,
+                     int64_t most_ms)
 {
   GHashTableIter each;
   void *data;
   unsigned rank = 0;
 
-  g_return_val_if_fail (list < PAL_LISTS, 0);
+  g_return_val_if_fail (list < PAL_LIST_COUNT, 0);
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &data))
     {
@@ -403,6 +403,6 @@
       return;
     }
   pal->told = now;
-  pal_rank_cold (pal, now);
+  pal_update_cold_ranks (pal, now);
   send_figures (pal, now, true);
 }
--- a/libcoltsfootdrum/relay/pfx.c
+++ b/libcoltsfootdrum/relay/pfx.c
@@ -98,7 +98,7 @@
 }
 
 uint64_t
-pfx_prompt_shared (const pfx_prompt_t *prompt)
+pfx_prompt_get_shared_id (const pfx_prompt_t *prompt)
 {
   if (prompt->parts->len < 2)
     return 0;
@@ -126,7 +126,7 @@
 }
 
 unsigned
-pfx_prompt_shared_tokens (const pfx_prompt_t *prompt)
+pfx_prompt_count_shared_tokens (const pfx_prompt_t *prompt)
 {
   return prompt->tokens - part_at (prompt, prompt->parts->len - 1)->tokens;
 }
@@ -154,11 +154,11 @@
 
 /* All parts but the last, which is the request's own.  */
 void
-pfx_note (pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
-          const pfx_prompt_t *prompt)
+pfx_record (pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
+            const pfx_prompt_t *prompt)
 {
   pfx_update_t updates = { .endpoint = endpoint,
-                           .part = pfx_prompt_shared (prompt),
+                           .part = pfx_prompt_get_shared_id (prompt),
                            .number = ++pfx->numbers,
                            .at = now };
 
@@ -169,7 +169,7 @@
 }
 
 const GArray *
-pfx_updates (pfx_t *pfx, cfd_time_t since)
+pfx_get_updates (pfx_t *pfx, cfd_time_t since)
 {
   guint old = 0;
 
@@ -182,7 +182,7 @@
 }
 
 void
-pfx_received (pfx_t *pfx, cfd_time_t now, uint64_t endpoint, uint64_t part)
+pfx_apply_update (pfx_t *pfx, cfd_time_t now, uint64_t endpoint, uint64_t part)
 {
   note_part (pfx, now, endpoint, part);
 }
@@ -198,10 +198,10 @@
 
 /* A part is cached together with all before it.  */
 unsigned
-pfx_cached (const pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
-            const pfx_prompt_t *prompt)
+pfx_count_cached_tokens (const pfx_t *pfx, cfd_time_t now, uint64_t endpoint,
+                         const pfx_prompt_t *prompt)
 {
-  unsigned tokens = pfx_prompt_shared_tokens (prompt);
+  unsigned tokens = pfx_prompt_count_shared_tokens (prompt);
 
   for (guint i = prompt->parts->len - 1; i-- > 0;)
     {
@@ -222,7 +222,7 @@
 }
 
 void
-pfx_sweep (pfx_t *pfx, cfd_time_t now)
+pfx_evict_expired (pfx_t *pfx, cfd_time_t now)
 {
   g_hash_table_foreach_remove (pfx->uses, is_old, &now);
 }
--- a/libcoltsfootdrum/relay/rd.c
+++ b/libcoltsfootdrum/relay/rd.c
@@ -195,7 +195,7 @@
 }
 
 void
-rd_set_head_most (rd_t *rd, size_t head_most)
+rd_set_max_head_bytes (rd_t *rd, size_t head_most)
 {
   rd->head_most = head_most;
 }
@@ -227,15 +227,15 @@
   if (rd->too_large)
     return RD_TOO_LARGE;
   if (HTTP_PARSER_ERRNO (&rd->parser) != HPE_OK)
-    return RD_BAD;
-  return RD_MORE;
+    return RD_INVALID;
+  return RD_INCOMPLETE;
 }
 
 rd_result_t
 rd_finish (rd_t *rd)
 {
   http_parser_execute (&rd->parser, &callbacks, NULL, 0);
-  return rd->complete ? RD_COMPLETE : RD_BAD;
+  return rd->complete ? RD_COMPLETE : RD_INVALID;
 }
 
 bool
--- a/libcoltsfootdrum/relay/rd.h
+++ b/libcoltsfootdrum/relay/rd.h
@@ -19,10 +19,10 @@
 
 typedef enum
 {
-  RD_MORE,     /* the message goes on */
-  RD_COMPLETE, /* a message ended; what follows was not read */
-  RD_BAD,      /* not HTTP/1.1, or refused by a callback */
-  RD_TOO_LARGE /* the head is over its bound */
+  RD_INCOMPLETE, /* the message goes on */
+  RD_COMPLETE,   /* a message ended; what follows was not read */
+  RD_INVALID,    /* not HTTP/1.1, or refused by a callback */
+  RD_TOO_LARGE   /* the head is over its bound */
 } rd_result_t;
 
 typedef struct
@@ -49,7 +49,7 @@
 void rd_free (rd_t *rd);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (rd_t, rd_free)
 
-void rd_set_head_most (rd_t *rd, size_t head_most);
+void rd_set_max_head_bytes (rd_t *rd, size_t head_most);
 
 /* Reads of BYTES what belongs to the message and sets *USED to its length. */
 rd_result_t rd_feed (rd_t *rd, const char *bytes, size_t length, size_t *used);
--- a/libcoltsfootdrum/relay/rdy.c
+++ b/libcoltsfootdrum/relay/rdy.c
@@ -35,20 +35,20 @@
 }
 
 void
-rdy_update (rdy_t *rdy, cfd_time_t now, const rdy_seen_t *seen)
+rdy_update (rdy_t *rdy, cfd_time_t now, const rdy_sample_t *seen)
 {
   double span_ms = seen->busy_ms + seen->idle_ms;
 
   if (span_ms > 0.)
     rdy->busy += (seen->busy_ms / span_ms - rdy->busy)
                  * (1. - exp (-span_ms / SMOOTH_MS));
-  if (!seen->left_waiting)
+  if (!seen->backlogged)
     rdy->since = CFD_TIME_NEVER;
   else if (rdy->since == CFD_TIME_NEVER)
     rdy->since = now;
   else if (!rdy->out && now - rdy->since >= OUT_AFTER_MS)
     go_out (rdy, now);
-  if (!rdy->out || now < rdy->out_until || seen->left_waiting
+  if (!rdy->out || now < rdy->out_until || seen->backlogged
       || rdy->busy > BUSY_BACK)
     return;
   rdy->out = false;
--- a/libcoltsfootdrum/relay/rdy.h
+++ b/libcoltsfootdrum/relay/rdy.h
@@ -25,13 +25,13 @@
 /* What was seen since the last update.  */
 typedef struct
 {
-  double busy_ms;    /* work */
-  double idle_ms;    /* waiting for events */
-  bool left_waiting; /* a turn of the loop ended with connections that wait */
-} rdy_seen_t;
+  double busy_ms;  /* work */
+  double idle_ms;  /* waiting for events */
+  bool backlogged; /* a turn of the loop ended with connections that wait */
+} rdy_sample_t;
 
 void rdy_init (rdy_t *rdy);
-void rdy_update (rdy_t *rdy, cfd_time_t now, const rdy_seen_t *seen);
+void rdy_update (rdy_t *rdy, cfd_time_t now, const rdy_sample_t *seen);
 bool rdy_is_ready (const rdy_t *rdy);
 
 #endif
--- a/libcoltsfootdrum/relay/rly-answer.c
+++ b/libcoltsfootdrum/relay/rly-answer.c
@@ -28,7 +28,7 @@
   answer->framed = false;
   g_string_truncate (answer->fields, 0);
   g_string_truncate (answer->body, 0);
-  evs_cut (&answer->events);
+  evs_discard_partial (&answer->events);
 }
 
 void
@@ -80,7 +80,7 @@
   rly_request_free (request);
   /* Callers ask again on a new connection.  */
   ent_close_after (call);
-  ent_answer (call, 503, fields, NULL, 0);
+  ent_respond (call, 503, fields, NULL, 0);
 }
 
 void
@@ -98,9 +98,9 @@
   request->rly->counts.failed++;
   finish (request);
   if (began)
-    ent_break (call);
+    ent_abort (call);
   else
-    ent_answer (call, status, NULL, NULL, 0);
+    ent_respond (call, status, NULL, NULL, 0);
 }
 
 static bool
@@ -113,9 +113,11 @@
 gather_fields (rly_answer_t *answer, const hdr_t *fields)
 {
   for (guint i = 0; i < hdr_count (fields); i++)
-    if (!hdr_is_hop (fields, i)
-        && g_ascii_strcasecmp (hdr_name (fields, i), "Content-Length") != 0)
-      hdr_put (answer->fields, hdr_name (fields, i), hdr_value (fields, i));
+    if (!hdr_is_hop_by_hop (fields, i)
+        && g_ascii_strcasecmp (hdr_get_name (fields, i), "Content-Length")
+               != 0)
+      hdr_append_line (answer->fields, hdr_get_name (fields, i),
+                       hdr_get_value (fields, i));
 }
 
 /* A success counts only with the endpoint's mark, and in plain coding, for
@@ -162,9 +164,10 @@
   if (!request->began)
     {
       request->began = true;
-      ent_begin (request->call, answer->status, answer->fields->str, -1);
+      ent_begin_response (request->call, answer->status, answer->fields->str,
+                          -1);
     }
-  ent_send (request->call, answer->body->str, answer->body->len);
+  ent_send_body (request->call, answer->body->str, answer->body->len);
   g_string_truncate (answer->body, 0);
 }
 
@@ -184,10 +187,10 @@
   evs_feed (&answer->events, bytes, length, answer->body);
   pass_on (request);
   if (request->held || request->exchange == NULL
-      || ent_unwritten (request->call) <= BEHIND_MOST)
+      || ent_get_unsent_bytes (request->call) <= BEHIND_MOST)
     return;
   request->held = true;
-  ups_hold (request->exchange, true);
+  ups_set_read_paused (request->exchange, true);
 }
 
 /* REQUEST may go to one more endpoint.  Nothing is said of budget and time. */
@@ -287,13 +290,13 @@
   rly_answer_t *answer = &request->answer;
   ent_call_t *call = request->call;
 
-  evs_rest (&answer->events, answer->body);
+  evs_flush (&answer->events, answer->body);
   pass_on (request);
   request->rly->counts.answered++;
   if (!request->began)
-    ent_begin (call, answer->status, answer->fields->str, -1);
+    ent_begin_response (call, answer->status, answer->fields->str, -1);
   finish (request);
-  ent_finish (call);
+  ent_finish_response (call);
 }
 
 static void
@@ -308,7 +311,7 @@
   answer->body = g_string_new (NULL);
   request->rly->counts.answered++;
   finish (request);
-  ent_answer (call, status, fields, body->str, body->len);
+  ent_respond (call, status, fields, body->str, body->len);
 }
 
 static void
@@ -358,16 +361,16 @@
     case UPS_COMPLETE:
       take_whole (request, now);
       break;
-    case UPS_UNREACHED:
+    case UPS_CONNECT_FAILED:
       take_unreached (request, now);
       break;
-    case UPS_BROKEN:
+    case UPS_NO_RESPONSE:
       take_unknown (request, now, "broken");
       break;
-    case UPS_CUT:
+    case UPS_TRUNCATED:
       take_unknown (request, now, "cut");
       break;
-    case UPS_GARBLED:
+    case UPS_MALFORMED:
       take_unknown (request, now, "garbled");
       break;
     }
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -115,7 +115,7 @@
 far_ms (const rly_request_t *request)
 {
   double bytes
-      = ent_body (request->call)->len + request->output * BYTES_A_TOKEN;
+      = ent_get_body (request->call)->len + request->output * BYTES_A_TOKEN;
 
   if (!rly_has (request->rly, MECH_ZONE_COST))
     return 0.;
@@ -127,7 +127,7 @@
 static const edp_t *
 home_of (const rly_round_t *round, const pfx_prompt_t *prompt)
 {
-  uint64_t part = pfx_prompt_shared (prompt);
+  uint64_t part = pfx_prompt_get_shared_id (prompt);
   const edp_t *home = NULL;
   uint64_t best = 0;
 
@@ -188,13 +188,13 @@
   const pfx_prompt_t *prompt = request->prompt;
   bool affinity = rly_has (round->rly, MECH_PREFIX_AFFINITY);
   const edp_t *home = affinity ? home_of (round, prompt) : NULL;
-  double shared = pfx_prompt_shared_tokens (prompt);
+  double shared = pfx_prompt_count_shared_tokens (prompt);
 
   round->source = 0;
   for (guint i = 0; i < round->count; i++)
     {
-      round->cached[i] = pfx_cached (round->rly->pfx, round->now,
-                                     round->edps[i]->hash, prompt);
+      round->cached[i] = pfx_count_cached_tokens (
+          round->rly->pfx, round->now, round->edps[i]->hash, prompt);
       if (round->cached[i] > round->cached[round->source])
         round->source = i;
     }
@@ -218,7 +218,7 @@
   if (request->tries > 0 || request->line->behind
       || !rly_has (request->rly, MECH_PREFIX_WAIT))
     return HUGE_VAL;
-  return pfx_prompt_shared_tokens (request->prompt) * MISSING_SHARE;
+  return pfx_prompt_count_shared_tokens (request->prompt) * MISSING_SHARE;
 }
 
 static plc_request_t
@@ -295,7 +295,7 @@
   chosen = choose (round, request, &constraints);
   /* A process that is behind reads a request, and the end of its connection a
      turn later: by then an endpoint would work for a caller who left.  */
-  if (chosen < 0 || !ent_is_there (request->call))
+  if (chosen < 0 || !ent_is_client_connected (request->call))
     return false;
   edp = round->edps[chosen];
   figures = &round->figures[chosen];
@@ -324,7 +324,8 @@
 
   if (prompt == NULL)
     return (int64_t)(aim * RLY_PLAIN_PATIENCE);
-  reading = plc_reading (prompt->tokens, pfx_prompt_shared_tokens (prompt));
+  reading
+      = plc_reading (prompt->tokens, pfx_prompt_count_shared_tokens (prompt));
   return (int64_t)MAX (aim - fit_base (line) - fit_slope (line) * reading,
                        aim * RLY_LONG_PATIENCE);
 }
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -30,17 +30,17 @@
 put_callers_fields (const rly_request_t *request, GString *text)
 {
   const rly_names_t *names = &request->rly->names;
-  const hdr_t *fields = &ent_head (request->call)->fields;
+  const hdr_t *fields = &ent_get_head (request->call)->fields;
   bool goes_on = request->answer.events.last_id >= 0;
 
   for (guint i = 0; i < hdr_count (fields); i++)
     {
-      const char *name = hdr_name (fields, i);
+      const char *name = hdr_get_name (fields, i);
 
-      if (is_ours (names, name) || hdr_is_hop (fields, i)
+      if (is_ours (names, name) || hdr_is_hop_by_hop (fields, i)
           || (goes_on && g_ascii_strcasecmp (name, names->last_event) == 0))
         continue;
-      hdr_put (text, name, hdr_value (fields, i));
+      hdr_append_line (text, name, hdr_get_value (fields, i));
     }
 }
 
@@ -55,8 +55,8 @@
               const edp_t *source, cfd_time_t now)
 {
   const rly_names_t *names = &request->rly->names;
-  const rd_head_t *head = ent_head (request->call);
-  const GByteArray *body = ent_body (request->call);
+  const rd_head_t *head = ent_get_head (request->call);
+  const GByteArray *body = ent_get_body (request->call);
   const evs_t *events = &request->answer.events;
   GString *text = g_string_sized_new (1024 + body->len);
 
@@ -65,11 +65,11 @@
   put_callers_fields (request, text);
   g_string_append_printf (text, "%s: %" G_GINT64_FORMAT "\r\n",
                           names->deadline_ms, time_left (request, now));
-  hdr_put (text, names->expect_endpoint, edp->report->id);
+  hdr_append_line (text, names->expect_endpoint, edp->report->id);
   if (source != NULL)
-    hdr_put (text, names->fetch_from, source->report->address);
+    hdr_append_line (text, names->fetch_from, source->report->address);
   if (request->account != NULL)
-    hdr_put (text, names->account, request->account->name);
+    hdr_append_line (text, names->account, request->account->name);
   if (events->last_id >= 0)
     g_string_append_printf (text, "%s: %" G_GINT64_FORMAT "\r\n",
                             names->last_event, events->last_id);
@@ -189,7 +189,7 @@
   edp_burden (edp, now);
   edp->changed = true;
   if (request->prompt != NULL)
-    pfx_note (rly->pfx, now, edp->hash, request->prompt);
+    pfx_record (rly->pfx, now, edp->hash, request->prompt);
   if (!request->charged)
     use_add_served (rly->use, now, rly_account_name (request), request->cost);
   request->charged = true;
@@ -211,12 +211,12 @@
 {
   const rly_names_t *names = &request->rly->names;
   g_autoptr (GString) text = request_text (request, edp, source, now);
-  ups_request_t wire
-      = { .bytes = text->str,
-          .length = text->len,
-          .id_field = names->request_id,
-          .id = request->id != NULL ? request->id : "",
-          .no_body = g_str_equal (ent_head (request->call)->method, "HEAD") };
+  ups_request_t wire = { .bytes = text->str,
+                         .length = text->len,
+                         .id_field = names->request_id,
+                         .id = request->id != NULL ? request->id : "",
+                         .no_body = g_str_equal (
+                             ent_get_head (request->call)->method, "HEAD") };
 
   request->exchange = ups_send (edp->ups, now, &wire, &exchange_ops, request);
   if (request->exchange == NULL)
@@ -300,19 +300,19 @@
       rly_fail (request, 504, "timeout");
       return;
     }
-  if (!ups_is_sent (request->exchange))
+  if (!ups_is_connected (request->exchange))
     {
       if (since_sent > CONNECT_MS)
-        give_up (request, now, UPS_UNREACHED);
+        give_up (request, now, UPS_CONNECT_FAILED);
       return;
     }
-  if (request->held && ent_unwritten (request->call) == 0)
+  if (request->held && ent_get_unsent_bytes (request->call) == 0)
     {
       request->held = false;
-      ups_hold (request->exchange, false);
+      ups_set_read_paused (request->exchange, false);
     }
   if (request->answer.status == 0 && since_sent > silent_after (request)
       && rte_may_repeat (request->route)
       && request->attempts < request->route->attempts)
-    give_up (request, now, UPS_BROKEN);
+    give_up (request, now, UPS_NO_RESPONSE);
 }
--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -312,7 +312,8 @@
 answer_plainly (rly_t *rly, ent_call_t *call, unsigned status,
                 const char *reason)
 {
-  const char *id = hdr_get (&ent_head (call)->fields, rly->names.request_id);
+  const char *id
+      = hdr_get (&ent_get_head (call)->fields, rly->names.request_id);
   g_autofree char *fields = NULL;
 
   log_info ("relay",
@@ -322,7 +323,7 @@
   if (status == 503)
     fields
         = g_strdup_printf ("Retry-After: %.3f\r\n", NO_TABLE_RETRY_MS / 1000.);
-  ent_answer (call, status, fields, NULL, 0);
+  ent_respond (call, status, fields, NULL, 0);
 }
 
 /* When the caller of REQUEST first asked.  */
@@ -330,7 +331,7 @@
 first_asked (rly_request_t *request, const hdr_t *fields)
 {
   const char *prompt = hdr_get (fields, request->rly->names.prompt);
-  const GByteArray *body = ent_body (request->call);
+  const GByteArray *body = ent_get_body (request->call);
 
   if (request->prompt == NULL)
     return request->since;
@@ -343,7 +344,7 @@
 request_new (rly_t *rly, ent_call_t *call, const rte_route_t *route,
              const rte_account_t *account)
 {
-  const hdr_t *fields = &ent_head (call)->fields;
+  const hdr_t *fields = &ent_get_head (call)->fields;
   rly_request_t *request = g_new0 (rly_request_t, 1);
   double deadline = number (fields, rly->names.deadline_ms, USUAL_DEADLINE_MS);
 
@@ -353,7 +354,7 @@
   request->route = route;
   request->account = account;
   request->id = g_strdup (hdr_get (fields, rly->names.request_id));
-  request->since = ent_since (call);
+  request->since = ent_get_start_time (call);
   request->deadline = request->since + (int64_t)deadline;
   request->timeout = CFD_TIME_NEVER;
   if (route->timeout_ms > 0)
@@ -372,7 +373,7 @@
 rly_on_request (void *user, ent_call_t *call)
 {
   rly_t *rly = user;
-  rd_head_t *head = ent_head (call);
+  rd_head_t *head = ent_get_head (call);
   const char *host = hdr_get (&head->fields, "Host");
   const char *key = key_of (rly, &head->fields);
   const rte_account_t *account = NULL;
@@ -415,7 +416,7 @@
 rly_on_gone (void *user, ent_call_t *call)
 {
   rly_t *rly = user;
-  rly_request_t *request = ent_data (call);
+  rly_request_t *request = ent_get_data (call);
   rly_service_t *service;
 
   if (request == NULL)
@@ -450,6 +451,6 @@
     return;
   rly->swept = now;
   edp_set_sweep (rly->endpoints, now);
-  pfx_sweep (rly->pfx, now);
+  pfx_evict_expired (rly->pfx, now);
   ret_sweep (rly->ret, now);
 }
--- a/libcoltsfootdrum/relay/test-ent.c
+++ b/libcoltsfootdrum/relay/test-ent.c
@@ -24,7 +24,7 @@
 static void
 on_request (void *user, ent_call_t *call)
 {
-  ent_answer (call, 200, NULL, NULL, 0);
+  ent_respond (call, 200, NULL, NULL, 0);
 }
 
 static void
@@ -41,7 +41,7 @@
   scene->loop = ev_loop_new (EVFLAG_AUTO);
   scene->ent = ent_new (scene->loop, "127.0.0.1:0", &ops, NULL, NULL);
   g_assert_nonnull (scene->ent);
-  address = g_strdup_printf ("127.0.0.1:%u", ent_port (scene->ent));
+  address = g_strdup_printf ("127.0.0.1:%u", ent_get_port (scene->ent));
   g_assert_true (addr_parse (address, &scene->address, NULL));
 }
 
@@ -88,12 +88,12 @@
   scene_init (&scene);
   for (unsigned wave = 0; wave < WAVES; wave++)
     {
-      unsigned before = ent_accepted (scene.ent);
+      unsigned before = ent_count_accepted (scene.ent);
       unsigned made = begin_wave (&scene, fds);
 
       for (unsigned turn = 0; turn < TURNS; turn++)
         ev_run (scene.loop, EVRUN_NOWAIT);
-      g_assert_cmpuint (ent_accepted (scene.ent) - before, >=, made);
+      g_assert_cmpuint (ent_count_accepted (scene.ent) - before, >=, made);
       end_wave (fds);
       for (unsigned turn = 0; turn < BURST; turn++)
         ev_run (scene.loop, EVRUN_NOWAIT);
@@ -110,11 +110,11 @@
 
   scene_init (&scene);
   ev_run (scene.loop, EVRUN_NOWAIT);
-  g_assert_false (ent_left_waiting (scene.ent));
+  g_assert_false (ent_test_and_clear_backlogged (scene.ent));
   begin_wave (&scene, fds);
   ev_run (scene.loop, EVRUN_NOWAIT);
-  g_assert_true (ent_left_waiting (scene.ent));
-  g_assert_false (ent_left_waiting (scene.ent));
+  g_assert_true (ent_test_and_clear_backlogged (scene.ent));
+  g_assert_false (ent_test_and_clear_backlogged (scene.ent));
   end_wave (fds);
   scene_clear (&scene);
 }
--- a/libcoltsfootdrum/relay/test-evs.c
+++ b/libcoltsfootdrum/relay/test-evs.c
@@ -61,7 +61,7 @@
 
   evs_init (&sse);
   evs_feed (&sse, first, strlen (first), out);
-  evs_cut (&sse);
+  evs_discard_partial (&sse);
   evs_feed (&sse, second, strlen (second), out);
   g_assert_cmpstr (out->str, ==, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   evs_clear (&sse);
--- a/libcoltsfootdrum/relay/test-pal.c
+++ b/libcoltsfootdrum/relay/test-pal.c
@@ -81,7 +81,7 @@
 tell (side_t *from, side_t *to, cfd_time_t now, bool whole)
 {
   g_autoptr (GByteArray) bytes = pal_pack (from->pal, now, whole);
-  bool taken = pal_take (to->pal, now, bytes->data, bytes->len);
+  bool taken = pal_receive (to->pal, now, bytes->data, bytes->len);
 
   g_assert_true (taken);
 }
@@ -104,7 +104,7 @@
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 7);
   g_assert_cmpfloat (endpoint_of (&here)->peer_unread, ==, 1200.);
   g_assert_cmpfloat (endpoint_of (&here)->peer_context, ==, 2400.);
-  g_assert_cmpuint (pal_routers (here.pal), ==, 3);
+  g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 3);
   /* Absolute figures: the newer word takes the older one's place.  */
   set_load (&one, 1, 0.);
   tell (&one, &here, NOW, whole);
@@ -125,7 +125,7 @@
   set_load (&one, 3, 500.);
   tell (&one, &here, NOW, false);
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 0);
-  g_assert_cmpuint (pal_routers (here.pal), ==, 1);
+  g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 1);
   tell (&one, &here, NOW, true);
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 3);
   side_free (&here);
@@ -144,7 +144,7 @@
   old = pal_pack (one.pal, NOW, true);
   set_load (&one, 2, 100.);
   tell (&one, &here, NOW, true);
-  pal_take (here.pal, NOW, old->data, old->len);
+  pal_receive (here.pal, NOW, old->data, old->len);
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 2);
   side_free (&here);
   side_free (&one);
@@ -198,7 +198,7 @@
 static void
 test_cut_off (void)
 {
-  static const pal_listed_t listed[] = { { "one", "127.0.0.1:9" },
+  static const pal_member_t listed[] = { { "one", "127.0.0.1:9" },
                                          { "two", "127.0.0.1:9" },
                                          { "three", "not an address" } };
   side_t here = side_new ("here");
@@ -207,18 +207,18 @@
   edp_t *edp = endpoint_of (&here);
 
   edp->cold_until = NOW + 3000;
-  pal_rank_cold (here.pal, NOW);
+  pal_update_cold_ranks (here.pal, NOW);
   g_assert_cmpuint (edp->cold_rank, ==, COLD_RANK_UNKNOWN);
   pal_set_peers (here.pal, listed, G_N_ELEMENTS (listed));
-  pal_rank_cold (here.pal, NOW);
+  pal_update_cold_ranks (here.pal, NOW);
   g_assert_cmpuint (edp->cold_rank, <=, 3);
-  g_assert_cmpuint (pal_routers (here.pal), ==, 4);
-  g_assert_cmpuint (pal_heard (here.pal), ==, 1);
+  g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 4);
+  g_assert_cmpuint (pal_count_alive (here.pal), ==, 1);
   tell (&one, &here, NOW, true);
-  g_assert_cmpuint (pal_routers (here.pal), ==, 4);
+  g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 4);
   tell (&two, &here, NOW, true);
-  g_assert_cmpuint (pal_routers (here.pal), ==, 3);
-  pal_rank_cold (here.pal, NOW);
+  g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 3);
+  pal_update_cold_ranks (here.pal, NOW);
   g_assert_cmpuint (edp->cold_rank, <=, 2);
   side_free (&here);
   side_free (&one);
@@ -239,7 +239,7 @@
   g_assert_cmpfloat (use_all (here.use, NOW, "mill").served, ==, 5000.);
   pal_tick (here.pal, NOW + 5000);
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 0);
-  g_assert_cmpuint (pal_routers (here.pal), ==, 1);
+  g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 1);
   g_assert_cmpfloat (use_all (here.use, NOW, "mill").served, ==, 0.);
   side_free (&here);
   side_free (&one);
@@ -254,9 +254,10 @@
   uint64_t endpoint = endpoint_of (&here)->hash;
 
   tell (&one, &here, NOW, true);
-  pfx_note (one.pfx, NOW, endpoint_of (&one)->hash, prompt);
+  pfx_record (one.pfx, NOW, endpoint_of (&one)->hash, prompt);
   tell (&one, &here, NOW, false);
-  g_assert_cmpuint (pfx_cached (here.pfx, NOW, endpoint, prompt), ==, 150);
+  g_assert_cmpuint (pfx_count_cached_tokens (here.pfx, NOW, endpoint, prompt),
+                    ==, 150);
   side_free (&here);
   side_free (&one);
 }
@@ -290,11 +291,11 @@
   side_t here = side_new ("here");
   side_t one = side_new ("one");
 
-  g_assert_cmpint (pal_peers_steady (here.pal, NOW), ==, -1);
-  pal_set_steady (one.pal, 9000);
+  g_assert_cmpint (pal_get_max_peer_stable_ms (here.pal, NOW), ==, -1);
+  pal_set_list_stable_ms (one.pal, 9000);
   tell (&one, &here, NOW, true);
-  g_assert_cmpint (pal_peers_steady (here.pal, NOW), ==, 9000);
-  g_assert_cmpint (pal_peers_steady (here.pal, NOW + 2000), ==, -1);
+  g_assert_cmpint (pal_get_max_peer_stable_ms (here.pal, NOW), ==, 9000);
+  g_assert_cmpint (pal_get_max_peer_stable_ms (here.pal, NOW + 2000), ==, -1);
   side_free (&here);
   side_free (&one);
 }
@@ -308,16 +309,16 @@
   side_t one = side_new ("one");
   side_t two = side_new ("two");
 
-  g_assert_cmpint (pal_peers_seen (here.pal, NOW, 1), ==, 0);
-  pal_set_seen (one.pal, 1, 700);
-  pal_set_seen (two.pal, 1, 900);
-  pal_set_seen (two.pal, 2, 1000);
+  g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW, 1), ==, 0);
+  pal_set_list_revision (one.pal, 1, 700);
+  pal_set_list_revision (two.pal, 1, 900);
+  pal_set_list_revision (two.pal, 2, 1000);
   tell (&one, &here, NOW, true);
   tell (&two, &here, NOW, true);
   /* What changed alone keeps the last word.  */
   tell (&two, &here, NOW, false);
-  g_assert_cmpint (pal_peers_seen (here.pal, NOW, 1), ==, 900);
-  g_assert_cmpint (pal_peers_seen (here.pal, NOW + 2000, 1), ==, 0);
+  g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW, 1), ==, 900);
+  g_assert_cmpint (pal_get_max_peer_revision (here.pal, NOW + 2000, 1), ==, 0);
   side_free (&here);
   side_free (&one);
   side_free (&two);
@@ -331,21 +332,21 @@
   side_t here = side_new ("here");
   side_t one = side_new ("one");
 
-  g_assert_cmpint (pal_peers_age (here.pal, NOW, 1), ==, -1);
+  g_assert_cmpint (pal_get_min_peer_age_ms (here.pal, NOW, 1), ==, -1);
   tell (&one, &here, NOW, true);
   tell (&here, &one, NOW, true);
-  g_assert_cmpint (pal_peers_age (here.pal, NOW, 1), ==, -1);
-  g_assert_cmpuint (pal_reader_rank (here.pal, NOW, 1, 1000), ==, 0);
-  pal_set_age (one.pal, 1, 300);
-  pal_set_age (here.pal, 1, 300);
+  g_assert_cmpint (pal_get_min_peer_age_ms (here.pal, NOW, 1), ==, -1);
+  g_assert_cmpuint (pal_get_reader_rank (here.pal, NOW, 1, 1000), ==, 0);
+  pal_set_list_age (one.pal, 1, 300);
+  pal_set_list_age (here.pal, 1, 300);
   tell (&one, &here, NOW, true);
   tell (&here, &one, NOW, true);
-  g_assert_cmpint (pal_peers_age (here.pal, NOW + 200, 1), ==, 500);
-  g_assert_cmpuint (pal_reader_rank (here.pal, NOW, 1, 1000)
-                        + pal_reader_rank (one.pal, NOW, 1, 1000),
+  g_assert_cmpint (pal_get_min_peer_age_ms (here.pal, NOW + 200, 1), ==, 500);
+  g_assert_cmpuint (pal_get_reader_rank (here.pal, NOW, 1, 1000)
+                        + pal_get_reader_rank (one.pal, NOW, 1, 1000),
                     ==, 1);
-  g_assert_cmpuint (pal_reader_rank (here.pal, NOW + 900, 1, 1000), ==, 0);
-  g_assert_cmpuint (pal_reader_rank (one.pal, NOW + 900, 1, 1000), ==, 0);
+  g_assert_cmpuint (pal_get_reader_rank (here.pal, NOW + 900, 1, 1000), ==, 0);
+  g_assert_cmpuint (pal_get_reader_rank (one.pal, NOW + 900, 1, 1000), ==, 0);
   side_free (&here);
   side_free (&one);
 }
@@ -364,14 +365,14 @@
   bytes = pal_pack (one.pal, NOW, true);
   for (guint i = 0; i < bytes->len; i++)
     {
-      bool taken = pal_take (here.pal, NOW, bytes->data, i);
+      bool taken = pal_receive (here.pal, NOW, bytes->data, i);
 
       g_assert_false (taken);
     }
   for (guint i = 0; i < bytes->len; i++)
     {
       bytes->data[i] ^= 0xff;
-      pal_take (here.pal, NOW, bytes->data, bytes->len);
+      pal_receive (here.pal, NOW, bytes->data, bytes->len);
       bytes->data[i] ^= 0xff;
     }
   side_free (&here);
@@ -408,12 +409,13 @@
 {
   side_t here = side_new ("here");
   g_autoptr (GByteArray) bytes = pal_pack_update (2, 40, 45, "{}");
-  g_autoptr (GByteArray) unknown = pal_pack_update (PAL_LISTS, 40, 45, "{}");
+  g_autoptr (GByteArray) unknown
+      = pal_pack_update (PAL_LIST_COUNT, 40, 45, "{}");
   g_autoptr (GByteArray) back = pal_pack_update (2, 45, 45, "{}");
   update_t seen = { 0 };
 
-  pal_on_update (here.pal, on_update, &seen);
-  g_assert_false (pal_take (here.pal, NOW, bytes->data, bytes->len));
+  pal_set_update_callback (here.pal, on_update, &seen);
+  g_assert_false (pal_receive (here.pal, NOW, bytes->data, bytes->len));
   for (guint i = 0; i < bytes->len; i++)
     g_assert_false (pal_take_update (here.pal, bytes->data, i));
   g_assert_false (pal_take_update (here.pal, unknown->data, unknown->len));
--- a/libcoltsfootdrum/relay/test-parts.c
+++ b/libcoltsfootdrum/relay/test-parts.c
@@ -103,7 +103,7 @@
   g_autoptr (pfx_prompt_t) prompt = pfx_prompt_parse ("a:100, b:50,c:7");
 
   g_assert_cmpuint (prompt->tokens, ==, 157);
-  g_assert_cmpuint (pfx_prompt_shared_tokens (prompt), ==, 150);
+  g_assert_cmpuint (pfx_prompt_count_shared_tokens (prompt), ==, 150);
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
     g_assert_null (pfx_prompt_parse (bad[i]));
 }
@@ -119,12 +119,13 @@
   g_autoptr (pfx_prompt_t) begins = pfx_prompt_parse ("a:100,x:50,d:9");
   g_autoptr (pfx_prompt_t) moved = pfx_prompt_parse ("z:1,b:50,d:9");
 
-  pfx_note (pfx, NOW, 1, first);
-  g_assert_cmpuint (pfx_cached (pfx, NOW, 1, same), ==, 150);
-  g_assert_cmpuint (pfx_cached (pfx, NOW, 1, begins), ==, 100);
-  g_assert_cmpuint (pfx_cached (pfx, NOW, 1, moved), ==, 0);
-  g_assert_cmpuint (pfx_cached (pfx, NOW, 2, same), ==, 0);
-  g_assert_cmpuint (pfx_cached (pfx, NOW + 3600000, 1, same), ==, 0);
+  pfx_record (pfx, NOW, 1, first);
+  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, same), ==, 150);
+  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, begins), ==, 100);
+  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 1, moved), ==, 0);
+  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW, 2, same), ==, 0);
+  g_assert_cmpuint (pfx_count_cached_tokens (pfx, NOW + 3600000, 1, same), ==,
+                    0);
 }
 
 /* Another router's word: the last shared part alone, which stands for all
@@ -137,13 +138,13 @@
   g_autoptr (pfx_prompt_t) prompt = pfx_prompt_parse ("a:100,b:50,c:7");
   const GArray *news;
 
-  pfx_note (here, NOW, 1, prompt);
-  news = pfx_updates (here, NOW);
+  pfx_record (here, NOW, 1, prompt);
+  news = pfx_get_updates (here, NOW);
   g_assert_cmpuint (news->len, ==, 1);
-  pfx_received (there, NOW, g_array_index (news, pfx_update_t, 0).endpoint,
-                g_array_index (news, pfx_update_t, 0).part);
-  g_assert_cmpuint (pfx_cached (there, NOW, 1, prompt), ==, 150);
-  g_assert_cmpuint (pfx_updates (here, NOW + 1)->len, ==, 0);
+  pfx_apply_update (there, NOW, g_array_index (news, pfx_update_t, 0).endpoint,
+                    g_array_index (news, pfx_update_t, 0).part);
+  g_assert_cmpuint (pfx_count_cached_tokens (there, NOW, 1, prompt), ==, 150);
+  g_assert_cmpuint (pfx_get_updates (here, NOW + 1)->len, ==, 0);
 }
 
 /* Load pattern: every request fails.  Of 1,000 in a window a fifth and the
@@ -242,10 +243,10 @@
   hdr_add (&hdr, "x-mine", "1");
   hdr_add (&hdr, "Transfer-Encoding", "chunked");
   hdr_add (&hdr, "Accept", "*/*");
-  g_assert_true (hdr_is_hop (&hdr, 0));
-  g_assert_true (hdr_is_hop (&hdr, 1));
-  g_assert_true (hdr_is_hop (&hdr, 2));
-  g_assert_false (hdr_is_hop (&hdr, 3));
+  g_assert_true (hdr_is_hop_by_hop (&hdr, 0));
+  g_assert_true (hdr_is_hop_by_hop (&hdr, 1));
+  g_assert_true (hdr_is_hop_by_hop (&hdr, 2));
+  g_assert_false (hdr_is_hop_by_hop (&hdr, 3));
   g_assert_cmpstr (hdr_get (&hdr, "accept"), ==, "*/*");
   hdr_clear (&hdr);
 }
--- a/libcoltsfootdrum/relay/test-rd.c
+++ b/libcoltsfootdrum/relay/test-rd.c
@@ -24,8 +24,9 @@
   if (head->status == 0)
     g_string_append_printf (seen->head, "%s %s", head->method, head->target);
   for (guint i = 0; i < hdr_count (&head->fields); i++)
-    g_string_append_printf (seen->head, "|%s=%s", hdr_name (&head->fields, i),
-                            hdr_value (&head->fields, i));
+    g_string_append_printf (seen->head, "|%s=%s",
+                            hdr_get_name (&head->fields, i),
+                            hdr_get_value (&head->fields, i));
   return true;
 }
 
@@ -64,32 +65,33 @@
   { "length-and-chunked", R,
     "POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n"
     "\r\n0\r\n\r\n",
-    RD_BAD, NULL, NULL, NULL },
+    RD_INVALID, NULL, NULL, NULL },
   { "two-lengths", R,
     "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
-    RD_BAD, NULL, NULL, NULL },
-  { "no-http", R, "\x16\x03\x01 hello\r\n\r\n", RD_BAD, NULL, NULL, NULL },
+    RD_INVALID, NULL, NULL, NULL },
+  { "no-http", R, "\x16\x03\x01 hello\r\n\r\n", RD_INVALID, NULL, NULL, NULL },
   { "upgrade", R,
     "GET / HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\nGET",
     RD_COMPLETE, NULL, "", "GET" },
-  { "begun", R, "GET / HTTP/1.1\r\nHost:", RD_MORE, NULL, NULL, NULL },
+  { "begun", R, "GET / HTTP/1.1\r\nHost:", RD_INCOMPLETE, NULL, NULL, NULL },
   { "interim", A,
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
     "a",
-    RD_MORE, NULL, NULL, NULL },
+    RD_INCOMPLETE, NULL, NULL, NULL },
   { "answer", A, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab", RD_COMPLETE,
     NULL, "a", "b" },
-  { "unframed", A, "HTTP/1.1 200 OK\r\n\r\nab", RD_MORE, NULL, "ab", NULL },
+  { "unframed", A, "HTTP/1.1 200 OK\r\n\r\nab", RD_INCOMPLETE, NULL, "ab",
+    NULL },
 };
 
 static rd_result_t
 feed_all (rd_t *rd, const char *bytes, size_t step, size_t *done)
 {
   size_t length = strlen (bytes);
-  rd_result_t result = RD_MORE;
+  rd_result_t result = RD_INCOMPLETE;
 
   *done = 0;
-  while (*done < length && result == RD_MORE)
+  while (*done < length && result == RD_INCOMPLETE)
     {
       size_t used = 0;
 
--- a/libcoltsfootdrum/relay/test-rdy.c
+++ b/libcoltsfootdrum/relay/test-rdy.c
@@ -24,9 +24,9 @@
 static void
 play (scene_t *scene, double busy, bool left, int64_t ms)
 {
-  rdy_seen_t seen = { .busy_ms = busy * TICK_MS,
-                      .idle_ms = (1. - busy) * TICK_MS,
-                      .left_waiting = left };
+  rdy_sample_t seen = { .busy_ms = busy * TICK_MS,
+                        .idle_ms = (1. - busy) * TICK_MS,
+                        .backlogged = left };
 
   for (int64_t i = 0; i < ms / TICK_MS; i++)
     {
@@ -124,7 +124,7 @@
   play (&scene, 0.3, false, 5000);
   scene.now += 8000;
   rdy_update (&scene.rdy, scene.now,
-              &(rdy_seen_t){ .busy_ms = 8000., .left_waiting = true });
+              &(rdy_sample_t){ .busy_ms = 8000., .backlogged = true });
   play (&scene, 0.8, false, 100);
   g_assert_true (rdy_is_ready (&scene.rdy));
 }
--- a/libcoltsfootdrum/relay/test-rly-scene.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -61,8 +61,8 @@
   line->id = g_strdup (hdr_get (&head->fields, "X-Id"));
   g_string_printf (last, "%s %s", head->method, head->target);
   for (guint i = 0; i < hdr_count (&head->fields); i++)
-    g_string_append_printf (last, "|%s=%s", hdr_name (&head->fields, i),
-                            hdr_value (&head->fields, i));
+    g_string_append_printf (last, "|%s=%s", hdr_get_name (&head->fields, i),
+                            hdr_get_value (&head->fields, i));
   return true;
 }
 
@@ -89,7 +89,7 @@
   text = g_strjoinv (line->id != NULL ? line->id : "", parts);
   con_write (line->con, text, strlen (text));
   if (next->then == SCENE_CLOSES)
-    con_end_when_written (line->con);
+    con_shutdown_after_flush (line->con);
 }
 
 static bool
@@ -366,12 +366,12 @@
       = { .bytes = on_caller_bytes, .ended = on_caller_ended };
   scene_caller_t *caller = g_new0 (scene_caller_t, 1);
   g_autofree char *text
-      = g_strdup_printf ("127.0.0.1:%u", ent_port (scene->ent));
+      = g_strdup_printf ("127.0.0.1:%u", ent_get_port (scene->ent));
   addr_t addr;
 
   g_assert_true (addr_parse (text, &addr, NULL));
   caller->text = g_string_new (NULL);
-  caller->con = con_new_dialled (scene->loop, &addr, &wire, caller);
+  caller->con = con_new_outbound (scene->loop, &addr, &wire, caller);
   g_assert_nonnull (caller->con);
   con_write (caller->con, bytes, strlen (bytes));
   return caller;
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -361,7 +361,7 @@
   scene_t *scene = scene_new (replies, 1, 4);
   struct sockaddr_in addr = { .sin_family = AF_INET,
                               .sin_addr.s_addr = htonl (INADDR_LOOPBACK),
-                              .sin_port = htons (ent_port (scene->ent)) };
+                              .sin_port = htons (ent_get_port (scene->ent)) };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   int connected = connect (fd, (struct sockaddr *)&addr, sizeof addr);
   ssize_t sent = send (fd, call, strlen (call), MSG_NOSIGNAL);
--- a/libcoltsfootdrum/relay/ups.c
+++ b/libcoltsfootdrum/relay/ups.c
@@ -143,7 +143,7 @@
   rd_head_t *head = rd_head (line->rd);
 
   return !left_over && !line->doomed && head->keep_alive && head->framed
-         && con_unwritten (line->con) == 0;
+         && con_get_unsent_bytes (line->con) == 0;
 }
 
 static void
@@ -166,7 +166,7 @@
 static ups_end_t
 early_end (const ups_exchange_t *exchange)
 {
-  return exchange->began ? UPS_CUT : UPS_BROKEN;
+  return exchange->began ? UPS_TRUNCATED : UPS_NO_RESPONSE;
 }
 
 static void
@@ -190,12 +190,13 @@
         }
       bytes += used;
       length -= MIN (used, length);
-      if (result == RD_MORE)
+      if (result == RD_INCOMPLETE)
         return;
       if (result != RD_COMPLETE)
         {
           line->doomed = true;
-          end_exchange (line, line->exchange->began ? UPS_CUT : UPS_GARBLED);
+          end_exchange (line,
+                        line->exchange->began ? UPS_TRUNCATED : UPS_MALFORMED);
           return;
         }
       if (line->foreign)
@@ -228,8 +229,8 @@
   ups_exchange_t *exchange = line->exchange;
 
   line->reading = true;
-  if (exchange != NULL && end == CON_END_UNREACHED)
-    end_exchange (line, UPS_UNREACHED);
+  if (exchange != NULL && end == CON_END_CONNECT_FAILED)
+    end_exchange (line, UPS_CONNECT_FAILED);
   else if (exchange != NULL && end == CON_END_CLOSED && exchange->began
            && !line->foreign && rd_finish (line->rd) == RD_COMPLETE)
     end_exchange (line, UPS_COMPLETE);
@@ -246,7 +247,7 @@
 {
   ups_line_t *line = g_new0 (ups_line_t, 1);
 
-  line->con = con_new_dialled (ups->loop, &ups->addr, &wire, line);
+  line->con = con_new_outbound (ups->loop, &ups->addr, &wire, line);
   if (line->con == NULL)
     {
       g_free (line);
@@ -346,19 +347,19 @@
 }
 
 bool
-ups_is_sent (const ups_exchange_t *exchange)
+ups_is_connected (const ups_exchange_t *exchange)
 {
   return con_is_connected (exchange->line->con);
 }
 
 void
-ups_hold (ups_exchange_t *exchange, bool hold)
+ups_set_read_paused (ups_exchange_t *exchange, bool hold)
 {
-  con_hold (exchange->line->con, hold);
+  con_set_read_paused (exchange->line->con, hold);
 }
 
 void
-ups_sweep (ups_t *ups, cfd_time_t now)
+ups_close_expired (ups_t *ups, cfd_time_t now)
 {
   list_for_each_safe (node, &ups->idle)
     {
@@ -370,13 +371,13 @@
 }
 
 unsigned
-ups_open (const ups_t *ups)
+ups_count_connections (const ups_t *ups)
 {
   return ups->open;
 }
 
 uint64_t
-ups_dialled (const ups_t *ups)
+ups_count_connects (const ups_t *ups)
 {
   return ups->dialled;
 }
--- a/libcoltsfootdrum/relay/ups.h
+++ b/libcoltsfootdrum/relay/ups.h
@@ -18,11 +18,11 @@
 
 typedef enum
 {
-  UPS_COMPLETE,  /* the whole answer came */
-  UPS_UNREACHED, /* no connection was made: the request was never sent */
-  UPS_BROKEN,    /* sent, maybe in part, and no answer began */
-  UPS_CUT,       /* the answer began and is not whole */
-  UPS_GARBLED    /* what came is no answer */
+  UPS_COMPLETE,       /* the whole answer came */
+  UPS_CONNECT_FAILED, /* no connection was made: the request was never sent */
+  UPS_NO_RESPONSE,    /* sent, maybe in part, and no answer began */
+  UPS_TRUNCATED,      /* the answer began and is not whole */
+  UPS_MALFORMED       /* what came is no answer */
 } ups_end_t;
 
 typedef struct
@@ -58,17 +58,17 @@
 void ups_cancel (ups_exchange_t *exchange);
 
 /* True when the connection is there, so that the request may have arrived. */
-bool ups_is_sent (const ups_exchange_t *exchange);
+bool ups_is_connected (const ups_exchange_t *exchange);
 
 /* Stops and restarts reading of the answer.  */
-void ups_hold (ups_exchange_t *exchange, bool hold);
+void ups_set_read_paused (ups_exchange_t *exchange, bool hold);
 
 /* Closes what was idle for too long.  */
-void ups_sweep (ups_t *ups, cfd_time_t now);
+void ups_close_expired (ups_t *ups, cfd_time_t now);
 
 /* Connections, used and idle.  */
-unsigned ups_open (const ups_t *ups);
+unsigned ups_count_connections (const ups_t *ups);
 /* Connections that were ever begun.  */
-uint64_t ups_dialled (const ups_t *ups);
+uint64_t ups_count_connects (const ups_t *ups);
 
 #endif
