--- a/libcoltsfootdrum/relay/bud.c
+++ b/libcoltsfootdrum/relay/bud.c
@@ -17,17 +17,17 @@
 static int
 advance (bud_t *bud, cfd_time_t now)
 {
-  int64_t part = now / (bud->window_ms / BUD_PARTS);
+  int64_t part = now / (bud->window_ms / BUD_BUCKETS);
 
-  if (part - bud->part > BUD_PARTS)
-    bud->part = part - BUD_PARTS;
+  if (part - bud->part > BUD_BUCKETS)
+    bud->part = part - BUD_BUCKETS;
   while (bud->part < part)
     {
       bud->part++;
-      bud->requests[bud->part % BUD_PARTS] = 0.;
-      bud->repeats[bud->part % BUD_PARTS] = 0.;
+      bud->requests[bud->part % BUD_BUCKETS] = 0.;
+      bud->repeats[bud->part % BUD_BUCKETS] = 0.;
     }
-  return (int)(bud->part % BUD_PARTS);
+  return (int)(bud->part % BUD_BUCKETS);
 }
 
 static double
@@ -35,19 +35,19 @@
 {
   double all = 0.;
 
-  for (int i = 0; i < BUD_PARTS; i++)
+  for (int i = 0; i < BUD_BUCKETS; i++)
     all += parts[i];
   return all;
 }
 
 void
-bud_request (bud_t *bud, cfd_time_t now)
+bud_count_request (bud_t *bud, cfd_time_t now)
 {
   bud->requests[advance (bud, now)] += 1.;
 }
 
 bool
-bud_repeat (bud_t *bud, cfd_time_t now)
+bud_try_retry (bud_t *bud, cfd_time_t now)
 {
   int part = advance (bud, now);
 
--- a/libcoltsfootdrum/relay/bud.h
+++ b/libcoltsfootdrum/relay/bud.h
@@ -11,22 +11,22 @@
 #include "base/clock.h"
 #include <stdbool.h>
 
-#define BUD_PARTS 10
+#define BUD_BUCKETS 10
 
-/* Counts over a sliding window, in BUD_PARTS parts.  */
+/* Counts over a sliding window, in BUD_BUCKETS parts.  */
 typedef struct
 {
   int64_t window_ms;
   double ratio; /* repeats for each request */
   double slack; /* repeats that are always allowed in a window */
-  double requests[BUD_PARTS];
-  double repeats[BUD_PARTS];
+  double requests[BUD_BUCKETS];
+  double repeats[BUD_BUCKETS];
   int64_t part; /* number of the newest part */
 } bud_t;
 
 void bud_init (bud_t *bud, int64_t window_ms, double ratio, double slack);
-void bud_request (bud_t *bud, cfd_time_t now);
+void bud_count_request (bud_t *bud, cfd_time_t now);
 /* Counts a repeat and returns true when the budget has room for it.  */
-bool bud_repeat (bud_t *bud, cfd_time_t now);
+bool bud_try_retry (bud_t *bud, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/relay/cold.c
+++ b/libcoltsfootdrum/relay/cold.c
@@ -22,7 +22,7 @@
 }
 
 bool
-cold_goes_before (const char *router, const char *other, uint64_t endpoint)
+cold_ranks_before (const char *router, const char *other, uint64_t endpoint)
 {
   uint64_t mine = score (router, endpoint);
   uint64_t others = score (other, endpoint);
@@ -31,7 +31,7 @@
 }
 
 double
-cold_rate (double per_s, unsigned routers, unsigned rank)
+cold_rate_per_router (double per_s, unsigned routers, unsigned rank)
 {
   double sharing = floor (MAX (per_s * ROUTERS_A_RATE, ROUTERS_LEAST));
 
--- a/libcoltsfootdrum/relay/cold.h
+++ b/libcoltsfootdrum/relay/cold.h
@@ -16,11 +16,11 @@
 #define COLD_RANK_UNKNOWN UINT32_MAX
 
 /* Whether ROUTER goes before OTHER in the order of ENDPOINT (a hash).  */
-bool cold_goes_before (const char *router, const char *other,
-                       uint64_t endpoint);
+bool cold_ranks_before (const char *router, const char *other,
+                        uint64_t endpoint);
 
 /* Requests a second of one router to an endpoint that takes PER_S of all
    ROUTERS; RANK: how many go before it.  */
-double cold_rate (double per_s, unsigned routers, unsigned rank);
+double cold_rate_per_router (double per_s, unsigned routers, unsigned rank);
 
 #endif
--- a/libcoltsfootdrum/relay/edp.c
+++ b/libcoltsfootdrum/relay/edp.c
@@ -115,7 +115,8 @@
 is_other (const edp_report_t *a, const edp_report_t *b)
 {
   return strcmp (a->address, b->address) != 0
-         || (a->born_ms != 0 && b->born_ms != 0 && a->born_ms != b->born_ms);
+         || (a->started_ms != 0 && b->started_ms != 0
+             && a->started_ms != b->started_ms);
 }
 
 static edp_t *
@@ -137,11 +138,11 @@
   edp = g_new0 (edp_t, 1);
   edp->report = report;
   edp->hash = XXH3_64bits_withSeed (report->id, strlen (report->id),
-                                    (uint64_t)report->born_ms)
+                                    (uint64_t)report->started_ms)
               & HASH_MASK;
   edp->cold_tokens = COLD_BURST;
   edp->ups = ups_new (set->loop, &addr);
-  edp->missing_since = CFD_TIME_NEVER;
+  edp->unlisted_since = CFD_TIME_NEVER;
   edp->withdrawn = is_out (set, report->zone);
   edp->heard = now;
   list_init (&edp->node);
@@ -166,7 +167,7 @@
   g_hash_table_remove (set->by_id, report->id);
   edp_report_free (edp->report);
   edp->report = report;
-  edp->missing_since = CFD_TIME_NEVER;
+  edp->unlisted_since = CFD_TIME_NEVER;
   g_hash_table_insert (set->by_id, report->id, edp);
 }
 
@@ -182,7 +183,7 @@
     retire (set, edp);
   /* A start that was seen happen: the endpoint is as cold as it can be,
      whatever a report from before its start says.  */
-  if (is_new && !first && cold_ms > 0 && report->born_ms == 0)
+  if (is_new && !first && cold_ms > 0 && report->started_ms == 0)
     cold = MAX (cold, cold_ms);
   if (is_new)
     edp = add (set, now, report);
@@ -201,9 +202,9 @@
 
       if (g_hash_table_contains (seen, edp->report->id))
         continue;
-      if (edp->missing_since == CFD_TIME_NEVER)
+      if (edp->unlisted_since == CFD_TIME_NEVER)
         {
-          edp->missing_since = now;
+          edp->unlisted_since = now;
           log_info ("endpoints",
                     "An endpoint is no longer listed: endpoint=%s "
                     "settled=%d.",
@@ -235,7 +236,7 @@
 }
 
 void
-edp_set_withdraw (edp_set_t *set, const char *const *zones)
+edp_set_withdraw_zones (edp_set_t *set, const char *const *zones)
 {
   g_strfreev (set->out);
   set->out = g_strdupv ((char **)zones);
@@ -264,7 +265,7 @@
 }
 
 list_node_t *
-edp_set_list (edp_set_t *set)
+edp_set_endpoints (edp_set_t *set)
 {
   return &set->list;
 }
@@ -276,7 +277,7 @@
 }
 
 edp_t *
-edp_set_by_hash (edp_set_t *set, uint64_t hash)
+edp_set_find_by_hash (edp_set_t *set, uint64_t hash)
 {
   return g_hash_table_lookup (set->by_hash, &hash);
 }
@@ -288,11 +289,11 @@
 }
 
 bool
-edp_set_has_missing (const edp_set_t *set)
+edp_set_has_unlisted (const edp_set_t *set)
 {
   list_for_each (node, &set->list)
     {
-      if (list_entry (node, edp_t, node)->missing_since != CFD_TIME_NEVER)
+      if (list_entry (node, edp_t, node)->unlisted_since != CFD_TIME_NEVER)
         return true;
     }
   return false;
@@ -301,26 +302,26 @@
 bool
 edp_is_open (const edp_t *edp, cfd_time_t now)
 {
-  return !edp->report->leaving && !edp->withdrawn && now >= edp->suspect_until
+  return !edp->report->leaving && !edp->withdrawn && now >= edp->backoff_until
          && now >= edp->full_until;
 }
 
 bool
-edp_bears (edp_t *edp, cfd_time_t now, double per_s)
+edp_allows_request (edp_t *edp, cfd_time_t now, double per_s)
 {
-  double gained = (double)(now - edp->cold_filled) * per_s / 1000.;
+  double gained = (double)(now - edp->cold_refilled_at) * per_s / 1000.;
 
   if (now >= edp->cold_until)
     return true;
   if (per_s <= 0.)
     return false;
   edp->cold_tokens = MIN (edp->cold_tokens + gained, COLD_BURST);
-  edp->cold_filled = now;
+  edp->cold_refilled_at = now;
   return edp->cold_tokens >= 1.;
 }
 
 void
-edp_burden (edp_t *edp, cfd_time_t now)
+edp_count_cold_request (edp_t *edp, cfd_time_t now)
 {
   if (now >= edp->cold_until)
     return;
@@ -329,25 +330,25 @@
 }
 
 void
-edp_failed (edp_t *edp, cfd_time_t now)
+edp_record_failure (edp_t *edp, cfd_time_t now)
 {
   unsigned doublings = MIN (edp->failures, 8);
   int64_t span = MIN ((int64_t)SUSPECT_FIRST_MS << doublings, SUSPECT_MOST_MS);
 
   edp->failures++;
-  edp->suspect_until = now + span;
+  edp->backoff_until = now + span;
 }
 
 void
-edp_worked (edp_t *edp, cfd_time_t now)
+edp_record_success (edp_t *edp, cfd_time_t now)
 {
   edp->failures = 0;
-  edp->suspect_until = 0;
+  edp->backoff_until = 0;
   edp->heard = now;
 }
 
 void
-edp_gave_back (edp_t *edp, cfd_time_t now)
+edp_record_rejection (edp_t *edp, cfd_time_t now)
 {
   unsigned doublings = MIN (edp->given_back, 8);
   int64_t span = MIN ((int64_t)FULL_FIRST_MS << doublings, FULL_MOST_MS);
@@ -357,7 +358,7 @@
 }
 
 void
-edp_took (edp_t *edp)
+edp_record_acceptance (edp_t *edp)
 {
   edp->given_back = 0;
   edp->full_until = 0;
--- a/libcoltsfootdrum/relay/lag.c
+++ b/libcoltsfootdrum/relay/lag.c
@@ -102,7 +102,7 @@
 }
 
 lag_sums_t
-lag_take (lag_t *lag)
+lag_take_sums (lag_t *lag)
 {
   lag_sums_t sums;
 
@@ -113,7 +113,7 @@
 }
 
 void
-lag_metrics (const lag_t *lag, GString *out)
+lag_append_metrics (const lag_t *lag, GString *out)
 {
   for (unsigned i = 0; i < LAG_KINDS; i++)
     {
@@ -125,7 +125,7 @@
 }
 
 char *
-lag_text (const lag_sums_t *sums)
+lag_format (const lag_sums_t *sums)
 {
   GString *text = g_string_new (NULL);
 
--- a/libcoltsfootdrum/relay/lag.h
+++ b/libcoltsfootdrum/relay/lag.h
@@ -45,13 +45,13 @@
 void lag_leave (lag_t *lag, lag_kind_t before, unsigned count);
 
 /* The sums since the last call; they begin anew.  */
-lag_sums_t lag_take (lag_t *lag);
+lag_sums_t lag_take_sums (lag_t *lag);
 
 /* Appends the time of each kind since the start, in Prometheus' text format.
  */
-void lag_metrics (const lag_t *lag, GString *out);
+void lag_append_metrics (const lag_t *lag, GString *out);
 
 /* "turns=3 idle_ms=1 accept_ms=..."; free with g_free.  */
-char *lag_text (const lag_sums_t *sums);
+char *lag_format (const lag_sums_t *sums);
 
 #endif
--- a/libcoltsfootdrum/relay/pal-pack.c
+++ b/libcoltsfootdrum/relay/pal-pack.c
@@ -27,12 +27,12 @@
 {
   guint count = 0;
 
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       count += is_told (list_entry (node, edp_t, node), whole);
     }
   msgpack_pack_array (packer, (size_t)count * 4);
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
@@ -102,7 +102,7 @@
 
       msgpack_pack_uint64 (packer, one->key);
       msgpack_pack_uint64 (packer, (uint64_t)MAX (now - one->asked, 0));
-      msgpack_pack_uint64 (packer, (uint64_t)MAX (one->back_at - now, 0));
+      msgpack_pack_uint64 (packer, (uint64_t)MAX (one->retry_at - now, 0));
       pal->refusals_told = one->number;
     }
 }
@@ -113,10 +113,10 @@
   guint accounts = 0;
 
   if (whole)
-    use_each_own (pal->use, now, count_use, &accounts);
+    use_foreach_own (pal->use, now, count_use, &accounts);
   msgpack_pack_array (packer, (size_t)accounts * 3);
   if (whole)
-    use_each_own (pal->use, now, pack_use, packer);
+    use_foreach_own (pal->use, now, pack_use, packer);
 }
 
 static void
--- a/libcoltsfootdrum/relay/pal-take.c
+++ b/libcoltsfootdrum/relay/pal-take.c
@@ -130,8 +130,8 @@
 add_load (edp_t *edp, const pal_load_t *load, int sign)
 {
   edp->peer_active += (unsigned)sign * load->active;
-  edp->peer_unread += sign * load->unread;
-  edp->peer_context += sign * load->context;
+  edp->peer_pending_prefill += sign * load->unread;
+  edp->peer_context_tokens += sign * load->context;
 }
 
 static void
@@ -141,9 +141,9 @@
   void *peer;
 
   edp->peer_active = 0;
-  edp->peer_unread = 0.;
-  edp->peer_context = 0.;
-  edp->peers_counted = true;
+  edp->peer_pending_prefill = 0.;
+  edp->peer_context_tokens = 0.;
+  edp->has_peer_totals = true;
   g_hash_table_iter_init (&each, pal->peers);
   while (g_hash_table_iter_next (&each, NULL, &peer))
     {
@@ -160,11 +160,11 @@
 static void
 count_load (pal_t *pal, const pal_load_t *load, int sign)
 {
-  edp_t *edp = edp_set_by_hash (pal->endpoints, load->endpoint);
+  edp_t *edp = edp_set_find_by_hash (pal->endpoints, load->endpoint);
 
   if (edp == NULL)
     return;
-  if (!edp->peers_counted)
+  if (!edp->has_peer_totals)
     count_endpoint (pal, edp);
   add_load (edp, load, sign);
 }
@@ -172,11 +172,11 @@
 void
 pal_count_new (pal_t *pal)
 {
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
-      if (!edp->peers_counted)
+      if (!edp->has_peer_totals)
         count_endpoint (pal, edp);
     }
 }
@@ -230,7 +230,7 @@
       use_sum_t own = { .demand = (double)rows->ptr[i + 1].via.u64,
                         .served = (double)rows->ptr[i + 2].via.u64 };
 
-      use_received (pal->use, now, peer->name, account, &own);
+      use_update_peer (pal->use, now, peer->name, account, &own);
     }
 }
 
@@ -250,8 +250,8 @@
       uint64_t ago = MIN (rows->ptr[i + 1].via.u64, (uint64_t)now);
       uint64_t back = MIN (rows->ptr[i + 2].via.u64, AGE_MOST_MS);
 
-      ret_received (pal->ret, now, rows->ptr[i].via.u64, now - (cfd_time_t)ago,
-                    now + (cfd_time_t)back);
+      ret_add_peer_refusal (pal->ret, now, rows->ptr[i].via.u64,
+                            now - (cfd_time_t)ago, now + (cfd_time_t)back);
     }
 }
 
--- a/libcoltsfootdrum/relay/pal.c
+++ b/libcoltsfootdrum/relay/pal.c
@@ -198,7 +198,7 @@
 
       if (!all && !g_hash_table_contains (pal->peers, name))
         continue;
-      rank += cold_goes_before (name, pal->name, endpoint);
+      rank += cold_ranks_before (name, pal->name, endpoint);
     }
   return rank;
 }
@@ -206,7 +206,7 @@
 void
 pal_update_cold_ranks (pal_t *pal, cfd_time_t now)
 {
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
@@ -231,7 +231,7 @@
         continue;
       log_info ("peers", "A router fell silent: router=%s.", peer->name);
       pal_uncount (pal, peer);
-      use_forget (pal->use, now, peer->name);
+      use_remove_peer (pal->use, now, peer->name);
       g_hash_table_iter_remove (&each);
     }
 }
@@ -263,7 +263,7 @@
 
   if (now - pal->told_changes < pause)
     return;
-  list_for_each (node, edp_set_list (pal->endpoints))
+  list_for_each (node, edp_set_endpoints (pal->endpoints))
     {
       if (!list_entry (node, edp_t, node)->changed)
         continue;
@@ -380,7 +380,7 @@
       int64_t age = age_at (peer, now, list);
 
       if (age >= 0 && age <= most_ms)
-        rank += cold_goes_before (peer->name, pal->name, list);
+        rank += cold_ranks_before (peer->name, pal->name, list);
     }
   return rank;
 }
--- a/libcoltsfootdrum/relay/ret.c
+++ b/libcoltsfootdrum/relay/ret.c
@@ -24,7 +24,7 @@
   uint64_t key;
   cfd_time_t asked;
   cfd_time_t refused;
-  cfd_time_t back_at;
+  cfd_time_t retry_at;
 } ret_caller_t;
 
 struct ret
@@ -67,8 +67,8 @@
 }
 
 uint64_t
-ret_key (const char *account, const char *prompt, const void *body,
-         size_t length)
+ret_request_key (const char *account, const char *prompt, const void *body,
+                 size_t length)
 {
   uint64_t key = XXH3_64bits (account, strlen (account));
 
@@ -91,8 +91,8 @@
 }
 
 void
-ret_received (ret_t *ret, cfd_time_t now, uint64_t key, cfd_time_t asked,
-              cfd_time_t back_at)
+ret_add_peer_refusal (ret_t *ret, cfd_time_t now, uint64_t key,
+                      cfd_time_t asked, cfd_time_t retry_at)
 {
   ret_caller_t *caller = g_new0 (ret_caller_t, 1);
 
@@ -101,33 +101,33 @@
   caller->key = key;
   caller->asked = asked;
   caller->refused = now;
-  caller->back_at = back_at;
+  caller->retry_at = retry_at;
   list_init (&caller->node);
   g_hash_table_replace (ret->callers, &caller->key, caller);
   list_append (&ret->order, &caller->node);
 }
 
 void
-ret_refused (ret_t *ret, cfd_time_t now, uint64_t key, cfd_time_t asked,
-             cfd_time_t back_at)
+ret_add_refusal (ret_t *ret, cfd_time_t now, uint64_t key, cfd_time_t asked,
+                 cfd_time_t retry_at)
 {
   ret_update_t updates = { .key = key,
                            .asked = asked,
-                           .back_at = back_at,
+                           .retry_at = retry_at,
                            .number = ++ret->numbers,
                            .at = now };
 
-  ret_received (ret, now, key, asked, back_at);
+  ret_add_peer_refusal (ret, now, key, asked, retry_at);
   g_array_append_val (ret->updates, updates);
 }
 
 cfd_time_t
-ret_first_asked (ret_t *ret, cfd_time_t now, uint64_t key)
+ret_take_first_attempt (ret_t *ret, cfd_time_t now, uint64_t key)
 {
   const ret_caller_t *caller = g_hash_table_lookup (ret->callers, &key);
   cfd_time_t asked = now;
 
-  if (caller == NULL || now < caller->back_at - EARLY_SLACK_MS)
+  if (caller == NULL || now < caller->retry_at - EARLY_SLACK_MS)
     return now;
   if (now - caller->refused <= RETURN_MS)
     asked = MIN (caller->asked, now);
@@ -136,7 +136,7 @@
 }
 
 void
-ret_served (ret_t *ret, uint64_t key)
+ret_mark_served (ret_t *ret, uint64_t key)
 {
   g_hash_table_remove (ret->callers, &key);
 }
--- a/libcoltsfootdrum/relay/rly-answer.c
+++ b/libcoltsfootdrum/relay/rly-answer.c
@@ -73,8 +73,8 @@
             now - request->since, request->service->waiting, retry_ms);
   request->rly->counts.refused++;
   if (request->key != 0)
-    ret_refused (request->rly->ret, now, request->key, request->asked,
-                 now + retry_ms);
+    ret_add_refusal (request->rly->ret, now, request->key, request->asked,
+                     now + retry_ms);
   g_ascii_formatd (retry, sizeof retry, "%.3f", (double)retry_ms / 1000.);
   fields = g_strdup_printf ("Retry-After: %s\r\n", retry);
   rly_request_free (request);
@@ -223,7 +223,8 @@
 static bool
 may_repeat_now (rly_request_t *request, cfd_time_t now)
 {
-  if (!has_attempt (request) || !bud_repeat (&request->service->repeats, now))
+  if (!has_attempt (request)
+      || !bud_try_retry (&request->service->repeats, now))
     return false;
   request->rly->counts.repeats++;
   return true;
@@ -234,7 +235,7 @@
 take_not_run (rly_request_t *request, cfd_time_t now)
 {
   if (rly_has (request->rly, MECH_REJECT_PAUSE))
-    edp_gave_back (request->edp, now);
+    edp_record_rejection (request->edp, now);
   if (may_repeat_now (request, now))
     {
       again (request, now, "not-run");
@@ -253,9 +254,9 @@
 static void
 take_unknown (rly_request_t *request, cfd_time_t now, const char *reason)
 {
-  edp_failed (request->edp, now);
+  edp_record_failure (request->edp, now);
   request->may_have_run = true;
-  if (rte_may_repeat (request->route) && may_repeat_now (request, now))
+  if (rte_may_retry (request->route) && may_repeat_now (request, now))
     {
       request->rly->counts.resumed += request->began;
       again (request, now, reason);
@@ -267,7 +268,7 @@
 static void
 take_unreached (rly_request_t *request, cfd_time_t now)
 {
-  edp_failed (request->edp, now);
+  edp_record_failure (request->edp, now);
   /* Nothing was sent, so that no endpoint's attempt is spent.  */
   request->attempts--;
   if (request->tries < TRIES_MOST)
@@ -329,7 +330,7 @@
       take_unknown (request, now, "unsound");
       return;
     }
-  edp_worked (request->edp, now);
+  edp_record_success (request->edp, now);
   if (answer->status / 100 == 2)
     prom_hist_add (&request->service->whole, now - request->since);
   if (answer->stream)
--- a/libcoltsfootdrum/relay/rly-metrics.c
+++ b/libcoltsfootdrum/relay/rly-metrics.c
@@ -35,7 +35,7 @@
 {
   unsigned count = 0;
 
-  list_for_each (node, edp_set_list (rly->endpoints))
+  list_for_each (node, edp_set_endpoints (rly->endpoints))
     {
       count += edp_is_open (list_entry (node, edp_t, node), now);
     }
@@ -70,7 +70,7 @@
 }
 
 void
-rly_metrics (const rly_t *rly, cfd_time_t now, GString *out)
+rly_append_metrics (const rly_t *rly, cfd_time_t now, GString *out)
 {
   put_counters (&rly->counts, out);
   put_state (rly, now, out);
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -55,7 +55,7 @@
 
   if (per_s <= 0.)
     per_s = COLD_USUAL_PER_S;
-  return cold_rate (per_s, round->rly->routers, edp->cold_rank);
+  return cold_rate_per_router (per_s, round->rly->routers, edp->cold_rank);
 }
 
 static bool
@@ -71,12 +71,13 @@
 static plc_endpoint_t
 figures_of (const rly_round_t *round, edp_t *edp)
 {
-  plc_endpoint_t figures = { .active = edp->active + edp->peer_active,
-                             .unread = edp->unread + edp->peer_unread,
-                             .context = edp->context + edp->peer_context,
-                             .far = is_far (round, edp) };
+  plc_endpoint_t figures
+      = { .active = edp->active + edp->peer_active,
+          .unread = edp->unread + edp->peer_pending_prefill,
+          .context = edp->context + edp->peer_context_tokens,
+          .far = is_far (round, edp) };
 
-  if (edp_bears (edp, round->now, cold_rate_of (round, edp)))
+  if (edp_allows_request (edp, round->now, cold_rate_of (round, edp)))
     figures.slots = slots_of (edp, round->terms);
   if (round->terms != NULL)
     figures.memory = (double)round->terms->memory_tokens;
@@ -89,13 +90,13 @@
 {
   round->rly = rly;
   round->service = service;
-  round->terms = rte_service (rly->table, service->name);
+  round->terms = rte_find_service (rly->table, service->name);
   round->now = now;
   round->base_ms = fit_base (&service->first_token);
   round->ms_per_work = fit_slope (&service->first_token);
   round->count = 0;
   round->has_room = false;
-  list_for_each (node, edp_set_list (rly->endpoints))
+  list_for_each (node, edp_set_endpoints (rly->endpoints))
     {
       edp_t *edp = list_entry (node, edp_t, node);
 
@@ -157,7 +158,7 @@
       || !rly_has (round->rly, MECH_PREFIX_FETCH))
     return 0.;
   return TRANSFER_SETUP_MS
-         + tokens * terms->token_bytes * 8. / (terms->link_mbps * 1000.);
+         + tokens * terms->bytes_per_token * 8. / (terms->link_mbps * 1000.);
 }
 
 /* The prefill work of PROMPT at endpoint I, or what is left of it after a copy
@@ -230,7 +231,8 @@
   double allowed
       = request->late ? request->line->late_allowed : request->line->allowed;
   plc_request_t constraints
-      = { .left_ms = (double)request->aim_ms * AIM_SHARE - (double)waited,
+      = { .left_ms
+          = (double)request->target_latency_ms * AIM_SHARE - (double)waited,
           .max_queueing_ms = HUGE_VAL,
           .missing_most = HUGE_VAL,
           .capacity_share = 1.,
@@ -240,7 +242,7 @@
   if (request->prompt == NULL)
     return constraints;
   constraints.max_queueing_ms
-      = (double)request->aim_ms * MAX_QUEUEING_SHARE * allowed;
+      = (double)request->target_latency_ms * MAX_QUEUEING_SHARE * allowed;
   constraints.capacity_share = 1. - OVER_RESERVE * (1. - allowed);
   if (request->late)
     constraints.capacity_share = LATE_CAPACITY_SHARE;
@@ -319,7 +321,7 @@
 {
   const fit_t *line = &request->service->first_token;
   const pfx_prompt_t *prompt = request->prompt;
-  double aim = (double)request->aim_ms * AIM_SHARE;
+  double aim = (double)request->target_latency_ms * AIM_SHARE;
   double reading;
 
   if (prompt == NULL)
--- a/libcoltsfootdrum/relay/rly-private.h
+++ b/libcoltsfootdrum/relay/rly-private.h
@@ -46,7 +46,7 @@
 {
   struct ev_loop *loop;
   rly_names_t names;
-  rly_bounds_t bounds;
+  rly_settings_t bounds;
   edp_set_t *endpoints;
   use_t *use;
   pfx_t *pfx; /* not owned */
@@ -98,13 +98,13 @@
   cfd_time_t asked;    /* its caller's first try, as far as can be told */
   cfd_time_t deadline; /* the caller's */
   cfd_time_t timeout;  /* the route's */
-  int64_t aim_ms;      /* an answer that begins later is late */
-  cfd_time_t until;    /* it is refused when it still waits then */
-  bool late;           /* its caller came again, too late for the aim */
-  unsigned queued;     /* rounds of placement before it began to wait */
-  unsigned tries;      /* sends, and connections that failed */
-  unsigned attempts;   /* endpoints that may have got it */
-  char *last_failed;   /* id of the endpoint that failed it last */
+  int64_t target_latency_ms; /* an answer that begins later is late */
+  cfd_time_t until;          /* it is refused when it still waits then */
+  bool late;                 /* its caller came again, too late for the aim */
+  unsigned queued;           /* rounds of placement before it began to wait */
+  unsigned tries;            /* sends, and connections that failed */
+  unsigned attempts;         /* endpoints that may have got it */
+  char *last_failed;         /* id of the endpoint that failed it last */
 
   edp_t *edp; /* while it runs */
   ups_exchange_t *exchange;
--- a/libcoltsfootdrum/relay/rly-queue.c
+++ b/libcoltsfootdrum/relay/rly-queue.c
@@ -103,8 +103,9 @@
   list_node_t *before = line->requests.prev;
   cfd_time_t end = MIN (request->deadline, request->timeout);
 
-  request->aim_ms
-      = request->route->aim_ms > 0 ? request->route->aim_ms : USUAL_AIM_MS;
+  request->target_latency_ms = request->route->target_latency_ms > 0
+                                   ? request->route->target_latency_ms
+                                   : USUAL_AIM_MS;
   request->until = end;
   request->late = false;
   /* One that failed elsewhere has lost its time by no fault of its own.  */
@@ -142,7 +143,7 @@
   double share = g_random_double_range (RETRY_LEAST, RETRY_MOST);
 
   rly_refuse (request, now, reason,
-              (int64_t)(share * (double)request->aim_ms));
+              (int64_t)(share * (double)request->target_latency_ms));
 }
 
 /* A round of placement has passed REQUEST over.  */
@@ -237,7 +238,7 @@
 static double
 allowance (const use_t *use, cfd_time_t now, const char *account)
 {
-  double over = use_to_level (use, now, account);
+  double over = use_level_ratio (use, now, account);
   double part = (over - OVER_FIRST) / (OVER_LAST - OVER_FIRST);
 
   return 1. - (1. - OVER_ALLOWANCE) * CLAMP (part, 0., 1.);
@@ -251,11 +252,11 @@
       rly_line_t *line = list_entry (node, rly_line_t, node);
 
       line->passed = false;
-      line->use = use_all (rly->use, now, line->account).served;
+      line->use = use_total (rly->use, now, line->account).served;
       line->allowed = rly_has (rly, MECH_THROTTLE)
                           ? allowance (rly->use, now, line->account)
                           : 1.;
-      line->behind = use_to_demand (rly->use, now, line->account) < BEHIND;
+      line->behind = use_due_ratio (rly->use, now, line->account) < BEHIND;
       line->late_allowed = MIN (line->allowed, LATE_ALLOWANCE);
     }
 }
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -127,12 +127,12 @@
     {
       request->ran = true;
       if (request->key != 0)
-        ret_served (request->rly->ret, request->key);
+        ret_mark_served (request->rly->ret, request->key);
       prom_hist_add (&request->service->first_byte, now - request->since);
     }
   if (first && is_success (&request->answer))
     {
-      edp_took (request->edp);
+      edp_record_acceptance (request->edp);
       learn (request, now);
       stop_reading_prompt (request);
     }
@@ -173,7 +173,7 @@
   rly_t *rly = request->rly;
 
   INVARIANT ("at-most-once",
-             !request->may_have_run || rte_may_repeat (request->route),
+             !request->may_have_run || rte_may_retry (request->route),
              request->id);
   INVARIANT ("endpoint-open", edp_is_open (edp, now), edp->report->id);
   rly_unwait (request);
@@ -186,7 +186,7 @@
   edp->active++;
   edp->unread += request->unread;
   edp->context += request->context;
-  edp_burden (edp, now);
+  edp_count_cold_request (edp, now);
   edp->changed = true;
   if (request->prompt != NULL)
     pfx_record (rly->pfx, now, edp->hash, request->prompt);
@@ -221,7 +221,7 @@
   request->exchange = ups_send (edp->ups, now, &wire, &exchange_ops, request);
   if (request->exchange == NULL)
     {
-      edp_failed (edp, now);
+      edp_record_failure (edp, now);
       return false;
     }
   begin (request, edp, now);
@@ -312,7 +312,7 @@
       ups_set_read_paused (request->exchange, false);
     }
   if (request->answer.status == 0 && since_sent > silent_after (request)
-      && rte_may_repeat (request->route)
+      && rte_may_retry (request->route)
       && request->attempts < request->route->attempts)
     give_up (request, now, UPS_NO_RESPONSE);
 }
--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -83,7 +83,7 @@
 
 rly_t *
 rly_new (struct ev_loop *loop, const rly_names_t *names,
-         const rly_bounds_t *bounds, edp_set_t *endpoints, use_t *use,
+         const rly_settings_t *bounds, edp_set_t *endpoints, use_t *use,
          pfx_t *pfx, ret_t *ret)
 {
   rly_t *rly = g_new0 (rly_t, 1);
@@ -202,7 +202,7 @@
   log_info ("relay",
             "A configuration is in force: version=%" G_GUINT64_FORMAT
             " routes=%u.",
-            rte_table_version (table), rte_table_routes (table));
+            rte_table_version (table), rte_table_route_count (table));
   rte_table_unref (rly->table);
   rly->table = rte_table_ref (table);
 }
@@ -214,7 +214,7 @@
 }
 
 void
-rly_set_routers (rly_t *rly, unsigned routers)
+rly_set_router_count (rly_t *rly, unsigned routers)
 {
   rly->routers = MAX (routers, 1);
   list_for_each (node, &rly->services)
@@ -225,7 +225,7 @@
 }
 
 void
-rly_close (rly_t *rly)
+rly_stop_accepting (rly_t *rly)
 {
   rly->closed = true;
 }
@@ -335,9 +335,10 @@
 
   if (request->prompt == NULL)
     return request->since;
-  request->key
-      = ret_key (rly_account_name (request), prompt, body->data, body->len);
-  return ret_first_asked (request->rly->ret, request->since, request->key);
+  request->key = ret_request_key (rly_account_name (request), prompt,
+                                  body->data, body->len);
+  return ret_take_first_attempt (request->rly->ret, request->since,
+                                 request->key);
 }
 
 static rly_request_t *
@@ -388,14 +389,15 @@
                       rly->closed ? "shutdown" : "no-configuration");
       return;
     }
-  route = host != NULL ? rte_find (rly->table, host, head->target) : NULL;
+  route
+      = host != NULL ? rte_find_route (rly->table, host, head->target) : NULL;
   if (route == NULL)
     {
       answer_plainly (rly, call, 404, "no-route");
       return;
     }
   if (key != NULL)
-    account = rte_account (rly->table, key);
+    account = rte_find_account (rly->table, key);
   if (account == NULL && !route->open && rte_table_has_accounts (rly->table))
     {
       answer_plainly (rly, call, 401, "unknown-key");
@@ -404,8 +406,8 @@
   request = request_new (rly, call, route, account);
   ent_set_data (call, request);
   request->service
-      = rly_service (rly, rte_route_service (route, g_random_double ()));
-  bud_request (&request->service->repeats, now);
+      = rly_service (rly, rte_choose_service (route, g_random_double ()));
+  bud_count_request (&request->service->repeats, now);
   use_add_demand (rly->use, now, rly_account_name (request), request->cost);
   rly_wait (request);
   if (!rly_refuse_early (request, now))
@@ -413,7 +415,7 @@
 }
 
 void
-rly_on_gone (void *user, ent_call_t *call)
+rly_on_disconnect (void *user, ent_call_t *call)
 {
   rly_t *rly = user;
   rly_request_t *request = ent_get_data (call);
@@ -442,7 +444,7 @@
   if (now - rly->levelled >= LEVEL_MS)
     {
       rly->levelled = now;
-      use_level (rly->use, now);
+      use_update_level (rly->use, now);
     }
   tick_running (rly, now);
   if (rly->table != NULL)
--- a/libcoltsfootdrum/relay/rly.h
+++ b/libcoltsfootdrum/relay/rly.h
@@ -42,7 +42,7 @@
   int64_t share_window_ms; /* over which accounts' shares are compared */
   const char *zone;        /* the router's own; NULL: not told */
   unsigned disabled;       /* mech_t bits that are switched off */
-} rly_bounds_t;
+} rly_settings_t;
 
 typedef struct
 {
@@ -60,7 +60,7 @@
 typedef struct rly rly_t;
 
 rly_t *rly_new (struct ev_loop *loop, const rly_names_t *names,
-                const rly_bounds_t *bounds, edp_set_t *endpoints, use_t *use,
+                const rly_settings_t *bounds, edp_set_t *endpoints, use_t *use,
                 pfx_t *pfx, ret_t *ret);
 void rly_free (rly_t *rly);
 
@@ -69,7 +69,7 @@
 
 /* Callbacks for the callers' side; USER is the relay.  */
 void rly_on_request (void *user, ent_call_t *call);
-void rly_on_gone (void *user, ent_call_t *call);
+void rly_on_disconnect (void *user, ent_call_t *call);
 
 /* A newer table comes into force; an older one is passed over.  */
 void rly_set_table (rly_t *rly, rte_table_t *table);
@@ -77,10 +77,10 @@
 
 /* New requests are refused from now on, not run; those that are here go on.
  */
-void rly_close (rly_t *rly);
+void rly_stop_accepting (rly_t *rly);
 
 /* How many routers there are, this one included.  */
-void rly_set_routers (rly_t *rly, unsigned routers);
+void rly_set_router_count (rly_t *rly, unsigned routers);
 
 /* To be called every RLY_TICK_MS.  */
 #define RLY_TICK_MS 25
@@ -89,6 +89,6 @@
 const rly_counts_t *rly_counts (const rly_t *rly);
 
 /* Appends counters and latencies in Prometheus' text format.  */
-void rly_metrics (const rly_t *rly, cfd_time_t now, GString *out);
+void rly_append_metrics (const rly_t *rly, cfd_time_t now, GString *out);
 
 #endif
--- a/libcoltsfootdrum/relay/rte.c
+++ b/libcoltsfootdrum/relay/rte.c
@@ -82,7 +82,7 @@
 static void
 clear_share (void *data)
 {
-  rte_share_t *share = data;
+  rte_traffic_share_t *share = data;
 
   g_free (share->service);
 }
@@ -92,7 +92,7 @@
 {
   rte_route_t *route = g_new0 (rte_route_t, 1);
 
-  route->shares = g_array_new (FALSE, FALSE, sizeof (rte_share_t));
+  route->shares = g_array_new (FALSE, FALSE, sizeof (rte_traffic_share_t));
   g_array_set_clear_func (route->shares, clear_share);
   route->attempts = 1;
   return route;
@@ -111,9 +111,11 @@
 }
 
 void
-rte_route_add_share (rte_route_t *route, const char *service, double weight)
+rte_route_add_traffic_share (rte_route_t *route, const char *service,
+                             double weight)
 {
-  rte_share_t share = { .service = g_strdup (service), .weight = weight };
+  rte_traffic_share_t share
+      = { .service = g_strdup (service), .weight = weight };
 
   g_array_append_val (route->shares, share);
 }
@@ -170,7 +172,7 @@
 }
 
 guint
-rte_table_routes (const rte_table_t *table)
+rte_table_route_count (const rte_table_t *table)
 {
   return table->routes;
 }
@@ -210,7 +212,7 @@
 }
 
 const rte_route_t *
-rte_find (const rte_table_t *table, const char *host, const char *target)
+rte_find_route (const rte_table_t *table, const char *host, const char *target)
 {
   g_autofree char *name = g_ascii_strdown (host, -1);
   size_t length = path_length (target);
@@ -233,21 +235,22 @@
 }
 
 const rte_service_t *
-rte_service (const rte_table_t *table, const char *name)
+rte_find_service (const rte_table_t *table, const char *name)
 {
   return g_hash_table_lookup (table->services, name);
 }
 
 const rte_account_t *
-rte_account (const rte_table_t *table, const char *key)
+rte_find_account (const rte_table_t *table, const char *key)
 {
   return g_hash_table_lookup (table->keys, key);
 }
 
 const char *
-rte_route_service (const rte_route_t *route, double draw)
+rte_choose_service (const rte_route_t *route, double draw)
 {
-  const rte_share_t *shares = (const rte_share_t *)route->shares->data;
+  const rte_traffic_share_t *shares
+      = (const rte_traffic_share_t *)route->shares->data;
   double whole = 0.;
 
   for (guint i = 0; i < route->shares->len; i++)
@@ -263,7 +266,7 @@
 }
 
 bool
-rte_may_repeat (const rte_route_t *route)
+rte_may_retry (const rte_route_t *route)
 {
   switch (route->kind)
     {
--- a/libcoltsfootdrum/relay/rte.h
+++ b/libcoltsfootdrum/relay/rte.h
@@ -20,7 +20,7 @@
 {
   char *service;
   double weight;
-} rte_share_t;
+} rte_traffic_share_t;
 
 typedef struct
 {
@@ -28,9 +28,9 @@
   char *host;
   char *prefix; /* of the path; begins and ends with a slash */
   rte_kind_t kind;
-  GArray *shares; /* rte_share_t, one at least */
+  GArray *shares; /* rte_traffic_share_t, one at least */
   int64_t timeout_ms;
-  int64_t aim_ms; /* an answer within it earns its full worth */
+  int64_t target_latency_ms; /* an answer within it earns its full worth */
   unsigned attempts;
   int rank;       /* 0 is the most urgent */
   bool open;      /* needs no key */
@@ -45,11 +45,11 @@
   int64_t cold_ms;      /* how long an endpoint is cold after its start */
   double cold_per_s;    /* warm-up rate limit, requests a second */
   bool is_engine;
-  unsigned slots;        /* engines: requests that run at once */
-  int64_t memory_tokens; /* engines: for running requests and cached parts */
-  double event_tokens;   /* engines: tokens in one event of a stream */
-  double token_bytes;    /* engines: of cache memory; 0: not told */
-  double link_mbps;      /* between engines; 0: no transfers */
+  unsigned slots;          /* engines: requests that run at once */
+  int64_t memory_tokens;   /* engines: for running requests and cached parts */
+  double tokens_per_event; /* engines: tokens in one event of a stream */
+  double bytes_per_token;  /* engines: of cache memory; 0: not told */
+  double link_mbps;        /* between engines; 0: no transfers */
 } rte_service_t;
 
 typedef struct
@@ -84,29 +84,31 @@
 
 rte_route_t *rte_route_new (void);
 void rte_route_free (rte_route_t *route);
-void rte_route_add_share (rte_route_t *route, const char *service,
-                          double weight);
+void rte_route_add_traffic_share (rte_route_t *route, const char *service,
+                                  double weight);
 void rte_service_free (rte_service_t *service);
 
 uint64_t rte_table_version (const rte_table_t *table);
 const rte_limits_t *rte_table_limits (const rte_table_t *table);
-guint rte_table_routes (const rte_table_t *table);
+guint rte_table_route_count (const rte_table_t *table);
 bool rte_table_has_accounts (const rte_table_t *table);
 /* The longest time for which endpoints of any service are cold.  */
 int64_t rte_table_cold_ms (const rte_table_t *table);
 
 /* Of the routes of HOST the one with the longest prefix of TARGET's path; NULL
    when there is none.  A port behind HOST doesn't count.  */
-const rte_route_t *rte_find (const rte_table_t *table, const char *host,
-                             const char *target);
-const rte_service_t *rte_service (const rte_table_t *table, const char *name);
+const rte_route_t *rte_find_route (const rte_table_t *table, const char *host,
+                                   const char *target);
+const rte_service_t *rte_find_service (const rte_table_t *table,
+                                       const char *name);
 /* NULL for a key that nobody holds.  */
-const rte_account_t *rte_account (const rte_table_t *table, const char *key);
+const rte_account_t *rte_find_account (const rte_table_t *table,
+                                       const char *key);
 
 /* The service for a request of ROUTE, by weight; DRAW is from 0 to 1.  */
-const char *rte_route_service (const rte_route_t *route, double draw);
+const char *rte_choose_service (const rte_route_t *route, double draw);
 
 /* A request of ROUTE may be sent again after it may have run.  */
-bool rte_may_repeat (const rte_route_t *route);
+bool rte_may_retry (const rte_route_t *route);
 
 #endif
--- a/libcoltsfootdrum/relay/test-edp.c
+++ b/libcoltsfootdrum/relay/test-edp.c
@@ -7,7 +7,7 @@
 #define COLD_MS 3000
 
 static edp_report_t *
-report (const char *id, int64_t born_ms, int64_t cold_ms)
+report (const char *id, int64_t started_ms, int64_t cold_ms)
 {
   edp_report_t *one = g_new0 (edp_report_t, 1);
 
@@ -16,7 +16,7 @@
   one->address = g_strdup ("127.0.0.1:9");
   one->zone = g_strdup ("z");
   one->slots = 4;
-  one->born_ms = born_ms;
+  one->started_ms = started_ms;
   one->cold_ms = cold_ms;
   return one;
 }
@@ -82,16 +82,16 @@
   update (set, NOW, report ("e1", 1, COLD_MS), true);
   edp = edp_set_find (set, "e1");
   for (cfd_time_t now = NOW; now < NOW + 2000; now += 5)
-    if (edp_bears (edp, now, 4.))
+    if (edp_allows_request (edp, now, 4.))
       {
-        edp_burden (edp, now);
+        edp_count_cold_request (edp, now);
         sent++;
       }
   g_assert_cmpuint (sent, >=, 7);
   g_assert_cmpuint (sent, <=, 9);
   /* Warm: no bound.  */
-  g_assert_true (edp_bears (edp, NOW + COLD_MS, 4.));
-  g_assert_true (edp_bears (edp, NOW + COLD_MS, 4.));
+  g_assert_true (edp_allows_request (edp, NOW + COLD_MS, 4.));
+  g_assert_true (edp_allows_request (edp, NOW + COLD_MS, 4.));
   edp_set_free (set);
   ev_loop_destroy (loop);
 }
@@ -105,12 +105,12 @@
   edp_set_t *set = edp_set_new (loop);
 
   update (set, NOW, report ("e1", 1, 0), true);
-  edp_set_withdraw (set, out);
+  edp_set_withdraw_zones (set, out);
   g_assert_false (edp_is_open (edp_set_find (set, "e1"), NOW));
   /* Also one that is listed later.  */
   update (set, NOW, report ("e2", 1, 0), true);
   g_assert_false (edp_is_open (edp_set_find (set, "e2"), NOW));
-  edp_set_withdraw (set, none);
+  edp_set_withdraw_zones (set, none);
   g_assert_true (edp_is_open (edp_set_find (set, "e2"), NOW));
   edp_set_free (set);
   ev_loop_destroy (loop);
@@ -130,13 +130,13 @@
   edp = edp_set_find (set, "e1");
   for (unsigned i = 0; i < 8; i++)
     {
-      edp_failed (edp, NOW);
+      edp_record_failure (edp, NOW);
       g_assert_false (edp_is_open (edp, NOW));
-      g_assert_cmpint (edp->suspect_until - NOW, >=, last);
-      last = edp->suspect_until - NOW;
+      g_assert_cmpint (edp->backoff_until - NOW, >=, last);
+      last = edp->backoff_until - NOW;
     }
   g_assert_cmpint (last, <=, 4000);
-  edp_worked (edp, NOW);
+  edp_record_success (edp, NOW);
   g_assert_true (edp_is_open (edp, NOW));
   edp_set_free (set);
   ev_loop_destroy (loop);
@@ -157,7 +157,7 @@
   edp = edp_set_find (set, "e1");
   for (unsigned i = 0; i < 12; i++)
     {
-      edp_gave_back (edp, NOW);
+      edp_record_rejection (edp, NOW);
       g_assert_false (edp_is_open (edp, NOW));
       g_assert_cmpint (edp->full_until - NOW, >=, last);
       last = edp->full_until - NOW;
@@ -165,7 +165,7 @@
   /* Well below callers' aims: room that is there is not left unused.  */
   g_assert_cmpint (last, <=, 100);
   g_assert_true (edp_is_open (edp, NOW + last));
-  edp_took (edp);
+  edp_record_acceptance (edp);
   g_assert_true (edp_is_open (edp, NOW));
   edp_set_free (set);
   ev_loop_destroy (loop);
@@ -218,9 +218,9 @@
       if (i == router || (!all && is_cut_off (one, i)))
         continue;
       count++;
-      rank += cold_goes_before (name, own, endpoint);
+      rank += cold_ranks_before (name, own, endpoint);
     }
-  return cold_rate (one->per_s, count, rank);
+  return cold_rate_per_router (one->per_s, count, rank);
 }
 
 static edp_t *
@@ -254,9 +254,9 @@
       double rate = rate_of (one, router, hash);
 
       for (unsigned ms = 0; ms < COLD_MS; ms++)
-        if (edp_bears (edp, NOW + ms, rate))
+        if (edp_allows_request (edp, NOW + ms, rate))
           {
-            edp_burden (edp, NOW + ms);
+            edp_count_cold_request (edp, NOW + ms);
             sent[ms]++;
           }
       edp_set_free (set);
--- a/libcoltsfootdrum/relay/test-lag.c
+++ b/libcoltsfootdrum/relay/test-lag.c
@@ -32,13 +32,13 @@
   work ();
   lag_leave (lag, inner, 2);
   lag_leave (lag, outer, 1);
-  sums = lag_take (lag);
+  sums = lag_take_sums (lag);
   g_assert_cmpint (sums.us[LAG_CALLERS], >=, SPAN_US);
   g_assert_cmpint (sums.us[LAG_PLACEMENT], >=, SPAN_US);
   g_assert_cmpint (sums.us[LAG_ACCEPT], ==, 0);
   g_assert_cmpuint (sums.count[LAG_CALLERS], ==, 1);
   g_assert_cmpuint (sums.count[LAG_PLACEMENT], ==, 2);
-  sums = lag_take (lag);
+  sums = lag_take_sums (lag);
   g_assert_cmpuint (sums.count[LAG_PLACEMENT], ==, 0);
   lag_free (lag);
   ev_loop_destroy (loop);
@@ -54,9 +54,9 @@
 
   for (unsigned i = 0; i < 3; i++)
     ev_run (loop, EVRUN_NOWAIT);
-  sums = lag_take (lag);
+  sums = lag_take_sums (lag);
   g_assert_cmpuint (sums.turns, ==, 3);
-  text = lag_text (&sums);
+  text = lag_format (&sums);
   g_assert_true (g_str_has_prefix (text, "turns=3 idle_ms="));
   lag_free (lag);
   ev_loop_destroy (loop);
--- a/libcoltsfootdrum/relay/test-pal.c
+++ b/libcoltsfootdrum/relay/test-pal.c
@@ -102,8 +102,8 @@
   tell (&one, &here, NOW, whole);
   tell (&two, &here, NOW, whole);
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 7);
-  g_assert_cmpfloat (endpoint_of (&here)->peer_unread, ==, 1200.);
-  g_assert_cmpfloat (endpoint_of (&here)->peer_context, ==, 2400.);
+  g_assert_cmpfloat (endpoint_of (&here)->peer_pending_prefill, ==, 1200.);
+  g_assert_cmpfloat (endpoint_of (&here)->peer_context_tokens, ==, 2400.);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 3);
   /* Absolute figures: the newer word takes the older one's place.  */
   set_load (&one, 1, 0.);
@@ -180,13 +180,13 @@
   edp = edp_set_find (here.endpoints, "e2");
   pal_tick (here.pal, NOW);
   g_assert_cmpuint (edp->peer_active, ==, 5);
-  g_assert_cmpfloat (edp->peer_unread, ==, 300.);
+  g_assert_cmpfloat (edp->peer_pending_prefill, ==, 300.);
   there->active = 2;
   there->unread = 0.;
   there->changed = true;
   tell (&one, &here, NOW, false);
   g_assert_cmpuint (edp->peer_active, ==, 2);
-  g_assert_cmpfloat (edp->peer_unread, ==, 0.);
+  g_assert_cmpfloat (edp->peer_pending_prefill, ==, 0.);
   pal_tick (here.pal, NOW + 5000);
   g_assert_cmpuint (edp->peer_active, ==, 0);
   side_free (&here);
@@ -236,11 +236,11 @@
   set_load (&one, 9, 900.);
   use_add_served (one.use, NOW, "mill", 5000.);
   tell (&one, &here, NOW, true);
-  g_assert_cmpfloat (use_all (here.use, NOW, "mill").served, ==, 5000.);
+  g_assert_cmpfloat (use_total (here.use, NOW, "mill").served, ==, 5000.);
   pal_tick (here.pal, NOW + 5000);
   g_assert_cmpuint (endpoint_of (&here)->peer_active, ==, 0);
   g_assert_cmpuint (pal_estimate_fleet_size (here.pal), ==, 1);
-  g_assert_cmpfloat (use_all (here.use, NOW, "mill").served, ==, 0.);
+  g_assert_cmpfloat (use_total (here.use, NOW, "mill").served, ==, 0.);
   side_free (&here);
   side_free (&one);
 }
@@ -269,16 +269,19 @@
 {
   side_t here = side_new ("here");
   side_t one = side_new ("one");
-  uint64_t key = ret_key ("mill", "a:1,b:2", "text", 4);
+  uint64_t key = ret_request_key ("mill", "a:1,b:2", "text", 4);
 
   tell (&one, &here, NOW, true);
-  ret_refused (one.ret, NOW, key, NOW - 250, NOW + 100);
+  ret_add_refusal (one.ret, NOW, key, NOW - 250, NOW + 100);
   tell (&one, &here, NOW + 10, false);
   /* Whoever asks the same before that time just came.  */
-  g_assert_cmpint (ret_first_asked (here.ret, NOW + 50, key), ==, NOW + 50);
-  g_assert_cmpint (ret_first_asked (here.ret, NOW + 300, key), ==, NOW - 250);
+  g_assert_cmpint (ret_take_first_attempt (here.ret, NOW + 50, key), ==,
+                   NOW + 50);
+  g_assert_cmpint (ret_take_first_attempt (here.ret, NOW + 300, key), ==,
+                   NOW - 250);
   /* It came: the next one like it is another request.  */
-  g_assert_cmpint (ret_first_asked (here.ret, NOW + 400, key), ==, NOW + 400);
+  g_assert_cmpint (ret_take_first_attempt (here.ret, NOW + 400, key), ==,
+                   NOW + 400);
   side_free (&here);
   side_free (&one);
 }
--- a/libcoltsfootdrum/relay/test-parts.c
+++ b/libcoltsfootdrum/relay/test-parts.c
@@ -23,7 +23,7 @@
   one->name = g_strdup (prefix);
   one->host = g_strdup (host);
   one->prefix = g_strdup (prefix);
-  rte_route_add_share (one, service, 1.);
+  rte_route_add_traffic_share (one, service, 1.);
   return one;
 }
 
@@ -68,7 +68,7 @@
 {
   const find_case_t *one = data;
   g_autoptr (rte_table_t) table = make_table ();
-  const rte_route_t *found = rte_find (table, one->host, one->target);
+  const rte_route_t *found = rte_find_route (table, one->host, one->target);
 
   g_assert_cmpstr (found != NULL ? found->prefix : NULL, ==, one->prefix);
 }
@@ -78,8 +78,8 @@
 {
   g_autoptr (rte_table_t) table = make_table ();
 
-  g_assert_cmpstr (rte_account (table, "k2")->name, ==, "mill");
-  g_assert_null (rte_account (table, "k3"));
+  g_assert_cmpstr (rte_find_account (table, "k2")->name, ==, "mill");
+  g_assert_null (rte_find_account (table, "k3"));
 }
 
 static void
@@ -87,12 +87,12 @@
 {
   rte_route_t *one = rte_route_new ();
 
-  rte_route_add_share (one, "a", 90.);
-  rte_route_add_share (one, "b", 10.);
-  g_assert_cmpstr (rte_route_service (one, 0.), ==, "a");
-  g_assert_cmpstr (rte_route_service (one, 0.89), ==, "a");
-  g_assert_cmpstr (rte_route_service (one, 0.91), ==, "b");
-  g_assert_cmpstr (rte_route_service (one, 1.), ==, "b");
+  rte_route_add_traffic_share (one, "a", 90.);
+  rte_route_add_traffic_share (one, "b", 10.);
+  g_assert_cmpstr (rte_choose_service (one, 0.), ==, "a");
+  g_assert_cmpstr (rte_choose_service (one, 0.89), ==, "a");
+  g_assert_cmpstr (rte_choose_service (one, 0.91), ==, "b");
+  g_assert_cmpstr (rte_choose_service (one, 1.), ==, "b");
   rte_route_free (one);
 }
 
@@ -158,14 +158,14 @@
   bud_init (&bud, 10000, 0.2, 50.);
   for (unsigned i = 0; i < 1000; i++)
     {
-      bud_request (&bud, NOW + i * 10);
-      repeats += bud_repeat (&bud, NOW + i * 10);
+      bud_count_request (&bud, NOW + i * 10);
+      repeats += bud_try_retry (&bud, NOW + i * 10);
     }
   g_assert_cmpuint (repeats, >=, 200);
   g_assert_cmpuint (repeats, <=, 250);
-  g_assert_false (bud_repeat (&bud, NOW + 9999));
+  g_assert_false (bud_try_retry (&bud, NOW + 9999));
   /* An hour later all is forgotten.  */
-  g_assert_true (bud_repeat (&bud, NOW + 3600000));
+  g_assert_true (bud_try_retry (&bud, NOW + 3600000));
 }
 
 /* Load pattern: callers who were refused come back, with other deadlines and
@@ -174,20 +174,22 @@
 test_returns (void)
 {
   g_autoptr (ret_t) ret = ret_new ();
-  uint64_t key = ret_key ("mill", "a:1,b:2", "text", 4);
+  uint64_t key = ret_request_key ("mill", "a:1,b:2", "text", 4);
 
-  g_assert_cmpuint (key, !=, ret_key ("press", "a:1,b:2", "text", 4));
-  g_assert_cmpuint (key, !=, ret_key ("mill", "a:1,b:3", "text", 4));
-  g_assert_cmpuint (key, !=, ret_key ("mill", "a:1,b:2", "test", 4));
-  g_assert_cmpint (ret_first_asked (ret, NOW, key), ==, NOW);
-  ret_refused (ret, NOW + 300, key, NOW, NOW + 400);
+  g_assert_cmpuint (key, !=, ret_request_key ("press", "a:1,b:2", "text", 4));
+  g_assert_cmpuint (key, !=, ret_request_key ("mill", "a:1,b:3", "text", 4));
+  g_assert_cmpuint (key, !=, ret_request_key ("mill", "a:1,b:2", "test", 4));
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW, key), ==, NOW);
+  ret_add_refusal (ret, NOW + 300, key, NOW, NOW + 400);
   g_assert_cmpuint (ret_updates (ret, NOW)->len, ==, 1);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 500, key), ==, NOW);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 600, key), ==, NOW + 600);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 500, key), ==, NOW);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 600, key), ==,
+                   NOW + 600);
   /* A caller who doesn't come back is forgotten.  */
-  ret_refused (ret, NOW + 300, key, NOW, NOW + 400);
+  ret_add_refusal (ret, NOW + 300, key, NOW, NOW + 400);
   ret_sweep (ret, NOW + 60000);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 60000, key), ==, NOW + 60000);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 60000, key), ==,
+                   NOW + 60000);
   g_assert_cmpuint (ret_updates (ret, NOW + 60000)->len, ==, 0);
 }
 
@@ -197,11 +199,12 @@
 test_served_meanwhile (void)
 {
   g_autoptr (ret_t) ret = ret_new ();
-  uint64_t key = ret_key ("mill", "a:1,b:2", "text", 4);
+  uint64_t key = ret_request_key ("mill", "a:1,b:2", "text", 4);
 
-  ret_refused (ret, NOW, key, NOW, NOW + 100);
-  ret_served (ret, key);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 500, key), ==, NOW + 500);
+  ret_add_refusal (ret, NOW, key, NOW, NOW + 100);
+  ret_mark_served (ret, key);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 500, key), ==,
+                   NOW + 500);
 }
 
 /* In a flood of refusals those are forgotten who were refused first: they have
@@ -212,11 +215,13 @@
   g_autoptr (ret_t) ret = ret_new ();
 
   for (uint64_t key = 1; key <= 20000; key++)
-    ret_refused (ret, NOW + (cfd_time_t)key / 10, key, NOW, NOW);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 2000, 1), ==, NOW + 2000);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 2000, 20000), ==, NOW);
+    ret_add_refusal (ret, NOW + (cfd_time_t)key / 10, key, NOW, NOW);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 2000, 1), ==,
+                   NOW + 2000);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 2000, 20000), ==, NOW);
   ret_sweep (ret, NOW + 60000);
-  g_assert_cmpint (ret_first_asked (ret, NOW + 2000, 19000), ==, NOW + 2000);
+  g_assert_cmpint (ret_take_first_attempt (ret, NOW + 2000, 19000), ==,
+                   NOW + 2000);
 }
 
 static void
--- a/libcoltsfootdrum/relay/test-rly-scene.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -224,9 +224,9 @@
   route->kind = kind;
   route->attempts = attempts;
   route->resumable = resumable;
-  route->aim_ms = 300;
+  route->target_latency_ms = 300;
   route->timeout_ms = 30000;
-  rte_route_add_share (route, "app", 1.);
+  rte_route_add_traffic_share (route, "app", 1.);
   rte_table_add_route (table, route);
   return route;
 }
@@ -238,7 +238,7 @@
   rte_service_t *service = g_new0 (rte_service_t, 1);
 
   service->name = g_strdup ("app");
-  service->token_bytes = 125000.;
+  service->bytes_per_token = 125000.;
   service->link_mbps = 1e6;
   rte_table_add_service (table, service);
 }
@@ -257,7 +257,8 @@
   add_route (table, "/once/", RTE_ONCE, 1, false);
   add_route (table, "/events/", RTE_STREAM, 2, true);
   add_route (table, "/events-once/", RTE_STREAM, 1, false);
-  add_route (table, "/slow/", RTE_IDEMPOTENT, 1, false)->aim_ms = 10000;
+  add_route (table, "/slow/", RTE_IDEMPOTENT, 1, false)->target_latency_ms
+      = 10000;
   add_service (table);
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
@@ -289,11 +290,11 @@
 scene_t *
 scene_new (const scene_reply_t *replies, unsigned count, unsigned slots)
 {
-  static const ent_ops_t front = { rly_on_request, rly_on_gone };
-  static const rly_bounds_t bounds = { .repeat_window_ms = 10000,
-                                       .repeat_ratio = 0.2,
-                                       .repeat_slack = 50.,
-                                       .share_window_ms = 4000 };
+  static const ent_ops_t front = { rly_on_request, rly_on_disconnect };
+  static const rly_settings_t bounds = { .repeat_window_ms = 10000,
+                                         .repeat_ratio = 0.2,
+                                         .repeat_slack = 50.,
+                                         .share_window_ms = 4000 };
   scene_t *scene = g_new0 (scene_t, 1);
   g_autoptr (rte_table_t) table = make_table ();
 
--- a/libcoltsfootdrum/relay/test-rly-share.c
+++ b/libcoltsfootdrum/relay/test-rly-share.c
@@ -76,7 +76,7 @@
 
   scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 503 "));
-  sum = use_all (scene->use, clock_now (), "mill");
+  sum = use_total (scene->use, clock_now (), "mill");
   g_assert_cmpfloat (sum.demand, >, 0.);
   g_assert_cmpfloat (sum.served, ==, 0.);
   scene_caller_free (caller);
@@ -157,8 +157,8 @@
 {
   cfd_time_t now = clock_now ();
 
-  ret_refused (scene->ret, now, ret_key ("mill", prompt, "", 0), now - 15000,
-               now);
+  ret_add_refusal (scene->ret, now, ret_request_key ("mill", prompt, "", 0),
+                   now - 15000, now);
 }
 
 /* A caller who was refused comes back past its latency objective, with no free
--- a/libcoltsfootdrum/relay/test-rly.c
+++ b/libcoltsfootdrum/relay/test-rly.c
@@ -509,7 +509,7 @@
   scene_t *scene = scene_new (replies, 1, 4);
   scene_caller_t *caller;
 
-  rly_close (scene->rly);
+  rly_stop_accepting (scene->rly);
   caller = scene_call (scene, CALL ("/none/", "1"));
   scene_wait_for (scene, caller, "\r\n\r\n");
   g_assert_true (g_str_has_prefix (caller->text->str, "HTTP/1.1 503 "));
--- a/libcoltsfootdrum/relay/test-use.c
+++ b/libcoltsfootdrum/relay/test-use.c
@@ -51,14 +51,14 @@
       use_add_demand (use, NOW, one->rows[i].account, one->rows[i].demand);
       use_add_served (use, NOW, one->rows[i].account, one->rows[i].served);
     }
-  use_level (use, NOW);
+  use_update_level (use, NOW);
   for (unsigned i = 0; one->rows[i].account != NULL; i++)
     {
       const char *account = one->rows[i].account;
 
-      g_assert_cmpfloat_with_epsilon (use_to_level (use, NOW, account),
+      g_assert_cmpfloat_with_epsilon (use_level_ratio (use, NOW, account),
                                       one->rows[i].over, 1e-6);
-      g_assert_cmpfloat_with_epsilon (use_to_demand (use, NOW, account),
+      g_assert_cmpfloat_with_epsilon (use_due_ratio (use, NOW, account),
                                       one->rows[i].of_due, 1e-6);
     }
 }
@@ -69,7 +69,7 @@
   g_autoptr (use_t) use = use_new (WINDOW_MS);
 
   use_add_served (use, NOW, "a", 100.);
-  g_assert_cmpfloat_with_epsilon (use_all (use, NOW + WINDOW_MS, "a").served,
+  g_assert_cmpfloat_with_epsilon (use_total (use, NOW + WINDOW_MS, "a").served,
                                   100. / G_E, 1e-6);
 }
 
@@ -81,15 +81,15 @@
   g_autoptr (use_t) use = use_new (WINDOW_MS);
 
   use_add_served (use, NOW, "a", 10.);
-  use_received (use, NOW, "r1", "a",
-                &(use_sum_t){ .demand = 50., .served = 20. });
-  use_received (use, NOW, "r1", "a",
-                &(use_sum_t){ .demand = 60., .served = 30. });
-  use_received (use, NOW, "r2", "a",
-                &(use_sum_t){ .demand = 5., .served = 5. });
-  g_assert_cmpfloat (use_all (use, NOW, "a").served, ==, 45.);
-  use_forget (use, NOW, "r1");
-  g_assert_cmpfloat (use_all (use, NOW, "a").served, ==, 15.);
+  use_update_peer (use, NOW, "r1", "a",
+                   &(use_sum_t){ .demand = 50., .served = 20. });
+  use_update_peer (use, NOW, "r1", "a",
+                   &(use_sum_t){ .demand = 60., .served = 30. });
+  use_update_peer (use, NOW, "r2", "a",
+                   &(use_sum_t){ .demand = 5., .served = 5. });
+  g_assert_cmpfloat (use_total (use, NOW, "a").served, ==, 45.);
+  use_remove_peer (use, NOW, "r1");
+  g_assert_cmpfloat (use_total (use, NOW, "a").served, ==, 15.);
 }
 
 /* Sums kept by differences stay equal to the sums added up anew, however often
@@ -117,14 +117,14 @@
       last[r] = i % 11 == 0 ? 0. : (double)(i * 37 % 5000);
       at[r] = now;
       if (i % 11 == 0)
-        use_forget (use, now, name);
+        use_remove_peer (use, now, name);
       else
-        use_received (use, now, name, "a",
-                      &(use_sum_t){ .demand = last[r], .served = last[r] });
+        use_update_peer (use, now, name, "a",
+                         &(use_sum_t){ .demand = last[r], .served = last[r] });
     }
   for (unsigned r = 0; r < ROUTERS; r++)
     sum += last[r] * exp (-(double)(now - at[r]) / WINDOW_MS);
-  g_assert_cmpfloat_with_epsilon (use_all (use, now, "a").served, sum, 1e-6);
+  g_assert_cmpfloat_with_epsilon (use_total (use, now, "a").served, sum, 1e-6);
 }
 
 int
--- a/libcoltsfootdrum/relay/use.c
+++ b/libcoltsfootdrum/relay/use.c
@@ -127,8 +127,8 @@
 }
 
 void
-use_received (use_t *use, cfd_time_t now, const char *router, const char *name,
-              const use_sum_t *own)
+use_update_peer (use_t *use, cfd_time_t now, const char *router,
+                 const char *name, const use_sum_t *own)
 {
   use_account_t *account = account_of (use, name);
   use_decayed_t *figure = g_hash_table_lookup (account->peers, router);
@@ -155,7 +155,7 @@
 }
 
 use_sum_t
-use_all (const use_t *use, cfd_time_t now, const char *name)
+use_total (const use_t *use, cfd_time_t now, const char *name)
 {
   const use_account_t *account = g_hash_table_lookup (use->accounts, name);
 
@@ -173,10 +173,10 @@
 }
 
 void
-use_each_own (use_t *use, cfd_time_t now,
-              void (*callback) (void *user, const char *account,
-                                const use_sum_t *own),
-              void *user)
+use_foreach_own (use_t *use, cfd_time_t now,
+                 void (*callback) (void *user, const char *account,
+                                   const use_sum_t *own),
+                 void *user)
 {
   GHashTableIter each;
   void *name;
@@ -193,7 +193,7 @@
 }
 
 void
-use_forget (use_t *use, cfd_time_t now, const char *router)
+use_remove_peer (use_t *use, cfd_time_t now, const char *router)
 {
   GHashTableIter each;
   void *data;
@@ -238,7 +238,7 @@
 }
 
 void
-use_level (use_t *use, cfd_time_t now)
+use_update_level (use_t *use, cfd_time_t now)
 {
   g_autoptr (GArray) demand = g_array_new (FALSE, FALSE, sizeof (double));
   double all_demand = 0.;
@@ -268,17 +268,17 @@
 }
 
 double
-use_to_level (const use_t *use, cfd_time_t now, const char *account)
+use_level_ratio (const use_t *use, cfd_time_t now, const char *account)
 {
   if (isinf (use->level) || use->level <= 0.)
     return 0.;
-  return use_all (use, now, account).served / use->level;
+  return use_total (use, now, account).served / use->level;
 }
 
 double
-use_to_demand (const use_t *use, cfd_time_t now, const char *account)
+use_due_ratio (const use_t *use, cfd_time_t now, const char *account)
 {
-  use_sum_t all = use_all (use, now, account);
+  use_sum_t all = use_total (use, now, account);
   double due = MIN (all.demand, use->level);
 
   if (isinf (use->level) || due < EMPTY_SUM_TOKENS)
--- a/libcoltsfootdrum/relay/use.h
+++ b/libcoltsfootdrum/relay/use.h
@@ -31,34 +31,34 @@
 void use_add_served (use_t *use, cfd_time_t now, const char *account,
                      double cost);
 /* Another router's own sums, as of now.  */
-void use_received (use_t *use, cfd_time_t now, const char *router,
-                   const char *account, const use_sum_t *own);
+void use_update_peer (use_t *use, cfd_time_t now, const char *router,
+                      const char *account, const use_sum_t *own);
 
 /* Cost a millisecond that ACCOUNT was served here lately.  */
 double use_own_rate (const use_t *use, cfd_time_t now, const char *account);
 
 /* Over the whole fleet.  */
-use_sum_t use_all (const use_t *use, cfd_time_t now, const char *account);
+use_sum_t use_total (const use_t *use, cfd_time_t now, const char *account);
 
 /* Calls CALLBACK for each account with anything here lately.  */
-void use_each_own (use_t *use, cfd_time_t now,
-                   void (*callback) (void *user, const char *account,
-                                     const use_sum_t *own),
-                   void *user);
+void use_foreach_own (use_t *use, cfd_time_t now,
+                      void (*callback) (void *user, const char *account,
+                                        const use_sum_t *own),
+                      void *user);
 /* Forgets ROUTER's figures.  */
-void use_forget (use_t *use, cfd_time_t now, const char *router);
+void use_remove_peer (use_t *use, cfd_time_t now, const char *router);
 
 /* Computes the max-min fair level anew: all accounts together were served what
    they would be if each had its demand, but no more than the level.  Also
    drops accounts that are idle.  */
-void use_level (use_t *use, cfd_time_t now);
+void use_update_level (use_t *use, cfd_time_t now);
 
 /* Usage of ACCOUNT by the level: above 1 it has more than its fair share, at
    the others' cost.  0 while all demand is served.  */
-double use_to_level (const use_t *use, cfd_time_t now, const char *account);
+double use_level_ratio (const use_t *use, cfd_time_t now, const char *account);
 
 /* Usage of ACCOUNT by what is due to it: the level, or its demand when that is
    less.  1 while all demand is served.  */
-double use_to_demand (const use_t *use, cfd_time_t now, const char *account);
+double use_due_ratio (const use_t *use, cfd_time_t now, const char *account);
 
 #endif
