--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* A word of the agent's service and its endpoint's state is needed before the
-   first link to it.  The list of instances does not give them, but the agent
-   runs beside its endpoint: when just one endpoint has its address, that is
-   it.  Otherwise the agent hears of all services and shows its own by its
-   first grant.  */
+/* The agent's service and the state of its endpoint are needed before the
+   first link to it.  The list of instances does not contain them, but the
+   agent runs beside its endpoint: if exactly one endpoint has the agent's
+   host, it is that one.  Otherwise the agent gets the announcements of all
+   services and names its own in its first grant.  */
 
 static void
 agent_free (gpointer data)
@@ -58,7 +58,8 @@
   return agent;
 }
 
-/* The host of "http://HOST:PORT/..." or "HOST:PORT"; free with g_free.  */
+/* Returns the host of "http://HOST:PORT/..." or "HOST:PORT"; free with
+   g_free.  */
 static char *
 parse_host (const char *address)
 {
@@ -85,7 +86,7 @@
   peer_hub_address (router->hub, instance->name, instance->address);
 }
 
-/* Forgets agents that are neither listed nor needed.  */
+/* Removes agents that are neither listed nor in use.  */
 static void
 remove_unused (cfd_router_t *router)
 {
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -146,8 +146,8 @@
   unsigned count = (agents->len + NOTIFY_ROUND_S - 1) / NOTIFY_ROUND_S;
 
   for (unsigned i = 0; i < count; i++)
-    (void)send_ask (router,
-                    agents->pdata[router->next_told_agent++ % agents->len]);
+    (void)send_ask (
+        router, agents->pdata[router->next_notified_agent++ % agents->len]);
 }
 
 /* While the platform is out of reach: calls the agents whose witness this
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* A long answer is charged by steps of this part ahead, so that it doesn't
-   make a report for each token.  */
+/* A long answer is charged this part ahead of its output, so that it does not
+   cause a report for each token.  */
 #define CHARGE_AHEAD_RATIO 0.25
 
 void
@@ -40,7 +40,8 @@
       baseline_queue_changed (router, account, service, left.count);
       return;
     }
-  /* The backlog may have lifted the account to the floor.  */
+  /* The new backlog may have lifted the account's virtual time to the
+     floor.  */
   left.virtual_time = share_get_virtual_time (router->share, account, service);
   disp_update_waiting (router->disp, service, &left, now);
   router_schedule (router, MIN (disp_next_due (router->disp, now),
@@ -62,7 +63,7 @@
     return REACH_DIALLING;
   agent->announced_until = now + DISP_LIFETIME_MS;
   agents_hold_link (router, agent);
-  /* Not sent: the agent hears all when its link is up.  */
+  /* Not sent: the agent gets all announcements when its link is up.  */
   if (!router_send (router, name, &message))
     return REACH_DIALLING;
   router->counters.announces++;
@@ -79,7 +80,7 @@
 
 /* ---- grants ---- */
 
-/* An agent, as the one that a queued request may go to.  */
+/* The agent that a queued request is checked against.  */
 typedef struct
 {
   const cfd_router_t *router;
@@ -92,7 +93,7 @@
 {
   const target_t *target = user;
 
-  /* The baseline picks its agent before the request.  */
+  /* The baseline policy picks the agent before the request.  */
   if (target->router->policy == CFD_POLICY_LOCAL)
     return true;
   return agents_is_eligible (target->router, target->agent,
@@ -112,8 +113,8 @@
   message.u.decline.service = grant->service;
   grant_describe_queue (router, grant->account, grant->service, now,
                         &message.u.decline.left);
-  /* All that waits was failed by this agent: told of it, it would offer the
-     same slot again and again.  */
+  /* This agent failed everything that waits: if it were given the count, it
+     would offer the same slot again and again.  */
   if (!adm_has_allowed (router->adm, grant->account, grant->service,
                         is_eligible, &target))
     message.u.decline.left.count = 0;
@@ -128,7 +129,7 @@
   cfd_router_t *router;
   target_t target;
   const char *service;
-  const char *account; /* NULL while none is found */
+  const char *account; /* NULL until one is found */
   double time;
 } least_account_t;
 
@@ -150,8 +151,9 @@
   least->time = time;
 }
 
-/* Whether the agent chose by old knowledge.  Up to one request's cost beyond
-   the second best is within what any order would do.  */
+/* Whether the agent's choice rests on outdated virtual times.  Up to one
+   request's cost beyond the second least is within what any order would
+   do.  */
 static bool
 is_stale_grant (cfd_router_t *router, const msg_grant_t *grant,
                 const least_account_t *least, cfd_time_t now)
@@ -164,10 +166,10 @@
   return least->time > grant->limit_vt + info.cost / info.count / weight;
 }
 
-/* The slot goes to the account with the least virtual time that waits here,
-   whichever the agent named: its knowledge is up to a refresh old, this
-   router's a report.  Declining instead would leave the slot empty for a round
-   trip and more.  */
+/* Assigns the slot to the waiting account with the least virtual time,
+   whichever account the agent named: the agent's virtual times are up to a
+   refresh old, this router's up to a report.  Declining instead would leave
+   the slot empty for at least a round trip.  */
 static void
 answer_grant (cfd_router_t *router, agent_t *agent, const peer_id_t *peer,
               const msg_grant_t *grant, cfd_time_t now)
@@ -246,8 +248,8 @@
     grant_correct_charge (request, output * (1 + CHARGE_AHEAD_RATIO), now);
 }
 
-/* A new id for each attempt, so that late words of a former one are told from
-   those of the present.  */
+/* Gives each attempt a new id, so that late messages of a former one are
+   distinguished from those of the current one.  */
 static void
 attach_agent (cfd_router_t *router, request_t *request, agent_t *agent,
               uint64_t incarnation, cfd_time_t now)
@@ -295,24 +297,24 @@
   return true;
 }
 
-/* Tells why the request went where it did: the agent offered a slot to the
-   account that had got least.  */
+/* Records why the request went to this agent.  */
 static void
 record_assignment (cfd_router_t *router, const request_t *request,
                    uint64_t grant, double virtual_time)
 {
   g_autofree char *detail = g_strdup_printf (
       "to %s: %s, virtual_time=%.0f attempt=%u", request->agent->name,
-      grant != 0 ? "it offered a slot to the account that got least"
-                 : "it has the least load known here",
+      grant != 0
+          ? "it offered a slot to the account with the least virtual time"
+          : "it is the least loaded agent that this router knows",
       virtual_time, request->attempts);
 
   router_record_event (router, TL_ASSIGN, request, detail);
 }
 
-/* ---- whose turn it was ---- */
+/* ---- fairness check ---- */
 
-/* What the order of the policy goes by.  */
+/* The virtual time by which the policy orders the accounts.  */
 static double
 policy_virtual_time (const cfd_router_t *router, const char *account,
                      const char *service)
@@ -329,11 +331,11 @@
   const fairness_slot_t *turn;
 } passed_over_t;
 
-/* An order that is wrong, or a charge that is lost, lets some accounts take
-   all slots: the callers of the others time out one by one, which looks like
-   too little capacity.  Each slot is held against each account that it passes
-   over, and what was given away in an account's place against what the order
-   can give; see turns.h.  */
+/* A wrong order or a lost charge lets some accounts take all slots: the
+   callers of the others time out one by one, which looks like too little
+   capacity.  So each slot is checked against every account that it passes
+   over, and the slots taken in an account's place against the bound of the
+   order; see fairness.h.  */
 static void
 check_passed_over (void *user, const char *account, const char *service)
 {
@@ -383,7 +385,8 @@
 
   if (item == NULL)
     return false;
-  /* ACCOUNT and SERVICE may be of the queue, which goes with its last item. */
+  /* ACCOUNT and SERVICE may belong to the queue, which is freed with its last
+     item.  */
   time = share_get_virtual_time (router->share, item->account, item->service);
   order = policy_virtual_time (router, item->account, item->service);
   request = list_entry (item, request_t, item);
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -2,7 +2,7 @@
 
 #include "base/log.h"
 
-/* A request that loses its agent so often may be the cause of it.  */
+/* A request whose agent is lost this many times may itself be the cause.  */
 #define MAX_ATTEMPTS 3
 #define SHUTDOWN_RETRY_AFTER_S 1
 
@@ -49,7 +49,7 @@
   g_free (request);
 }
 
-/* ---- telling the caller ---- */
+/* ---- answers to the caller ---- */
 
 void
 request_refuse (request_t *request, refusal_reason_t reason, unsigned status,
@@ -69,12 +69,14 @@
 refuse_unserved (request_t *request, req_event_t event, req_run_t run)
 {
   if (event == REQ_EV_SHUTDOWN)
-    request_refuse (request, REFUSED_SHUTDOWN, 503, "Shutting down",
-                    "This router is going away; ask another one.", run,
-                    SHUTDOWN_RETRY_AFTER_S);
+    request_refuse (
+        request, REFUSED_SHUTDOWN, 503, "Shutting down",
+        "This router is shutting down; send the request to another one.", run,
+        SHUTDOWN_RETRY_AFTER_S);
   else
-    request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504, "Waited too long",
-                    "No slot came free in time; ask again later.", run,
+    request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504,
+                    "Deadline exceeded",
+                    "No slot became free in time; retry later.", run,
                     request->item.retry_after_s);
 }
 
@@ -90,8 +92,8 @@
   if (request->web == NULL)
     return;
   web_problem (request->web, stop ? 503 : 502,
-               stop ? "Shutting down" : "Lost on the way",
-               "The request was given to an endpoint and its outcome is not "
+               stop ? "Shutting down" : "Connection to the endpoint lost",
+               "The request was sent to an endpoint and its outcome is not "
                "known; it may have run.",
                "unknown", -1);
   request->web = NULL;
@@ -101,7 +103,7 @@
 truncate_answer (request_t *request)
 {
   request->router->counters.truncated++;
-  router_record_event (request->router, TL_END, request, "broken off");
+  router_record_event (request->router, TL_END, request, "answer cut off");
   if (request->web == NULL)
     return;
   web_stream_end (request->web, false);
@@ -152,7 +154,7 @@
   request->web = NULL;
 }
 
-/* ---- its place ---- */
+/* ---- queueing ---- */
 
 unsigned
 request_queue_limit (const request_t *request)
@@ -168,11 +170,11 @@
 {
   request_refuse (
       request, REFUSED_QUEUE_FULL, 429, "Queue full",
-      "The client account has too many requests waiting; ask again later.",
+      "The client account has too many requests waiting; retry later.",
       RUN_NOT_RUN, retry_after_s);
 }
 
-/* False when the queue is full; the caller has been told.  */
+/* Returns false when the queue is full; the request is then refused.  */
 static bool
 enqueue (request_t *request, cfd_time_t now)
 {
@@ -204,8 +206,8 @@
   request->agent = NULL;
 }
 
-/* Back to the queue for another attempt; what came of the former is dropped,
-   for none of it has left.  */
+/* Requeues the request for another attempt.  The state of the former attempt
+   is dropped, since nothing of its answer was sent to the caller.  */
 static void
 requeue (request_t *request, cfd_time_t now)
 {
@@ -217,7 +219,7 @@
   g_clear_pointer (&request->answer_headers, g_ptr_array_unref);
   request->received_bytes = 0;
   request->acked_bytes = 0;
-  /* The deadline limits the time in the queue, not that at the agent.  */
+  /* The deadline limits the time in the queue, not the time at the agent.  */
   request->item.deadline += now - request->assigned_at;
   adm_requeue (request->router->adm, &request->item);
 }
@@ -234,8 +236,8 @@
   request_detach_agent (request);
 }
 
-/* An attempt that failed goes elsewhere next.  A word that it was not started
-   says nothing against the endpoint.  */
+/* Makes the next attempt go to another agent.  NOT_STARTED is no failure of
+   the endpoint.  */
 static void
 avoid_agent (request_t *request, cfd_time_t now)
 {
@@ -311,7 +313,8 @@
       return;
     case REQ_DO_DROP:
       router->counters.callers_gone++;
-      router_record_event (router, TL_END, request, "the caller has left");
+      router_record_event (router, TL_END, request,
+                           "the caller has disconnected");
       return;
     case REQ_DO_REPORT_BUG:
       INVARIANT ("request-life", false, req_state_name (request->state));
--- a/libcoltsfootdrum/router/router-step.c
+++ b/libcoltsfootdrum/router/router-step.c
@@ -16,7 +16,8 @@
         return make_step (REQ_OVER, REQ_DO_DROP, RUN_NOT_RUN);
       return make_step (REQ_QUEUED, REQ_DO_QUEUE, RUN_NOT_RUN);
     case REQ_EV_CALLER_GONE:
-      /* The claim may be made already: wait for it, to give it back.  */
+      /* The claim may already be made: wait for it, in order to release
+         it.  */
       return make_step (REQ_CLAIMING, REQ_DO_NOTHING, RUN_NOT_RUN);
     case REQ_EV_SHUTDOWN:
     case REQ_EV_DEADLINE:
@@ -65,8 +66,8 @@
   return make_step (REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN);
 }
 
-/* The caller's leaving cancels idempotent work only: an invoice that is being
-   posted is let to end, so that its claim gets the true answer.  */
+/* A caller's disconnect cancels idempotent work only: an invoice that is being
+   posted runs to its end, so that its claim gets the actual answer.  */
 static req_action_t
 caller_gone_action (const req_facts_t *facts)
 {
@@ -104,7 +105,7 @@
     {
     case REQ_EV_COMPLETE:
       return make_step (REQ_OVER, REQ_DO_FINISH, RUN_DONE);
-    case REQ_EV_NOT_RUN: /* a lie: some of its answer came */
+    case REQ_EV_NOT_RUN: /* contradicted by the data received */
     case REQ_EV_LOST:
     case REQ_EV_SHUTDOWN:
       return make_step (REQ_OVER,
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -9,13 +9,14 @@
 #define MAX_RECORDED_EVENTS 4096
 #define MAX_CONNECTIONS 4096
 #define IDLE_TIMEOUT_S 60
-/* Room for the frame around a body.  */
+/* Leaves room for the rest of the message around a body.  */
 #define MAX_BODY_BYTES (MSG_BODY_MAX - 64u * 1024)
-/* Of all requests that wait or run here; part of the instance's memory.  */
+/* Total of the bodies of all requests that wait or run at this router; bounds
+   its memory.  */
 #define MAX_BODIES_BYTES (64u * 1024 * 1024)
 #define HOUSEKEEPING_INTERVAL_MS 1000
-/* After the last answer the loop goes on so long, for acknowledgements and
-   claims on their way.  */
+/* How long the loop continues after the last answer, for acknowledgements and
+   claims that are still being sent.  */
 #define DRAIN_IDLE_MS 300
 
 /* ---- due work ---- */
@@ -62,7 +63,7 @@
           request->id != NULL ? request->id : request->trace_id, detail);
 }
 
-/* Once a second: what costs little and hurries nobody.  */
+/* Runs the cheap work that is not urgent, once a second.  */
 static void
 run_housekeeping (cfd_router_t *router, cfd_time_t now)
 {
@@ -87,8 +88,8 @@
                           now);
 }
 
-/* Claims that still have to reach the platform count: one that was lost would
-   read as running for ever.  */
+/* Includes claims that are yet to reach the platform: a lost one would look
+   like a request that is still running, forever.  */
 static bool
 has_work (const cfd_router_t *router)
 {
@@ -114,7 +115,8 @@
     router->idle_since = now;
   if (now - router->idle_since < DRAIN_IDLE_MS && now < router->drain_until)
     return;
-  log_info ("router", "Shut down: left=%u.", web_server_active (router->web));
+  log_info ("router", "Shutdown complete: left=%u.",
+            web_server_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
 }
 
@@ -141,7 +143,8 @@
   next = MIN (next, router->housekeeping_at);
   if (router->draining)
     next = MIN (next, now + DRAIN_IDLE_MS / 10);
-  /* At least a millisecond on, so that no fault can make the loop spin.  */
+  /* At least one millisecond later, so that no fault can make the loop
+     spin.  */
   router_schedule (router, MAX (next, now + 1));
 }
 
@@ -358,8 +361,9 @@
 
   if (sodium_init () < 0)
     {
-      g_set_error (error, CFD_ERROR, CFD_ERROR_UNAVAILABLE,
-                   "no random numbers; check /dev/urandom");
+      g_set_error (
+          error, CFD_ERROR, CFD_ERROR_UNAVAILABLE,
+          "cannot initialise the random number generator; check /dev/urandom");
       return NULL;
     }
   router = g_new0 (cfd_router_t, 1);
@@ -401,7 +405,8 @@
   if (router == NULL)
     return;
   ev_timer_stop (router->loop, &router->timer);
-  /* Callers first: their leaving is told to requests that still are.  */
+  /* Before the requests: closing the connections notifies those that
+     remain.  */
   web_server_free (router->web);
   sweep_free (router->sweep);
   once_free (router->once);
