--- a/libcoltsfootdrum/router/avoid.h
+++ b/libcoltsfootdrum/router/avoid.h
@@ -1,10 +1,10 @@
-/* The agents that lately failed one request.  Pure.
+/* Avoidance.  The agents that recently failed one request.  Without I/O.
 
    An endpoint that fails at once is the first to be free again, and the
-   request it failed is back at the front of its queue: without a memory the
-   same agent gets it time after time, and the caller sees a failure while
-   others serve.  The memory lapses, so that a request whose other agents turn
-   out to be gone too is not kept waiting for them.  */
+   request that it failed is back at the front of its queue: without this list
+   the same agent would get it repeatedly, and the caller would see a failure
+   although others serve.  The entries expire, so that a request whose other
+   agents turn out to be lost too does not keep waiting for them.  */
 
 #ifndef ROUTER_AVOID_H
 #define ROUTER_AVOID_H
@@ -13,10 +13,11 @@
 #include <stdbool.h>
 
 /* Longer than an agent needs to eject its endpoint, and than a full endpoint
-   elsewhere needs for a free slot; short against the time in the queue.  */
+   elsewhere needs for a free slot; short compared to the time in the
+   queue.  */
 #define AVOID_AGENT_MS 3000
-/* A request has fewer attempts than this, but for those that never reached
-   an endpoint; then the oldest is forgotten.  */
+/* A request has fewer attempts than this, except for those that never reached
+   an endpoint; when the list is full, the oldest entry is replaced.  */
 #define AVOID_MAX_AGENTS 4u
 
 typedef struct
@@ -25,7 +26,7 @@
   cfd_time_t until;
 } avoid_entry_t;
 
-/* All zero to begin with.  */
+/* To be initialised with zeros.  */
 typedef struct
 {
   avoid_entry_t entries[AVOID_MAX_AGENTS];
--- a/libcoltsfootdrum/router/cost.c
+++ b/libcoltsfootdrum/router/cost.c
@@ -4,7 +4,7 @@
 
 #include <stdbool.h>
 
-/* Weight of the newest request.  */
+/* Weight of the latest request in the moving average.  */
 #define RATIO_SMOOTHING 0.1
 
 typedef struct
--- a/libcoltsfootdrum/router/fairness.c
+++ b/libcoltsfootdrum/router/fairness.c
@@ -4,31 +4,31 @@
 
 #include <math.h>
 
-/* What sums of doubles may be off by.  */
+/* Bound of the rounding error of sums of doubles: absolute, and relative.  */
 #define ROUNDING_TOKENS 0.5
 #define ROUNDING_RATIO 1e-9
 
-/* One wait: from the first slot that another took while work waited, to the
-   next slot of its own, or until no work waits.  */
+/* One wait: from the first slot that another account took while work waited,
+   to the account's own next slot, or until no work waits.  */
 typedef struct
 {
   bool is_open;
-  uint64_t first_slot;
-  double virtual_time;     /* at the last turn */
-  unsigned other_accounts; /* accounts that took slots */
-  double
-      allowance_tokens; /* by which they could, without their last charges */
-  double max_charge;    /* charge */
-  double passed_tokens; /* charges of the slots that it could have taken */
-  cfd_time_t first_passed_at; /* the first and the last of these slots */
+  uint64_t first_slot_number;
+  double virtual_time;     /* at the last slot of another account */
+  unsigned other_accounts; /* accounts that took slots meanwhile */
+  /* Weighted tokens that they may take, without their last charges.  */
+  double allowance;
+  double max_charge;          /* of one slot */
+  double passed_charges;      /* of the slots that it could have taken */
+  cfd_time_t first_passed_at; /* first and last of these slots */
   cfd_time_t last_passed_at;
 } wait_t;
 
 typedef struct
 {
   pair_t key;
-  uint64_t last_slot;    /* 0: took none */
-  double lowered_tokens; /* since then */
+  uint64_t last_slot_number; /* 0: no slot yet */
+  double lowered_by;         /* decreases of its virtual time since then */
   cfd_time_t last_slot_at;
   wait_t wait;
 } entry_t;
@@ -36,7 +36,7 @@
 struct fairness
 {
   GHashTable *entries; /* pair_t to entry_t */
-  uint64_t slot_count; /* turns so far */
+  uint64_t slot_count; /* slots assigned so far */
 };
 
 fairness_t *
@@ -68,47 +68,48 @@
 }
 
 static double
-rounding (double value)
+rounding_error (double value)
 {
   return ROUNDING_TOKENS + ROUNDING_RATIO * fabs (value);
 }
 
-/* What the account that waits gained or lost since the last turn.  Each of the
-   others may go on until it has come to the new place.  */
+/* Takes over the virtual time of the waiting account.  If it rose, each of the
+   other accounts may take the difference more.  */
 static void
 update_virtual_time (wait_t *wait, double virtual_time)
 {
   if (virtual_time > wait->virtual_time)
-    wait->allowance_tokens
+    wait->allowance
         += wait->other_accounts * (virtual_time - wait->virtual_time);
   wait->virtual_time = virtual_time;
 }
 
-/* TAKER is NULL when it never took a slot.  */
+/* Adds to the bound what the account that takes SLOT may take.  TAKER is NULL
+   if it never took a slot before.  */
 static void
 extend_allowance (wait_t *wait, const entry_t *taker,
                   const fairness_slot_t *slot)
 {
   wait->max_charge = fmax (wait->max_charge, slot->charge);
-  if (taker != NULL && taker->last_slot >= wait->first_slot)
+  if (taker != NULL && taker->last_slot_number >= wait->first_slot_number)
     {
-      wait->allowance_tokens += taker->lowered_tokens;
+      wait->allowance += taker->lowered_by;
       return;
     }
   wait->other_accounts++;
-  wait->allowance_tokens += fmax (wait->virtual_time - slot->virtual_time, 0);
+  wait->allowance += fmax (wait->virtual_time - slot->virtual_time, 0);
 }
 
 static fairness_verdict_t
 check_wait (const wait_t *wait, const fairness_slot_t *slot)
 {
-  double max_passed
-      = wait->allowance_tokens + wait->other_accounts * wait->max_charge;
+  double bound = wait->allowance + wait->other_accounts * wait->max_charge;
 
-  if (slot->virtual_time > wait->virtual_time + rounding (wait->virtual_time))
+  if (slot->virtual_time
+      > wait->virtual_time + rounding_error (wait->virtual_time))
     return FAIRNESS_OUT_OF_ORDER;
-  if (wait->passed_tokens > max_passed + rounding (wait->passed_tokens)
-                                + rounding (wait->virtual_time))
+  if (wait->passed_charges > bound + rounding_error (wait->passed_charges)
+                                 + rounding_error (wait->virtual_time))
     return FAIRNESS_BOUND_EXCEEDED;
   return FAIRNESS_OK;
 }
@@ -122,7 +123,7 @@
 
   if (!wait->is_open)
     *wait = (wait_t){ .is_open = true,
-                      .first_slot = fairness->slot_count + 1,
+                      .first_slot_number = fairness->slot_count + 1,
                       .virtual_time = virtual_time };
   update_virtual_time (wait, virtual_time);
   extend_allowance (
@@ -133,7 +134,7 @@
   if (wait->first_passed_at == 0)
     wait->first_passed_at = now;
   wait->last_passed_at = now;
-  wait->passed_tokens += slot->charge;
+  wait->passed_charges += slot->charge;
   return check_wait (wait, slot);
 }
 
@@ -143,8 +144,8 @@
 {
   entry_t *entry = find_or_add (fairness, slot->account, slot->service);
 
-  entry->last_slot = ++fairness->slot_count;
-  entry->lowered_tokens = 0;
+  entry->last_slot_number = ++fairness->slot_count;
+  entry->lowered_by = 0;
   entry->last_slot_at = now;
   entry->wait = (wait_t){ 0 };
 }
@@ -166,7 +167,7 @@
   entry_t *entry = pair_table_find (fairness->entries, account, service);
 
   if (entry != NULL && tokens < 0)
-    entry->lowered_tokens -= tokens;
+    entry->lowered_by -= tokens;
 }
 
 static gboolean
--- a/libcoltsfootdrum/router/peer-view.c
+++ b/libcoltsfootdrum/router/peer-view.c
@@ -14,7 +14,7 @@
 struct view
 {
   GHashTable *entries;
-  cfd_time_t last_sent_at; /* the last answer */
+  cfd_time_t last_sent_at; /* when the last answer was sent */
 };
 
 peer_view_t *
@@ -42,7 +42,7 @@
   view->last_sent_at = 0;
 }
 
-/* As the router itself reckons it, with what it charged since.  */
+/* The virtual time that the router computes, with its charges since.  */
 static double
 expected_virtual_time (const entry_t *entry, const msg_share_entry_t *share)
 {
@@ -80,7 +80,7 @@
   double error
       = fabs (share->virtual_time - expected_virtual_time (entry, share));
 
-  /* Never told: not a number.  */
+  /* NAN for an account that was never sent: the comparison is false.  */
   if (error < PEER_VIEW_MAX_ERROR_TOKENS
       && now - view->last_sent_at < PEER_VIEW_MAX_SILENCE_MS)
     return false;
--- a/libcoltsfootdrum/router/test-avoid.c
+++ b/libcoltsfootdrum/router/test-avoid.c
@@ -1,4 +1,4 @@
-/* Which agents a request keeps away from, and for how long.  */
+/* Which agents a request avoids, and for how long.  */
 
 #include "router/avoid.h"
 #include <glib.h>
@@ -9,7 +9,7 @@
   cfd_time_t now;
   bool avoided;
 } cases[] = {
-  /* "a" failed at 100, and again at 200; "b" failed at 150.  */
+  /* "a" failed at 100 and again at 200, "b" at 150.  */
   { "a", 200, true },
   { "b", 200, true },
   { "c", 200, false },
@@ -34,7 +34,7 @@
   g_assert_false (avoid_contains (&avoid, "a", 200));
 }
 
-/* More agents than are remembered: the newest are.  */
+/* With more agents than fit, the latest are kept.  */
 static void
 test_many (void)
 {
--- a/libcoltsfootdrum/router/test-cost.c
+++ b/libcoltsfootdrum/router/test-cost.c
@@ -1,11 +1,12 @@
-/* The expected cost of a request.  */
+/* Cost estimates.  */
 
 #include "router/cost.h"
 
 static void
 test_learns (void)
 {
-  /* Hint and actual of 50 requests, then what to expect of a hint of 1000. */
+  /* Number, hint and actual cost of past requests, and the expected cost for a
+     hint of 1000.  */
   static const struct
   {
     unsigned requests;
--- a/libcoltsfootdrum/router/test-fairness.c
+++ b/libcoltsfootdrum/router/test-fairness.c
@@ -1,5 +1,5 @@
-/* Whose turn it was, against a router that is played here: accounts with
-   virtual times, one of which takes each slot.  */
+/* Fairness check, against a simulated router: accounts with virtual times, one
+   of which takes each slot.  */
 
 #include "router/fairness.h"
 
@@ -10,18 +10,18 @@
 typedef struct
 {
   const char *name;
-  bool picks_first; /* a wrong order: the first that waits takes the slot */
-  bool perturbs;    /* accounts come and go, homes and corrections move them */
-  double counted_ratio; /* part of each charge of account 0 that is counted */
+  bool picks_first; /* wrong order: the first waiting account takes the slot */
+  bool perturbs;    /* accounts come and go, virtual times change */
+  double counted_ratio; /* part of account 0's charges that is counted */
   fairness_verdict_t worst;
 } case_t;
 
 static const case_t cases[] = {
   { "least first", false, false, 1, FAIRNESS_OK },
-  { "least first, all else moves", false, true, 1, FAIRNESS_OK },
-  /* The others' callers wait while account 0 has work.  */
+  { "least first, with other changes", false, true, 1, FAIRNESS_OK },
+  /* The other accounts wait while account 0 has work.  */
   { "first come", true, false, 1, FAIRNESS_OUT_OF_ORDER },
-  /* The order is right, and account 0 takes all slots.  */
+  /* The order is correct, but account 0 takes all slots.  */
   { "a charge is lost", false, false, 0, FAIRNESS_BOUND_EXCEEDED },
   { "a charge is lost in part", false, false, 0.1, FAIRNESS_BOUND_EXCEEDED },
 };
@@ -35,12 +35,12 @@
   GRand *rand;
   double virtual_times[ACCOUNTS];
   bool is_waiting[ACCOUNTS];
-  bool is_eligible[ACCOUNTS]; /* take the present slot */
+  bool is_eligible[ACCOUNTS]; /* for the current slot */
   cfd_time_t now;
   fairness_verdict_t worst;
 } simulation_t;
 
-/* Anything that may lawfully come between two slots.  */
+/* Makes a random change that may occur between two slots.  */
 static void
 perturb (simulation_t *sim)
 {
@@ -140,8 +140,8 @@
       }
 }
 
-/* What operators see: how long others were served in an account's place, and
-   not how long nobody was.  */
+/* The metric for operators: how long others were served in an account's place,
+   not how long nobody was served.  */
 static void
 test_longest_wait (void)
 {
--- a/libcoltsfootdrum/router/test-peer-view.c
+++ b/libcoltsfootdrum/router/test-peer-view.c
@@ -1,13 +1,14 @@
-/* What a home needn't tell again: after each answer that is left out, the
-   router still reckons what the home would have told.  */
+/* Which updates a home may omit: after each omitted answer the router still
+   computes the virtual time that the home would have sent.  */
 
 #include "router/peer-view.h"
 
 #include <math.h>
 
-/* One router beside others that serve the same account.  The home tells it
-   only what it must hear; whatever the others do, and however many reports
-   and answers go, its own reckoning is never further off than the bound.  */
+/* One router beside others that serve the same account.  The home sends it
+   only the required updates; whatever the others do, and however many reports
+   and answers are exchanged, the router's own virtual time never differs by
+   more than the bound.  */
 static void
 test_bounded_error (void)
 {
@@ -44,10 +45,10 @@
 static void
 test_lifted_account (void)
 {
-  /* An account comes back from idle at a router, which lifts it to the floor.
-     It was active elsewhere, so the home did not.  Nobody else adds to the
-     account from then on: unless the home tells the router, the account stays
-     behind all others there.  */
+  /* An account returns from idle at a router, which lifts it to the floor.  It
+     was active elsewhere, so the home did not lift it.  No other router
+     charges the account from then on: without an update the account would stay
+     behind all others at that router.  */
   g_autoptr (peer_view_t) view = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const msg_share_entry_t next = { "branch", "draft", 2, 60, 1010 };
@@ -65,7 +66,8 @@
 static void
 test_reset (void)
 {
-  /* The link broke: an answer may be lost with it, so all is told again.  */
+  /* The link was lost, possibly with an answer, so all entries are sent
+     again.  */
   g_autoptr (peer_view_t) view = peer_view_new ();
   const msg_share_entry_t share = { "branch", "draft", 1, 50, 1000 };
   const msg_share_entry_t other = { "branch", "lookup", 1, 50, 1000 };
@@ -95,8 +97,8 @@
   g_assert_false (peer_view_needs_update (view, &share, 0));
 }
 
-/* A home that agrees with all that a router reports is still heard from, or
-   the router would look for another home.  */
+/* A home that agrees with every report still answers now and then, or the
+   router would select another home.  */
 static void
 test_max_silence (void)
 {
--- a/libcoltsfootdrum/router/test-wfq.c
+++ b/libcoltsfootdrum/router/test-wfq.c
@@ -1,4 +1,4 @@
-/* The baseline's weighted fair queueing.  */
+/* Weighted fair queueing of the baseline policy.  */
 
 #include "router/wfq.h"
 
@@ -47,7 +47,8 @@
 static void
 test_idle_earns_nothing (void)
 {
-  /* An account away while another was served a lot must not then take all. */
+  /* An account that was idle while another was served must not take all slots
+     on its return.  */
   g_autoptr (wfq_t) wfq = wfq_new ();
   double weights[2] = { 1, 1 };
   unsigned served[2] = { 0 };
