--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -18,7 +18,7 @@
   if (router->draining)
     return "This router is shutting down.";
   if (store_revision (router->store) == 0)
-    return "No configuration was read yet; check the platform.";
+    return "No configuration has been read yet; check the platform.";
   return NULL;
 }
 
@@ -112,7 +112,7 @@
 typedef struct
 {
   const cfd_router_t *router;
-  GHashTable *least; /* service to the least virtual time, a double */
+  GHashTable *least; /* service to its least virtual time (double) */
   double virtual_time_spread;
 } vt_spread_t;
 
@@ -144,8 +144,9 @@
   found->virtual_time_spread = MAX (found->virtual_time_spread, time - *least);
 }
 
-/* How far apart the accounts that wait here are in what they got, the most of
-   all services: work of the one that got least goes next.  */
+/* The largest difference in virtual time between accounts that wait for the
+   same service at this router; work of the account with the least is assigned
+   next.  */
 static double
 virtual_time_spread (const cfd_router_t *router)
 {
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -4,18 +4,21 @@
 
 #include <string.h>
 
-/* Bytes after which an agent hears how far its answer got; a part of the
-   mebibyte that it keeps, so that it never has to wait for a good reader.  */
+/* How many bytes of an answer are sent to the caller between two
+   acknowledgements to the agent; a part of the mebibyte that the agent
+   buffers, so that it never has to wait for a caller that reads fast
+   enough.  */
 #define ACK_INTERVAL_BYTES (128u * 1024)
-/* Ends before the whole answer after which the agent is taken to be at fault.
- */
+/* After this many ENDs before the whole answer the agent is assumed to be
+   faulty.  */
 #define MAX_PREMATURE_ENDS 3u
-/* Links found silent together are told as lost within this time.  */
+/* Links that are closed for silence in one sweep are reported as lost within
+   this time.  */
 #define SILENCE_WINDOW_MS 200
-/* Cancellations remembered for an agent that is away.  */
+/* Cancellations kept for an agent whose link is lost.  */
 #define MAX_PENDING_CANCELS 256u
 
-/* ---- words to the agent ---- */
+/* ---- messages to the agent ---- */
 
 static void
 send_ack (cfd_router_t *router, const char *agent, const char *id,
@@ -67,8 +70,9 @@
   router_send (request->router, request->agent->name, &message);
 }
 
-/* A piece is missing.  Asked for once: all that was on its way before the
-   answer to this comes with a gap too.  */
+/* Asks the agent to send again from the first missing byte.  Sent once per
+   gap: all data that was on its way before the response to this has the gap
+   too.  */
 static void
 request_missing_data (request_t *request)
 {
@@ -81,10 +85,10 @@
   send_resume (request);
 }
 
-/* ---- words from the agent ---- */
+/* ---- messages from the agent ---- */
 
-/* The attempt that PEER speaks of; a former attempt, or one of a former
-   incarnation of either side, is none.  */
+/* Returns the attempt that a message of PEER is about, or NULL: for a former
+   attempt, or one of a former incarnation of either side.  */
 static request_t *
 find_attempt (cfd_router_t *router, const peer_id_t *peer, const char *id)
 {
@@ -154,8 +158,9 @@
     }
 }
 
-/* What nobody here waits for is taken off the agent's hands: a call that must
-   not be repeated is let to end, and needs room to.  */
+/* Acknowledges data of an attempt that this router no longer has: a call that
+   must not be repeated runs to its end, and the agent needs buffer space for
+   its answer.  */
 static void
 ack_unknown_data (cfd_router_t *router, const peer_id_t *peer,
                   const msg_data_t *data)
@@ -176,8 +181,9 @@
       ack_unknown_data (router, peer, data);
       return;
     }
-  /* A resumed answer may overlap with what came over the lost link; a gap
-     would give the caller a wrong answer, so it is asked for again.  */
+  /* A resumed answer may overlap with the data from the lost link.  A gap
+     would give the caller a wrong answer, so the missing data is requested
+     again.  */
   if (data->offset > request->received_bytes || !request->has_head)
     {
       request_missing_data (request);
@@ -193,8 +199,8 @@
   forward_data (request, data->bytes.data + skip, data->bytes.length - skip);
 }
 
-/* What the attempt cost by the agent's count, or below 0 when it can't tell.
- */
+/* Returns the cost of the attempt by the agent's count, or below 0 if it is
+   unknown.  */
 static double
 actual_cost (const request_t *request, const msg_end_t *end)
 {
@@ -240,9 +246,9 @@
   return request->has_head && end->length == request->received_bytes;
 }
 
-/* An end that says complete came before the whole answer.  One may have been
-   on its way when the gap was seen; an agent that goes on so is at fault, and
-   its caller must not wait for ever.  */
+/* Handles an END with OUTCOME_COMPLETE that came before the whole answer.  It
+   may have been on its way when the gap was detected; an agent that repeats it
+   is faulty, and the caller must not wait forever.  */
 static void
 handle_premature_end (request_t *request, cfd_time_t now)
 {
@@ -251,8 +257,10 @@
       request_missing_data (request);
       return;
     }
-  log_warn ("router", "Answer without its whole body: agent=%s request=%s.",
-            request->agent->name, request->id);
+  log_warn (
+      "router",
+      "Agent ended an answer before its whole body: agent=%s request=%s.",
+      request->agent->name, request->id);
   request->attempt_ended = true;
   request_handle_event (request, REQ_EV_LOST, now);
 }
@@ -282,9 +290,9 @@
 
 void
 answer_handle_not_started (cfd_router_t *router, const peer_id_t *peer,
-                           const msg_not_started_t *word, cfd_time_t now)
+                           const msg_not_started_t *message, cfd_time_t now)
 {
-  request_t *request = find_attempt (router, peer, word->request);
+  request_t *request = find_attempt (router, peer, message->request);
 
   if (request == NULL)
     return;
@@ -310,7 +318,7 @@
 
   agent->up = true;
   agent->link_lost_at = 0;
-  /* A restarted agent remembers nothing.  */
+  /* A restarted agent has no state of the former process.  */
   if (agent->incarnation != peer->incarnation)
     {
       g_ptr_array_set_size (agent->pending_cancels, 0);
@@ -332,9 +340,9 @@
     }
 }
 
-/* Whether a link was closed for silence just now.  Several are closed in one
-   sweep before the first loss is told.  Another link's silence may be taken
-   for this one's: its agent then is waited for longer, which does no harm.  */
+/* Whether a link was just closed for silence.  Several are closed in one sweep
+   before the first loss is reported.  Another link's silence may be attributed
+   to this one: its agent is then waited for longer, which does no harm.  */
 static bool
 was_closed_for_silence (cfd_router_t *router, cfd_time_t now)
 {
@@ -359,7 +367,7 @@
   agent->up = false;
   agent->link_was_silent = silent;
   agent->has_load = false;
-  /* One that nobody holds is closed for being idle, at either end.  */
+  /* A link that is not held was closed as idle, by either side.  */
   if (agent->link_held)
     {
       disp_record_link_lost (router->disp, agent->name, now);
@@ -371,7 +379,7 @@
   router_schedule (router, now + REQ_RETRY_WAIT_MS);
 }
 
-/* Gives up the requests of AGENT whose time is over; returns when the next
+/* Ends the attempts at AGENT whose wait is over; returns when the next one
    is.  */
 static cfd_time_t
 expire_agent_requests (agent_t *agent, cfd_time_t now)
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -7,7 +7,7 @@
 #define CLAIM_RETRY_AFTER_S 1
 #define PLATFORM_RETRY_AFTER_S 5
 
-/* ---- the end ---- */
+/* ---- end of a claimed request ---- */
 
 static const char *
 content_type (const request_t *request)
@@ -22,8 +22,8 @@
   return "application/octet-stream";
 }
 
-/* The answer as text, or NULL when it is too large or none: a part must not be
-   given for the whole.  */
+/* Returns the copy of the answer as text, or NULL if it is incomplete or not
+   text: a part must not be stored as the whole answer.  */
 static const char *
 answer_copy_text (request_t *request)
 {
@@ -36,8 +36,8 @@
   return (const char *)copy->data;
 }
 
-/* A claim is given back only when the request surely did not run; else it
-   stays, so that whoever asks again is not run a second time.  */
+/* A claim is released only if the request certainly did not run.  Otherwise it
+   stays, so that a repeated request with its key is not run a second time.  */
 void
 claim_settle (request_t *request, const req_step_t *step)
 {
@@ -54,11 +54,11 @@
     once_release (once, account, request->key);
   router_record_event (request->router, TL_CLAIM, request,
                        step->run == RUN_DONE      ? "finished"
-                       : step->run == RUN_NOT_RUN ? "given back"
-                                                  : "left: outcome unknown");
+                       : step->run == RUN_NOT_RUN ? "released"
+                                                  : "kept: outcome unknown");
 }
 
-/* ---- the beginning ---- */
+/* ---- claims of new requests ---- */
 
 static void
 replay_answer (request_t *request, const once_answer_t *answer)
@@ -73,8 +73,8 @@
                  answer->body, strlen (answer->body));
   else
     web_problem (
-        request->web, 409, "Already done",
-        "The request with this key ran; its answer could not be kept.",
+        request->web, 409, "Already completed",
+        "The request with this key was run; its answer could not be stored.",
         "unknown", -1);
   request->web = NULL;
 }
@@ -89,30 +89,31 @@
       return;
     case ONCE_RUNNING:
       request_refuse (
-          request, REFUSED_CLAIM_CONFLICT, 409, "Already asked",
+          request, REFUSED_CLAIM_CONFLICT, 409, "Request in progress",
           "A request with this key is running or its outcome is not "
-          "known; ask again with the same key.",
+          "known; retry with the same key.",
           RUN_UNKNOWN, CLAIM_RETRY_AFTER_S);
       return;
     case ONCE_UNKNOWN:
       request_refuse (
           request, REFUSED_CLAIM_CONFLICT, 409, "Outcome unknown",
-          "A request with this key was given to a router that went away; "
-          "find out whether it ran before you send it with another key.",
+          "A request with this key was sent to a router that is gone; "
+          "check whether it ran before you send it with another key.",
           RUN_UNKNOWN, -1);
       return;
     case ONCE_MISMATCH:
       request_refuse (
-          request, REFUSED_CLAIM_CONFLICT, 422, "Key used before",
+          request, REFUSED_CLAIM_CONFLICT, 422, "Key already used",
           "This Idempotency-Key belongs to another request; choose a new "
           "one.",
           RUN_NOT_RUN, -1);
       return;
     default:
       request_refuse (
-          request, REFUSED_PLATFORM_DOWN, 503, "Platform is down",
-          "This call was not run, for its key can't be claimed; an earlier "
-          "one with the same key may have been.  Ask again with it.",
+          request, REFUSED_PLATFORM_DOWN, 503, "Platform unavailable",
+          "This call was not run, because its key cannot be claimed; an "
+          "earlier one with the same key may have been.  Retry with the same "
+          "key.",
           RUN_NOT_RUN, PLATFORM_RETRY_AFTER_S);
       return;
     }
@@ -130,7 +131,7 @@
       return;
     }
   router_record_event (request->router, TL_CLAIM, request,
-                       answer->verdict == ONCE_MINE ? "made" : "not ours");
+                       answer->verdict == ONCE_MINE ? "made" : "not made");
   if (answer->verdict == ONCE_MINE)
     {
       request->claimed = true;
@@ -180,8 +181,8 @@
   cfd_router_t *router = request->router;
   g_autofree char *digest = NULL;
 
-  /* Each claim costs the platform two writes: a flood of them must be turned
-     away before, not after.  */
+  /* Each claim costs the platform two writes: a flood of requests must be
+     refused before they are made.  */
   if (queue_is_full (request, now))
     {
       request_refuse_queue_full (
@@ -198,9 +199,9 @@
               on_claim, request);
 }
 
-/* ---- removal ---- */
+/* ---- removal of expired claims ---- */
 
-/* Names the choice of the router that keeps the ages.  */
+/* The key whose home is the router that keeps the ages of claims.  */
 #define CLAIM_AGES_KEY "claim-sweep"
 
 static unsigned
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -1,25 +1,27 @@
-/* How this router learns of changes from peers, and tells them.
+/* Exchange of configuration changes with peers.
 
-   In a fleet up to SPREAD_ALL everyone watches the platform, and a frame of a
-   peer with a newer revision is a reason to ask that peer.  In a larger one
-   the tree of spread-tree.h says whom to tell and whom to ask besides.  A word
-   is a CONFIG_ASK: its frame shows the sender's revision, so that whoever of
-   the two is behind learns it.  */
+   In a fleet of up to SPREAD_ALL every node watches the platform, and a frame
+   of a peer with a newer revision makes the router ask that peer.  In a larger
+   fleet the distribution tree of spread-tree.h determines in addition whom to
+   notify and whom to ask.  Both are a CONFIG_ASK: its frame carries the
+   sender's revision, so that whichever side is behind learns of it.  */
 
 #include "router/router-private.h"
 
 #include "config/witness.h"
 
-/* A peer with newer configuration is asked at most so often.  */
+/* A peer with a newer revision is asked at most once in this time.  */
 #define ASK_INTERVAL_MS 200
-/* Doubts after which another router is asked.  A frozen or dead one leaves an
-   ask without answer; one that is behind answers and brings no fresh word,
-   which may also be because it is about to ask itself.  */
+/* When the penalty of the asked router exceeds this, another router is asked.
+   A frozen or dead router leaves an ask without an answer.  One that is behind
+   answers without a newer revision, which may also be because it is about to
+   ask itself; so that counts less.  */
 #define MAX_ASK_PENALTY 3u
 #define PENALTY_NO_ANSWER 2u
 #define PENALTY_STALE 1u
-/* Each agent is told once in so many seconds at most: a link without use is
-   closed after PEER_IDLE_MS, and an agent without a link hears nothing.  */
+/* Each agent is notified at least once in this time: a link without use is
+   closed after PEER_IDLE_MS, and an agent without a link gets no
+   notifications.  */
 #define NOTIFY_ROUND_S 20u
 
 static bool
@@ -31,7 +33,7 @@
   return router_send (router, peer, &message);
 }
 
-/* ---- asking ---- */
+/* ---- requests to peers ---- */
 
 static void
 clear_asked_router (cfd_router_t *router)
@@ -51,9 +53,9 @@
   (void)send_ask (router, name);
 }
 
-/* Asks the router of the present choice, or the next one when that gave reason
-   to doubt it.  A choice that served is kept, so that a dead one above costs
-   its doubts once.  */
+/* Asks the router of the current choice, or the next one when its penalty is
+   too high.  A choice that answered is kept, so that a dead router above costs
+   its penalty once.  */
 static void
 ask_for_revision (cfd_router_t *router)
 {
@@ -78,7 +80,7 @@
     return;
   router->requested_revision = revision;
   router->requested_at = now;
-  /* An agent has no accounts to answer with.  */
+  /* An agent does not store accounts, so it cannot answer.  */
   if (peer->role == ROLE_ROUTER)
     (void)send_ask (router, peer->instance);
   else if (router->asked_router == NULL)
@@ -96,7 +98,8 @@
     clear_asked_router (router);
   is_newer = store_take_part (router->store, part, now);
   store_heard_of (router->store, revision, now);
-  /* A piece: the next one now, not with some later frame.  */
+  /* This was one part of several: ask for the next one at once, instead of
+     with a later frame.  */
   if (is_newer && store_revision (router->store) < revision)
     (void)send_ask (router, peer->instance);
 }
@@ -113,7 +116,7 @@
   store_part_clear (&message.u.config_part);
 }
 
-/* ---- telling ---- */
+/* ---- notifications to peers ---- */
 
 static void
 notify_all (cfd_router_t *router, const GPtrArray *names)
@@ -131,7 +134,7 @@
   notify_all (router, spread_tree_agents (router->tree));
 }
 
-/* Who could not be told because there was no link learns it here.  */
+/* Notifies a peer that had no link when the revision increased.  */
 void
 conf_peer_up (cfd_router_t *router, const peer_id_t *peer)
 {
@@ -150,8 +153,8 @@
         router, agents->pdata[router->next_notified_agent++ % agents->len]);
 }
 
-/* While the platform is out of reach: calls the agents whose witness this
-   router is.  They hold the link, so that one call is enough.  */
+/* While the platform is unreachable: notifies the agents whose witness this
+   router is.  They hold the link, so one message is enough.  */
 static void
 notify_witnessed_agents (cfd_router_t *router)
 {
@@ -169,7 +172,7 @@
     }
 }
 
-/* ---- upkeep ---- */
+/* ---- periodic work ---- */
 
 void
 conf_run_periodic (cfd_router_t *router, cfd_time_t now)
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* What a model request costs at most by its own word, when it says nothing. */
+/* Output limit assumed for a model request that states none.  */
 #define DEFAULT_MAX_TOKENS 256
-/* Bytes of a prompt that make about one token.  */
+/* Approximate length of a token in a prompt.  */
 #define BYTES_PER_TOKEN 4
 #define CONFIG_RETRY_AFTER_S 2
 #define CAPACITY_RETRY_AFTER_S 5
 #define SERVICES_PREFIX "/services/"
-/* MSG_HEADERS_MAX less what the agent adds.  */
+/* MSG_HEADERS_MAX less the headers that the agent adds.  */
 #define MAX_HEADERS (MSG_HEADERS_MAX - 4)
 
 static void
@@ -23,7 +23,7 @@
   web_problem (web, status, title, detail, "not-run", retry_after_s);
 }
 
-/* The account of the caller's key, or NULL after a refusal.  */
+/* Returns the account of the caller's key, or NULL after a refusal.  */
 static const rec_t *
 authenticate (cfd_router_t *router, web_request_t *web)
 {
@@ -152,8 +152,9 @@
   double cost;
 } call_t;
 
-/* A path that the service may read as another one than the rules do is not
-   taken for idempotent: "/past/../invoices" or the same with escapes.  */
+/* Whether the rules and the service certainly read the path alike.  Others,
+   such as "/past/../invoices" or the same with escapes, are not assumed to be
+   idempotent.  */
 static bool
 is_unambiguous_path (const char *path)
 {
@@ -176,7 +177,7 @@
                                         call->path));
 }
 
-/* Begins the life of a request that passed all checks.  */
+/* Creates and starts a request that passed all checks.  */
 static void
 admit_request (cfd_router_t *router, web_request_t *web, const rec_t *account,
                const rec_t *service, const call_t *call)
@@ -211,7 +212,7 @@
   request_start (request, now);
 }
 
-/* The service that serves CALL, or NULL after a refusal.  */
+/* Returns the service of CALL, or NULL after a refusal.  */
 static const rec_t *
 find_service (cfd_router_t *router, web_request_t *web, const call_t *call)
 {
@@ -221,13 +222,13 @@
       || service->u.service.is_model != call->is_model)
     {
       refuse (router, web, REFUSED_BAD_REQUEST, 404, "Unknown service",
-              "Name a service that the operators have set up.", -1);
+              "Name a service that is configured.", -1);
       return NULL;
     }
   if (!agents_has_endpoint_for (router, call->service))
     {
       refuse (router, web, REFUSED_NO_CAPACITY, 503, "No capacity",
-              "The service has no endpoint at present; ask again later.",
+              "The service has no endpoint at present; retry later.",
               CAPACITY_RETRY_AFTER_S);
       return NULL;
     }
@@ -297,7 +298,7 @@
   web_set_header (web, "X-Request-Id", name);
   if (store_revision (router->store) == 0)
     refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
-            "This router has no configuration yet; ask again.",
+            "This router has no configuration yet; retry later.",
             CONFIG_RETRY_AFTER_S);
   else if (strcmp (path, "/v1/chat/completions") == 0
            || strcmp (path, "/v1/completions") == 0)
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -1,5 +1,5 @@
-/* Which router is the home of an account: those that can be reached and
-   answer, as this router sees it.  */
+/* Selection of the home router of an account, among the routers that are
+   reachable and answer, in this router's view.  */
 
 #include "router/router-private.h"
 
@@ -8,23 +8,23 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A home that could not be reached for so long is passed over, until there is
-   a link.  */
+/* A home that is unreachable for this time is excluded, until there is a
+   link.  */
 #define UNREACHABLE_MS 500
 /* A home answers each report that comes PEER_VIEW_MAX_SILENCE_MS after its
-   last answer or later; one that did not for so long is cut off or frozen, and
-   is passed over until an answer or a new link comes.  The link's own watch on
-   silence takes 2 s, in which each router of an account would know but its own
-   part. Both together are 750 ms, many times the way between regions and what
-   a busy home takes.  */
+   last answer or later; one that did not for this time is cut off or frozen,
+   and is excluded until an answer or a new link comes.  The link's own silence
+   timeout takes 2 s, during which each router of an account would know only
+   its own part.  Both times together are 750 ms, many times the latency
+   between regions and what a busy home takes.  */
 #define ANSWER_TIMEOUT_MS 500
-/* Until then, an answer that is so late is taken for one that may not come:
-   accounts go on as if their other routers gave what they gave before.  That
-   is several times the way between regions, and does little harm when the
-   answer comes after all.  */
+/* Before that timeout, an answer that is this late is treated as one that may
+   not come: accounts continue as if their other routers served them at the
+   former rate.  That is several times the latency between regions, and does
+   little harm if the answer does come.  */
 #define ANSWER_LATE_MS 100
-/* The link to a home is held so long after the last report, so that a silent
-   connection shows.  */
+/* How long the link to a home is held after the last report, so that a silent
+   connection is detected.  */
 #define LINK_HOLD_MS 3000
 
 static void
@@ -106,7 +106,7 @@
   mark_homes_changed (router, now);
 }
 
-/* So that the check of turns knows why an order changed.  */
+/* Reports a change of a virtual time to the fairness check.  */
 static void
 on_virtual_time_changed (void *user, const char *account, const char *service,
                          double tokens)
@@ -126,12 +126,12 @@
                        on_virtual_time_changed, router);
 }
 
-/* Passes over PEER as a home until its link is up: its accounts move to their
-   next choice, which is rebuilt from what each router reports.  Meanwhile the
-   link is held, so that the accounts come back with the peer: a fixed time
-   would leave them with two homes after a partition, and without any each time
-   it runs out during one, and either way an account with work at several
-   routers gets a whole share at each.  */
+/* Excludes PEER as a home until its link is up: its accounts move to their
+   next choice, whose state is rebuilt from what each router reports.  The link
+   is held meanwhile, so that the accounts return with the peer.  A fixed time
+   instead would leave them with two homes after a partition, and with none
+   each time that it expired during one; in either case an account with work at
+   several routers gets a whole share at each.  */
 void
 homes_exclude (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
@@ -164,7 +164,6 @@
   return peer == NULL || !peer->excluded;
 }
 
-/* The home of an account as this router sees it, itself included.  */
 const char *
 homes_lookup (cfd_router_t *router, const char *account, const char *service)
 {
@@ -193,7 +192,7 @@
 void
 homes_report_sent (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  /* Sooner after an answer the home may agree in silence.  */
+  /* Before that the home need not answer a report that it agrees with.  */
   if (peer->unanswered_since == 0
       && now - peer->last_answer_at >= PEER_VIEW_MAX_SILENCE_MS)
     peer->unanswered_since = now;
@@ -223,7 +222,8 @@
   router_peer_t *peer = homes_find_or_add (router, name);
 
   peer_view_reset (peer->view);
-  /* A restarted peer can be up again before its former life's link ends.  */
+  /* A restarted peer can be up again before the link to its former process is
+     closed.  */
   peer->up = peer_hub_is_up (router->hub, name);
   if (peer->link_held && !peer->up)
     homes_exclude (router, peer, now);
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -2,9 +2,11 @@
 
 #include <string.h>
 
-/* The baseline: this router's own fair queue, and requests pushed to the
-   agent with the least load it knows.  Requests pushed beyond an agent's
-   slots, so that none idles until the next word of its load.  */
+/* Baseline policy: the router's own fair queue, and requests pushed to the
+   least loaded agent that it knows.  */
+
+/* Requests pushed beyond an agent's slots, so that no slot idles until the
+   agent reports its load again.  */
 #define MAX_REQUESTS_BEYOND_SLOTS 2u
 
 static bool
@@ -76,8 +78,8 @@
     store_each (router->store, REC_SERVICE, push_record, router);
 }
 
-/* Agents tell their load over links, which are kept up from the first work
-   of a service on.  */
+/* Agents report their load over links, which are held from the first work of a
+   service on.  */
 static void
 hold_agent_links (cfd_router_t *router, const char *service, cfd_time_t now)
 {
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -358,7 +358,8 @@
 void answer_handle_end (cfd_router_t *router, const peer_id_t *peer,
                         const msg_end_t *end, cfd_time_t now);
 void answer_handle_not_started (cfd_router_t *router, const peer_id_t *peer,
-                                const msg_not_started_t *word, cfd_time_t now);
+                                const msg_not_started_t *message,
+                                cfd_time_t now);
 void answer_ack_done (request_t *request);
 void answer_send_cancel (request_t *request);
 /* TOTAL bytes were sent to the caller; a callback of web_stream_begin.  */
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-/* Changes gather so long before they are reported.  */
+/* How long changes are collected before they are reported.  */
 #define REPORT_DELAY_MS 4
 #define MAX_UNSENT_ENTRIES 4096u
 
-/* A report that waits for a link.  */
+/* A report entry that waits for a link.  */
 typedef struct
 {
   pair_t key;
@@ -24,7 +24,7 @@
   router_schedule (router, router->report_at);
 }
 
-/* ---- reports out ---- */
+/* ---- reports to other homes ---- */
 
 typedef struct
 {
@@ -127,17 +127,18 @@
     send_or_store_report (router, peer, batch, now);
 }
 
-/* ---- answers of this home ---- */
+/* ---- shares, as a home ---- */
 
 typedef struct
 {
   cfd_router_t *router;
   cfd_time_t now;
-  GHashTable *batches; /* router's name to GArray of msg_share_entry_t */
+  GHashTable *batches; /* router name to GArray of msg_share_entry_t */
 } share_batches_t;
 
-/* A new virtual time for work that waits here goes to the agents with the
-   next refresh; a grant by an older one is declined.  */
+/* Applies a new virtual time.  That of work which waits at this router goes to
+   the agents with the next refresh; a grant that rests on an older one is
+   declined.  */
 static void
 apply_share (cfd_router_t *router, const msg_share_entry_t *entry,
              cfd_time_t now)
@@ -211,7 +212,7 @@
     send_shares (router, name, batch);
 }
 
-/* ---- for the rest of the router ---- */
+/* ---- calls from other sources of the router ---- */
 
 void
 shares_exchange (cfd_router_t *router, cfd_time_t now)
