--- a/libcoltsfootdrum/router/test-router-config.c
+++ b/libcoltsfootdrum/router/test-router-config.c
@@ -1,5 +1,5 @@
-/* A router that learns its configuration from peers: one of 40, of which the
-   test plays some, with an agent and the platform's stand-in.  */
+/* Configuration exchange of a router in a fleet of 40, with some of the
+   others, an agent and the platform simulated by the test.  */
 
 #include "base/log.h"
 #include "config/store-impl.h"
@@ -10,8 +10,8 @@
 #include <unistd.h>
 
 #define ROUTERS 40u
-/* By their hashes: SELF doesn't watch, has a router above and one below it,
-   and tells the agent.  */
+/* By the hashes of these names SELF does not watch the platform, has ABOVE
+   above and BELOW below it in the distribution tree, and notifies AGENT.  */
 #define SELF "router-12"
 #define ABOVE "router-25"
 #define BELOW "router-23"
@@ -19,16 +19,16 @@
 #define PORT_LINK 8000u
 #define ZONE "availability-zone"
 #define OUT "{\"schema\":2,\"state\":\"out\"}"
-/* A change must be in force everywhere within this time.  */
+/* Time limit for a change to be in force everywhere.  */
 #define IN_FORCE_MS 12000
-/* Records of a whole state that comes in many pieces.  */
+/* Records of a whole state that is sent in many parts.  */
 #define MANY 40u
 
 typedef struct
 {
   peer_hub_t *hub;
   store_t *store;
-  uint64_t shown_revision; /* newest revision that the router showed it */
+  uint64_t shown_revision; /* newest revision in a frame of the router */
 } fake_peer_t;
 
 typedef struct
@@ -37,10 +37,10 @@
   struct ev_loop *frozen_loop; /* never run */
   char host[24];
   cfd_router_t *router;
-  GHashTable *fake_peers; /* of node_t by name */
+  GHashTable *fake_peers; /* name to fake_peer_t */
 } fixture_t;
 
-/* ---- played peers ---- */
+/* ---- simulated peers ---- */
 
 static void
 on_message (void *user, const peer_id_t *peer, const msg_t *message,
@@ -69,7 +69,7 @@
   return store_revision (((fake_peer_t *)user)->store);
 }
 
-/* NODE learns what the platform has now.  */
+/* Loads the platform's current state into NODE.  */
 static void
 load_from_platform (fixture_t *f, fake_peer_t *node)
 {
@@ -80,7 +80,7 @@
   store_take_objects (node->store, json_node_get_object (root), clock_now ());
 }
 
-/* The port of "router-N" or "agent-N".  */
+/* Returns the port of "router-N" or "agent-N".  */
 static unsigned
 port_of (const char *name)
 {
@@ -94,7 +94,7 @@
   return g_strdup_printf ("%s:%u", f->host, port_of (name));
 }
 
-/* Plays NAME with what the platform has now.  */
+/* Starts a simulated peer NAME with the platform's current state.  */
 static fake_peer_t *
 start_peer (fixture_t *f, const char *name, struct ev_loop *loop)
 {
@@ -135,7 +135,7 @@
     }
 }
 
-/* NODE tells the router that it is ahead.  */
+/* Shows NODE's newer revision to the router.  */
 static void
 show_revision (fixture_t *f, fake_peer_t *node)
 {
@@ -156,7 +156,7 @@
   g_free (node);
 }
 
-/* ---- the scene ---- */
+/* ---- fixture ---- */
 
 static void
 publish_instances (fixture_t *f)
@@ -200,7 +200,7 @@
   return store_revision (store) > 0 && store_learns_from_peers (store);
 }
 
-/* The router starts, and the platform goes down.  */
+/* Starts the router, then makes the platform unreachable.  */
 static void
 start_router (fixture_t *f)
 {
@@ -239,7 +239,7 @@
   return store_revision (((fixture_t *)user)->router->store) >= 3;
 }
 
-/* Milliseconds until HOLDS.  */
+/* Returns the milliseconds until HOLDS.  */
 static cfd_time_t
 run_until (fixture_t *f, bool (*holds) (void *user))
 {
@@ -249,7 +249,7 @@
   return clock_now () - start;
 }
 
-/* ---- the cases ---- */
+/* ---- test cases ---- */
 
 typedef enum
 {
@@ -261,10 +261,11 @@
 static void
 test_above (fixture_t *f, gconstpointer data)
 {
-  /* A zone is taken out, the word comes to all other routers, and the platform
-     goes down.  The router above this one, which is to tell it, is dead, or
-     frozen with its port open, or answers with what it knew before.  This one
-     must turn to another, or the zone stays in here as long as that lasts.  */
+  /* A zone is taken out, the change reaches all other routers, and the
+     platform goes down.  The router above this one, which is to notify it, is
+     dead, or frozen with its port open, or answers with its older revision.
+     This router must turn to another one, or the zone stays in here for as
+     long as that lasts.  */
   above_state_t above = (above_state_t)GPOINTER_TO_INT (data);
 
   if (above != ABOVE_DEAD)
@@ -291,8 +292,8 @@
 static void
 test_half_spread (fixture_t *f, gconstpointer data)
 {
-  /* The platform goes down when a change has come as far as the router above.
-     It must go on down the tree all the same, at once.  */
+  /* The platform goes down when a change has reached the router above.  The
+     change must continue down the tree all the same, at once.  */
   (void)start_peer (f, BELOW, f->test.loop);
   start_router (f);
   sp_test_write (&f->test, ZONE, "z", OUT);
@@ -304,10 +305,10 @@
 static void
 test_agent_ahead (fixture_t *f, gconstpointer data)
 {
-  /* Only an agent has heard that an account is gone, and it has no accounts to
-     tell of.  The router must neither wait for its peers, which are as old as
-     itself, nor take the agent's word for the whole: it reads the platform.
-     Before, it would do so 8 s after its last word.  */
+  /* Only an agent has a revision in which an account is deleted, and agents do
+     not store accounts.  The router must neither wait for its peers, which are
+     as old as itself, nor take the agent's state as complete: it reads the
+     platform, earlier than the 8 s after which it would do so in any case.  */
   (void)start_peer (f, ABOVE, f->test.loop);
   start_router (f);
   start_other_routers (f);
@@ -321,10 +322,10 @@
 static void
 test_older_platform (fixture_t *f, gconstpointer data)
 {
-  /* A router starts anew and reads the platform from a replica that lags
-     behind what its peers have in force: the zone is in there.  Told by the
-     one above it takes the zone out, and the replica must not bring it back.
-   */
+  /* A router starts and reads the platform from a replica that lags behind the
+     revision in force at its peers, where the zone is still in.  Notified by
+     the router above, it takes the zone out, and the replica must not bring it
+     back.  */
   cfd_time_t end;
 
   g_usleep (300000);
@@ -351,11 +352,12 @@
 static void
 test_pieces (fixture_t *f, gconstpointer data)
 {
-  /* The platform is down, and the router above has a newer list than this one:
-     its whole state comes in 11 pieces.  This one must ask for each when the
-     one before has come, or it takes an ask of its own, one a second at most.
-     Twelve runs at once took 2 ms at most, without it 30 s were not enough:
-     the bound is far from both.  */
+  /* The platform is down, and the router above has a newer state than this
+     one, which it sends in 11 parts.  This router must ask for each part when
+     the previous one has arrived; otherwise each takes one of its periodic
+     asks, at most one a second.  The former takes up to 2 ms with twelve
+     concurrent runs, the latter more than 30 s, so the bound has margin on
+     both sides.  */
   fake_peer_t *above;
 
   start_router (f);
--- a/libcoltsfootdrum/router/test-router-fixture.c
+++ b/libcoltsfootdrum/router/test-router-fixture.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Hosts of the scene's own net in 127.0.0.0/8, and ports.  */
+/* Hosts in the fixture's own subnet of 127.0.0.0/8, and ports.  */
 #define HOST_ROUTER 1u
 #define HOST_AGENTS 2u
 #define PORT_CALLERS 7000u
@@ -18,7 +18,7 @@
 #define KEY "key"
 #define WAIT_MS 10000
 
-/* By the process's id, so that runs side by side don't meet.  */
+/* Derived from the process id, so that concurrent runs do not collide.  */
 static char *
 address (unsigned host, unsigned port)
 {
@@ -361,7 +361,8 @@
 call_read_answer (fixture_t *fixture, call_t *call)
 {
   call_read_until (fixture, call, "\r\n\r\n");
-  /* Problems have a length; all else in these tests comes in chunks.  */
+  /* Problem documents have a length; all other answers in these tests are
+     chunked.  */
   call_read_until (fixture, call,
                    strstr (call->text->str, "Content-Length:") != NULL
                        ? "}"
@@ -376,7 +377,7 @@
   g_string_free (call->text, TRUE);
 }
 
-/* ---- all of it ---- */
+/* ---- the fixture ---- */
 
 void
 fixture_run_until (fixture_t *fixture, bool (*condition) (void *user),
--- a/libcoltsfootdrum/router/test-router-fixture.h
+++ b/libcoltsfootdrum/router/test-router-fixture.h
@@ -1,5 +1,5 @@
-/* A router in this process, between a stub of the platform, two agents played
-   by the test and callers, all on one loop.  */
+/* Test fixture of a whole router in this process, with a stub of the platform,
+   two fake agents and callers, all on one loop.  */
 
 #ifndef ROUTER_TEST_ROUTER_FIXTURE_H
 #define ROUTER_TEST_ROUTER_FIXTURE_H
@@ -12,7 +12,8 @@
 
 typedef struct fixture fixture_t;
 
-/* An agent of the model service "draft" (0) or the plain "register" (1).  */
+/* Fake agent of the model service "draft" (0) or the plain service "register"
+   (1).  */
 typedef struct
 {
   fixture_t *fixture;
@@ -21,15 +22,15 @@
   const char *service;
   uint64_t incarnation;
   uint64_t grants;
-  bool withholds_grants; /* offers no slot by itself */
+  bool withholds_grants; /* sends grants only on request of the test */
 
-  /* What the router sent last.  */
+  /* From the router's messages.  */
   char *request;
   unsigned assigned;
   unsigned resumed;
   unsigned cancelled;
   unsigned acked;
-  unsigned done; /* acknowledged as done */
+  unsigned done; /* ACKs with "done" set */
   uint64_t resume_offset;
   bool resume_head;
   decline_reason_t declined; /* 0: none */
@@ -56,10 +57,11 @@
 } call_t;
 
 void fixture_begin (fixture_t *fixture);
-/* Both agents serve the model.  */
+/* Both agents serve the model service.  */
 void fixture_begin_same_service (fixture_t *fixture);
 void fixture_end (fixture_t *fixture);
-/* Runs the loop until HOLDS; fails the test when it does not in time.  */
+/* Runs the loop until CONDITION holds; fails the test if it does not in
+   time.  */
 void fixture_run_until (fixture_t *fixture, bool (*condition) (void *user),
                         void *user);
 void fixture_set_zone_state (fixture_t *fixture, const char *state);
@@ -67,15 +69,16 @@
 void call_post_completion (fixture_t *fixture, call_t *call);
 void call_post_register (fixture_t *fixture, call_t *call);
 void call_get_register (fixture_t *fixture, call_t *call);
-/* Runs the loop until the call is closed by the router or its text has PART.
- */
+/* Runs the loop until the router closes the call or its text contains
+   PART.  */
 void call_read_until (fixture_t *fixture, call_t *call, const char *part);
-/* Runs the loop until the router closes or ends the answer; true if whole.  */
+/* Runs the loop until the router closes or ends the answer; returns true if it
+   is whole.  */
 bool call_read_answer (fixture_t *fixture, call_t *call);
 void call_end (call_t *call);
 
-/* Runs the loop until the agent was assigned COUNT requests; the id of the
-   newest, to be freed.  */
+/* Runs the loop until the agent was assigned COUNT requests; returns the id of
+   the latest, to be freed.  */
 char *agent_await_assignment (fake_agent_t *agent, unsigned count);
 void agent_send_grant (fake_agent_t *agent, const char *account,
                        double limit_vt);
--- a/libcoltsfootdrum/router/test-router-request.c
+++ b/libcoltsfootdrum/router/test-router-request.c
@@ -1,13 +1,14 @@
-/* The life of a request: each (state, event) with the facts that matter, what
-   the router does next, and whether it may say "not run".  */
+/* Request state machine: each (state, event) with the relevant facts, the
+   router's action, and whether it may report "not run".  */
 
 #include "router/router-step.h"
 #include <glib.h>
 
-#define IDEMPOTENT 1u   /* idempotent */
-#define MAY_HAVE_RUN 2u /* may have run before */
-#define CALLER_GONE 4u  /* caller gone */
-#define MAY_RETRY 8u    /* may retry */
+/* Bits of the facts.  */
+#define IDEMPOTENT 1u
+#define MAY_HAVE_RUN 2u
+#define CALLER_GONE 4u
+#define MAY_RETRY 8u
 
 typedef struct
 {
@@ -21,7 +22,8 @@
 
 static const case_t cases[] = {
   { REQ_CLAIMING, REQ_EV_CLAIMED, 0, REQ_QUEUED, REQ_DO_QUEUE, RUN_NOT_RUN },
-  /* The claim comes after the caller left: given back, nothing ran.  */
+  /* The claim is made after the caller disconnected: it is released, nothing
+     ran.  */
   { REQ_CLAIMING, REQ_EV_CALLER_GONE, 0, REQ_CLAIMING, REQ_DO_NOTHING,
     RUN_NOT_RUN },
   { REQ_CLAIMING, REQ_EV_CLAIMED, CALLER_GONE, REQ_OVER, REQ_DO_DROP,
@@ -29,7 +31,7 @@
   { REQ_CLAIMING, REQ_EV_SHUTDOWN, 0, REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN },
   { REQ_QUEUED, REQ_EV_ASSIGNED, 0, REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN },
   { REQ_QUEUED, REQ_EV_DEADLINE, 0, REQ_OVER, REQ_DO_REFUSE, RUN_NOT_RUN },
-  /* Queued again after an agent was lost: that agent may have run it.  */
+  /* Requeued after an agent was lost: that agent may have run it.  */
   { REQ_QUEUED, REQ_EV_DEADLINE, IDEMPOTENT | MAY_HAVE_RUN, REQ_OVER,
     REQ_DO_REFUSE, RUN_UNKNOWN },
   { REQ_QUEUED, REQ_EV_SHUTDOWN, IDEMPOTENT | MAY_HAVE_RUN, REQ_OVER,
@@ -40,13 +42,15 @@
   { REQ_SENT, REQ_EV_DATA, CALLER_GONE, REQ_ANSWERING, REQ_DO_NOTHING,
     RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_COMPLETE, 0, REQ_OVER, REQ_DO_FINISH, RUN_DONE },
-  /* The agent's word lets even a non-idempotent one go again, budget or no. */
+  /* After the agent's confirmation even a non-idempotent request is requeued,
+     without regard to the budget.  */
   { REQ_SENT, REQ_EV_NOT_RUN, 0, REQ_QUEUED, REQ_DO_REQUEUE, RUN_NOT_RUN },
   { REQ_SENT, REQ_EV_NOT_RUN, IDEMPOTENT | MAY_HAVE_RUN, REQ_QUEUED,
     REQ_DO_REQUEUE, RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_NOT_RUN, CALLER_GONE, REQ_OVER, REQ_DO_DROP,
     RUN_NOT_RUN },
-  /* Without it: non-idempotent never, idempotent within the budget.  */
+  /* Without it: a non-idempotent request never, an idempotent one within the
+     budget.  */
   { REQ_SENT, REQ_EV_LOST, MAY_RETRY, REQ_OVER, REQ_DO_FAIL, RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY, REQ_QUEUED, REQ_DO_RETRY,
     RUN_UNKNOWN },
@@ -55,14 +59,14 @@
     REQ_DO_DROP, RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_SHUTDOWN, IDEMPOTENT, REQ_OVER, REQ_DO_FAIL,
     RUN_UNKNOWN },
-  /* A caller who leaves stops what may be repeated, not a post.  */
+  /* A caller's disconnect cancels what may be repeated, not a post.  */
   { REQ_SENT, REQ_EV_CALLER_GONE, IDEMPOTENT, REQ_SENT, REQ_DO_CANCEL,
     RUN_UNKNOWN },
   { REQ_SENT, REQ_EV_CALLER_GONE, 0, REQ_SENT, REQ_DO_NOTHING, RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_DATA, 0, REQ_ANSWERING, REQ_DO_NOTHING,
     RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_COMPLETE, 0, REQ_OVER, REQ_DO_FINISH, RUN_DONE },
-  /* Bytes were delivered: never a second answer behind the first part.  */
+  /* Part of the answer was sent: a second answer must never follow it.  */
   { REQ_ANSWERING, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY, REQ_OVER,
     REQ_DO_TRUNCATE, RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_NOT_RUN, 0, REQ_OVER, REQ_DO_TRUNCATE, RUN_UNKNOWN },
@@ -72,7 +76,7 @@
     REQ_DO_CANCEL, RUN_UNKNOWN },
   { REQ_ANSWERING, REQ_EV_SHUTDOWN, 0, REQ_OVER, REQ_DO_TRUNCATE,
     RUN_UNKNOWN },
-  /* Late events of a request that has ended do nothing.  */
+  /* Late events of a request that has ended have no effect.  */
   { REQ_OVER, REQ_EV_COMPLETE, 0, REQ_OVER, REQ_DO_NOTHING, RUN_UNKNOWN },
   { REQ_OVER, REQ_EV_LOST, IDEMPOTENT | MAY_RETRY, REQ_OVER, REQ_DO_NOTHING,
     RUN_UNKNOWN },
@@ -103,7 +107,7 @@
     }
 }
 
-/* Over every state, event and set of facts: what must never come out.  */
+/* Invariants over every state, event and set of facts.  */
 static void
 test_invariants (void)
 {
@@ -130,7 +134,7 @@
 #define FROZEN true
 #define DEAD false
 
-/* How long a request is waited for whose agent's link is lost.  */
+/* How long the router waits for a request whose agent's link is lost.  */
 static const struct
 {
   req_state_t state;
@@ -141,17 +145,19 @@
   /* Another agent can take it.  */
   { REQ_SENT, IDEMPOTENT | MAY_RETRY, FROZEN, REQ_RETRY_WAIT_MS },
   { REQ_SENT, IDEMPOTENT | MAY_RETRY, DEAD, REQ_RETRY_WAIT_MS },
-  /* Only its own agent can answer: without budget, a post, a begun answer.  */
+  /* Only its own agent can answer: without budget, a post, an answer that has
+     begun.  */
   { REQ_SENT, IDEMPOTENT, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
   { REQ_SENT, MAY_RETRY, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
   { REQ_ANSWERING, IDEMPOTENT | MAY_RETRY, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
-  /* A post's claim wants the true answer, though its caller left.  */
+  /* A post's claim needs the actual answer, although its caller
+     disconnected.  */
   { REQ_SENT, MAY_RETRY | CALLER_GONE, FROZEN, REQ_AGENT_SILENT_WAIT_MS },
-  /* It is gone: the caller hears soon.  */
+  /* The agent is gone: the caller gets an error soon.  */
   { REQ_SENT, IDEMPOTENT, DEAD, REQ_AGENT_GONE_WAIT_MS },
   { REQ_SENT, MAY_RETRY, DEAD, REQ_AGENT_GONE_WAIT_MS },
   { REQ_ANSWERING, IDEMPOTENT | MAY_RETRY, DEAD, REQ_AGENT_GONE_WAIT_MS },
-  /* Nobody waits.  */
+  /* No caller waits.  */
   { REQ_ANSWERING, IDEMPOTENT | MAY_RETRY | CALLER_GONE, FROZEN,
     REQ_AGENT_GONE_WAIT_MS },
 };
@@ -175,7 +181,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/router-request/cases", test_cases);
-  g_test_add_func ("/router-request/never", test_invariants);
-  g_test_add_func ("/router-request/patience", test_link_wait);
+  g_test_add_func ("/router-request/invariants", test_invariants);
+  g_test_add_func ("/router-request/link-wait", test_link_wait);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/router/test-router.c
+++ b/libcoltsfootdrum/router/test-router.c
@@ -1,5 +1,5 @@
-/* A whole router against agents that send late, doubled, crossed or wrong
-   words: what the caller gets, and what the agent hears.  */
+/* A whole router against agents that send late, repeated, interleaved or wrong
+   messages: what the caller gets, and what the agent is sent.  */
 
 #include "router/test-router-fixture.h"
 
@@ -10,30 +10,30 @@
 #define DRAFT(fixture) (&(fixture)->agents[0])
 #define REGISTER(fixture) (&(fixture)->agents[1])
 
-/* ---- the answer's pieces ---- */
+/* ---- data of an answer ---- */
 
-/* The agent's words in order, each a letter and an offset:
+/* The agent's messages in order, each a letter and an offset:
      H        head
      D0=abc   data from 0          X0=abc   the same from the other agent
      E6       complete, 6 bytes    B2       broken off by the endpoint
-     R2       not a word: waits until the router asks again from 2  */
+     R2       no message: waits until the router requests data from 2  */
 typedef struct
 {
   const char *name;
   const char *steps;
-  const char *body; /* NULL: broken off after a part */
+  const char *body; /* NULL: cut off after a part */
 } answer_case_t;
 
 static const answer_case_t answers[] = {
   { "in order", "H D0=abc D3=def E6", "abcdef" },
-  { "doubled, overlapping", "H D0=abc H D0=abc D1=bcdef E6", "abcdef" },
+  { "repeated, overlapping", "H D0=abc H D0=abc D1=bcdef E6", "abcdef" },
   { "a gap", "H D0=ab D4=ef E6 R2 D2=cdef E6", "abcdef" },
   { "a body before its head", "D0=abc R0 H D0=abc E3", "abc" },
   { "an end before the whole", "H D0=ab E6 R2 D2=cdef E6", "abcdef" },
-  { "another agent's words", "H D0=abc X3=XXX D3=def E6", "abcdef" },
+  { "data of another agent", "H D0=abc X3=XXX D3=def E6", "abcdef" },
   { "no body at all", "H E0", "" },
-  { "broken off", "H D0=ab B2", NULL },
-  { "early ends, again and again", "H D0=ab E6 E6 E6", NULL },
+  { "cut off", "H D0=ab B2", NULL },
+  { "repeated early ends", "H D0=ab E6 E6 E6", NULL },
 };
 
 typedef struct
@@ -75,7 +75,8 @@
       return;
     case 'X':
       agent_send_data (REGISTER (fixture), request, offset, text + 1);
-      /* Taken off its hands: it is nobody's there.  */
+      /* Acknowledged, although the router has no such attempt of this
+         agent.  */
       fixture_run_until (fixture, is_acked, REGISTER (fixture));
       return;
     case 'E':
@@ -90,7 +91,7 @@
     }
 }
 
-/* The body that came, without the chunks' framing.  */
+/* Returns the received body, without the chunk framing.  */
 static char *
 decode_body (const call_t *call)
 {
@@ -122,7 +123,7 @@
 
       g_test_message ("%s", c->name);
       fixture_begin (&fixture);
-      /* The other agent has a link too, for a request of its own.  */
+      /* The other agent has a link too, for its own request.  */
       call_post_register (&fixture, &other);
       g_autofree char *posted
           = agent_await_assignment (REGISTER (&fixture), 1);
@@ -142,7 +143,7 @@
     }
 }
 
-/* Two answers whose pieces cross go to their own callers.  */
+/* Two answers whose data is interleaved reach their own callers.  */
 static void
 test_crossed (void)
 {
@@ -175,7 +176,7 @@
   fixture_end (&fixture);
 }
 
-/* ---- the end of an attempt that gave nothing ---- */
+/* ---- attempts that end without an answer ---- */
 
 typedef enum
 {
@@ -188,9 +189,9 @@
 static const struct
 {
   attempt_t attempt;
-  bool post;       /* else a lookup, which may be repeated */
-  bool is_resent;  /* it is sent to an agent once more */
-  const char *run; /* of the refusal otherwise */
+  bool post;       /* else a GET, which may be repeated */
+  bool is_resent;  /* it is assigned to an agent once more */
+  const char *run; /* in the refusal otherwise */
 } attempts[] = {
   { ATTEMPT_NOT_STARTED, true, true, NULL },
   { ATTEMPT_UNREACHED, true, true, NULL },
@@ -236,7 +237,7 @@
         {
           g_autofree char *second = agent_await_assignment (agent, 2);
 
-          /* Late words of the former attempt are nobody's.  */
+          /* Late messages of the former attempt are ignored.  */
           g_assert_cmpstr (first, !=, second);
           agent_send_head (agent, first);
           agent_send_data (agent, first, 0, "old");
@@ -267,11 +268,11 @@
   return ((const fake_agent_t *)user)->declined != 0;
 }
 
-/* An agent breaks off a request before its answer began, is free at once, and
+/* An agent fails a request before its answer begins, is free at once, and
    offers its slot again: the request is at the front of the queue, and the
-   caller would see a failure after three rounds.  The slot is declined with
-   the word that nothing waits for it; a later request may go there, and the
-   first goes to the other agent.  */
+   caller would see a failure after three rounds.  The slot is declined with a
+   count of 0; a later request may go to that agent, and the first one goes to
+   the other agent.  */
 static void
 test_retry_elsewhere (void)
 {
@@ -313,7 +314,8 @@
 {
   fake_agent_t *agent = user;
 
-  /* Asks in vain until something waits: what is left comes with the word. */
+  /* Offers a slot until something waits: each DECLINE carries the count that
+     waits.  */
   if (agent->declined == DECLINE_NO_WORK)
     {
       agent->declined = 0;
@@ -330,7 +332,7 @@
   fake_agent_t *agent = DRAFT (&fixture);
 
   fixture_begin (&fixture);
-  /* One request is served, so that a link and a virtual time are there.  */
+  /* One request is served first, so that a link and a virtual time exist.  */
   call_post_completion (&fixture, &call);
   g_autofree char *request = agent_await_assignment (agent, 1);
   agent_send_head (agent, request);
@@ -353,7 +355,7 @@
       fixture_run_until (&fixture, is_declined, agent);
     }
   g_assert_cmpint (agent->declined, ==, DECLINE_ZONE);
-  /* Nobody took it in time: told at the deadline, truly not run.  */
+  /* No agent took it in time: refused at the deadline as not run.  */
   g_assert_true (call_read_answer (&fixture, &call));
   g_assert_nonnull (strstr (call.text->str, " 504 "));
   g_assert_nonnull (strstr (call.text->str, "\"run\":\"not-run\""));
@@ -381,7 +383,7 @@
       refused += strstr (calls[i].text->str, " 429 ") != NULL;
       call_end (&calls[i]);
     }
-  /* Three wait until their deadline; the fourth hears at once.  */
+  /* Three wait until their deadline; the fourth is refused at once.  */
   g_assert_cmpuint (refused, ==, 1);
   fixture_end (&fixture);
 }
@@ -390,7 +392,7 @@
 
 #define JUMP_MS (G_GINT64_CONSTANT (24) * 3600 * 1000)
 
-/* Ahead by a day and back again at each look.  */
+/* Alternates between a day ahead and a day behind at each call.  */
 static int64_t
 jumping_wall_ms (void)
 {
@@ -400,10 +402,10 @@
   return g_get_real_time () / 1000 + (ahead ? JUMP_MS : -JUMP_MS);
 }
 
-/* The wall clock jumps by two days to and fro while a request waits, is
-   assigned and answered, and while a grant is late.  The caller notices
-   nothing: no deadline, link or claim is by that clock.  One that nobody takes
-   is refused at its own deadline, after a second.  */
+/* The wall clock jumps by two days back and forth while a request waits, is
+   assigned and answered, and while a grant is late.  The caller is not
+   affected: no deadline, link or claim depends on that clock.  A request that
+   no agent takes is refused at its own deadline, after a second.  */
 static void
 test_wall_clock (void)
 {
