--- a/libcoltsfootdrum/relay/rly.c
+++ b/libcoltsfootdrum/relay/rly.c
@@ -173,9 +173,9 @@
   service->name = g_strdup (name);
   fit_init (&service->first_token, FIRST_BASE_MS, FIRST_MS_PER_WORK);
   list_init (&service->lines);
-  bud_init (&service->repeats, rly->bounds.repeat_window_ms,
-            rly->bounds.repeat_ratio * REPEAT_SAFETY,
-            rly->bounds.repeat_slack * REPEAT_SAFETY / rly->routers);
+  bud_init (&service->repeats, rly->bounds.retry_window_ms,
+            rly->bounds.retry_ratio * REPEAT_SAFETY,
+            rly->bounds.retry_slack * REPEAT_SAFETY / rly->routers);
   list_init (&service->node);
   list_append (&rly->services, &service->node);
   return service;
@@ -220,7 +220,7 @@
   list_for_each (node, &rly->services)
     {
       list_entry (node, rly_service_t, node)->repeats.slack
-          = rly->bounds.repeat_slack * REPEAT_SAFETY / rly->routers;
+          = rly->bounds.retry_slack * REPEAT_SAFETY / rly->routers;
     }
 }
 
--- a/libcoltsfootdrum/relay/rly.h
+++ b/libcoltsfootdrum/relay/rly.h
@@ -36,9 +36,9 @@
 /* Bounds that the deployment sets.  */
 typedef struct
 {
-  int64_t repeat_window_ms; /* budget of repeats, of the whole fleet */
-  double repeat_ratio;
-  double repeat_slack;
+  int64_t retry_window_ms; /* budget of repeats, of the whole fleet */
+  double retry_ratio;
+  double retry_slack;
   int64_t share_window_ms; /* over which accounts' shares are compared */
   const char *zone;        /* the router's own; NULL: not told */
   unsigned disabled;       /* mech_t bits that are switched off */
--- a/libcoltsfootdrum/relay/test-rly-scene.c
+++ b/libcoltsfootdrum/relay/test-rly-scene.c
@@ -291,9 +291,9 @@
 scene_new (const scene_reply_t *replies, unsigned count, unsigned slots)
 {
   static const ent_ops_t front = { rly_on_request, rly_on_disconnect };
-  static const rly_settings_t bounds = { .repeat_window_ms = 10000,
-                                         .repeat_ratio = 0.2,
-                                         .repeat_slack = 50.,
+  static const rly_settings_t bounds = { .retry_window_ms = 10000,
+                                         .retry_ratio = 0.2,
+                                         .retry_slack = 50.,
                                          .share_window_ms = 4000 };
   scene_t *scene = g_new0 (scene_t, 1);
   g_autoptr (rte_table_t) table = make_table ();
