--- a/libcoltsfootdrum/router/cost.c
+++ b/libcoltsfootdrum/router/cost.c
@@ -39,23 +39,23 @@
 
 double
 cost_estimate (const cost_t *cost, const char *account, const char *service,
-               double hint)
+               double hint_tokens)
 {
   const entry_t *entry = pair_table_find (cost->entries, account, service);
 
-  return hint * (entry != NULL ? entry->ratio : COST_RATIO_INITIAL);
+  return hint_tokens * (entry != NULL ? entry->ratio : COST_RATIO_INITIAL);
 }
 
 void
 cost_update (cost_t *cost, const char *account, const char *service,
-             double hint, double actual, cfd_time_t now)
+             double hint_tokens, double actual_tokens, cfd_time_t now)
 {
   entry_t *entry = pair_table_find (cost->entries, account, service);
   double ratio;
 
-  if (hint <= 0)
+  if (hint_tokens <= 0)
     return;
-  ratio = CLAMP (actual / hint, COST_RATIO_MIN, COST_RATIO_MAX);
+  ratio = CLAMP (actual_tokens / hint_tokens, COST_RATIO_MIN, COST_RATIO_MAX);
   if (entry == NULL)
     {
       entry = pair_table_add (cost->entries, account, service, sizeof *entry);
--- a/libcoltsfootdrum/router/cost.h
+++ b/libcoltsfootdrum/router/cost.h
@@ -25,10 +25,10 @@
 
 /* Returns the expected cost in tokens of a request with HINT.  */
 double cost_estimate (const cost_t *cost, const char *account,
-                      const char *service, double hint);
+                      const char *service, double hint_tokens);
 /* Learns from a request with HINT that took ACTUAL tokens.  */
 void cost_update (cost_t *cost, const char *account, const char *service,
-                  double hint, double actual, cfd_time_t now);
+                  double hint_tokens, double actual_tokens, cfd_time_t now);
 /* Removes ratios that were not updated for COST_EXPIRY_MS.  */
 void cost_expire (cost_t *cost, cfd_time_t now);
 
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -211,7 +211,7 @@
 }
 
 void
-agents_refresh_sets (cfd_router_t *router)
+agents_refresh_services (cfd_router_t *router)
 {
   g_autoptr (GHashTable) hosts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -223,7 +223,7 @@
   grant_correct_charge (request, actual, now);
   if (request->is_model && actual > 0 && end->outcome == OUTCOME_COMPLETE)
     cost_update (request->router->cost, request->item.account,
-                 request->item.service, request->hint, actual, now);
+                 request->item.service, request->cost_hint, actual, now);
 }
 
 static req_event_t
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -199,7 +199,7 @@
   request->path = g_strdup (call->path);
   request->is_model = call->is_model;
   request->idempotent = is_idempotent (service, request->method, call);
-  request->hint = call->cost;
+  request->cost_hint = call->cost;
   request->item.cost = call->is_model
                            ? cost_estimate (router->cost, account->name,
                                             service->name, call->cost)
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -223,14 +223,14 @@
 }
 
 void
-grant_correct_charge (request_t *request, double actual, cfd_time_t now)
+grant_correct_charge (request_t *request, double actual_tokens, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
-  double difference = actual - request->charged_tokens;
+  double difference = actual_tokens - request->charged_tokens;
 
-  if (actual < 0)
+  if (actual_tokens < 0)
     return;
-  request->charged_tokens = actual;
+  request->charged_tokens = actual_tokens;
   share_charge (router->share, request->item.account, request->item.service,
                 difference, request->weight, now);
   fairness_adjust (router->fairness, request->item.account,
@@ -242,10 +242,12 @@
 }
 
 void
-grant_charge_streamed (request_t *request, uint32_t output, cfd_time_t now)
+grant_charge_streamed (request_t *request, uint32_t output_tokens,
+                       cfd_time_t now)
 {
-  if (request->is_model && output > request->charged_tokens)
-    grant_correct_charge (request, output * (1 + CHARGE_AHEAD_RATIO), now);
+  if (request->is_model && output_tokens > request->charged_tokens)
+    grant_correct_charge (request, output_tokens * (1 + CHARGE_AHEAD_RATIO),
+                          now);
 }
 
 /* Gives each attempt a new id, so that late messages of a former one are
@@ -328,7 +330,7 @@
 {
   const cfd_router_t *router;
   const target_t *target;
-  const fairness_slot_t *turn;
+  const fairness_slot_t *slot;
 } passed_over_t;
 
 /* A wrong order or a lost charge lets some accounts take all slots: the
@@ -339,19 +341,19 @@
 static void
 check_passed_over (void *user, const char *account, const char *service)
 {
-  const passed_over_t *passing = user;
-  const cfd_router_t *router = passing->router;
+  const passed_over_t *passed_over = user;
+  const cfd_router_t *router = passed_over->router;
   fairness_verdict_t verdict;
 
-  if (strcmp (service, passing->turn->service) != 0
-      || strcmp (account, passing->turn->account) == 0)
+  if (strcmp (service, passed_over->slot->service) != 0
+      || strcmp (account, passed_over->slot->account) == 0)
     return;
   verdict = fairness_check_passed (
-      router->fairness, passing->turn, account,
+      router->fairness, passed_over->slot, account,
       policy_virtual_time (router, account, service),
       adm_has_allowed (router->adm, account, service, is_eligible,
-                       (void *)passing->target),
-      passing->target->now);
+                       (void *)passed_over->target),
+      passed_over->target->now);
   INVARIANT ("slot-to-least", verdict != FAIRNESS_OUT_OF_ORDER, account);
   INVARIANT ("passed-over-bound", verdict != FAIRNESS_BOUND_EXCEEDED, account);
 }
@@ -360,15 +362,15 @@
 check_fairness (cfd_router_t *router, const request_t *request,
                 double virtual_time, const target_t *target)
 {
-  const fairness_slot_t turn
+  const fairness_slot_t slot
       = { .account = request->item.account,
           .service = request->item.service,
           .virtual_time = virtual_time,
           .charge = request->charged_tokens / request->weight };
-  passed_over_t passing = { router, target, &turn };
+  passed_over_t passed_over = { router, target, &slot };
 
-  adm_for_each_queue (router->adm, check_passed_over, &passing);
-  fairness_assign (router->fairness, &turn, target->now);
+  adm_for_each_queue (router->adm, check_passed_over, &passed_over);
+  fairness_assign (router->fairness, &slot, target->now);
 }
 
 bool
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -144,7 +144,7 @@
   char *path;
   GPtrArray *headers; /* "Name: value" each */
   GBytes *body;
-  double hint; /* cost in tokens as the caller's request states it */
+  double cost_hint; /* cost in tokens as the caller's request states it */
   bool is_model;
   bool idempotent;
   char *key; /* Idempotency-Key of a call that must not run twice, or NULL */
@@ -259,7 +259,7 @@
 /* Reads the agents from the changed list of instances.  */
 void agents_instances_changed (cfd_router_t *router);
 /* Recomputes which agents serve each service, if agents_changed is set.  */
-void agents_refresh_sets (cfd_router_t *router);
+void agents_refresh_services (cfd_router_t *router);
 /* Whether new work may go to AGENT: to this router's knowledge neither the
    agent, its endpoint nor its availability zone is leaving.  */
 bool agents_accepts_work (const cfd_router_t *router, const agent_t *agent);
@@ -270,6 +270,7 @@
    there is no alternative.  */
 bool agents_is_eligible (const cfd_router_t *router, const agent_t *agent,
                          const request_t *request, cfd_time_t now);
+/* Whether SERVICE has an endpoint.  */
 bool agents_has_endpoint_for (const cfd_router_t *router, const char *service);
 void agents_hold_link (cfd_router_t *router, agent_t *agent);
 /* Releases unused links; returns when the next one can be released.  */
@@ -331,6 +332,7 @@
    announcements and the baseline policy.  */
 void grant_queue_changed (cfd_router_t *router, const char *account,
                           const char *service, cfd_time_t now);
+/* Fills LEFT with the state of the account's queue.  */
 void grant_describe_queue (cfd_router_t *router, const char *account,
                            const char *service, cfd_time_t now,
                            msg_waiting_t *left);
@@ -343,10 +345,11 @@
                    const char *service, cfd_time_t now);
 /* Replaces the charge of the attempt by its actual cost; below 0 the cost is
    unknown and the charge stays.  */
-void grant_correct_charge (request_t *request, double actual, cfd_time_t now);
-/* OUTPUT tokens have been received: raises the charge of a running attempt
+void grant_correct_charge (request_t *request, double actual_tokens,
+                           cfd_time_t now);
+/* OUTPUT_TOKENS have been received: raises the charge of a running attempt
    that exceeds it.  */
-void grant_charge_streamed (request_t *request, uint32_t output,
+void grant_charge_streamed (request_t *request, uint32_t output_tokens,
                             cfd_time_t now);
 void grant_announce (cfd_router_t *router, cfd_time_t now);
 
@@ -379,20 +382,22 @@
 /* The home of an account in this router's view; may be this router.  */
 const char *homes_lookup (cfd_router_t *router, const char *account,
                           const char *service);
-/* Hash of a home's name, and of the name of an account's home; USER is the
-   router.  */
+/* Hash of a home's name.  */
 uint64_t homes_hash (const char *home);
+/* Hash of the name of an account's home; USER is the router.  */
 uint64_t homes_hash_of_account (void *user, const char *account,
                                 const char *service);
-/* PEER is unreachable; PEER is reachable again.  */
+/* PEER is unreachable: excludes it as a home.  */
 void homes_exclude (cfd_router_t *router, router_peer_t *peer, cfd_time_t now);
+/* PEER is reachable again.  */
 void homes_readmit (cfd_router_t *router, router_peer_t *peer, cfd_time_t now);
-/* Before a report to PEER; after one that was sent; after one that was
-   not.  */
+/* Holds the link to PEER, to be called before a report.  */
 void homes_hold_link (cfd_router_t *router, router_peer_t *peer,
                       cfd_time_t now);
+/* A report to PEER was sent.  */
 void homes_report_sent (cfd_router_t *router, router_peer_t *peer,
                         cfd_time_t now);
+/* A report to PEER could not be sent for want of a link.  */
 void homes_report_failed (cfd_router_t *router, router_peer_t *peer,
                           cfd_time_t now);
 void homes_peer_down (cfd_router_t *router, const char *name, cfd_time_t now);
@@ -402,6 +407,8 @@
 /* ---- router-share.c ---- */
 /* Schedules a report after REPORT_DELAY_MS, unless one is scheduled.  */
 void shares_schedule_report (cfd_router_t *router, cfd_time_t now);
+/* Sends the due reports to the homes of accounts and, as a home, the due
+   shares.  */
 void shares_exchange (cfd_router_t *router, cfd_time_t now);
 void shares_handle_report (cfd_router_t *router, const peer_id_t *peer,
                            const msg_report_t *report, cfd_time_t now);
@@ -414,6 +421,7 @@
                              const char *service, unsigned count);
 void baseline_handle_load (cfd_router_t *router, const peer_id_t *peer,
                            const msg_load_t *load);
+/* Assigns waiting requests while agents have free capacity.  */
 void baseline_dispatch (cfd_router_t *router, cfd_time_t now);
 
 /* ---- router-admin.c ---- */
--- a/libcoltsfootdrum/router/router-share.c
+++ b/libcoltsfootdrum/router/router-share.c
@@ -217,11 +217,11 @@
 void
 shares_exchange (cfd_router_t *router, cfd_time_t now)
 {
-  bool is_moved = router->homes_changed;
+  bool homes_were_changed = router->homes_changed;
 
   router->report_at = CFD_TIME_NEVER;
   router->homes_changed = false;
-  if (is_moved)
+  if (homes_were_changed)
     share_mark_moved_due (router->share, now, homes_hash_of_account, router);
   send_all_reports (router, now);
   send_all_shares (router, now);
--- a/libcoltsfootdrum/router/router-step.h
+++ b/libcoltsfootdrum/router/router-step.h
@@ -1,7 +1,7 @@
 /* Request state machine of the router, as one function without side effects.
 
    The run state tells the caller at the end of a request what is known of its
-   effect. "Not run" is reported only if no grant was ever answered with the
+   effect.  "Not run" is reported only if no grant was ever answered with the
    request, or if every agent that received it confirmed that it did not run;
    an agent whose link is lost may be running it at that moment.
 
@@ -96,7 +96,7 @@
                      const req_facts_t *facts);
 
 /* How long the router waits for the request after the loss of its agent's
-   link. FROZEN: the link went silent, and the platform still lists the
+   link.  FROZEN: the link went silent, and the platform still lists the
    agent.  */
 cfd_time_t req_link_wait_ms (req_state_t state, const req_facts_t *facts,
                              bool frozen);
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -127,7 +127,7 @@
   cfd_time_t next;
 
   request_expire_queued (router, now);
-  agents_refresh_sets (router);
+  agents_refresh_services (router);
   next = answer_expire_lost (router, now);
   if (router->report_at <= now)
     shares_exchange (router, now);
--- a/libcoltsfootdrum/router/test-cost.c
+++ b/libcoltsfootdrum/router/test-cost.c
@@ -5,13 +5,13 @@
 static void
 test_learns (void)
 {
-  /* Number, hint and actual cost of past requests, and the expected cost for a
-     hint of 1000.  */
+  /* Number, hint and actual cost of past requests, and the expected cost for
+     a hint of 1000.  */
   static const struct
   {
     unsigned requests;
-    double hint;
-    double actual;
+    double hint_tokens;
+    double actual_tokens;
     double expected;
   } cases[] = {
     { 0, 0, 0, 1000 * COST_RATIO_INITIAL },
@@ -27,7 +27,8 @@
       g_autoptr (cost_t) cost = cost_new ();
 
       for (unsigned j = 0; j < cases[i].requests; j++)
-        cost_update (cost, "a", "s", cases[i].hint, cases[i].actual, 0);
+        cost_update (cost, "a", "s", cases[i].hint_tokens,
+                     cases[i].actual_tokens, 0);
       g_assert_cmpfloat_with_epsilon (cost_estimate (cost, "a", "s", 1000),
                                       cases[i].expected, 0.01);
       g_assert_cmpfloat (cost_estimate (cost, "b", "s", 1000), ==,
