--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -30,7 +30,7 @@
 struct sweep
 {
   plat_t *plat;
-  sweep_setup_t setup;
+  sweep_options_t setup;
   keeper_t *keeper;
   ev_timer timer;
   char *cursor_version; /* of the newest read; NULL: it is not there */
@@ -320,7 +320,7 @@
 /* ---- life ---- */
 
 sweep_t *
-sweep_new (plat_t *plat, const sweep_setup_t *setup)
+sweep_new (plat_t *plat, const sweep_options_t *setup)
 {
   sweep_t *sweep = g_new0 (sweep_t, 1);
 
@@ -354,7 +354,7 @@
 }
 
 sweep_counters_t
-sweep_counters (const sweep_t *sweep)
+sweep_get_counters (const sweep_t *sweep)
 {
   sweep_counters_t counters = { 0 };
 
--- a/libcoltsfootdrum/once/sweep.h
+++ b/libcoltsfootdrum/once/sweep.h
@@ -38,7 +38,7 @@
   /* Whether the claim is of a request that still runs here.  */
   bool (*is_held) (void *user, const char *claim);
   void *user;
-} sweep_setup_t;
+} sweep_options_t;
 
 typedef struct
 {
@@ -50,11 +50,11 @@
 } sweep_counters_t;
 
 /* PLAT must outlive it.  */
-sweep_t *sweep_new (plat_t *plat, const sweep_setup_t *setup);
+sweep_t *sweep_new (plat_t *plat, const sweep_options_t *setup);
 void sweep_free (sweep_t *sweep);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (sweep_t, sweep_free)
 
 /* NULL gives zeros.  */
-sweep_counters_t sweep_counters (const sweep_t *sweep);
+sweep_counters_t sweep_get_counters (const sweep_t *sweep);
 
 #endif
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -122,7 +122,7 @@
   if (request->answer_copy == NULL || !request->answer_copy_complete)
     return;
   request->answer_copy_complete
-      = request->answer_copy->len + length <= ONCE_ANSWER_MAX;
+      = request->answer_copy->len + length <= ONCE_MAX_ANSWER_BYTES;
   if (request->answer_copy_complete)
     g_byte_array_append (request->answer_copy, bytes, length);
 }
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -61,7 +61,7 @@
 /* ---- claims of new requests ---- */
 
 static void
-replay_answer (request_t *request, const once_answer_t *answer)
+replay_answer (request_t *request, const once_claim_result_t *answer)
 {
   static const char *const headers[] = { "Idempotent-Replayed: true", NULL };
 
@@ -80,7 +80,7 @@
 }
 
 static void
-refuse_claim (request_t *request, const once_answer_t *answer)
+refuse_claim (request_t *request, const once_claim_result_t *answer)
 {
   switch (answer->verdict)
     {
@@ -94,14 +94,14 @@
           "known; retry with the same key.",
           RUN_UNKNOWN, CLAIM_RETRY_AFTER_S);
       return;
-    case ONCE_UNKNOWN:
+    case ONCE_OUTCOME_UNKNOWN:
       request_refuse (
           request, REFUSED_CLAIM_CONFLICT, 409, "Outcome unknown",
           "A request with this key was sent to a router that is gone; "
           "check whether it ran before you send it with another key.",
           RUN_UNKNOWN, -1);
       return;
-    case ONCE_MISMATCH:
+    case ONCE_KEY_REUSED:
       request_refuse (
           request, REFUSED_CLAIM_CONFLICT, 422, "Key already used",
           "This Idempotency-Key belongs to another request; choose a new "
@@ -120,7 +120,7 @@
 }
 
 static void
-on_claim (void *user, const once_answer_t *answer)
+on_claim (void *user, const once_claim_result_t *answer)
 {
   request_t *request = user;
 
@@ -131,8 +131,8 @@
       return;
     }
   router_record_event (request->router, TL_CLAIM, request,
-                       answer->verdict == ONCE_MINE ? "made" : "not made");
-  if (answer->verdict == ONCE_MINE)
+                       answer->verdict == ONCE_CLAIMED ? "made" : "not made");
+  if (answer->verdict == ONCE_CLAIMED)
     {
       request->claimed = true;
       request->answer_copy = g_byte_array_new ();
@@ -227,20 +227,20 @@
 {
   const cfd_router_t *router = user;
 
-  return once_holds (router->once, claim);
+  return once_has_running_claim (router->once, claim);
 }
 
 void
 claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_setup_t setup = { .kept_s = settings->claims_kept_s,
-                                .calls = (unsigned)settings->claim_calls,
-                                .routers = count_routers,
-                                .keeps_ages = keeps_claim_ages,
-                                .is_held = is_claim_held,
-                                .user = router };
-
-  once_set_kept (router->once, settings->claims_kept_s);
+  const sweep_options_t setup = { .kept_s = settings->claims_kept_s,
+                                  .calls = (unsigned)settings->claim_calls,
+                                  .routers = count_routers,
+                                  .keeps_ages = keeps_claim_ages,
+                                  .is_held = is_claim_held,
+                                  .user = router };
+
+  once_set_retention_s (router->once, settings->claims_kept_s);
   if (settings->claims_kept_s > 0)
     router->sweep = sweep_new (router->plat, &setup);
 }
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -177,7 +177,8 @@
   bool resume_requested; /* a RESUME for missing data was sent */
   uint64_t resume_requested_offset;
   unsigned premature_ends; /* END messages before the whole answer */
-  GByteArray *answer_copy; /* for the claim, up to ONCE_ANSWER_MAX bytes */
+  GByteArray
+      *answer_copy; /* for the claim, up to ONCE_MAX_ANSWER_BYTES bytes */
   bool answer_copy_complete;
 } request_t;
 
