--- a/libcoltsfootdrum/once/once.c
+++ b/libcoltsfootdrum/once/once.c
@@ -15,7 +15,7 @@
   plat_t *plat;
   char *owner;
   uint64_t attempts;
-  int kept_s;
+  int retention_s;
   GHashTable *held;   /* of held_t by name of the claim */
   list_node_t asking; /* of claim_t */
   once_jobs_t jobs;
@@ -80,23 +80,23 @@
   g_free (claim);
 }
 
-/* ---- the verdict ---- */
+/* ---- the claim_status ---- */
 
 static void
 conclude (claim_t *claim, const once_claim_result_t *answer)
 {
   once_t *once = claim->once;
 
-  if (answer->verdict != ONCE_CLAIMED && claim->in_doubt)
+  if (answer->claim_status != ONCE_CLAIMED && claim->in_doubt)
     once_jobs_add (&once->jobs, claim->name, claim->attempt, NULL, NULL);
   claim->done (claim->user, answer);
   claim_free (claim);
 }
 
 static void
-conclude_plain (claim_t *claim, once_claim_status_t verdict)
+conclude_plain (claim_t *claim, once_claim_status_t claim_status)
 {
-  once_claim_result_t answer = { .verdict = verdict };
+  once_claim_result_t answer = { .claim_status = claim_status };
 
   conclude (claim, &answer);
 }
@@ -116,7 +116,7 @@
 static void
 is_finished (claim_t *claim, JsonObject *spec)
 {
-  once_claim_result_t answer = { .verdict = ONCE_FINISHED };
+  once_claim_result_t answer = { .claim_status = ONCE_FINISHED };
 
   answer.status = (unsigned)json_object_get_int_member_with_default (
       spec, "status", 200);
@@ -228,8 +228,8 @@
   json_object_set_string_member (claim->spec, "attempt", claim->attempt);
   json_object_set_string_member (claim->spec, "digest", digest);
   json_object_set_string_member (claim->spec, "state", ONCE_STATE_RUNNING);
-  if (once->kept_s > 0)
-    json_object_set_int_member (claim->spec, "kept_s", once->kept_s);
+  if (once->retention_s > 0)
+    json_object_set_int_member (claim->spec, "kept_s", once->retention_s);
   list_append (&once->asking, &claim->node);
   try_claim (claim);
 }
@@ -286,9 +286,9 @@
 }
 
 void
-once_set_retention_s (once_t *once, int kept_s)
+once_set_retention_s (once_t *once, int retention_s)
 {
-  once->kept_s = kept_s;
+  once->retention_s = retention_s;
 }
 
 bool
--- a/libcoltsfootdrum/once/once.h
+++ b/libcoltsfootdrum/once/once.h
@@ -6,7 +6,7 @@
 
    A claim whose holder is gone stays RUNNING: nobody knows whether the request
    ran, so nobody may run it again.  An operator who knows deletes the claim;
-   else it is settled as UNKNOWN when its time is over (once/sweep.h).
+   else it is marked_unknown as UNKNOWN when its time is over (once/sweep.h).
 
    Any answer of the platform can be lost after the write took effect.  So each
    claim carries the name of its attempt: whoever reads it back sees whether
@@ -36,7 +36,7 @@
 
 typedef struct
 {
-  once_claim_status_t verdict;
+  once_claim_status_t claim_status;
   unsigned status;
   const char *type;
   const char *body; /* NULL when it was too large to keep, or no text */
@@ -50,7 +50,7 @@
 
 /* Claims made from now on say that they are kept for so long after their last
    write; 0: they do not say.  */
-void once_set_retention_s (once_t *once, int kept_s);
+void once_set_retention_s (once_t *once, int retention_s);
 
 /* DIGEST identifies the request's content (method, path, body).  */
 void once_claim (once_t *once, const char *account, const char *key,
--- a/libcoltsfootdrum/once/test-once-random.c
+++ b/libcoltsfootdrum/once/test-once-random.c
@@ -58,7 +58,7 @@
   claim_key_t *key = ask->key;
 
   ask->world->answered++;
-  switch (answer->verdict)
+  switch (answer->claim_status)
     {
     case ONCE_CLAIMED:
       hold (ask);
--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   unsigned done;
-  once_claim_status_t verdict;
+  once_claim_status_t claim_status;
   unsigned status;
   char *type;
   char *body;
@@ -56,7 +56,7 @@
   result_t *result = user;
 
   result->done++;
-  result->verdict = answer->verdict;
+  result->claim_status = answer->claim_status;
   result->status = answer->status;
   result->type = g_strdup (answer->type);
   result->body = g_strdup (answer->body);
@@ -75,7 +75,7 @@
   once_claim (once, "mill", key, digest, on_claim, &f->result);
   g_assert_cmpuint (f->result.done, ==, 0);
   sp_test_run (&f->test, is_done, &f->result);
-  return f->result.verdict;
+  return f->result.claim_status;
 }
 
 static once_claim_status_t
@@ -167,21 +167,21 @@
   once_claim (f->other, "mill", "key", "d", on_claim, &f->other_result);
   sp_test_run (&f->test, is_done, &f->result);
   sp_test_run (&f->test, is_done, &f->other_result);
-  mine = (f->result.verdict == ONCE_CLAIMED)
-         + (f->other_result.verdict == ONCE_CLAIMED);
+  mine = (f->result.claim_status == ONCE_CLAIMED)
+         + (f->other_result.claim_status == ONCE_CLAIMED);
   g_assert_cmpuint (mine, ==, 1);
-  g_assert_true (f->result.verdict == ONCE_RUNNING
-                 || f->other_result.verdict == ONCE_RUNNING);
+  g_assert_true (f->result.claim_status == ONCE_RUNNING
+                 || f->other_result.claim_status == ONCE_RUNNING);
 }
 
-/* The verdict of a claim under a fault, and of another router's claim after
-   the fault is over and all is settled.  */
+/* The claim_status of a claim under a fault, and of another router's claim
+   after the fault is over and all is marked_unknown.  */
 static const struct
 {
   const char *name;
   sp_mode_t mode;
   bool held; /* the other router holds the claim */
-  once_claim_status_t verdict;
+  once_claim_status_t claim_status;
   once_claim_status_t after;
 } faults[] = {
   /* The write took effect and its answer was lost: the read tells whose.  */
@@ -210,7 +210,7 @@
     g_assert_cmpint (claim (&f, f.other, "d"), ==, ONCE_CLAIMED);
   if (faults[i].mode != SP_STALE)
     sp_fault (f.test.sp, faults[i].mode, 20, 0);
-  g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].verdict);
+  g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].claim_status);
   sp_fault (f.test.sp, SP_UP, 0, 0);
   settle (&f);
   g_assert_cmpint (claim (&f, f.other, "d"), ==, faults[i].after);
@@ -234,7 +234,7 @@
   sp_test_run (&f->test, has_put, f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   sp_test_run (&f->test, is_done, &f->result);
-  g_assert_cmpint (f->result.verdict, ==, ONCE_PLATFORM_DOWN);
+  g_assert_cmpint (f->result.claim_status, ==, ONCE_PLATFORM_DOWN);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
   sp_fault (f->test.sp, SP_UP, 0, 0);
   settle (f);
--- a/libcoltsfootdrum/once/test-sweep.c
+++ b/libcoltsfootdrum/once/test-sweep.c
@@ -22,9 +22,9 @@
   sp_test_t test;
   once_t *router;
   sweep_t *sweeps[SWEEPERS];
-  bool keeps_ages[SWEEPERS];
+  bool is_age_writer[SWEEPERS];
   unsigned answered;
-  once_claim_status_t verdict;
+  once_claim_status_t claim_status;
 } fixture_t;
 
 static unsigned
@@ -34,7 +34,7 @@
 }
 
 static bool
-keeps_ages (void *user)
+is_age_writer (void *user)
 {
   return *(bool *)user;
 }
@@ -48,12 +48,12 @@
 static void
 begin_sweep (fixture_t *f, int i, unsigned calls)
 {
-  const sweep_options_t setup = { .kept_s = KEPT_S,
+  const sweep_options_t setup = { .retention_s = KEPT_S,
                                   .calls = calls,
                                   .routers = two_routers,
-                                  .keeps_ages = keeps_ages,
-                                  .is_held = holds_none,
-                                  .user = &f->keeps_ages[i] };
+                                  .is_age_writer = is_age_writer,
+                                  .is_claim_running = holds_none,
+                                  .user = &f->is_age_writer[i] };
 
   f->sweeps[i] = sweep_new (f->test.plat, &setup);
 }
@@ -64,7 +64,7 @@
   sp_test_begin (&f->test);
   f->router = once_new (f->test.plat, "router-1");
   once_set_retention_s (f->router, KEPT_S);
-  f->keeps_ages[0] = true;
+  f->is_age_writer[0] = true;
 }
 
 static void
@@ -82,7 +82,7 @@
   fixture_t *f = user;
 
   f->answered++;
-  f->verdict = answer->verdict;
+  f->claim_status = answer->claim_status;
 }
 
 static bool
@@ -99,15 +99,15 @@
   f->answered = 0;
   once_claim (f->router, "mill", key, "d", on_claim, f);
   sp_test_run (&f->test, is_settled, f);
-  return f->verdict;
+  return f->claim_status;
 }
 
 static void
-expect_claim (fixture_t *f, const char *key, once_claim_status_t verdict)
+expect_claim (fixture_t *f, const char *key, once_claim_status_t claim_status)
 {
   once_claim_status_t got = claim (f, key);
 
-  g_assert_cmpint (got, ==, verdict);
+  g_assert_cmpint (got, ==, claim_status);
 }
 
 static void
@@ -199,7 +199,7 @@
      claim goes once, none before its time, and all go.  */
   cfd_time_t begun = clock_now ();
 
-  f->keeps_ages[1] = true;
+  f->is_age_writer[1] = true;
   begin_sweep (f, 0, FAST);
   begin_sweep (f, 1, FAST);
   fill (f, CLAIMS);
@@ -225,7 +225,7 @@
   sweep_counters_t counters
       = sweep_get_counters (((fixture_t *)user)->sweeps[0]);
 
-  return counters.spared + counters.removed > 0;
+  return counters.skipped_changed + counters.removed > 0;
 }
 
 static void
@@ -306,7 +306,7 @@
   sp_test_run (&f->test, is_unknown, f);
   expect_claim (f, "key-0", ONCE_OUTCOME_UNKNOWN);
   sp_test_run (&f->test, is_removed, f);
-  g_assert_cmpuint (sweep_get_counters (f->sweeps[0]).settled, ==, 1);
+  g_assert_cmpuint (sweep_get_counters (f->sweeps[0]).marked_unknown, ==, 1);
 }
 
 static void
@@ -348,7 +348,7 @@
   cfd_time_t finished[KEYS] = { 0 };
   unsigned runs = 0;
 
-  f->keeps_ages[1] = true;
+  f->is_age_writer[1] = true;
   begin_sweep (f, 0, FAST);
   begin_sweep (f, 1, FAST);
   for (unsigned i = 0; i < ROUNDS || runs < 2 * KEYS; i++)
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -82,7 +82,7 @@
 static void
 refuse_claim (request_t *request, const once_claim_result_t *answer)
 {
-  switch (answer->verdict)
+  switch (answer->claim_status)
     {
     case ONCE_FINISHED:
       replay_answer (request, answer);
@@ -131,8 +131,9 @@
       return;
     }
   router_record_event (request->router, TL_CLAIM, request,
-                       answer->verdict == ONCE_CLAIMED ? "made" : "not made");
-  if (answer->verdict == ONCE_CLAIMED)
+                       answer->claim_status == ONCE_CLAIMED ? "made"
+                                                            : "not made");
+  if (answer->claim_status == ONCE_CLAIMED)
     {
       request->claimed = true;
       request->answer_copy = g_byte_array_new ();
@@ -233,11 +234,11 @@
 void
 claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_options_t setup = { .kept_s = settings->claims_kept_s,
+  const sweep_options_t setup = { .retention_s = settings->claims_kept_s,
                                   .calls = (unsigned)settings->claim_calls,
                                   .routers = count_routers,
-                                  .keeps_ages = keeps_claim_ages,
-                                  .is_held = is_claim_held,
+                                  .is_age_writer = keeps_claim_ages,
+                                  .is_claim_running = is_claim_held,
                                   .user = router };
 
   once_set_retention_s (router->once, settings->claims_kept_s);
