--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -206,7 +206,7 @@
 #define CLAIM_AGES_KEY "claim-sweep"
 
 static unsigned
-count_routers (void *user)
+count_listed_routers (void *user)
 {
   const cfd_router_t *router = user;
 
@@ -236,7 +236,7 @@
 {
   const sweep_options_t setup = { .retention_s = settings->claims_kept_s,
                                   .calls = (unsigned)settings->claim_calls,
-                                  .routers = count_routers,
+                                  .routers = count_listed_routers,
                                   .is_age_writer = keeps_claim_ages,
                                   .is_claim_running = is_claim_held,
                                   .user = router };
