--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -203,7 +203,7 @@
 /* ---- removal of expired claims ---- */
 
 /* The key whose home is the router that keeps the ages of claims.  */
-#define CLAIM_AGES_KEY "claim-sweep"
+#define CLAIM_AGE_WRITER_KEY "claim-sweep"
 
 static unsigned
 count_listed_routers (void *user)
@@ -214,17 +214,17 @@
 }
 
 static bool
-keeps_claim_ages (void *user)
+is_claim_age_writer (void *user)
 {
   const cfd_router_t *router = user;
   const char *home
-      = store_home (router->store, CLAIM_AGES_KEY, "", NULL, NULL);
+      = store_home (router->store, CLAIM_AGE_WRITER_KEY, "", NULL, NULL);
 
   return g_strcmp0 (home, router->instance) == 0;
 }
 
 static bool
-is_claim_held (void *user, const char *claim)
+has_running_claim (void *user, const char *claim)
 {
   const cfd_router_t *router = user;
 
@@ -234,14 +234,14 @@
 void
 claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_options_t setup = { .retention_s = settings->claims_kept_s,
-                                  .calls = (unsigned)settings->claim_calls,
-                                  .routers = count_listed_routers,
-                                  .is_age_writer = keeps_claim_ages,
-                                  .is_claim_running = is_claim_held,
-                                  .user = router };
+  const sweep_options_t options = { .retention_s = settings->claims_kept_s,
+                                    .calls = (unsigned)settings->claim_calls,
+                                    .routers = count_listed_routers,
+                                    .is_age_writer = is_claim_age_writer,
+                                    .is_claim_running = has_running_claim,
+                                    .user = router };
 
   once_set_retention_s (router->once, settings->claims_kept_s);
   if (settings->claims_kept_s > 0)
-    router->sweep = sweep_new (router->plat, &setup);
+    router->sweep = sweep_new (router->plat, &options);
 }
