--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -83,7 +83,7 @@
   agent->leaving = instance->leaving;
   g_free (agent->host);
   agent->host = parse_host (instance->address);
-  peer_hub_address (router->hub, instance->name, instance->address);
+  peer_hub_set_address (router->hub, instance->name, instance->address);
 }
 
 /* Removes agents that are neither listed nor in use.  */
@@ -101,7 +101,7 @@
       if (agent->listed || agent->up || agent->in_flight > 0
           || agent->link_held)
         continue;
-      peer_hub_address (router->hub, agent->name, "");
+      peer_hub_set_address (router->hub, agent->name, "");
       g_hash_table_iter_remove (&iter);
     }
 }
@@ -109,7 +109,7 @@
 void
 agents_instances_changed (cfd_router_t *router)
 {
-  GPtrArray *instances = store_instances (router->store, ROLE_AGENT);
+  GPtrArray *instances = store_get_instances (router->store, ROLE_AGENT);
   GHashTableIter iter;
   gpointer value;
 
@@ -181,7 +181,7 @@
   if (agent->leaving)
     return false;
   return agent->zone == NULL
-         || !store_zone_is_out (router->store, agent->zone);
+         || !store_is_zone_out (router->store, agent->zone);
 }
 
 static bool
@@ -216,7 +216,7 @@
   g_autoptr (GHashTable) hosts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   endpoints_t endpoints = { router, hosts };
-  GPtrArray *instances = store_instances (router->store, ROLE_AGENT);
+  GPtrArray *instances = store_get_instances (router->store, ROLE_AGENT);
   GHashTableIter iter;
   gpointer value;
 
@@ -231,11 +231,11 @@
           = instance->leaving;
     }
   g_hash_table_remove_all (router->served_services);
-  store_each (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
+  store_foreach (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     infer_service (value, hosts);
-  store_each (router->store, REC_SERVICE, refresh_service_agents, router);
+  store_foreach (router->store, REC_SERVICE, refresh_service_agents, router);
 }
 
 static bool
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -348,7 +348,7 @@
 {
   peer_counters_t counters;
 
-  peer_hub_counters (router->hub, &counters);
+  peer_hub_get_counters (router->hub, &counters);
   if (counters.silences > router->seen_silences)
     router->last_silence_at = now;
   router->seen_silences = counters.silences;
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -210,15 +210,15 @@
 {
   const cfd_router_t *router = user;
 
-  return store_instances (router->store, ROLE_ROUTER)->len;
+  return store_get_instances (router->store, ROLE_ROUTER)->len;
 }
 
 static bool
 is_claim_age_writer (void *user)
 {
   const cfd_router_t *router = user;
-  const char *home
-      = store_home (router->store, CLAIM_AGE_WRITER_KEY, "", NULL, NULL);
+  const char *home = store_find_home_router (
+      router->store, CLAIM_AGE_WRITER_KEY, "", NULL, NULL);
 
   return g_strcmp0 (home, router->instance) == 0;
 }
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -1,10 +1,11 @@
 /* Exchange of configuration changes with peers.
 
-   In a fleet of up to SPREAD_ALL every node watches the platform, and a frame
-   of a peer with a newer revision makes the router ask that peer.  In a larger
-   fleet the distribution tree of spread-tree.h determines in addition whom to
-   notify and whom to ask.  Both are a CONFIG_ASK: its frame carries the
-   sender's revision, so that whichever side is behind learns of it.  */
+   In a fleet of up to SPREAD_SMALL_FLEET_INSTANCES every node watches the
+   platform, and a frame of a peer with a newer revision makes the router ask
+   that peer.  In a larger fleet the distribution tree of spread-tree.h
+   determines in addition whom to notify and whom to ask.  Both are a
+   CONFIG_ASK: its frame carries the sender's revision, so that whichever side
+   is behind learns of it.  */
 
 #include "router/router-private.h"
 
@@ -20,7 +21,7 @@
 #define PENALTY_NO_ANSWER 2u
 #define PENALTY_STALE 1u
 /* Each agent is notified at least once in this time: a link without use is
-   closed after PEER_IDLE_MS, and an agent without a link gets no
+   closed after PEER_IDLE_TIMEOUT_MS, and an agent without a link gets no
    notifications.  */
 #define NOTIFY_ROUND_S 20u
 
@@ -44,7 +45,8 @@
 static void
 ask_chosen_router (cfd_router_t *router)
 {
-  const char *name = spread_tree_ask (router->tree, router->ask_choice);
+  const char *name
+      = spread_tree_choose_source (router->tree, router->ask_choice);
 
   clear_asked_router (router);
   if (name == NULL)
@@ -73,8 +75,8 @@
 conf_observe_revision (cfd_router_t *router, const peer_id_t *peer,
                        uint64_t revision, cfd_time_t now)
 {
-  store_heard_of (router->store, revision, now);
-  if (revision <= store_revision (router->store)
+  store_record_peer_revision (router->store, revision, now);
+  if (revision <= store_get_revision (router->store)
       || (revision <= router->requested_revision
           && now - router->requested_at < ASK_INTERVAL_MS))
     return;
@@ -96,11 +98,11 @@
 
   if (g_strcmp0 (router->asked_router, peer->instance) == 0)
     clear_asked_router (router);
-  is_newer = store_take_part (router->store, part, now);
-  store_heard_of (router->store, revision, now);
+  is_newer = store_apply_part (router->store, part, now);
+  store_record_peer_revision (router->store, revision, now);
   /* This was one part of several: ask for the next one at once, instead of
      with a later frame.  */
-  if (is_newer && store_revision (router->store) < revision)
+  if (is_newer && store_get_revision (router->store) < revision)
     (void)send_ask (router, peer->instance);
 }
 
@@ -128,24 +130,24 @@
 void
 conf_announce_revision (cfd_router_t *router)
 {
-  if (!store_learns_from_peers (router->store))
+  if (!store_is_fleet_large (router->store))
     return;
-  notify_all (router, spread_tree_routers (router->tree));
-  notify_all (router, spread_tree_agents (router->tree));
+  notify_all (router, spread_tree_get_child_routers (router->tree));
+  notify_all (router, spread_tree_get_child_agents (router->tree));
 }
 
 /* Notifies a peer that had no link when the revision increased.  */
 void
 conf_peer_up (cfd_router_t *router, const peer_id_t *peer)
 {
-  if (store_learns_from_peers (router->store))
+  if (store_is_fleet_large (router->store))
     (void)send_ask (router, peer->instance);
 }
 
 static void
 notify_some_agents (cfd_router_t *router)
 {
-  const GPtrArray *agents = spread_tree_agents (router->tree);
+  const GPtrArray *agents = spread_tree_get_child_agents (router->tree);
   unsigned count = (agents->len + NOTIFY_ROUND_S - 1) / NOTIFY_ROUND_S;
 
   for (unsigned i = 0; i < count; i++)
@@ -158,8 +160,8 @@
 static void
 notify_witnessed_agents (cfd_router_t *router)
 {
-  const GPtrArray *routers = store_instances (router->store, ROLE_ROUTER);
-  const GPtrArray *agents = store_instances (router->store, ROLE_AGENT);
+  const GPtrArray *routers = store_get_instances (router->store, ROLE_ROUTER);
+  const GPtrArray *agents = store_get_instances (router->store, ROLE_AGENT);
 
   for (guint i = 0; i < agents->len; i++)
     {
@@ -167,7 +169,7 @@
       const agent_t *agent = agents_find (router, listed->name);
 
       if ((agent == NULL || !agent->up)
-          && witness_is (routers, router->instance, listed->name))
+          && witness_is_selected (routers, router->instance, listed->name))
         (void)send_ask (router, listed->name);
     }
 }
@@ -177,13 +179,13 @@
 void
 conf_run_periodic (cfd_router_t *router, cfd_time_t now)
 {
-  if (store_wants_word (router->store, now))
+  if (store_should_ask_peer (router->store, now))
     ask_for_revision (router);
   else
     router->ask_penalty = 0;
-  if (store_learns_from_peers (router->store))
+  if (store_is_fleet_large (router->store))
     notify_some_agents (router);
-  if (!store_platform_is_up (router->store))
+  if (!store_is_platform_up (router->store))
     notify_witnessed_agents (router);
 }
 
@@ -191,9 +193,9 @@
 conf_instances_changed (cfd_router_t *router)
 {
   spread_tree_free (router->tree);
-  router->tree = spread_tree_new (store_instances (router->store, ROLE_ROUTER),
-                                  store_instances (router->store, ROLE_AGENT),
-                                  router->instance);
+  router->tree = spread_tree_new (
+      store_get_instances (router->store, ROLE_ROUTER),
+      store_get_instances (router->store, ROLE_AGENT), router->instance);
   router->ask_choice = 0;
   router->ask_penalty = 0;
   clear_asked_router (router);
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -33,7 +33,8 @@
 
   if (header != NULL
       && g_ascii_strncasecmp (header, scheme, sizeof scheme - 1) == 0)
-    account = store_account_by_key (router->store, header + sizeof scheme - 1);
+    account = store_find_account_by_key (router->store,
+                                         header + sizeof scheme - 1);
   if (account == NULL)
     refuse (router, web, REFUSED_UNKNOWN_KEY, 401, "Unknown key",
             "Send \"Authorization: Bearer KEY\" with a key of a client "
@@ -173,8 +174,8 @@
 {
   return call->is_model
          || (is_unambiguous_path (call->path)
-             && rec_service_idempotent (&service->u.service, method,
-                                        call->path));
+             && rec_service_is_idempotent (&service->u.service, method,
+                                           call->path));
 }
 
 /* Creates and starts a request that passed all checks.  */
@@ -204,7 +205,7 @@
                            ? cost_estimate (router->cost, account->name,
                                             service->name, call->cost)
                            : call->cost;
-  request->item.class_rank = rec_service_class (
+  request->item.class_rank = rec_service_get_class_rank (
       &service->u.service, web_header (web, "X-Request-Class"));
   if (!request->idempotent)
     request->key = g_strdup (web_header (web, "Idempotency-Key"));
@@ -296,7 +297,7 @@
 
   router->counters.requests++;
   web_set_header (web, "X-Request-Id", name);
-  if (store_revision (router->store) == 0)
+  if (store_get_revision (router->store) == 0)
     refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; retry later.",
             CONFIG_RETRY_AFTER_S);
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -68,8 +68,8 @@
     return REACH_DIALLING;
   router->counters.announces++;
   router->counters.announced_entries += announcement->count;
-  return peer_hub_is_quiet (router->hub, name, now) ? REACH_UNRESPONSIVE
-                                                    : REACH_SENT;
+  return peer_hub_is_unresponsive (router->hub, name, now) ? REACH_UNRESPONSIVE
+                                                           : REACH_SENT;
 }
 
 void
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -232,7 +232,7 @@
   uint64_t requested_revision; /* newest revision that a peer was asked for */
   cfd_time_t requested_at;
   char *asked_router;   /* router that was asked and has not answered */
-  unsigned ask_choice;  /* argument of spread_tree_ask */
+  unsigned ask_choice;  /* argument of spread_tree_choose_source */
   unsigned ask_penalty; /* of the present choice; see MAX_ASK_PENALTY */
   unsigned next_notified_agent; /* position in the round of agents to notify */
 
