--- a/libcoltsfootdrum/config/store-part.c
+++ b/libcoltsfootdrum/config/store-part.c
@@ -36,7 +36,7 @@
   if (revision <= store->revision)
     return;
   store_drop_absent (store, present, revision, now);
-  store->deletions_from = revision;
+  store->deletions_known_from = revision;
 }
 
 static void
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -424,7 +424,7 @@
   store->heard = CFD_TIME_NEVER;
   store->keeps_accounts = true;
   store->schema_newest = REC_SCHEMA_NEWEST;
-  store->piece_records = STORE_PIECE_RECORDS;
+  store->max_piece_records = STORE_PIECE_RECORDS;
   store->state_records = STORE_STATE_RECORDS;
   for (int kind = 0; kind < STORE_KINDS; kind++)
     store->entries[kind]
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -188,7 +188,7 @@
   take_list (store, model);
   take_list (peer, model);
   take (store, "{\"revision\":99999,\"objects\":[]}", true);
-  store->deletions_from = 0; /* as if it had seen each one go */
+  store->deletions_known_from = 0; /* as if it had seen each one go */
   for (unsigned i = 0; i < 40; i++)
     take_part (peer, store, store_get_revision (peer));
   g_assert_cmpuint (store_get_revision (peer), ==, 99999);
--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -33,7 +33,7 @@
 {
   store_t *store = store_new (NULL, NULL, NULL);
 
-  store->piece_records = PIECE;
+  store->max_piece_records = PIECE;
   take_list (store, model);
   return store;
 }
