--- a/libcoltsfootdrum/agent/agent-reader.c
+++ b/libcoltsfootdrum/agent/agent-reader.c
@@ -186,7 +186,7 @@
   run_t *run = user;
 
   run->fetch = NULL;
-  if (result == FETCH_ANSWERED)
+  if (result == FETCH_COMPLETE)
     {
       run_attach_again (run);
       return;
--- a/libcoltsfootdrum/http/fetch-easy.c
+++ b/libcoltsfootdrum/http/fetch-easy.c
@@ -72,8 +72,10 @@
   curl_easy_setopt (easy, CURLOPT_HTTP09_ALLOWED, 0L);
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, (long)connect_ms);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)request->total_ms);
-  curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, (long)!request->repeatable);
-  curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, (long)!request->repeatable);
+  curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT,
+                    (long)!request->reuse_connection);
+  curl_easy_setopt (easy, CURLOPT_FORBID_REUSE,
+                    (long)!request->reuse_connection);
   set_method (easy, request);
   return set_headers (easy, request->headers);
 }
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -110,14 +110,14 @@
 result_of (fetch_t *fetch, CURLcode code)
 {
   if (code == CURLE_OK && fetch->has_head)
-    return FETCH_ANSWERED;
+    return FETCH_COMPLETE;
   if (fetch->withheld)
-    return FETCH_WITHHELD;
+    return FETCH_SEND_DENIED;
   if (!may_be_sent (fetch, code))
-    return FETCH_UNREACHED;
+    return FETCH_CONNECT_FAILED;
   if (code == CURLE_OPERATION_TIMEDOUT)
     return FETCH_TIMEOUT;
-  return FETCH_BROKEN;
+  return FETCH_INCOMPLETE;
 }
 
 static const char *
--- a/libcoltsfootdrum/relay/test-ent.c
+++ b/libcoltsfootdrum/relay/test-ent.c
@@ -61,7 +61,7 @@
 
   for (unsigned i = 0; i < BURST; i++)
     {
-      fds[i] = addr_dial (&scene->address);
+      fds[i] = addr_connect (&scene->address);
       g_assert_cmpint (fds[i], >=, 0);
       made += send (fds[i], "", 0, MSG_NOSIGNAL) == 0;
     }
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -72,7 +72,7 @@
     web_respond (request->web, answer->status, answer->type, headers,
                  answer->body, strlen (answer->body));
   else
-    web_problem (
+    web_respond_problem (
         request->web, 409, "Already completed",
         "The request with this key was run; its answer could not be stored.",
         "unknown", -1);
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -18,9 +18,9 @@
         int retry_after_s)
 {
   router->counters.refused[reason]++;
-  tl_add (router->ring, TL_REFUSE, NULL, NULL, NULL, web_header_set (web),
-          title);
-  web_problem (web, status, title, detail, "not-run", retry_after_s);
+  tl_add (router->ring, TL_REFUSE, NULL, NULL, NULL,
+          web_get_response_header (web), title);
+  web_respond_problem (web, status, title, detail, "not-run", retry_after_s);
 }
 
 /* Returns the account of the caller's key, or NULL after a refusal.  */
@@ -187,7 +187,7 @@
   request_t *request;
   header_filter_t filter = { g_ptr_array_new_with_free_func (g_free), false };
 
-  web_each_header (web, add_forwarded_header, &filter);
+  web_foreach_header (web, add_forwarded_header, &filter);
   if (filter.too_many)
     {
       g_ptr_array_unref (filter.headers);
@@ -296,7 +296,7 @@
   g_autofree char *name = router_new_request_id (router);
 
   router->counters.requests++;
-  web_set_header (web, "X-Request-Id", name);
+  web_set_response_header (web, "X-Request-Id", name);
   if (store_get_revision (router->store) == 0)
     refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; retry later.",
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -94,7 +94,7 @@
 has_work (const cfd_router_t *router)
 {
   return !list_is_empty (&router->all_requests)
-         || web_server_active (router->web) > 0
+         || web_server_count_active (router->web) > 0
          || once_count_pending_writes (router->once) > 0;
 }
 
@@ -116,7 +116,7 @@
   if (now - router->idle_since < DRAIN_IDLE_MS && now < router->drain_until)
     return;
   log_info ("router", "Shutdown complete: left=%u.",
-            web_server_active (router->web));
+            web_server_count_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
 }
 
@@ -304,7 +304,7 @@
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_limit_bodies (router->web, MAX_BODIES_BYTES);
+  web_server_set_max_body_bytes (router->web, MAX_BODIES_BYTES);
   return true;
 }
 
--- a/libcoltsfootdrum/router/test-router.c
+++ b/libcoltsfootdrum/router/test-router.c
@@ -413,7 +413,7 @@
   call_t call;
   fake_agent_t *agent = REGISTER (&fixture);
 
-  clock_set_wall (jumping_wall_ms);
+  clock_set_wall_source (jumping_wall_ms);
   fixture_begin (&fixture);
   call_post_register (&fixture, &call);
   g_autofree char *request = agent_await_assignment (agent, 1);
@@ -433,7 +433,7 @@
   g_assert_cmpint (clock_now () - asked, >=, 900);
   call_end (&call);
   fixture_end (&fixture);
-  clock_set_wall (NULL);
+  clock_set_wall_source (NULL);
 }
 
 int
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -104,7 +104,7 @@
   g_autoptr (JsonNode) root = NULL;
 
   endpoint->asked = false;
-  if (result == FETCH_ANSWERED && status == 200)
+  if (result == FETCH_COMPLETE && status == 200)
     root = json_from_string (body, NULL);
   if (root != NULL && JSON_NODE_HOLDS_OBJECT (root))
     take_counters (endpoint, json_node_get_object (root));
