--- a/libcoltsfootdrum/agent/agent-settle.c
+++ b/libcoltsfootdrum/agent/agent-settle.c
@@ -75,7 +75,7 @@
 settle_tick (cfd_agent_t *agent, cfd_time_t now)
 {
   g_autofree char *url = NULL;
-  fetch_request_t request = { .method = "GET", .total_ms = ANSWER_MS };
+  fetch_request_t request = { .method = "GET", .total_timeout_ms = ANSWER_MS };
 
   if (!agent->settling || !agent->has_endpoint || !agent->has_service)
     return;
--- a/libcoltsfootdrum/ctl/ctl-call.c
+++ b/libcoltsfootdrum/ctl/ctl-call.c
@@ -127,7 +127,7 @@
   fetch_request_t request = {
     .method = "GET",
     .url = url,
-    .total_ms = (unsigned)pages->ctl->timeout_s * 1000,
+    .total_timeout_ms = (unsigned)pages->ctl->timeout_s * 1000,
     .done = on_page,
     .user = page,
   };
--- a/libcoltsfootdrum/http/fetch.h
+++ b/libcoltsfootdrum/http/fetch.h
@@ -29,9 +29,9 @@
   const char *const *headers; /* NULL or NULL-ended "Name: value" */
   const void *body;           /* copied */
   size_t body_length;
-  unsigned connect_ms;   /* 0: 1000 */
-  unsigned total_ms;     /* 0: no limit */
-  unsigned silence_ms;   /* 0: none; no byte for so long is a timeout */
+  unsigned connect_timeout_ms; /* 0: 1000 */
+  unsigned total_timeout_ms;   /* 0: no limit */
+  unsigned idle_timeout_ms;    /* 0: none; no byte for so long is a timeout */
   bool reuse_connection; /* may use a kept connection: libcurl sends again by
                       itself when that turns out to be closed */
 
--- a/libcoltsfootdrum/http/test-fetch.c
+++ b/libcoltsfootdrum/http/test-fetch.c
@@ -174,13 +174,13 @@
 }
 
 static fetch_request_t
-request_of (fixture_t *f, const char *method, unsigned total_ms,
-            unsigned silence_ms)
+request_of (fixture_t *f, const char *method, unsigned total_timeout_ms,
+            unsigned idle_timeout_ms)
 {
   return (fetch_request_t){ .method = method,
                             .url = f->url,
-                            .total_ms = total_ms,
-                            .silence_ms = silence_ms,
+                            .total_timeout_ms = total_timeout_ms,
+                            .idle_timeout_ms = idle_timeout_ms,
                             .head = on_head,
                             .data = on_data,
                             .done = on_done,
@@ -188,10 +188,11 @@
 }
 
 static void
-start (fixture_t *f, const char *method, unsigned total_ms,
-       unsigned silence_ms)
+start (fixture_t *f, const char *method, unsigned total_timeout_ms,
+       unsigned idle_timeout_ms)
 {
-  fetch_request_t request = request_of (f, method, total_ms, silence_ms);
+  fetch_request_t request
+      = request_of (f, method, total_timeout_ms, idle_timeout_ms);
 
   f->fetch = fetch_start (f->pool, &request);
 }
@@ -221,7 +222,7 @@
 {
   const char *script;
   after_t after;
-  unsigned total_ms, silence_ms;
+  unsigned total_timeout_ms, idle_timeout_ms;
   fetch_result_t result;
   unsigned status;
   const char *body;
@@ -257,7 +258,7 @@
       f->after = rows[i].after;
       f->heads = 0;
       g_string_truncate (f->body, 0);
-      start (f, "POST", rows[i].total_ms, rows[i].silence_ms);
+      start (f, "POST", rows[i].total_timeout_ms, rows[i].idle_timeout_ms);
       g_assert_cmpuint (f->dones, ==, i);
       run_until (f, &f->dones, i + 1);
       g_assert_cmpint (f->result, ==, rows[i].result);
--- a/libcoltsfootdrum/platform/plat.c
+++ b/libcoltsfootdrum/platform/plat.c
@@ -110,9 +110,9 @@
   call->is_list = is_list;
   call->is_write = is_write;
   request->url = url;
-  request->connect_ms = CONNECT_MS;
-  if (request->total_ms == 0)
-    request->total_ms = is_write ? WRITE_MS : READ_MS;
+  request->connect_timeout_ms = CONNECT_MS;
+  if (request->total_timeout_ms == 0)
+    request->total_timeout_ms = is_write ? WRITE_MS : READ_MS;
   request->reuse_connection = !is_write;
   request->done = on_done;
   request->user = call;
@@ -279,7 +279,7 @@
             void *user)
 {
   fetch_request_t request
-      = { .method = "GET", .total_ms = wait_ms + WATCH_SLACK_MS };
+      = { .method = "GET", .total_timeout_ms = wait_ms + WATCH_SLACK_MS };
 
   send (plat, &request,
         g_strdup_printf ("/v1/watch?after=%" G_GUINT64_FORMAT
@@ -291,7 +291,8 @@
 void
 plat_list_instances (plat_t *plat, plat_done_t done, void *user)
 {
-  fetch_request_t request = { .method = "GET", .total_ms = INSTANCES_MS };
+  fetch_request_t request
+      = { .method = "GET", .total_timeout_ms = INSTANCES_MS };
 
   send (plat, &request, g_strdup ("/v1/instances"), false, done, user);
 }
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -120,7 +120,7 @@
       endpoint_t *endpoint = watch->endpoints->pdata[i];
       const fetch_request_t request = { .method = "GET",
                                         .url = endpoint->url,
-                                        .total_ms = 5000,
+                                        .total_timeout_ms = 5000,
                                         .done = on_counters,
                                         .user = endpoint };
       if (endpoint->asked)
