--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -304,7 +304,7 @@
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_set_max_body_bytes (router->web, MAX_BODIES_BYTES);
+  web_server_set_max_total_body_bytes (router->web, MAX_BODIES_BYTES);
   return true;
 }
 
