--- a/libcoltsfootdrum/router/cost.c
+++ b/libcoltsfootdrum/router/cost.c
@@ -4,14 +4,14 @@
 
 #include <stdbool.h>
 
-/* Weight of the newest request.  */
-#define RATIO_WEIGHT 0.1
+/* Weight of the latest request in the moving average.  */
+#define RATIO_SMOOTHING 0.1
 
 typedef struct
 {
   pair_t key;
   double ratio;
-  cfd_time_t used;
+  cfd_time_t updated_at;
 } entry_t;
 
 struct cost
@@ -38,43 +38,43 @@
 }
 
 double
-cost_expect (const cost_t *cost, const char *account, const char *service,
-             double hint)
+cost_estimate (const cost_t *cost, const char *account, const char *service,
+               double hint_tokens)
 {
   const entry_t *entry = pair_table_find (cost->entries, account, service);
 
-  return hint * (entry != NULL ? entry->ratio : COST_RATIO_FIRST);
+  return hint_tokens * (entry != NULL ? entry->ratio : COST_RATIO_INITIAL);
 }
 
 void
-cost_learn (cost_t *cost, const char *account, const char *service,
-            double hint, double actual, cfd_time_t now)
+cost_update (cost_t *cost, const char *account, const char *service,
+             double hint_tokens, double actual_tokens, cfd_time_t now)
 {
   entry_t *entry = pair_table_find (cost->entries, account, service);
   double ratio;
 
-  if (hint <= 0)
+  if (hint_tokens <= 0)
     return;
-  ratio = CLAMP (actual / hint, COST_RATIO_LEAST, COST_RATIO_MOST);
+  ratio = CLAMP (actual_tokens / hint_tokens, COST_RATIO_MIN, COST_RATIO_MAX);
   if (entry == NULL)
     {
       entry = pair_table_add (cost->entries, account, service, sizeof *entry);
       entry->ratio = ratio;
     }
-  entry->ratio += RATIO_WEIGHT * (ratio - entry->ratio);
-  entry->used = now;
+  entry->ratio += RATIO_SMOOTHING * (ratio - entry->ratio);
+  entry->updated_at = now;
 }
 
 static gboolean
-is_old (gpointer key, gpointer value, gpointer user)
+is_expired (gpointer key, gpointer value, gpointer user)
 {
   const entry_t *entry = value;
 
-  return *(const cfd_time_t *)user - entry->used > COST_FORGET_MS;
+  return *(const cfd_time_t *)user - entry->updated_at > COST_EXPIRY_MS;
 }
 
 void
 cost_expire (cost_t *cost, cfd_time_t now)
 {
-  g_hash_table_foreach_remove (cost->entries, is_old, &now);
+  g_hash_table_foreach_remove (cost->entries, is_expired, &now);
 }
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -11,14 +11,14 @@
 } counter_t;
 
 static const char *
-not_ready (void *user)
+readiness_error (void *user)
 {
   const cfd_router_t *router = user;
 
   if (router->draining)
     return "This router is shutting down.";
   if (store_get_revision (router->store) == 0)
-    return "No configuration was read yet; check the platform.";
+    return "No configuration has been read yet; check the platform.";
   return NULL;
 }
 
@@ -38,26 +38,28 @@
     { "cfd_router_requests_total", NULL, c->requests },
     { "cfd_router_admitted_total", NULL, c->admitted },
     { "cfd_router_replayed_total", NULL, c->replayed },
-    { "cfd_router_refused_total", "reason=\"bad\"", c->refused[REFUSED_BAD] },
-    { "cfd_router_refused_total", "reason=\"key\"", c->refused[REFUSED_KEY] },
+    { "cfd_router_refused_total", "reason=\"bad\"",
+      c->refused[REFUSED_BAD_REQUEST] },
+    { "cfd_router_refused_total", "reason=\"key\"",
+      c->refused[REFUSED_UNKNOWN_KEY] },
     { "cfd_router_refused_total", "reason=\"queue\"",
-      c->refused[REFUSED_QUEUE] },
+      c->refused[REFUSED_QUEUE_FULL] },
     { "cfd_router_refused_total", "reason=\"capacity\"",
-      c->refused[REFUSED_CAPACITY] },
+      c->refused[REFUSED_NO_CAPACITY] },
     { "cfd_router_refused_total", "reason=\"platform\"",
-      c->refused[REFUSED_PLATFORM] },
+      c->refused[REFUSED_PLATFORM_DOWN] },
     { "cfd_router_refused_total", "reason=\"claim\"",
-      c->refused[REFUSED_CLAIM] },
+      c->refused[REFUSED_CLAIM_CONFLICT] },
     { "cfd_router_refused_total", "reason=\"deadline\"",
-      c->refused[REFUSED_DEADLINE] },
+      c->refused[REFUSED_DEADLINE_EXCEEDED] },
     { "cfd_router_refused_total", "reason=\"stop\"",
-      c->refused[REFUSED_STOP] },
+      c->refused[REFUSED_SHUTDOWN] },
     { "cfd_router_ended_total", "outcome=\"complete\"", c->completed },
     { "cfd_router_ended_total", "outcome=\"failed\"", c->failed },
-    { "cfd_router_ended_total", "outcome=\"broken-off\"", c->broken_off },
-    { "cfd_router_ended_total", "outcome=\"left\"", c->left },
+    { "cfd_router_ended_total", "outcome=\"broken-off\"", c->truncated },
+    { "cfd_router_ended_total", "outcome=\"left\"", c->callers_gone },
     { "cfd_router_retried_total", NULL, c->retried },
-    { "cfd_router_returned_total", NULL, c->returned },
+    { "cfd_router_returned_total", NULL, c->requeued },
     { "cfd_router_resumed_total", NULL, c->resumed },
     { "cfd_router_gaps_total", NULL, c->gaps },
     { "cfd_router_tokens_total", "kind=\"prompt\"", c->prompt_tokens },
@@ -110,14 +112,14 @@
 typedef struct
 {
   const cfd_router_t *router;
-  GHashTable *least; /* service to the least virtual time, a double */
-  double spread;
-} spread_t;
+  GHashTable *least; /* service to its least virtual time (double) */
+  double virtual_time_spread;
+} vt_spread_t;
 
 static void
-find_least (void *user, const char *account, const char *service)
+find_least_time (void *user, const char *account, const char *service)
 {
-  spread_t *found = user;
+  vt_spread_t *found = user;
   double time
       = share_get_virtual_time (found->router->share, account, service);
   double *least = g_hash_table_lookup (found->least, service);
@@ -132,28 +134,29 @@
 }
 
 static void
-find_spread (void *user, const char *account, const char *service)
+find_widest_spread (void *user, const char *account, const char *service)
 {
-  spread_t *found = user;
+  vt_spread_t *found = user;
   double *least = g_hash_table_lookup (found->least, service);
   double time
       = share_get_virtual_time (found->router->share, account, service);
 
-  found->spread = MAX (found->spread, time - *least);
+  found->virtual_time_spread = MAX (found->virtual_time_spread, time - *least);
 }
 
-/* How far apart the accounts that wait here are in what they got, the most of
-   all services: work of the one that got least goes next.  */
+/* The largest difference in virtual time between accounts that wait for the
+   same service at this router; work of the account with the least is assigned
+   next.  */
 static double
-spread (const cfd_router_t *router)
+virtual_time_spread (const cfd_router_t *router)
 {
-  spread_t found = { router, NULL, 0 };
+  vt_spread_t found = { router, NULL, 0 };
 
   found.least = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free);
-  adm_for_each_queue (router->adm, find_least, &found);
-  adm_for_each_queue (router->adm, find_spread, &found);
+  adm_for_each_queue (router->adm, find_least_time, &found);
+  adm_for_each_queue (router->adm, find_widest_spread, &found);
   g_hash_table_unref (found.least);
-  return found.spread;
+  return found.virtual_time_spread;
 }
 
 static void
@@ -182,9 +185,9 @@
   prom_append_sample (out, "cfd_share_bounded_tokens_total", "counter",
                       "side=\"credit\"", bounded.credit);
   prom_append_sample (out, "cfd_fairness_spread", "gauge", NULL,
-                      spread (router));
+                      virtual_time_spread (router));
   prom_append_sample (out, "cfd_router_passed_over_ms", "gauge", NULL,
-                      (double)turns_longest (router->turns));
+                      (double)fairness_longest_wait_ms (router->fairness));
 }
 
 static void
@@ -205,7 +208,7 @@
       admin_add_text (out, "service", agent->service ? agent->service : "");
       admin_add_text (out, "link", agent->up ? "up" : "down");
       admin_add_text (out, "work",
-                      agents_may_work (router, agent) ? "in" : "leaving");
+                      agents_accepts_work (router, agent) ? "in" : "leaving");
       admin_add_number (out, "in_flight", agent->in_flight);
       json_builder_end_object (out);
     }
@@ -228,7 +231,7 @@
 bool
 router_admin_start (cfd_router_t *router, const char *address, GError **error)
 {
-  static const admin_callbacks_t source = { not_ready, metrics, status };
+  static const admin_callbacks_t source = { readiness_error, metrics, status };
 
   const admin_node_t node
       = { router->instance, "router",     router->zone, router->ring,
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* A word of the agent's service and its endpoint's state is needed before the
-   first link to it.  The list of instances does not give them, but the agent
-   runs beside its endpoint: when just one endpoint has its address, that is
-   it.  Otherwise the agent hears of all services and shows its own by its
-   first grant.  */
+/* The agent's service and the state of its endpoint are needed before the
+   first link to it.  The list of instances does not contain them, but the
+   agent runs beside its endpoint: if exactly one endpoint has the agent's
+   host, it is that one.  Otherwise the agent gets the announcements of all
+   services and names its own in its first grant.  */
 
 static void
 agent_free (gpointer data)
@@ -16,9 +16,9 @@
   g_free (agent->name);
   g_free (agent->zone);
   g_free (agent->host);
-  g_free (agent->granted);
+  g_free (agent->granted_service);
   g_free (agent->service);
-  g_ptr_array_unref (agent->abandoned);
+  g_ptr_array_unref (agent->pending_cancels);
   g_free (agent);
 }
 
@@ -27,7 +27,7 @@
 {
   router->agents
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, agent_free);
-  router->served
+  router->served_services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -38,7 +38,7 @@
 }
 
 agent_t *
-agents_get (cfd_router_t *router, const char *name, const char *zone)
+agents_find_or_add (cfd_router_t *router, const char *name, const char *zone)
 {
   agent_t *agent = agents_find (router, name);
 
@@ -46,7 +46,7 @@
     {
       agent = g_new0 (agent_t, 1);
       agent->name = g_strdup (name);
-      agent->abandoned = g_ptr_array_new_with_free_func (g_free);
+      agent->pending_cancels = g_ptr_array_new_with_free_func (g_free);
       list_init (&agent->requests);
       g_hash_table_insert (router->agents, agent->name, agent);
     }
@@ -58,9 +58,10 @@
   return agent;
 }
 
-/* The host of "http://HOST:PORT/..." or "HOST:PORT"; free with g_free.  */
+/* Returns the host of "http://HOST:PORT/..." or "HOST:PORT"; free with
+   g_free.  */
 static char *
-host_of (const char *address)
+parse_host (const char *address)
 {
   const char *start = strstr (address, "://");
   const char *end;
@@ -74,20 +75,20 @@
 }
 
 static void
-list_agent (cfd_router_t *router, const store_instance_t *instance)
+update_listed_agent (cfd_router_t *router, const store_instance_t *instance)
 {
-  agent_t *agent = agents_get (router, instance->name, instance->zone);
+  agent_t *agent = agents_find_or_add (router, instance->name, instance->zone);
 
   agent->listed = true;
   agent->leaving = instance->leaving;
   g_free (agent->host);
-  agent->host = host_of (instance->address);
+  agent->host = parse_host (instance->address);
   peer_hub_set_address (router->hub, instance->name, instance->address);
 }
 
-/* Forgets agents that are neither listed nor needed.  */
+/* Removes agents that are neither listed nor in use.  */
 static void
-sweep (cfd_router_t *router)
+remove_unused (cfd_router_t *router)
 {
   GHashTableIter iter;
   gpointer value;
@@ -97,7 +98,8 @@
     {
       agent_t *agent = value;
 
-      if (agent->listed || agent->up || agent->in_flight > 0 || agent->held)
+      if (agent->listed || agent->up || agent->in_flight > 0
+          || agent->link_held)
         continue;
       peer_hub_set_address (router->hub, agent->name, "");
       g_hash_table_iter_remove (&iter);
@@ -105,7 +107,7 @@
 }
 
 void
-agents_listed (cfd_router_t *router)
+agents_instances_changed (cfd_router_t *router)
 {
   GPtrArray *instances = store_get_instances (router->store, ROLE_AGENT);
   GHashTableIter iter;
@@ -115,8 +117,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     ((agent_t *)value)->listed = false;
   for (guint i = 0; i < instances->len; i++)
-    list_agent (router, instances->pdata[i]);
-  sweep (router);
+    update_listed_agent (router, instances->pdata[i]);
+  remove_unused (router);
   router->agents_changed = true;
 }
 
@@ -126,7 +128,7 @@
 {
   const rec_t *record;
   bool is_shared; /* several endpoints have this host */
-} at_host_t;
+} host_endpoint_t;
 
 typedef struct
 {
@@ -139,10 +141,10 @@
 {
   endpoints_t *endpoints = user;
   GHashTable *hosts = endpoints->hosts;
-  char *host = host_of (record->u.endpoint.url);
-  at_host_t *known = g_hash_table_lookup (hosts, host);
+  char *host = parse_host (record->u.endpoint.url);
+  host_endpoint_t *known = g_hash_table_lookup (hosts, host);
 
-  g_hash_table_add (endpoints->router->served,
+  g_hash_table_add (endpoints->router->served_services,
                     g_strdup (record->u.endpoint.service));
   if (known != NULL)
     {
@@ -150,18 +152,18 @@
       g_free (host);
       return;
     }
-  known = g_new0 (at_host_t, 1);
+  known = g_new0 (host_endpoint_t, 1);
   known->record = record;
   g_hash_table_insert (hosts, host, known);
 }
 
 static void
-guess (agent_t *agent, GHashTable *hosts)
+infer_service (agent_t *agent, GHashTable *hosts)
 {
-  const at_host_t *at
+  const host_endpoint_t *at
       = agent->host != NULL ? g_hash_table_lookup (hosts, agent->host) : NULL;
   const rec_t *record = at != NULL && !at->is_shared ? at->record : NULL;
-  const char *service = agent->granted;
+  const char *service = agent->granted_service;
 
   if (record != NULL)
     service = record->u.endpoint.service;
@@ -174,7 +176,7 @@
 }
 
 bool
-agents_may_work (const cfd_router_t *router, const agent_t *agent)
+agents_accepts_work (const cfd_router_t *router, const agent_t *agent)
 {
   if (agent->leaving)
     return false;
@@ -183,13 +185,13 @@
 }
 
 static bool
-is_for (const agent_t *agent, const char *service)
+serves_service (const agent_t *agent, const char *service)
 {
   return agent->service == NULL || strcmp (agent->service, service) == 0;
 }
 
 static void
-sort_service (void *user, const rec_t *record)
+refresh_service_agents (void *user, const rec_t *record)
 {
   cfd_router_t *router = user;
   g_autoptr (GPtrArray) names = g_ptr_array_new ();
@@ -201,15 +203,15 @@
     {
       const agent_t *agent = value;
 
-      if (agent->listed && agents_may_work (router, agent)
-          && is_for (agent, record->name))
+      if (agent->listed && agents_accepts_work (router, agent)
+          && serves_service (agent, record->name))
         g_ptr_array_add (names, agent->name);
     }
   disp_set_agents (router->disp, record->name, names);
 }
 
 void
-agents_sort (cfd_router_t *router)
+agents_refresh_services (cfd_router_t *router)
 {
   g_autoptr (GHashTable) hosts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -225,33 +227,34 @@
     {
       const store_instance_t *instance = instances->pdata[i];
 
-      agents_get (router, instance->name, NULL)->leaving = instance->leaving;
+      agents_find_or_add (router, instance->name, NULL)->leaving
+          = instance->leaving;
     }
-  g_hash_table_remove_all (router->served);
+  g_hash_table_remove_all (router->served_services);
   store_foreach (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    guess (value, hosts);
-  store_foreach (router->store, REC_SERVICE, sort_service, router);
+    infer_service (value, hosts);
+  store_foreach (router->store, REC_SERVICE, refresh_service_agents, router);
 }
 
 static bool
 is_alternative (const cfd_router_t *router, const agent_t *agent,
                 const request_t *request, cfd_time_t now)
 {
-  return agent->listed && agents_may_work (router, agent)
-         && is_for (agent, request->item.service)
-         && !avoid_has (&request->avoid, agent->name, now);
+  return agent->listed && agents_accepts_work (router, agent)
+         && serves_service (agent, request->item.service)
+         && !avoid_contains (&request->avoid, agent->name, now);
 }
 
 bool
-agents_may_try (const cfd_router_t *router, const agent_t *agent,
-                const request_t *request, cfd_time_t now)
+agents_is_eligible (const cfd_router_t *router, const agent_t *agent,
+                    const request_t *request, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
 
-  if (!avoid_has (&request->avoid, agent->name, now))
+  if (!avoid_contains (&request->avoid, agent->name, now))
     return true;
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -261,35 +264,35 @@
 }
 
 void
-agents_serves (cfd_router_t *router, agent_t *agent, const char *service)
+agents_set_service (cfd_router_t *router, agent_t *agent, const char *service)
 {
-  if (g_strcmp0 (agent->granted, service) == 0)
+  if (g_strcmp0 (agent->granted_service, service) == 0)
     return;
-  g_free (agent->granted);
-  agent->granted = g_strdup (service);
+  g_free (agent->granted_service);
+  agent->granted_service = g_strdup (service);
   router->agents_changed = true;
   router_schedule (router, 0);
 }
 
 bool
-agents_any_for (const cfd_router_t *router, const char *service)
+agents_has_endpoint_for (const cfd_router_t *router, const char *service)
 {
-  return g_hash_table_contains (router->served, service);
+  return g_hash_table_contains (router->served_services, service);
 }
 
 /* ---- links ---- */
 
 void
-agents_hold (cfd_router_t *router, agent_t *agent)
+agents_hold_link (cfd_router_t *router, agent_t *agent)
 {
-  if (agent->held)
+  if (agent->link_held)
     return;
-  agent->held = true;
+  agent->link_held = true;
   peer_hub_hold (router->hub, agent->name);
 }
 
 cfd_time_t
-agents_release (cfd_router_t *router, cfd_time_t now)
+agents_release_links (cfd_router_t *router, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
   GHashTableIter iter;
@@ -300,14 +303,14 @@
     {
       agent_t *agent = value;
 
-      if (!agent->held || agent->in_flight > 0)
+      if (!agent->link_held || agent->in_flight > 0)
         continue;
       if (agent->announced_until > now)
         {
           next = MIN (next, agent->announced_until);
           continue;
         }
-      agent->held = false;
+      agent->link_held = false;
       peer_hub_release (router->hub, agent->name);
     }
   return next;
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -4,18 +4,21 @@
 
 #include <string.h>
 
-/* Bytes after which an agent hears how far its answer got; a part of the
-   mebibyte that it keeps, so that it never has to wait for a good reader.  */
-#define ACK_EACH (128u * 1024)
-/* Ends before the whole answer after which the agent is taken to be at fault.
- */
-#define EARLY_ENDS_MAX 3u
-/* Links found silent together are told as lost within this time.  */
-#define SILENT_SWEEP_MS 200
-/* Cancellations remembered for an agent that is away.  */
-#define ABANDONED_MAX 256u
-
-/* ---- words to the agent ---- */
+/* How many bytes of an answer are sent to the caller between two
+   acknowledgements to the agent; a part of the mebibyte that the agent
+   buffers, so that it never has to wait for a caller that reads fast
+   enough.  */
+#define ACK_INTERVAL_BYTES (128u * 1024)
+/* After this many ENDs before the whole answer the agent is assumed to be
+   faulty.  */
+#define MAX_PREMATURE_ENDS 3u
+/* Links that are closed for silence in one sweep are reported as lost within
+   this time.  */
+#define SILENCE_WINDOW_MS 200
+/* Cancellations kept for an agent whose link is lost.  */
+#define MAX_PENDING_CANCELS 256u
+
+/* ---- messages to the agent ---- */
 
 static void
 send_ack (cfd_router_t *router, const char *agent, const char *id,
@@ -37,20 +40,20 @@
 }
 
 void
-answer_done (request_t *request)
+answer_ack_done (request_t *request)
 {
   send_ack (request->router, request->agent->name, request->id,
-            request->received, true);
+            request->received_bytes, true);
 }
 
 void
-answer_cancel (request_t *request)
+answer_send_cancel (request_t *request)
 {
   agent_t *agent = request->agent;
 
   if (!send_cancel (request->router, agent->name, request->id)
-      && agent->abandoned->len < ABANDONED_MAX)
-    g_ptr_array_add (agent->abandoned, g_strdup (request->id));
+      && agent->pending_cancels->len < MAX_PENDING_CANCELS)
+    g_ptr_array_add (agent->pending_cancels, g_strdup (request->id));
 }
 
 static void
@@ -58,33 +61,36 @@
 {
   msg_t message = { .kind = MSG_RESUME,
                     .u.resume = { .request = request->id,
-                                  .offset = request->received,
+                                  .offset = request->received_bytes,
                                   .head = !request->has_head } };
 
   request->router->counters.resumed++;
-  router_note (request->router, TL_RESUME, request, request->agent->name);
+  router_record_event (request->router, TL_RESUME, request,
+                       request->agent->name);
   router_send (request->router, request->agent->name, &message);
 }
 
-/* A piece is missing.  Asked for once: all that was on its way before the
-   answer to this comes with a gap too.  */
+/* Asks the agent to send again from the first missing byte.  Sent once per
+   gap: all data that was on its way before the response to this has the gap
+   too.  */
 static void
-ask_again (request_t *request)
+request_missing_data (request_t *request)
 {
-  if (request->asked_again && request->asked_offset == request->received)
+  if (request->resume_requested
+      && request->resume_requested_offset == request->received_bytes)
     return;
-  request->asked_again = true;
-  request->asked_offset = request->received;
+  request->resume_requested = true;
+  request->resume_requested_offset = request->received_bytes;
   request->router->counters.gaps++;
   send_resume (request);
 }
 
-/* ---- words from the agent ---- */
+/* ---- messages from the agent ---- */
 
-/* The attempt that PEER speaks of; a former attempt, or one of a former
-   incarnation of either side, is none.  */
+/* Returns the attempt that a message of PEER is about, or NULL: for a former
+   attempt, or one of a former incarnation of either side.  */
 static request_t *
-find (cfd_router_t *router, const peer_id_t *peer, const char *id)
+find_attempt (cfd_router_t *router, const peer_id_t *peer, const char *id)
 {
   request_t *request = g_hash_table_lookup (router->requests, id);
 
@@ -95,10 +101,10 @@
 }
 
 void
-answer_head (cfd_router_t *router, const peer_id_t *peer,
-             const msg_head_t *head, cfd_time_t now)
+answer_handle_head (cfd_router_t *router, const peer_id_t *peer,
+                    const msg_head_t *head, cfd_time_t now)
 {
-  request_t *request = find (router, peer, head->request);
+  request_t *request = find_attempt (router, peer, head->request);
 
   if (request == NULL || request->has_head)
     return;
@@ -111,84 +117,90 @@
 }
 
 static void
-keep (request_t *request, const uint8_t *bytes, size_t length)
+copy_for_claim (request_t *request, const uint8_t *bytes, size_t length)
 {
-  if (request->kept == NULL || !request->kept_whole)
+  if (request->answer_copy == NULL || !request->answer_copy_complete)
     return;
-  request->kept_whole = request->kept->len + length <= ONCE_MAX_ANSWER_BYTES;
-  if (request->kept_whole)
-    g_byte_array_append (request->kept, bytes, length);
+  request->answer_copy_complete
+      = request->answer_copy->len + length <= ONCE_MAX_ANSWER_BYTES;
+  if (request->answer_copy_complete)
+    g_byte_array_append (request->answer_copy, bytes, length);
 }
 
 void
-answer_drained (void *user, uint64_t total)
+answer_on_drained (void *user, uint64_t total)
 {
   request_t *request = user;
 
-  request->drained = total;
-  if (request->agent == NULL || total - request->acked < ACK_EACH)
+  request->drained_bytes = total;
+  if (request->agent == NULL
+      || total - request->acked_bytes < ACK_INTERVAL_BYTES)
     return;
-  request->acked = total;
+  request->acked_bytes = total;
   send_ack (request->router, request->agent->name, request->id, total, false);
 }
 
 static void
-pass_on (request_t *request, const uint8_t *bytes, size_t length)
+forward_data (request_t *request, const uint8_t *bytes, size_t length)
 {
-  keep (request, bytes, length);
+  copy_for_claim (request, bytes, length);
   if (request->web != NULL)
     {
-      request->written += length;
-      INVARIANT ("answer-contiguous", request->written == request->received,
+      request->written_bytes += length;
+      INVARIANT ("answer-contiguous",
+                 request->written_bytes == request->received_bytes,
                  request->id);
       web_stream_write (request->web, bytes, length);
     }
   else
     {
-      answer_drained (request, request->received);
+      answer_on_drained (request, request->received_bytes);
     }
 }
 
-/* What nobody here waits for is taken off the agent's hands: a call that must
-   not be repeated is let to end, and needs room to.  */
+/* Acknowledges data of an attempt that this router no longer has: a call that
+   must not be repeated runs to its end, and the agent needs buffer space for
+   its answer.  */
 static void
-let_go (cfd_router_t *router, const peer_id_t *peer, const msg_data_t *data)
+ack_unknown_data (cfd_router_t *router, const peer_id_t *peer,
+                  const msg_data_t *data)
 {
   send_ack (router, peer->instance, data->request,
             data->offset + data->bytes.length, false);
 }
 
 void
-answer_data (cfd_router_t *router, const peer_id_t *peer,
-             const msg_data_t *data, cfd_time_t now)
+answer_handle_data (cfd_router_t *router, const peer_id_t *peer,
+                    const msg_data_t *data, cfd_time_t now)
 {
-  request_t *request = find (router, peer, data->request);
+  request_t *request = find_attempt (router, peer, data->request);
   uint64_t skip;
 
   if (request == NULL)
     {
-      let_go (router, peer, data);
+      ack_unknown_data (router, peer, data);
       return;
     }
-  /* A resumed answer may overlap with what came over the lost link; a gap
-     would give the caller a wrong answer, so it is asked for again.  */
-  if (data->offset > request->received || !request->has_head)
+  /* A resumed answer may overlap with the data from the lost link.  A gap
+     would give the caller a wrong answer, so the missing data is requested
+     again.  */
+  if (data->offset > request->received_bytes || !request->has_head)
     {
-      ask_again (request);
+      request_missing_data (request);
       return;
     }
-  skip = request->received - data->offset;
+  skip = request->received_bytes - data->offset;
   if (skip >= data->bytes.length)
     return;
-  request->received += data->bytes.length - skip;
-  grant_streams (request, data->tokens, now);
+  request->received_bytes += data->bytes.length - skip;
+  grant_charge_streamed (request, data->tokens, now);
   if (request->state == REQ_SENT)
-    request_event (request, REQ_EV_DATA, now);
-  pass_on (request, data->bytes.data + skip, data->bytes.length - skip);
+    request_handle_event (request, REQ_EV_DATA, now);
+  forward_data (request, data->bytes.data + skip, data->bytes.length - skip);
 }
 
-/* What the attempt cost by the agent's count, or below 0 when it can't tell.
- */
+/* Returns the cost of the attempt by the agent's count, or below 0 if it is
+   unknown.  */
 static double
 actual_cost (const request_t *request, const msg_end_t *end)
 {
@@ -199,7 +211,7 @@
   if (end->outcome == OUTCOME_UNKNOWN)
     return -1;
   if (!request->is_model)
-    return ROUTER_PLAIN_COST;
+    return ROUTER_PLAIN_COST_TOKENS;
   return tokens > 0 ? tokens : -1;
 }
 
@@ -208,14 +220,14 @@
 {
   double actual = actual_cost (request, end);
 
-  grant_correct (request, actual, now);
+  grant_correct_charge (request, actual, now);
   if (request->is_model && actual > 0 && end->outcome == OUTCOME_COMPLETE)
-    cost_learn (request->router->cost, request->item.account,
-                request->item.service, request->hint, actual, now);
+    cost_update (request->router->cost, request->item.account,
+                 request->item.service, request->cost_hint, actual, now);
 }
 
 static req_event_t
-event_of (outcome_t outcome)
+outcome_event (outcome_t outcome)
 {
   switch (outcome)
     {
@@ -229,158 +241,162 @@
 }
 
 static bool
-has_all (const request_t *request, const msg_end_t *end)
+is_complete (const request_t *request, const msg_end_t *end)
 {
-  return request->has_head && end->length == request->received;
+  return request->has_head && end->length == request->received_bytes;
 }
 
-/* An end that says complete came before the whole answer.  One may have been
-   on its way when the gap was seen; an agent that goes on so is at fault, and
-   its caller must not wait for ever.  */
+/* Handles an END with OUTCOME_COMPLETE that came before the whole answer.  It
+   may have been on its way when the gap was detected; an agent that repeats it
+   is faulty, and the caller must not wait forever.  */
 static void
-complete_in_part (request_t *request, cfd_time_t now)
+handle_premature_end (request_t *request, cfd_time_t now)
 {
-  if (++request->early_ends < EARLY_ENDS_MAX)
+  if (++request->premature_ends < MAX_PREMATURE_ENDS)
     {
-      ask_again (request);
+      request_missing_data (request);
       return;
     }
-  log_warn ("router", "Answer without its whole body: agent=%s request=%s.",
-            request->agent->name, request->id);
-  request->ended = true;
-  request_event (request, REQ_EV_LOST, now);
+  log_warn (
+      "router",
+      "Agent ended an answer before its whole body: agent=%s request=%s.",
+      request->agent->name, request->id);
+  request->attempt_ended = true;
+  request_handle_event (request, REQ_EV_LOST, now);
 }
 
 void
-answer_end (cfd_router_t *router, const peer_id_t *peer, const msg_end_t *end,
-            cfd_time_t now)
+answer_handle_end (cfd_router_t *router, const peer_id_t *peer,
+                   const msg_end_t *end, cfd_time_t now)
 {
-  request_t *request = find (router, peer, end->request);
+  request_t *request = find_attempt (router, peer, end->request);
 
   if (request == NULL)
     {
       send_ack (router, peer->instance, end->request, end->length, true);
       return;
     }
-  if (end->outcome == OUTCOME_COMPLETE && !has_all (request, end))
+  if (end->outcome == OUTCOME_COMPLETE && !is_complete (request, end))
     {
-      complete_in_part (request, now);
+      handle_premature_end (request, now);
       return;
     }
   router->counters.prompt_tokens += end->prompt_tokens;
   router->counters.output_tokens += end->output_tokens;
-  request->ended = true;
+  request->attempt_ended = true;
   settle_cost (request, end, now);
-  request_event (request, event_of (end->outcome), now);
+  request_handle_event (request, outcome_event (end->outcome), now);
 }
 
 void
-answer_not_started (cfd_router_t *router, const peer_id_t *peer,
-                    const msg_not_started_t *word, cfd_time_t now)
+answer_handle_not_started (cfd_router_t *router, const peer_id_t *peer,
+                           const msg_not_started_t *message, cfd_time_t now)
 {
-  request_t *request = find (router, peer, word->request);
+  request_t *request = find_attempt (router, peer, message->request);
 
   if (request == NULL)
     return;
   request->not_started = true;
-  grant_correct (request, 0, now);
-  request_event (request, REQ_EV_NOT_RUN, now);
+  grant_correct_charge (request, 0, now);
+  request_handle_event (request, REQ_EV_NOT_RUN, now);
 }
 
 /* ---- links ---- */
 
 static void
-cancel_abandoned (cfd_router_t *router, agent_t *agent)
+send_pending_cancels (cfd_router_t *router, agent_t *agent)
 {
-  for (guint i = 0; i < agent->abandoned->len; i++)
-    send_cancel (router, agent->name, agent->abandoned->pdata[i]);
-  g_ptr_array_set_size (agent->abandoned, 0);
+  for (guint i = 0; i < agent->pending_cancels->len; i++)
+    send_cancel (router, agent->name, agent->pending_cancels->pdata[i]);
+  g_ptr_array_set_size (agent->pending_cancels, 0);
 }
 
 void
 answer_agent_up (cfd_router_t *router, const peer_id_t *peer, cfd_time_t now)
 {
-  agent_t *agent = agents_get (router, peer->instance, peer->zone);
+  agent_t *agent = agents_find_or_add (router, peer->instance, peer->zone);
 
   agent->up = true;
-  agent->away_since = 0;
-  /* A restarted agent remembers nothing.  */
+  agent->link_lost_at = 0;
+  /* A restarted agent has no state of the former process.  */
   if (agent->incarnation != peer->incarnation)
     {
-      g_ptr_array_set_size (agent->abandoned, 0);
+      g_ptr_array_set_size (agent->pending_cancels, 0);
       agent->has_load = false;
     }
   agent->incarnation = peer->incarnation;
   disp_record_link_up (router->disp, agent->name);
   router_schedule (router, now);
-  cancel_abandoned (router, agent);
+  send_pending_cancels (router, agent);
   list_for_each_safe (node, &agent->requests)
     {
       request_t *request = list_entry (node, request_t, at_agent);
 
-      request->asked_again = false;
+      request->resume_requested = false;
       if (request->agent_incarnation != peer->incarnation)
-        request_event (request, REQ_EV_LOST, now);
+        request_handle_event (request, REQ_EV_LOST, now);
       else
         send_resume (request);
     }
 }
 
-/* Whether a link was closed for silence just now.  Several are closed in one
-   sweep before the first loss is told.  Another link's silence may be taken
-   for this one's: its agent then is waited for longer, which does no harm.  */
+/* Whether a link was just closed for silence.  Several are closed in one sweep
+   before the first loss is reported.  Another link's silence may be attributed
+   to this one: its agent is then waited for longer, which does no harm.  */
 static bool
-went_silent (cfd_router_t *router, cfd_time_t now)
+was_closed_for_silence (cfd_router_t *router, cfd_time_t now)
 {
   peer_counters_t counters;
 
   peer_hub_get_counters (router->hub, &counters);
-  if (counters.silences > router->silences)
-    router->silent_at = now;
-  router->silences = counters.silences;
-  return router->silences > 0 && now - router->silent_at < SILENT_SWEEP_MS;
+  if (counters.silences > router->seen_silences)
+    router->last_silence_at = now;
+  router->seen_silences = counters.silences;
+  return router->seen_silences > 0
+         && now - router->last_silence_at < SILENCE_WINDOW_MS;
 }
 
 void
 answer_agent_down (cfd_router_t *router, const peer_id_t *peer, cfd_time_t now)
 {
   agent_t *agent = agents_find (router, peer->instance);
-  bool silent = went_silent (router, now);
+  bool silent = was_closed_for_silence (router, now);
 
   if (agent == NULL || agent->incarnation != peer->incarnation)
     return;
   agent->up = false;
-  agent->silent = silent;
+  agent->link_was_silent = silent;
   agent->has_load = false;
-  /* One that nobody holds is closed for being idle, at either end.  */
-  if (agent->held)
+  /* A link that is not held was closed as idle, by either side.  */
+  if (agent->link_held)
     {
       disp_record_link_lost (router->disp, agent->name, now);
       router_schedule (router, now);
     }
   if (agent->in_flight == 0)
     return;
-  agent->away_since = now;
+  agent->link_lost_at = now;
   router_schedule (router, now + REQ_RETRY_WAIT_MS);
 }
 
-/* Gives up the requests of AGENT whose time is over; returns when the next
+/* Ends the attempts at AGENT whose wait is over; returns when the next one
    is.  */
 static cfd_time_t
-give_up_late (agent_t *agent, cfd_time_t now)
+expire_agent_requests (agent_t *agent, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
 
   list_for_each_safe (node, &agent->requests)
     {
       request_t *request = list_entry (node, request_t, at_agent);
-      req_facts_t facts = request_facts (request);
-      cfd_time_t until = agent->away_since
-                         + req_patience (request->state, &facts,
-                                         agent->silent && agent->listed);
+      req_facts_t facts = request_get_facts (request);
+      cfd_time_t until
+          = agent->link_lost_at
+            + req_link_wait_ms (request->state, &facts,
+                                agent->link_was_silent && agent->listed);
 
       if (until <= now)
-        request_event (request, REQ_EV_LOST, now);
+        request_handle_event (request, REQ_EV_LOST, now);
       else
         next = MIN (next, until);
     }
@@ -388,7 +404,7 @@
 }
 
 cfd_time_t
-answer_give_up (cfd_router_t *router, cfd_time_t now)
+answer_expire_lost (cfd_router_t *router, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
   GHashTableIter iter;
@@ -399,11 +415,11 @@
     {
       agent_t *agent = value;
 
-      if (agent->away_since == 0)
+      if (agent->link_lost_at == 0)
         continue;
-      next = MIN (next, give_up_late (agent, now));
+      next = MIN (next, expire_agent_requests (agent, now));
       if (list_is_empty (&agent->requests))
-        agent->away_since = 0;
+        agent->link_lost_at = 0;
     }
   return next;
 }
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -4,10 +4,10 @@
 #include <string.h>
 
 #define DIGEST_SIZE 32
-#define RETRY_CLAIM_S 1
-#define RETRY_PLATFORM_S 5
+#define CLAIM_RETRY_AFTER_S 1
+#define PLATFORM_RETRY_AFTER_S 5
 
-/* ---- the end ---- */
+/* ---- end of a claimed request ---- */
 
 static const char *
 content_type (const request_t *request)
@@ -22,22 +22,22 @@
   return "application/octet-stream";
 }
 
-/* The answer as text, or NULL when it is too large or none: a part must not be
-   given for the whole.  */
+/* Returns the copy of the answer as text, or NULL if it is incomplete or not
+   text: a part must not be stored as the whole answer.  */
 static const char *
-kept_text (request_t *request)
+answer_copy_text (request_t *request)
 {
-  GByteArray *kept = request->kept;
+  GByteArray *copy = request->answer_copy;
 
-  if (!request->kept_whole
-      || (kept->len > 0 && memchr (kept->data, 0, kept->len) != NULL))
+  if (!request->answer_copy_complete
+      || (copy->len > 0 && memchr (copy->data, 0, copy->len) != NULL))
     return NULL;
-  g_byte_array_append (kept, (const guint8 *)"", 1);
-  return (const char *)kept->data;
+  g_byte_array_append (copy, (const guint8 *)"", 1);
+  return (const char *)copy->data;
 }
 
-/* A claim is given back only when the request surely did not run; else it
-   stays, so that whoever asks again is not run a second time.  */
+/* A claim is released only if the request certainly did not run.  Otherwise it
+   stays, so that a repeated request with its key is not run a second time.  */
 void
 claim_settle (request_t *request, const req_step_t *step)
 {
@@ -49,19 +49,19 @@
   request->claimed = false;
   if (step->run == RUN_DONE)
     once_finish (once, account, request->key, request->status,
-                 content_type (request), kept_text (request));
+                 content_type (request), answer_copy_text (request));
   else if (step->run == RUN_NOT_RUN)
     once_release (once, account, request->key);
-  router_note (request->router, TL_CLAIM, request,
-               step->run == RUN_DONE      ? "finished"
-               : step->run == RUN_NOT_RUN ? "given back"
-                                          : "left: outcome unknown");
+  router_record_event (request->router, TL_CLAIM, request,
+                       step->run == RUN_DONE      ? "finished"
+                       : step->run == RUN_NOT_RUN ? "released"
+                                                  : "kept: outcome unknown");
 }
 
-/* ---- the beginning ---- */
+/* ---- claims of new requests ---- */
 
 static void
-answer_replay (request_t *request, const once_claim_result_t *answer)
+replay_answer (request_t *request, const once_claim_result_t *answer)
 {
   static const char *const headers[] = { "Idempotent-Replayed: true", NULL };
 
@@ -73,47 +73,48 @@
                  answer->body, strlen (answer->body));
   else
     web_respond_problem (
-        request->web, 409, "Already done",
-        "The request with this key ran; its answer could not be kept.",
+        request->web, 409, "Already completed",
+        "The request with this key was run; its answer could not be stored.",
         "unknown", -1);
   request->web = NULL;
 }
 
 static void
-claim_refused (request_t *request, const once_claim_result_t *answer)
+refuse_claim (request_t *request, const once_claim_result_t *answer)
 {
   switch (answer->claim_status)
     {
     case ONCE_FINISHED:
-      answer_replay (request, answer);
+      replay_answer (request, answer);
       return;
     case ONCE_RUNNING:
       request_refuse (
-          request, REFUSED_CLAIM, 409, "Already asked",
+          request, REFUSED_CLAIM_CONFLICT, 409, "Request in progress",
           "A request with this key is running or its outcome is not "
-          "known; ask again with the same key.",
-          RUN_UNKNOWN, RETRY_CLAIM_S);
+          "known; retry with the same key.",
+          RUN_UNKNOWN, CLAIM_RETRY_AFTER_S);
       return;
     case ONCE_OUTCOME_UNKNOWN:
       request_refuse (
-          request, REFUSED_CLAIM, 409, "Outcome unknown",
-          "A request with this key was given to a router that went away; "
-          "find out whether it ran before you send it with another key.",
+          request, REFUSED_CLAIM_CONFLICT, 409, "Outcome unknown",
+          "A request with this key was sent to a router that is gone; "
+          "check whether it ran before you send it with another key.",
           RUN_UNKNOWN, -1);
       return;
     case ONCE_KEY_REUSED:
       request_refuse (
-          request, REFUSED_CLAIM, 422, "Key used before",
+          request, REFUSED_CLAIM_CONFLICT, 422, "Key already used",
           "This Idempotency-Key belongs to another request; choose a new "
           "one.",
           RUN_NOT_RUN, -1);
       return;
     default:
       request_refuse (
-          request, REFUSED_PLATFORM, 503, "Platform is down",
-          "This call was not run, for its key can't be claimed; an earlier "
-          "one with the same key may have been.  Ask again with it.",
-          RUN_NOT_RUN, RETRY_PLATFORM_S);
+          request, REFUSED_PLATFORM_DOWN, 503, "Platform unavailable",
+          "This call was not run, because its key cannot be claimed; an "
+          "earlier one with the same key may have been.  Retry with the same "
+          "key.",
+          RUN_NOT_RUN, PLATFORM_RETRY_AFTER_S);
       return;
     }
 }
@@ -129,23 +130,24 @@
       request_free (request);
       return;
     }
-  router_note (request->router, TL_CLAIM, request,
-               answer->claim_status == ONCE_CLAIMED ? "made" : "not ours");
+  router_record_event (request->router, TL_CLAIM, request,
+                       answer->claim_status == ONCE_CLAIMED ? "made"
+                                                            : "not made");
   if (answer->claim_status == ONCE_CLAIMED)
     {
       request->claimed = true;
-      request->kept = g_byte_array_new ();
-      request->kept_whole = true;
-      request_event (request, REQ_EV_CLAIMED, clock_now ());
+      request->answer_copy = g_byte_array_new ();
+      request->answer_copy_complete = true;
+      request_handle_event (request, REQ_EV_CLAIMED, clock_now ());
       return;
     }
-  claim_refused (request, answer);
+  refuse_claim (request, answer);
   request->state = REQ_OVER;
   request_free (request);
 }
 
 static char *
-digest_of (const request_t *request)
+compute_digest (const request_t *request)
 {
   crypto_generichash_state state;
   unsigned char hash[DIGEST_SIZE];
@@ -171,39 +173,40 @@
 
   adm_get_queue_info (request->router->adm, request->item.account,
                       request->item.service, now, &info);
-  return info.count >= request_queue_max (request);
+  return info.count >= request_queue_limit (request);
 }
 
 void
-claim_begin (request_t *request, cfd_time_t now)
+claim_acquire (request_t *request, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
   g_autofree char *digest = NULL;
 
-  /* Each claim costs the platform two writes: a flood of them must be turned
-     away before, not after.  */
+  /* Each claim costs the platform two writes: a flood of requests must be
+     refused before they are made.  */
   if (queue_is_full (request, now))
     {
-      request_refuse_full (request, adm_estimate_retry_after_s (
-                                        router->adm, request->item.account,
-                                        request->item.service, now));
+      request_refuse_queue_full (
+          request,
+          adm_estimate_retry_after_s (router->adm, request->item.account,
+                                      request->item.service, now));
       request->state = REQ_OVER;
       request_free (request);
       return;
     }
-  digest = digest_of (request);
+  digest = compute_digest (request);
   request->claim_pending = true;
   once_claim (router->once, request->item.account, request->key, digest,
               on_claim, request);
 }
 
-/* ---- removal ---- */
+/* ---- removal of expired claims ---- */
 
-/* Names the choice of the router that keeps the ages.  */
-#define AGES_KEY "claim-sweep"
+/* The key whose home is the router that keeps the ages of claims.  */
+#define CLAIM_AGE_WRITER_KEY "claim-sweep"
 
 static unsigned
-sweep_routers (void *user)
+count_listed_routers (void *user)
 {
   const cfd_router_t *router = user;
 
@@ -211,17 +214,17 @@
 }
 
 static bool
-sweep_keeps_ages (void *user)
+is_claim_age_writer (void *user)
 {
   const cfd_router_t *router = user;
-  const char *home
-      = store_find_home_router (router->store, AGES_KEY, "", NULL, NULL);
+  const char *home = store_find_home_router (
+      router->store, CLAIM_AGE_WRITER_KEY, "", NULL, NULL);
 
   return g_strcmp0 (home, router->instance) == 0;
 }
 
 static bool
-sweep_is_held (void *user, const char *claim)
+has_running_claim (void *user, const char *claim)
 {
   const cfd_router_t *router = user;
 
@@ -229,16 +232,16 @@
 }
 
 void
-claim_sweep (cfd_router_t *router, const cfd_settings_t *settings)
+claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_options_t setup = { .retention_s = settings->claims_kept_s,
-                                  .calls = (unsigned)settings->claim_calls,
-                                  .routers = sweep_routers,
-                                  .is_age_writer = sweep_keeps_ages,
-                                  .is_claim_running = sweep_is_held,
-                                  .user = router };
+  const sweep_options_t options = { .retention_s = settings->claims_kept_s,
+                                    .calls = (unsigned)settings->claim_calls,
+                                    .routers = count_listed_routers,
+                                    .is_age_writer = is_claim_age_writer,
+                                    .is_claim_running = has_running_claim,
+                                    .user = router };
 
   once_set_retention_s (router->once, settings->claims_kept_s);
   if (settings->claims_kept_s > 0)
-    router->sweep = sweep_new (router->plat, &setup);
+    router->sweep = sweep_new (router->plat, &options);
 }
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -1,27 +1,29 @@
-/* How this router learns of changes from peers, and tells them.
+/* Exchange of configuration changes with peers.
 
-   In a fleet up to SPREAD_SMALL_FLEET_INSTANCES everyone watches the platform,
-   and a frame of a peer with a newer revision is a reason to ask that peer. In
-   a larger one the tree of spread-tree.h says whom to tell and whom to ask
-   besides.  A word is a CONFIG_ASK: its frame shows the sender's revision, so
-   that whoever of the two is behind learns it.  */
+   In a fleet of up to SPREAD_SMALL_FLEET_INSTANCES every node watches the
+   platform, and a frame of a peer with a newer revision makes the router ask
+   that peer.  In a larger fleet the distribution tree of spread-tree.h
+   determines in addition whom to notify and whom to ask.  Both are a
+   CONFIG_ASK: its frame carries the sender's revision, so that whichever side
+   is behind learns of it.  */
 
 #include "router/router-private.h"
 
 #include "config/witness.h"
 
-/* A peer with newer configuration is asked at most so often.  */
-#define ASK_MS 200
-/* Doubts after which another router is asked.  A frozen or dead one leaves an
-   ask without answer; one that is behind answers and brings no fresh word,
-   which may also be because it is about to ask itself.  */
-#define DOUBTS_MAX 3u
-#define DOUBT_SILENT 2u
-#define DOUBT_OLD 1u
-/* Each agent is told once in so many seconds at most: a link without use is
-   closed after PEER_IDLE_TIMEOUT_MS, and an agent without a link hears
-   nothing.  */
-#define TELL_ROUND_S 20u
+/* A peer with a newer revision is asked at most once in this time.  */
+#define ASK_INTERVAL_MS 200
+/* When the penalty of the asked router exceeds this, another router is asked.
+   A frozen or dead router leaves an ask without an answer.  One that is behind
+   answers without a newer revision, which may also be because it is about to
+   ask itself; so that counts less.  */
+#define MAX_ASK_PENALTY 3u
+#define PENALTY_NO_ANSWER 2u
+#define PENALTY_STALE 1u
+/* Each agent is notified at least once in this time: a link without use is
+   closed after PEER_IDLE_TIMEOUT_MS, and an agent without a link gets no
+   notifications.  */
+#define NOTIFY_ROUND_S 20u
 
 static bool
 send_ask (cfd_router_t *router, const char *peer)
@@ -32,78 +34,81 @@
   return router_send (router, peer, &message);
 }
 
-/* ---- asking ---- */
+/* ---- requests to peers ---- */
 
 static void
-forget_asked (cfd_router_t *router)
+clear_asked_router (cfd_router_t *router)
 {
-  g_clear_pointer (&router->asked, g_free);
+  g_clear_pointer (&router->asked_router, g_free);
 }
 
 static void
-ask_chosen (cfd_router_t *router)
+ask_chosen_router (cfd_router_t *router)
 {
   const char *name
       = spread_tree_choose_source (router->tree, router->ask_choice);
 
-  forget_asked (router);
+  clear_asked_router (router);
   if (name == NULL)
     return;
-  router->asked = g_strdup (name);
+  router->asked_router = g_strdup (name);
   (void)send_ask (router, name);
 }
 
-/* Asks the router of the present choice, or the next one when that gave reason
-   to doubt it.  A choice that served is kept, so that a dead one above costs
-   its doubts once.  */
+/* Asks the router of the current choice, or the next one when its penalty is
+   too high.  A choice that answered is kept, so that a dead router above costs
+   its penalty once.  */
 static void
-ask_for_word (cfd_router_t *router)
+ask_for_revision (cfd_router_t *router)
 {
-  router->ask_doubts += router->asked != NULL ? DOUBT_SILENT : DOUBT_OLD;
-  if (router->ask_doubts > DOUBTS_MAX)
+  router->ask_penalty
+      += router->asked_router != NULL ? PENALTY_NO_ANSWER : PENALTY_STALE;
+  if (router->ask_penalty > MAX_ASK_PENALTY)
     {
       router->ask_choice++;
-      router->ask_doubts = 0;
+      router->ask_penalty = 0;
     }
-  ask_chosen (router);
+  ask_chosen_router (router);
 }
 
 void
-conf_hear (cfd_router_t *router, const peer_id_t *peer, uint64_t revision,
-           cfd_time_t now)
+conf_observe_revision (cfd_router_t *router, const peer_id_t *peer,
+                       uint64_t revision, cfd_time_t now)
 {
   store_record_peer_revision (router->store, revision, now);
   if (revision <= store_get_revision (router->store)
-      || (revision <= router->asked_revision
-          && now - router->asked_at < ASK_MS))
+      || (revision <= router->requested_revision
+          && now - router->requested_at < ASK_INTERVAL_MS))
     return;
-  router->asked_revision = revision;
-  router->asked_at = now;
-  /* An agent has no accounts to answer with.  */
+  router->requested_revision = revision;
+  router->requested_at = now;
+  /* An agent does not store accounts, so it cannot answer.  */
   if (peer->role == ROLE_ROUTER)
     (void)send_ask (router, peer->instance);
-  else if (router->asked == NULL)
-    ask_chosen (router);
+  else if (router->asked_router == NULL)
+    ask_chosen_router (router);
 }
 
 void
-conf_take (cfd_router_t *router, const peer_id_t *peer,
-           const msg_config_part_t *part, uint64_t revision, cfd_time_t now)
+conf_handle_part (cfd_router_t *router, const peer_id_t *peer,
+                  const msg_config_part_t *part, uint64_t revision,
+                  cfd_time_t now)
 {
-  bool is_news;
+  bool is_newer;
 
-  if (g_strcmp0 (router->asked, peer->instance) == 0)
-    forget_asked (router);
-  is_news = store_apply_part (router->store, part, now);
+  if (g_strcmp0 (router->asked_router, peer->instance) == 0)
+    clear_asked_router (router);
+  is_newer = store_apply_part (router->store, part, now);
   store_record_peer_revision (router->store, revision, now);
-  /* A piece: the next one now, not with some later frame.  */
-  if (is_news && store_get_revision (router->store) < revision)
+  /* This was one part of several: ask for the next one at once, instead of
+     with a later frame.  */
+  if (is_newer && store_get_revision (router->store) < revision)
     (void)send_ask (router, peer->instance);
 }
 
 void
-conf_give (cfd_router_t *router, const peer_id_t *peer,
-           const msg_config_ask_t *ask, cfd_time_t now)
+conf_handle_ask (cfd_router_t *router, const peer_id_t *peer,
+                 const msg_config_ask_t *ask, cfd_time_t now)
 {
   msg_t message = { .kind = MSG_CONFIG_PART };
 
@@ -113,25 +118,25 @@
   store_part_clear (&message.u.config_part);
 }
 
-/* ---- telling ---- */
+/* ---- notifications to peers ---- */
 
 static void
-tell_all (cfd_router_t *router, const GPtrArray *names)
+notify_all (cfd_router_t *router, const GPtrArray *names)
 {
   for (guint i = 0; i < names->len; i++)
     (void)send_ask (router, names->pdata[i]);
 }
 
 void
-conf_advanced (cfd_router_t *router)
+conf_announce_revision (cfd_router_t *router)
 {
   if (!store_is_fleet_large (router->store))
     return;
-  tell_all (router, spread_tree_get_child_routers (router->tree));
-  tell_all (router, spread_tree_get_child_agents (router->tree));
+  notify_all (router, spread_tree_get_child_routers (router->tree));
+  notify_all (router, spread_tree_get_child_agents (router->tree));
 }
 
-/* Who could not be told because there was no link learns it here.  */
+/* Notifies a peer that had no link when the revision increased.  */
 void
 conf_peer_up (cfd_router_t *router, const peer_id_t *peer)
 {
@@ -140,19 +145,20 @@
 }
 
 static void
-tell_some_agents (cfd_router_t *router)
+notify_some_agents (cfd_router_t *router)
 {
   const GPtrArray *agents = spread_tree_get_child_agents (router->tree);
-  unsigned count = (agents->len + TELL_ROUND_S - 1) / TELL_ROUND_S;
+  unsigned count = (agents->len + NOTIFY_ROUND_S - 1) / NOTIFY_ROUND_S;
 
   for (unsigned i = 0; i < count; i++)
-    (void)send_ask (router, agents->pdata[router->told++ % agents->len]);
+    (void)send_ask (
+        router, agents->pdata[router->next_notified_agent++ % agents->len]);
 }
 
-/* While the platform is out of reach: calls the agents whose witness this
-   router is.  They hold the link, so that one call is enough.  */
+/* While the platform is unreachable: notifies the agents whose witness this
+   router is.  They hold the link, so one message is enough.  */
 static void
-call_as_witness (cfd_router_t *router)
+notify_witnessed_agents (cfd_router_t *router)
 {
   const GPtrArray *routers = store_get_instances (router->store, ROLE_ROUTER);
   const GPtrArray *agents = store_get_instances (router->store, ROLE_AGENT);
@@ -168,36 +174,36 @@
     }
 }
 
-/* ---- upkeep ---- */
+/* ---- periodic work ---- */
 
 void
-conf_keep (cfd_router_t *router, cfd_time_t now)
+conf_run_periodic (cfd_router_t *router, cfd_time_t now)
 {
   if (store_should_ask_peer (router->store, now))
-    ask_for_word (router);
+    ask_for_revision (router);
   else
-    router->ask_doubts = 0;
+    router->ask_penalty = 0;
   if (store_is_fleet_large (router->store))
-    tell_some_agents (router);
+    notify_some_agents (router);
   if (!store_is_platform_up (router->store))
-    call_as_witness (router);
+    notify_witnessed_agents (router);
 }
 
 void
-conf_listed (cfd_router_t *router)
+conf_instances_changed (cfd_router_t *router)
 {
   spread_tree_free (router->tree);
   router->tree = spread_tree_new (
       store_get_instances (router->store, ROLE_ROUTER),
       store_get_instances (router->store, ROLE_AGENT), router->instance);
   router->ask_choice = 0;
-  router->ask_doubts = 0;
-  forget_asked (router);
+  router->ask_penalty = 0;
+  clear_asked_router (router);
 }
 
 void
 conf_free (cfd_router_t *router)
 {
   spread_tree_free (router->tree);
-  forget_asked (router);
+  clear_asked_router (router);
 }
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -2,18 +2,18 @@
 
 #include <string.h>
 
-/* What a model request costs at most by its own word, when it says nothing. */
+/* Output limit assumed for a model request that states none.  */
 #define DEFAULT_MAX_TOKENS 256
-/* Bytes of a prompt that make about one token.  */
+/* Approximate length of a token in a prompt.  */
 #define BYTES_PER_TOKEN 4
-#define RETRY_CONFIG_S 2
-#define RETRY_CAPACITY_S 5
+#define CONFIG_RETRY_AFTER_S 2
+#define CAPACITY_RETRY_AFTER_S 5
 #define SERVICES_PREFIX "/services/"
-/* MSG_HEADERS_MAX less what the agent adds.  */
-#define HEADERS_MAX (MSG_HEADERS_MAX - 4)
+/* MSG_HEADERS_MAX less the headers that the agent adds.  */
+#define MAX_HEADERS (MSG_HEADERS_MAX - 4)
 
 static void
-refuse (cfd_router_t *router, web_request_t *web, refused_t reason,
+refuse (cfd_router_t *router, web_request_t *web, refusal_reason_t reason,
         unsigned status, const char *title, const char *detail,
         int retry_after_s)
 {
@@ -23,9 +23,9 @@
   web_respond_problem (web, status, title, detail, "not-run", retry_after_s);
 }
 
-/* The account of the caller's key, or NULL after a refusal.  */
+/* Returns the account of the caller's key, or NULL after a refusal.  */
 static const rec_t *
-check_key (cfd_router_t *router, web_request_t *web)
+authenticate (cfd_router_t *router, web_request_t *web)
 {
   static const char scheme[] = "Bearer ";
   const char *header = web_header (web, "Authorization");
@@ -36,7 +36,7 @@
     account = store_find_account_by_key (router->store,
                                          header + sizeof scheme - 1);
   if (account == NULL)
-    refuse (router, web, REFUSED_KEY, 401, "Unknown key",
+    refuse (router, web, REFUSED_UNKNOWN_KEY, 401, "Unknown key",
             "Send \"Authorization: Bearer KEY\" with a key of a client "
             "account.",
             -1);
@@ -75,7 +75,7 @@
 {
   static const char *const names[]
       = { "max_completion_tokens", "max_tokens", NULL };
-  double most = DEFAULT_MAX_TOKENS;
+  double max_tokens = DEFAULT_MAX_TOKENS;
   size_t length;
 
   for (const char *const *name = names; *name != NULL; name++)
@@ -86,12 +86,12 @@
           && json_node_get_value_type (node) == G_TYPE_INT64
           && json_node_get_int (node) > 0)
         {
-          most = (double)json_node_get_int (node);
+          max_tokens = (double)json_node_get_int (node);
           break;
         }
     }
   (void)web_body (web, &length);
-  return most + (double)length / BYTES_PER_TOKEN;
+  return max_tokens + (double)length / BYTES_PER_TOKEN;
 }
 
 /* ---- headers ---- */
@@ -100,47 +100,47 @@
 {
   GPtrArray *headers;
   bool too_many;
-} pass_t;
+} header_filter_t;
 
 static bool
-is_passed (const char *name)
+is_forwarded (const char *name)
 {
-  static const char *const own[] = { "Authorization",
-                                     "Connection",
-                                     "Content-Length",
-                                     "Expect",
-                                     "Host",
-                                     "Keep-Alive",
-                                     "Proxy-Connection",
-                                     "Proxy-Authorization",
-                                     "TE",
-                                     "Trailer",
-                                     "Transfer-Encoding",
-                                     "Upgrade",
-                                     "X-Request-Class",
-                                     "X-Request-Id",
-                                     "Accept-Encoding",
-                                     NULL };
-
-  for (const char *const *each = own; *each != NULL; each++)
+  static const char *const consumed[] = { "Authorization",
+                                          "Connection",
+                                          "Content-Length",
+                                          "Expect",
+                                          "Host",
+                                          "Keep-Alive",
+                                          "Proxy-Connection",
+                                          "Proxy-Authorization",
+                                          "TE",
+                                          "Trailer",
+                                          "Transfer-Encoding",
+                                          "Upgrade",
+                                          "X-Request-Class",
+                                          "X-Request-Id",
+                                          "Accept-Encoding",
+                                          NULL };
+
+  for (const char *const *each = consumed; *each != NULL; each++)
     if (g_ascii_strcasecmp (name, *each) == 0)
       return false;
   return true;
 }
 
 static void
-pass_header (void *user, const char *name, const char *value)
+add_forwarded_header (void *user, const char *name, const char *value)
 {
-  pass_t *pass = user;
+  header_filter_t *filter = user;
 
-  if (!is_passed (name))
+  if (!is_forwarded (name))
     return;
-  if (pass->headers->len >= HEADERS_MAX)
+  if (filter->headers->len >= MAX_HEADERS)
     {
-      pass->too_many = true;
+      filter->too_many = true;
       return;
     }
-  g_ptr_array_add (pass->headers, g_strdup_printf ("%s: %s", name, value));
+  g_ptr_array_add (filter->headers, g_strdup_printf ("%s: %s", name, value));
 }
 
 /* ---- kinds of calls ---- */
@@ -153,16 +153,17 @@
   double cost;
 } call_t;
 
-/* A path that the service may read as another one than the rules do is not
-   taken for idempotent: "/past/../invoices" or the same with escapes.  */
+/* Whether the rules and the service certainly read the path alike.  Others,
+   such as "/past/../invoices" or the same with escapes, are not assumed to be
+   idempotent.  */
 static bool
-is_plain_path (const char *path)
+is_unambiguous_path (const char *path)
 {
-  static const char *const doubtful[]
+  static const char *const ambiguous[]
       = { "/.", "//", "\\", ";", "%2e", "%2f", "%5c", NULL };
   g_autofree char *lower = g_ascii_strdown (path, (gssize)strcspn (path, "?"));
 
-  for (const char *const *part = doubtful; *part != NULL; part++)
+  for (const char *const *part = ambiguous; *part != NULL; part++)
     if (strstr (lower, *part) != NULL)
       return false;
   return true;
@@ -172,64 +173,64 @@
 is_idempotent (const rec_t *service, const char *method, const call_t *call)
 {
   return call->is_model
-         || (is_plain_path (call->path)
+         || (is_unambiguous_path (call->path)
              && rec_service_is_idempotent (&service->u.service, method,
                                            call->path));
 }
 
-/* Begins the life of a request that passed all checks.  */
+/* Creates and starts a request that passed all checks.  */
 static void
-admit (cfd_router_t *router, web_request_t *web, const rec_t *account,
-       const rec_t *service, const call_t *call)
+admit_request (cfd_router_t *router, web_request_t *web, const rec_t *account,
+               const rec_t *service, const call_t *call)
 {
   cfd_time_t now = clock_now ();
   request_t *request;
-  pass_t pass = { g_ptr_array_new_with_free_func (g_free), false };
+  header_filter_t filter = { g_ptr_array_new_with_free_func (g_free), false };
 
-  web_foreach_header (web, pass_header, &pass);
-  if (pass.too_many)
+  web_foreach_header (web, add_forwarded_header, &filter);
+  if (filter.too_many)
     {
-      g_ptr_array_unref (pass.headers);
-      refuse (router, web, REFUSED_BAD, 431, "Too many headers",
+      g_ptr_array_unref (filter.headers);
+      refuse (router, web, REFUSED_BAD_REQUEST, 431, "Too many headers",
               "Send fewer headers.", -1);
       return;
     }
   request = request_new (router, web, account->name, service->name);
-  request->headers = pass.headers;
+  request->headers = filter.headers;
   request->path = g_strdup (call->path);
   request->is_model = call->is_model;
   request->idempotent = is_idempotent (service, request->method, call);
-  request->hint = call->cost;
+  request->cost_hint = call->cost;
   request->item.cost = call->is_model
-                           ? cost_expect (router->cost, account->name,
-                                          service->name, call->cost)
+                           ? cost_estimate (router->cost, account->name,
+                                            service->name, call->cost)
                            : call->cost;
   request->item.class_rank = rec_service_get_class_rank (
       &service->u.service, web_header (web, "X-Request-Class"));
   if (!request->idempotent)
     request->key = g_strdup (web_header (web, "Idempotency-Key"));
   request->body = web_take_body (web);
-  request_begin (request, now);
+  request_start (request, now);
 }
 
-/* The service that serves CALL, or NULL after a refusal.  */
+/* Returns the service of CALL, or NULL after a refusal.  */
 static const rec_t *
-check_service (cfd_router_t *router, web_request_t *web, const call_t *call)
+find_service (cfd_router_t *router, web_request_t *web, const call_t *call)
 {
   const rec_t *service = store_get (router->store, REC_SERVICE, call->service);
 
   if (service == NULL || service->deleted
       || service->u.service.is_model != call->is_model)
     {
-      refuse (router, web, REFUSED_BAD, 404, "Unknown service",
-              "Name a service that the operators have set up.", -1);
+      refuse (router, web, REFUSED_BAD_REQUEST, 404, "Unknown service",
+              "Name a service that is configured.", -1);
       return NULL;
     }
-  if (!agents_any_for (router, call->service))
+  if (!agents_has_endpoint_for (router, call->service))
     {
-      refuse (router, web, REFUSED_CAPACITY, 503, "No capacity",
-              "The service has no endpoint at present; ask again later.",
-              RETRY_CAPACITY_S);
+      refuse (router, web, REFUSED_NO_CAPACITY, 503, "No capacity",
+              "The service has no endpoint at present; retry later.",
+              CAPACITY_RETRY_AFTER_S);
       return NULL;
     }
   return service;
@@ -239,7 +240,7 @@
 handle_model (cfd_router_t *router, web_request_t *web)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
-  const rec_t *account = check_key (router, web);
+  const rec_t *account = authenticate (router, web);
   const rec_t *service;
   JsonObject *body;
   call_t call = { .is_model = true, .path = web_target (web) };
@@ -248,42 +249,42 @@
     return;
   if (strcmp (web_method (web), "POST") != 0)
     {
-      refuse (router, web, REFUSED_BAD, 405, "Method not allowed", "Use POST.",
-              -1);
+      refuse (router, web, REFUSED_BAD_REQUEST, 405, "Method not allowed",
+              "Use POST.", -1);
       return;
     }
   body = parse_body (parser, web);
   call.service = body != NULL ? string_member (body, "model") : NULL;
   if (call.service == NULL)
     {
-      refuse (router, web, REFUSED_BAD, 400, "Bad request",
+      refuse (router, web, REFUSED_BAD_REQUEST, 400, "Bad request",
               "Send a JSON object with a \"model\".", -1);
       return;
     }
   call.cost = model_cost (body, web);
-  service = check_service (router, web, &call);
+  service = find_service (router, web, &call);
   if (service != NULL)
-    admit (router, web, account, service, &call);
+    admit_request (router, web, account, service, &call);
 }
 
 static void
 handle_plain (cfd_router_t *router, web_request_t *web)
 {
-  const rec_t *account = check_key (router, web);
+  const rec_t *account = authenticate (router, web);
   const char *rest = web_target (web) + strlen (SERVICES_PREFIX);
   g_autofree char *name = g_strndup (rest, strcspn (rest, "/?"));
   const char *path = rest + strlen (name);
   g_autofree char *whole = NULL;
   const rec_t *service;
-  call_t call = { .service = name, .cost = ROUTER_PLAIN_COST };
+  call_t call = { .service = name, .cost = ROUTER_PLAIN_COST_TOKENS };
 
   if (account == NULL)
     return;
   whole = *path == '/' ? g_strdup (path) : g_strconcat ("/", path, NULL);
   call.path = whole;
-  service = check_service (router, web, &call);
+  service = find_service (router, web, &call);
   if (service != NULL)
-    admit (router, web, account, service, &call);
+    admit_request (router, web, account, service, &call);
 }
 
 void
@@ -292,21 +293,21 @@
   cfd_router_t *router = user;
   const char *path = web_path (web);
 
-  g_autofree char *name = router_name_request (router);
+  g_autofree char *name = router_new_request_id (router);
 
   router->counters.requests++;
   web_set_response_header (web, "X-Request-Id", name);
   if (store_get_revision (router->store) == 0)
-    refuse (router, web, REFUSED_CAPACITY, 503, "Not ready",
-            "This router has no configuration yet; ask again.",
-            RETRY_CONFIG_S);
+    refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
+            "This router has no configuration yet; retry later.",
+            CONFIG_RETRY_AFTER_S);
   else if (strcmp (path, "/v1/chat/completions") == 0
            || strcmp (path, "/v1/completions") == 0)
     handle_model (router, web);
   else if (g_str_has_prefix (path, SERVICES_PREFIX))
     handle_plain (router, web);
   else
-    refuse (router, web, REFUSED_BAD, 404, "Not found",
+    refuse (router, web, REFUSED_BAD_REQUEST, 404, "Not found",
             "Use /v1/chat/completions, /v1/completions or /services/NAME/...",
             -1);
 }
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -4,13 +4,13 @@
 
 #include <string.h>
 
-/* A long answer is charged by steps of this part ahead, so that it doesn't
-   make a report for each token.  */
-#define CHARGE_AHEAD 0.25
+/* A long answer is charged this part ahead of its output, so that it does not
+   cause a report for each token.  */
+#define CHARGE_AHEAD_RATIO 0.25
 
 void
-grant_left (cfd_router_t *router, const char *account, const char *service,
-            cfd_time_t now, msg_waiting_t *left)
+grant_describe_queue (cfd_router_t *router, const char *account,
+                      const char *service, cfd_time_t now, msg_waiting_t *left)
 {
   adm_queue_info_t info;
 
@@ -30,17 +30,18 @@
 {
   msg_waiting_t left;
 
-  grant_left (router, account, service, now, &left);
+  grant_describe_queue (router, account, service, now, &left);
   share_set_backlogged (router->share, account, service, left.count > 0, now);
   if (left.count == 0)
-    turns_rest (router->turns, account, service);
-  shares_changed (router, now);
+    fairness_end_wait (router->fairness, account, service);
+  shares_schedule_report (router, now);
   if (router->policy == CFD_POLICY_LOCAL)
     {
       baseline_queue_changed (router, account, service, left.count);
       return;
     }
-  /* The backlog may have lifted the account to the floor.  */
+  /* The new backlog may have lifted the account's virtual time to the
+     floor.  */
   left.virtual_time = share_get_virtual_time (router->share, account, service);
   disp_update_waiting (router->disp, service, &left, now);
   router_schedule (router, MIN (disp_next_due (router->disp, now),
@@ -50,22 +51,23 @@
 /* ---- announcements ---- */
 
 static reach_result_t
-announce (void *user, const char *name, const msg_announce_t *word)
+send_announcement (void *user, const char *name,
+                   const msg_announce_t *announcement)
 {
   cfd_router_t *router = user;
   agent_t *agent = agents_find (router, name);
-  msg_t message = { .kind = MSG_ANNOUNCE, .u.announce = *word };
+  msg_t message = { .kind = MSG_ANNOUNCE, .u.announce = *announcement };
   cfd_time_t now = clock_now ();
 
   if (agent == NULL)
     return REACH_DIALLING;
   agent->announced_until = now + DISP_LIFETIME_MS;
-  agents_hold (router, agent);
-  /* Not sent: the agent hears all when its link is up.  */
+  agents_hold_link (router, agent);
+  /* Not sent: the agent gets all announcements when its link is up.  */
   if (!router_send (router, name, &message))
     return REACH_DIALLING;
   router->counters.announces++;
-  router->counters.announced_entries += word->count;
+  router->counters.announced_entries += announcement->count;
   return peer_hub_is_unresponsive (router->hub, name, now) ? REACH_UNRESPONSIVE
                                                            : REACH_SENT;
 }
@@ -73,12 +75,12 @@
 void
 grant_announce (cfd_router_t *router, cfd_time_t now)
 {
-  disp_send_due (router->disp, now, announce, router);
+  disp_send_due (router->disp, now, send_announcement, router);
 }
 
 /* ---- grants ---- */
 
-/* An agent, as the one that a queued request may go to.  */
+/* The agent that a queued request is checked against.  */
 typedef struct
 {
   const cfd_router_t *router;
@@ -87,16 +89,16 @@
 } target_t;
 
 static bool
-may_go (void *user, const adm_item_t *item)
+is_eligible (void *user, const adm_item_t *item)
 {
   const target_t *target = user;
 
-  /* The baseline picks its agent before the request.  */
+  /* The baseline policy picks the agent before the request.  */
   if (target->router->policy == CFD_POLICY_LOCAL)
     return true;
-  return agents_may_try (target->router, target->agent,
-                         list_entry (item, const request_t, item),
-                         target->now);
+  return agents_is_eligible (target->router, target->agent,
+                             list_entry (item, const request_t, item),
+                             target->now);
 }
 
 static void
@@ -109,12 +111,12 @@
   message.u.decline.grant = grant->grant;
   message.u.decline.reason = reason;
   message.u.decline.service = grant->service;
-  grant_left (router, grant->account, grant->service, now,
-              &message.u.decline.left);
-  /* All that waits was failed by this agent: told of it, it would offer the
-     same slot again and again.  */
-  if (!adm_has_allowed (router->adm, grant->account, grant->service, may_go,
-                        &target))
+  grant_describe_queue (router, grant->account, grant->service, now,
+                        &message.u.decline.left);
+  /* This agent failed everything that waits: if it were given the count, it
+     would offer the same slot again and again.  */
+  if (!adm_has_allowed (router->adm, grant->account, grant->service,
+                        is_eligible, &target))
     message.u.decline.left.count = 0;
   router->counters.declined[reason]++;
   if (router_send (router, peer->instance, &message))
@@ -127,14 +129,14 @@
   cfd_router_t *router;
   target_t target;
   const char *service;
-  const char *account; /* NULL while none is found */
+  const char *account; /* NULL until one is found */
   double time;
-} least_t;
+} least_account_t;
 
 static void
-offer_least (void *user, const char *account, const char *service)
+consider_account (void *user, const char *account, const char *service)
 {
-  least_t *least = user;
+  least_account_t *least = user;
   double time;
 
   if (strcmp (service, least->service) != 0)
@@ -142,18 +144,19 @@
   time = share_get_virtual_time (least->router->share, account, service);
   if (least->account != NULL && time >= least->time)
     return;
-  if (!adm_has_allowed (least->router->adm, account, service, may_go,
+  if (!adm_has_allowed (least->router->adm, account, service, is_eligible,
                         &least->target))
     return;
   least->account = account;
   least->time = time;
 }
 
-/* Whether the agent chose by old knowledge.  Up to one request's cost beyond
-   the second best is within what any order would do.  */
+/* Whether the agent's choice rests on outdated virtual times.  Up to one
+   request's cost beyond the second least is within what any order would
+   do.  */
 static bool
-is_stale (cfd_router_t *router, const msg_grant_t *grant, const least_t *least,
-          cfd_time_t now)
+is_stale_grant (cfd_router_t *router, const msg_grant_t *grant,
+                const least_account_t *least, cfd_time_t now)
 {
   const rec_t *record = store_get (router->store, REC_ACCOUNT, least->account);
   double weight = record != NULL ? record->u.account.weight : 1;
@@ -163,22 +166,22 @@
   return least->time > grant->limit_vt + info.cost / info.count / weight;
 }
 
-/* The slot goes to the account with the least virtual time that waits here,
-   whichever the agent named: its knowledge is up to a refresh old, this
-   router's a report.  Declining instead would leave the slot empty for a round
-   trip and more.  */
+/* Assigns the slot to the waiting account with the least virtual time,
+   whichever account the agent named: the agent's virtual times are up to a
+   refresh old, this router's up to a report.  Declining instead would leave
+   the slot empty for at least a round trip.  */
 static void
-answer (cfd_router_t *router, agent_t *agent, const peer_id_t *peer,
-        const msg_grant_t *grant, cfd_time_t now)
+answer_grant (cfd_router_t *router, agent_t *agent, const peer_id_t *peer,
+              const msg_grant_t *grant, cfd_time_t now)
 {
-  least_t least = { .router = router,
-                    .target = { router, agent, now },
-                    .service = grant->service };
+  least_account_t least = { .router = router,
+                            .target = { router, agent, now },
+                            .service = grant->service };
 
-  adm_for_each_queue (router->adm, offer_least, &least);
+  adm_for_each_queue (router->adm, consider_account, &least);
   if (least.account == NULL)
     decline (router, peer, grant, DECLINE_NO_WORK, now);
-  else if (is_stale (router, grant, &least, now))
+  else if (is_stale_grant (router, grant, &least, now))
     decline (router, peer, grant, DECLINE_STALE, now);
   else if (!grant_assign (router, agent, grant->grant, grant->incarnation,
                           least.account, grant->service, now))
@@ -187,80 +190,83 @@
 }
 
 void
-grant_take (cfd_router_t *router, const peer_id_t *peer,
-            const msg_grant_t *grant, cfd_time_t now)
+grant_handle (cfd_router_t *router, const peer_id_t *peer,
+              const msg_grant_t *grant, cfd_time_t now)
 {
-  agent_t *agent = agents_get (router, peer->instance, peer->zone);
+  agent_t *agent = agents_find_or_add (router, peer->instance, peer->zone);
 
   router->counters.grants++;
-  agents_serves (router, agent, grant->service);
+  agents_set_service (router, agent, grant->service);
   share_record_floor (router->share, grant->service, grant->floor, now);
-  request_expire (router, now);
-  if (!agents_may_work (router, agent))
+  request_expire_queued (router, now);
+  if (!agents_accepts_work (router, agent))
     decline (router, peer, grant, DECLINE_ZONE, now);
   else
-    answer (router, agent, peer, grant, now);
+    answer_grant (router, agent, peer, grant, now);
 }
 
 /* ---- assignments ---- */
 
 static void
-charge (cfd_router_t *router, request_t *request, cfd_time_t now)
+charge_request (cfd_router_t *router, request_t *request, cfd_time_t now)
 {
   const rec_t *record
       = store_get (router->store, REC_ACCOUNT, request->item.account);
 
   request->weight = record != NULL ? record->u.account.weight : 1;
-  request->charged = request->item.cost;
+  request->charged_tokens = request->item.cost;
   share_charge (router->share, request->item.account, request->item.service,
-                request->charged, request->weight, now);
+                request->charged_tokens, request->weight, now);
   if (router->policy == CFD_POLICY_LOCAL)
     wfq_charge (router->wfq, request->item.account, request->item.service,
-                request->charged, request->weight);
+                request->charged_tokens, request->weight);
 }
 
 void
-grant_correct (request_t *request, double actual, cfd_time_t now)
+grant_correct_charge (request_t *request, double actual_tokens, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
-  double difference = actual - request->charged;
+  double difference = actual_tokens - request->charged_tokens;
 
-  if (actual < 0)
+  if (actual_tokens < 0)
     return;
-  request->charged = actual;
+  request->charged_tokens = actual_tokens;
   share_charge (router->share, request->item.account, request->item.service,
                 difference, request->weight, now);
-  turns_moved (router->turns, request->item.account, request->item.service,
-               difference / request->weight);
+  fairness_adjust (router->fairness, request->item.account,
+                   request->item.service, difference / request->weight);
   if (router->policy == CFD_POLICY_LOCAL)
     wfq_charge (router->wfq, request->item.account, request->item.service,
                 difference, request->weight);
-  shares_changed (router, now);
+  shares_schedule_report (router, now);
 }
 
 void
-grant_streams (request_t *request, uint32_t output, cfd_time_t now)
+grant_charge_streamed (request_t *request, uint32_t output_tokens,
+                       cfd_time_t now)
 {
-  if (request->is_model && output > request->charged)
-    grant_correct (request, output * (1 + CHARGE_AHEAD), now);
+  if (request->is_model && output_tokens > request->charged_tokens)
+    grant_correct_charge (request, output_tokens * (1 + CHARGE_AHEAD_RATIO),
+                          now);
 }
 
-/* A new id for each attempt, so that late words of a former one are told from
-   those of the present.  */
+/* Gives each attempt a new id, so that late messages of a former one are
+   distinguished from those of the current one.  */
 static void
-attach (cfd_router_t *router, request_t *request, agent_t *agent,
-        uint64_t incarnation, cfd_time_t now)
+attach_agent (cfd_router_t *router, request_t *request, agent_t *agent,
+              uint64_t incarnation, cfd_time_t now)
 {
   g_free (request->id);
-  request->id = g_strdup_printf ("%s-%u", request->trace, ++request->attempts);
+  request->id
+      = g_strdup_printf ("%s-%u", request->trace_id, ++request->attempts);
   request->agent = agent;
   request->agent_incarnation = incarnation;
-  request->assigned = now;
+  request->assigned_at = now;
   g_hash_table_insert (router->requests, request->id, request);
   list_append (&agent->requests, &request->at_agent);
   agent->in_flight++;
   router->in_flight++;
-  agents_hold (router, agent);
+  agents_hold_link (router, agent);
 }
 
 static bool
@@ -284,8 +290,8 @@
   assign->body.length = length;
   assign->cost_hint = request->item.cost;
   assign->idempotent = request->idempotent;
-  grant_left (router, request->item.account, request->item.service, now,
-              &assign->left);
+  grant_describe_queue (router, request->item.account, request->item.service,
+                        now, &assign->left);
   if (!router_send (router, request->agent->name, &message))
     return false;
   disp_record_answer (router->disp, request->item.service,
@@ -293,27 +299,26 @@
   return true;
 }
 
-/* Tells why the request went where it did: the agent offered a slot to the
-   account that had got least.  */
+/* Records why the request went to this agent.  */
 static void
-note_assign (cfd_router_t *router, const request_t *request, uint64_t grant,
-             double virtual_time)
+record_assignment (cfd_router_t *router, const request_t *request,
+                   uint64_t grant, double virtual_time)
 {
   g_autofree char *detail = g_strdup_printf (
       "to %s: %s, virtual_time=%.0f attempt=%u", request->agent->name,
       grant != 0 ? "it offered a slot to the account that got least"
-                 : "it has the least load known here",
+                 : "it is the least loaded agent that this router knows",
       virtual_time, request->attempts);
 
-  router_note (router, TL_ASSIGN, request, detail);
+  router_record_event (router, TL_ASSIGN, request, detail);
 }
 
-/* ---- whose turn it was ---- */
+/* ---- fairness check ---- */
 
-/* What the order of the policy goes by.  */
+/* The virtual time by which the policy orders the accounts.  */
 static double
-order_time (const cfd_router_t *router, const char *account,
-            const char *service)
+policy_virtual_time (const cfd_router_t *router, const char *account,
+                     const char *service)
 {
   return router->policy == CFD_POLICY_LOCAL
              ? wfq_virtual_time (router->wfq, account, service)
@@ -324,45 +329,47 @@
 {
   const cfd_router_t *router;
   const target_t *target;
-  const turn_t *turn;
-} passing_t;
-
-/* An order that is wrong, or a charge that is lost, lets some accounts take
-   all slots: the callers of the others time out one by one, which looks like
-   too little capacity.  Each slot is held against each account that it passes
-   over, and what was given away in an account's place against what the order
-   can give; see turns.h.  */
+  const fairness_slot_t *slot;
+} passed_over_t;
+
+/* A wrong order or a lost charge lets some accounts take all slots: the
+   callers of the others time out one by one, which looks like too little
+   capacity.  So each slot is checked against every account that it passes
+   over, and the slots taken in an account's place against the bound of the
+   order; see fairness.h.  */
 static void
-check_passed (void *user, const char *account, const char *service)
+check_passed_over (void *user, const char *account, const char *service)
 {
-  const passing_t *passing = user;
-  const cfd_router_t *router = passing->router;
-  turn_verdict_t verdict;
+  const passed_over_t *passed_over = user;
+  const cfd_router_t *router = passed_over->router;
+  fairness_verdict_t verdict;
 
-  if (strcmp (service, passing->turn->service) != 0
-      || strcmp (account, passing->turn->account) == 0)
+  if (strcmp (service, passed_over->slot->service) != 0
+      || strcmp (account, passed_over->slot->account) == 0)
     return;
-  verdict = turns_pass (router->turns, passing->turn, account,
-                        order_time (router, account, service),
-                        adm_has_allowed (router->adm, account, service, may_go,
-                                         (void *)passing->target),
-                        passing->target->now);
-  INVARIANT ("slot-to-least", verdict != TURN_OUT_OF_ORDER, account);
-  INVARIANT ("passed-over-bound", verdict != TURN_BEYOND_BOUND, account);
+  verdict = fairness_check_passed (
+      router->fairness, passed_over->slot, account,
+      policy_virtual_time (router, account, service),
+      adm_has_allowed (router->adm, account, service, is_eligible,
+                       (void *)passed_over->target),
+      passed_over->target->now);
+  INVARIANT ("slot-to-least", verdict != FAIRNESS_OUT_OF_ORDER, account);
+  INVARIANT ("passed-over-bound", verdict != FAIRNESS_BOUND_EXCEEDED, account);
 }
 
 static void
-take_turn (cfd_router_t *router, const request_t *request, double virtual_time,
-           const target_t *target)
+check_fairness (cfd_router_t *router, const request_t *request,
+                double virtual_time, const target_t *target)
 {
-  const turn_t turn = { .account = request->item.account,
-                        .service = request->item.service,
-                        .virtual_time = virtual_time,
-                        .charge = request->charged / request->weight };
-  passing_t passing = { router, target, &turn };
-
-  adm_for_each_queue (router->adm, check_passed, &passing);
-  turns_take (router->turns, &turn, target->now);
+  const fairness_slot_t slot
+      = { .account = request->item.account,
+          .service = request->item.service,
+          .virtual_time = virtual_time,
+          .charge = request->charged_tokens / request->weight };
+  passed_over_t passed_over = { router, target, &slot };
+
+  adm_for_each_queue (router->adm, check_passed_over, &passed_over);
+  fairness_assign (router->fairness, &slot, target->now);
 }
 
 bool
@@ -372,29 +379,30 @@
 {
   target_t target = { router, agent, now };
   adm_item_t *item = adm_dequeue_allowed (router->adm, account, service, now,
-                                          may_go, &target);
+                                          is_eligible, &target);
   request_t *request;
   double time;
   double order;
 
   if (item == NULL)
     return false;
-  /* ACCOUNT and SERVICE may be of the queue, which goes with its last item. */
+  /* ACCOUNT and SERVICE may belong to the queue, which is freed with its last
+     item.  */
   time = share_get_virtual_time (router->share, item->account, item->service);
-  order = order_time (router, item->account, item->service);
+  order = policy_virtual_time (router, item->account, item->service);
   request = list_entry (item, request_t, item);
-  attach (router, request, agent, incarnation, now);
-  charge (router, request, now);
+  attach_agent (router, request, agent, incarnation, now);
+  charge_request (router, request, now);
   if (!send_assign (router, request, grant, now))
     {
-      grant_correct (request, 0, now);
-      request_detach (request);
+      grant_correct_charge (request, 0, now);
+      request_detach_agent (request);
       adm_requeue (router->adm, item);
       return false;
     }
   router->counters.assigned++;
-  note_assign (router, request, grant, time);
-  take_turn (router, request, order, &target);
-  request_event (request, REQ_EV_ASSIGNED, now);
+  record_assignment (router, request, grant, time);
+  check_fairness (router, request, order, &target);
+  request_handle_event (request, REQ_EV_ASSIGNED, now);
   return true;
 }
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -1,5 +1,5 @@
-/* Which router is the home of an account: those that can be reached and
-   answer, as this router sees it.  */
+/* Selection of the home router of an account, among the routers that are
+   reachable and answer, in this router's view.  */
 
 #include "router/router-private.h"
 
@@ -8,24 +8,24 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A home that could not be reached for so long is passed over, until there is
-   a link.  */
-#define MISSING_MS 500
-/* A home answers each report that comes TOLD_SILENCE_MS after its last answer
-   or later; one that did not for so long is cut off or frozen, and is passed
-   over until an answer or a new link comes.  The link's own watch on silence
-   takes 2 s, in which each router of an account would know but its own part.
-   Both together are 750 ms, many times the way between regions and what a busy
-   home takes.  */
-#define ANSWER_MS 500
-/* Until then, an answer that is so late is taken for one that may not come:
-   accounts go on as if their other routers gave what they gave before.  That
-   is several times the way between regions, and does little harm when the
-   answer comes after all.  */
-#define LATE_MS 100
-/* The link to a home is held so long after the last report, so that a silent
-   connection shows.  */
-#define HOLD_MS 3000
+/* A home that is unreachable for this time is excluded, until there is a
+   link.  */
+#define UNREACHABLE_MS 500
+/* A home answers each report that comes PEER_VIEW_MAX_SILENCE_MS after its
+   last answer or later; one that did not for this time is cut off or frozen,
+   and is excluded until an answer or a new link comes.  The link's own silence
+   timeout takes 2 s, during which each router of an account would know only
+   its own part.  Both times together are 750 ms, many times the latency
+   between regions and what a busy home takes.  */
+#define ANSWER_TIMEOUT_MS 500
+/* Before that timeout, an answer that is this late is treated as one that may
+   not come: accounts continue as if their other routers served them at the
+   former rate.  That is several times the latency between regions, and does
+   little harm if the answer does come.  */
+#define ANSWER_LATE_MS 100
+/* How long the link to a home is held after the last report, so that a silent
+   connection is detected.  */
+#define LINK_HOLD_MS 3000
 
 static void
 peer_free (gpointer data)
@@ -33,7 +33,7 @@
   router_peer_t *peer = data;
 
   g_hash_table_unref (peer->unsent);
-  told_free (peer->told);
+  peer_view_free (peer->view);
   g_free (peer->name);
   g_free (peer);
 }
@@ -46,21 +46,21 @@
 }
 
 uint64_t
-homes_number (const char *home)
+homes_hash (const char *home)
 {
   return XXH3_64bits (home, strlen (home));
 }
 
 /* Some accounts may have another home now.  */
 static void
-homes_moved (cfd_router_t *router, cfd_time_t now)
+mark_homes_changed (cfd_router_t *router, cfd_time_t now)
 {
-  router->homes_moved = true;
-  shares_changed (router, now);
+  router->homes_changed = true;
+  shares_schedule_report (router, now);
 }
 
 router_peer_t *
-homes_get (cfd_router_t *router, const char *name)
+homes_find_or_add (cfd_router_t *router, const char *name)
 {
   router_peer_t *peer = g_hash_table_lookup (router->routers, name);
 
@@ -69,13 +69,13 @@
   peer = g_new0 (router_peer_t, 1);
   peer->name = g_strdup (name);
   peer->unsent = pair_table_new (NULL);
-  peer->told = told_new ();
+  peer->view = peer_view_new ();
   g_hash_table_insert (router->routers, peer->name, peer);
   return peer;
 }
 
 void
-homes_listed (cfd_router_t *router, cfd_time_t now)
+homes_instances_changed (cfd_router_t *router, cfd_time_t now)
 {
   GPtrArray *instances = store_get_instances (router->store, ROLE_ROUTER);
   GHashTableIter iter;
@@ -90,7 +90,7 @@
 
       if (strcmp (instance->name, router->instance) == 0)
         continue;
-      homes_get (router, instance->name)->listed = true;
+      homes_find_or_add (router, instance->name)->listed = true;
       peer_hub_set_address (router->hub, instance->name, instance->address);
     }
   g_hash_table_iter_init (&iter, router->routers);
@@ -98,61 +98,61 @@
     {
       const router_peer_t *peer = value;
 
-      if (peer->listed || peer->up || peer->held)
+      if (peer->listed || peer->up || peer->link_held)
         continue;
       peer_hub_set_address (router->hub, peer->name, "");
       g_hash_table_iter_remove (&iter);
     }
-  homes_moved (router, now);
+  mark_homes_changed (router, now);
 }
 
-/* So that the check of turns knows why an order changed.  */
+/* Reports a change of a virtual time to the fairness check.  */
 static void
-note_moved (void *user, const char *account, const char *service,
-            double tokens)
+on_virtual_time_changed (void *user, const char *account, const char *service,
+                         double tokens)
 {
   cfd_router_t *router = user;
 
-  turns_moved (router->turns, account, service, tokens);
+  fairness_adjust (router->fairness, account, service, tokens);
 }
 
 static void
-set_late (cfd_router_t *router, router_peer_t *peer, bool is_late)
+set_answer_late (cfd_router_t *router, router_peer_t *peer, bool is_late)
 {
-  if (peer->late == is_late)
+  if (peer->answer_late == is_late)
     return;
-  peer->late = is_late;
-  share_set_home_late (router->share, homes_number (peer->name), is_late,
-                       note_moved, router);
+  peer->answer_late = is_late;
+  share_set_home_late (router->share, homes_hash (peer->name), is_late,
+                       on_virtual_time_changed, router);
 }
 
-/* Passes over PEER as a home until its link is up: its accounts move to their
-   next choice, which is rebuilt from what each router reports.  Meanwhile the
-   link is held, so that the accounts come back with the peer: a fixed time
-   would leave them with two homes after a partition, and without any each time
-   it runs out during one, and either way an account with work at several
-   routers gets a whole share at each.  */
+/* Excludes PEER as a home until its link is up: its accounts move to their
+   next choice, whose state is rebuilt from what each router reports.  The link
+   is held meanwhile, so that the accounts return with the peer.  A fixed time
+   instead would leave them with two homes after a partition, and with none
+   each time that it expired during one; in either case an account with work at
+   several routers gets a whole share at each.  */
 void
-homes_avoid (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_exclude (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->missing_since = 0;
+  peer->unreachable_since = 0;
   peer->unanswered_since = 0;
-  set_late (router, peer, false);
-  peer->avoided = true;
+  set_answer_late (router, peer, false);
+  peer->excluded = true;
   g_hash_table_remove_all (peer->unsent);
-  homes_moved (router, now);
+  mark_homes_changed (router, now);
 }
 
 void
-homes_trust (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_readmit (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->missing_since = 0;
+  peer->unreachable_since = 0;
   peer->unanswered_since = 0;
-  set_late (router, peer, false);
-  if (!peer->avoided)
+  set_answer_late (router, peer, false);
+  if (!peer->excluded)
     return;
-  peer->avoided = false;
-  homes_moved (router, now);
+  peer->excluded = false;
+  mark_homes_changed (router, now);
 }
 
 static bool
@@ -161,12 +161,11 @@
   const cfd_router_t *router = user;
   const router_peer_t *peer = g_hash_table_lookup (router->routers, name);
 
-  return peer == NULL || !peer->avoided;
+  return peer == NULL || !peer->excluded;
 }
 
-/* The home of an account as this router sees it, itself included.  */
 const char *
-homes_of (cfd_router_t *router, const char *account, const char *service)
+homes_lookup (cfd_router_t *router, const char *account, const char *service)
 {
   const char *home = store_find_home_router (router->store, account, service,
                                              is_usable, router);
@@ -175,61 +174,63 @@
 }
 
 uint64_t
-homes_number_of (void *user, const char *account, const char *service)
+homes_hash_of_account (void *user, const char *account, const char *service)
 {
-  return homes_number (homes_of (user, account, service));
+  return homes_hash (homes_lookup (user, account, service));
 }
 
 void
-homes_hold (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_hold_link (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  peer->held_until = now + HOLD_MS;
-  if (peer->held)
+  peer->hold_until = now + LINK_HOLD_MS;
+  if (peer->link_held)
     return;
-  peer->held = true;
+  peer->link_held = true;
   peer_hub_hold (router->hub, peer->name);
 }
 
 void
-homes_sent (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_report_sent (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  /* Sooner after an answer the home may agree in silence.  */
-  if (peer->unanswered_since == 0 && now - peer->answered >= TOLD_SILENCE_MS)
+  /* Before that the home need not answer a report that it agrees with.  */
+  if (peer->unanswered_since == 0
+      && now - peer->last_answer_at >= PEER_VIEW_MAX_SILENCE_MS)
     peer->unanswered_since = now;
   if (peer->unanswered_since == 0)
     return;
-  if (now - peer->unanswered_since >= ANSWER_MS)
+  if (now - peer->unanswered_since >= ANSWER_TIMEOUT_MS)
     {
-      homes_avoid (router, peer, now);
+      homes_exclude (router, peer, now);
       return;
     }
-  if (now - peer->unanswered_since >= LATE_MS)
-    set_late (router, peer, true);
+  if (now - peer->unanswered_since >= ANSWER_LATE_MS)
+    set_answer_late (router, peer, true);
 }
 
 void
-homes_missed (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
+homes_report_failed (cfd_router_t *router, router_peer_t *peer, cfd_time_t now)
 {
-  if (peer->missing_since == 0)
-    peer->missing_since = now;
-  if (now - peer->missing_since >= MISSING_MS)
-    homes_avoid (router, peer, now);
+  if (peer->unreachable_since == 0)
+    peer->unreachable_since = now;
+  if (now - peer->unreachable_since >= UNREACHABLE_MS)
+    homes_exclude (router, peer, now);
 }
 
 void
 homes_peer_down (cfd_router_t *router, const char *name, cfd_time_t now)
 {
-  router_peer_t *peer = homes_get (router, name);
+  router_peer_t *peer = homes_find_or_add (router, name);
 
-  told_forget (peer->told);
-  /* A restarted peer can be up again before its former life's link ends.  */
+  peer_view_reset (peer->view);
+  /* A restarted peer can be up again before the link to its former process is
+     closed.  */
   peer->up = peer_hub_is_up (router->hub, name);
-  if (peer->held && !peer->up)
-    homes_avoid (router, peer, now);
+  if (peer->link_held && !peer->up)
+    homes_exclude (router, peer, now);
 }
 
 cfd_time_t
-homes_release (cfd_router_t *router, cfd_time_t now)
+homes_release_links (cfd_router_t *router, cfd_time_t now)
 {
   cfd_time_t next = CFD_TIME_NEVER;
   GHashTableIter iter;
@@ -240,15 +241,15 @@
     {
       router_peer_t *peer = value;
 
-      if (!peer->held || (peer->avoided && peer->listed))
+      if (!peer->link_held || (peer->excluded && peer->listed))
         continue;
-      if (peer->held_until > now)
+      if (peer->hold_until > now)
         {
-          next = MIN (next, peer->held_until);
+          next = MIN (next, peer->hold_until);
           continue;
         }
-      peer->held = false;
-      homes_trust (router, peer, now);
+      peer->link_held = false;
+      homes_readmit (router, peer, now);
       peer_hub_release (router->hub, peer->name);
     }
   return next;
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -2,30 +2,32 @@
 
 #include <string.h>
 
-/* The baseline: this router's own fair queue, and requests pushed to the
-   agent with the least load it knows.  Requests pushed beyond an agent's
-   slots, so that none idles until the next word of its load.  */
-#define PUSH_AHEAD 2u
+/* Baseline policy: the router's own fair queue, and requests pushed to the
+   least loaded agent that it knows.  */
+
+/* Requests pushed beyond an agent's slots, so that no slot idles until the
+   agent reports its load again.  */
+#define MAX_REQUESTS_BEYOND_SLOTS 2u
 
 static bool
-has_room (const cfd_router_t *router, const agent_t *agent,
-          const char *service)
+has_capacity (const cfd_router_t *router, const agent_t *agent,
+              const char *service)
 {
-  return agent->up && agent->has_load && agents_may_work (router, agent)
-         && g_strcmp0 (agent->granted, service) == 0
+  return agent->up && agent->has_load && agents_accepts_work (router, agent)
+         && g_strcmp0 (agent->granted_service, service) == 0
          && agent->busy + agent->queued + agent->pushed
-                < agent->slots + PUSH_AHEAD;
+                < agent->slots + MAX_REQUESTS_BEYOND_SLOTS;
 }
 
 static double
-load_of (const agent_t *agent)
+agent_load (const agent_t *agent)
 {
   return (double)(agent->busy + agent->queued + agent->pushed)
          / MAX (agent->slots, 1);
 }
 
 static agent_t *
-least_loaded (cfd_router_t *router, const char *service)
+find_least_loaded (cfd_router_t *router, const char *service)
 {
   agent_t *best = NULL;
   GHashTableIter iter;
@@ -36,9 +38,9 @@
     {
       agent_t *agent = value;
 
-      if (!has_room (router, agent, service))
+      if (!has_capacity (router, agent, service))
         continue;
-      if (best == NULL || load_of (agent) < load_of (best))
+      if (best == NULL || agent_load (agent) < agent_load (best))
         best = agent;
     }
   return best;
@@ -49,9 +51,9 @@
 {
   const char *account;
 
-  while ((account = wfq_next (router->wfq, service)) != NULL)
+  while ((account = wfq_next_account (router->wfq, service)) != NULL)
     {
-      agent_t *agent = least_loaded (router, service);
+      agent_t *agent = find_least_loaded (router, service);
       g_autofree char *name = g_strdup (account);
 
       if (agent == NULL
@@ -69,17 +71,17 @@
 }
 
 void
-baseline_pump (cfd_router_t *router, cfd_time_t now)
+baseline_dispatch (cfd_router_t *router, cfd_time_t now)
 {
   if (router->policy == CFD_POLICY_LOCAL
       && adm_count_waiting (router->adm) > 0)
     store_foreach (router->store, REC_SERVICE, push_record, router);
 }
 
-/* Agents tell their load over links, which are kept up from the first work
-   of a service on.  */
+/* Agents report their load over links, which are held from the first work of a
+   service on.  */
 static void
-hold_agents (cfd_router_t *router, const char *service, cfd_time_t now)
+hold_agent_links (cfd_router_t *router, const char *service, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
@@ -93,7 +95,7 @@
           || (agent->service != NULL && strcmp (agent->service, service) != 0))
         continue;
       agent->announced_until = now + DISP_LIFETIME_MS;
-      agents_hold (router, agent);
+      agents_hold_link (router, agent);
     }
 }
 
@@ -105,25 +107,25 @@
 
   if (count == 0)
     {
-      wfq_idle (router->wfq, account, service);
+      wfq_set_idle (router->wfq, account, service);
       return;
     }
-  wfq_backlogged (router->wfq, account, service);
-  hold_agents (router, service, now);
+  wfq_set_backlogged (router->wfq, account, service);
+  hold_agent_links (router, service, now);
   router_schedule (router, now);
 }
 
 void
-baseline_load (cfd_router_t *router, const peer_id_t *peer,
-               const msg_load_t *load)
+baseline_handle_load (cfd_router_t *router, const peer_id_t *peer,
+                      const msg_load_t *load)
 {
-  agent_t *agent = agents_get (router, peer->instance, peer->zone);
+  agent_t *agent = agents_find_or_add (router, peer->instance, peer->zone);
 
-  agents_serves (router, agent, load->service);
+  agents_set_service (router, agent, load->service);
   agent->has_load = true;
   agent->busy = load->busy;
   agent->slots = load->slots;
   agent->queued = load->queued;
   agent->pushed = 0;
-  baseline_pump (router, clock_now ());
+  baseline_dispatch (router, clock_now ());
 }
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -2,9 +2,9 @@
 
 #include "base/log.h"
 
-/* A request that loses its agent so often may be the cause of it.  */
-#define ATTEMPTS_MAX 3
-#define RETRY_STOP_S 1
+/* A request whose agent is lost this many times may itself be the cause.  */
+#define MAX_ATTEMPTS 3
+#define SHUTDOWN_RETRY_AFTER_S 1
 
 request_t *
 request_new (cfd_router_t *router, web_request_t *web, const char *account,
@@ -14,14 +14,14 @@
 
   request->router = router;
   request->web = web;
-  request->trace = g_strdup (web_get_response_header (web));
+  request->trace_id = g_strdup (web_get_response_header (web));
   request->method = g_strdup (web_method (web));
   request->item.account = g_strdup (account);
   request->item.service = g_strdup (service);
   list_init (&request->item.node);
   list_init (&request->item.by_deadline);
   list_init (&request->at_agent);
-  list_append (&router->all, &request->node);
+  list_append (&router->all_requests, &request->node);
   return request;
 }
 
@@ -36,8 +36,8 @@
     g_ptr_array_unref (request->answer_headers);
   if (request->body != NULL)
     g_bytes_unref (request->body);
-  if (request->kept != NULL)
-    g_byte_array_unref (request->kept);
+  if (request->answer_copy != NULL)
+    g_byte_array_unref (request->answer_copy);
   avoid_clear (&request->avoid);
   g_free ((char *)request->item.account);
   g_free ((char *)request->item.service);
@@ -45,63 +45,66 @@
   g_free (request->path);
   g_free (request->key);
   g_free (request->id);
-  g_free (request->trace);
+  g_free (request->trace_id);
   g_free (request);
 }
 
-/* ---- telling the caller ---- */
+/* ---- answers to the caller ---- */
 
 void
-request_refuse (request_t *request, refused_t reason, unsigned status,
+request_refuse (request_t *request, refusal_reason_t reason, unsigned status,
                 const char *title, const char *detail, req_run_t run,
                 int retry_after_s)
 {
   request->router->counters.refused[reason]++;
-  router_note (request->router, TL_REFUSE, request, title);
+  router_record_event (request->router, TL_REFUSE, request, title);
   if (request->web == NULL)
     return;
-  web_respond_problem (request->web, status, title, detail, req_run_word (run),
+  web_respond_problem (request->web, status, title, detail, req_run_text (run),
                        retry_after_s);
   request->web = NULL;
 }
 
 static void
-refuse_late (request_t *request, req_event_t event, req_run_t run)
+refuse_unserved (request_t *request, req_event_t event, req_run_t run)
 {
-  if (event == REQ_EV_STOP)
-    request_refuse (request, REFUSED_STOP, 503, "Shutting down",
-                    "This router is going away; ask another one.", run,
-                    RETRY_STOP_S);
+  if (event == REQ_EV_SHUTDOWN)
+    request_refuse (
+        request, REFUSED_SHUTDOWN, 503, "Shutting down",
+        "This router is shutting down; send the request to another one.", run,
+        SHUTDOWN_RETRY_AFTER_S);
   else
-    request_refuse (request, REFUSED_DEADLINE, 504, "Waited too long",
-                    "No slot came free in time; ask again later.", run,
+    request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504,
+                    "Deadline exceeded",
+                    "No slot became free in time; retry later.", run,
                     request->item.retry_after_s);
 }
 
 static void
-fail (request_t *request, req_event_t event)
+fail_request (request_t *request, req_event_t event)
 {
-  bool stop = event == REQ_EV_STOP;
+  bool stop = event == REQ_EV_SHUTDOWN;
 
   request->router->counters.failed++;
-  router_note (request->router, TL_END, request,
-               stop ? "failed: shutting down" : "failed: the agent was lost");
+  router_record_event (request->router, TL_END, request,
+                       stop ? "failed: shutting down"
+                            : "failed: the agent was lost");
   if (request->web == NULL)
     return;
   web_respond_problem (
       request->web, stop ? 503 : 502,
-      stop ? "Shutting down" : "Lost on the way",
-      "The request was given to an endpoint and its outcome is not "
+      stop ? "Shutting down" : "Connection to the endpoint lost",
+      "The request was sent to an endpoint and its outcome is not "
       "known; it may have run.",
       "unknown", -1);
   request->web = NULL;
 }
 
 static void
-break_off (request_t *request)
+truncate_answer (request_t *request)
 {
-  request->router->counters.broken_off++;
-  router_note (request->router, TL_END, request, "broken off");
+  request->router->counters.truncated++;
+  router_record_event (request->router, TL_END, request, "answer cut off");
   if (request->web == NULL)
     return;
   web_stream_end (request->web, false);
@@ -121,40 +124,41 @@
 {
   g_clear_pointer (&request->body, g_bytes_unref);
   web_stream_begin (request->web, request->status,
-                    request_answer_headers (request), answer_drained, request);
+                    request_answer_headers (request), answer_on_drained,
+                    request);
 }
 
 static bool
-has_no_body (const request_t *request)
+status_has_no_body (const request_t *request)
 {
   return request->status == 204 || request->status == 304;
 }
 
 static void
-finish (request_t *request, bool began)
+finish_answer (request_t *request, bool answer_began)
 {
   request->router->counters.completed++;
-  router_note (request->router, TL_END, request, "complete");
+  router_record_event (request->router, TL_END, request, "complete");
   if (request->web == NULL)
     return;
-  if (!began && has_no_body (request))
+  if (!answer_began && status_has_no_body (request))
     {
       web_respond (request->web, request->status, NULL,
                    request_answer_headers (request), "", 0);
     }
   else
     {
-      if (!began)
+      if (!answer_began)
         begin_answer (request);
       web_stream_end (request->web, true);
     }
   request->web = NULL;
 }
 
-/* ---- its place ---- */
+/* ---- queueing ---- */
 
 unsigned
-request_queue_max (const request_t *request)
+request_queue_limit (const request_t *request)
 {
   const rec_t *account
       = store_get (request->router->store, REC_ACCOUNT, request->item.account);
@@ -163,36 +167,36 @@
 }
 
 void
-request_refuse_full (request_t *request, int retry_after_s)
+request_refuse_queue_full (request_t *request, int retry_after_s)
 {
   request_refuse (
-      request, REFUSED_QUEUE, 429, "Queue full",
-      "The client account has too many requests waiting; ask again later.",
+      request, REFUSED_QUEUE_FULL, 429, "Queue full",
+      "The client account has too many requests waiting; retry later.",
       RUN_NOT_RUN, retry_after_s);
 }
 
-/* False when the queue is full; the caller has been told.  */
+/* Returns false when the queue is full; the request is then refused.  */
 static bool
-offer (request_t *request, cfd_time_t now)
+enqueue (request_t *request, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
   int retry_after_s = ADM_RETRY_MIN_S;
 
-  if (!adm_enqueue (router->adm, &request->item, request_queue_max (request),
+  if (!adm_enqueue (router->adm, &request->item, request_queue_limit (request),
                     now, &retry_after_s))
     {
-      request_refuse_full (request, retry_after_s);
+      request_refuse_queue_full (request, retry_after_s);
       return false;
     }
   router->counters.admitted++;
   router->retry_budget
-      = MIN (router->retry_budget + ROUTER_RETRY_PART, ROUTER_RETRY_BURST);
-  router_note (router, TL_ADMIT, request, NULL);
+      = MIN (router->retry_budget + ROUTER_RETRY_RATIO, ROUTER_RETRY_BURST);
+  router_record_event (router, TL_ADMIT, request, NULL);
   return true;
 }
 
 void
-request_detach (request_t *request)
+request_detach_agent (request_t *request)
 {
   cfd_router_t *router = request->router;
 
@@ -203,21 +207,21 @@
   request->agent = NULL;
 }
 
-/* Back to the queue for another attempt; what came of the former is dropped,
-   for none of it has left.  */
+/* Requeues the request for another attempt.  The state of the former attempt
+   is dropped, since nothing of its answer was sent to the caller.  */
 static void
-put_back (request_t *request, cfd_time_t now)
+requeue (request_t *request, cfd_time_t now)
 {
   request->has_head = false;
-  request->ended = false;
+  request->attempt_ended = false;
   request->not_started = false;
-  request->asked_again = false;
-  request->early_ends = 0;
+  request->resume_requested = false;
+  request->premature_ends = 0;
   g_clear_pointer (&request->answer_headers, g_ptr_array_unref);
-  request->received = 0;
-  request->acked = 0;
-  /* The deadline limits the time in the queue, not that at the agent.  */
-  request->item.deadline += now - request->assigned;
+  request->received_bytes = 0;
+  request->acked_bytes = 0;
+  /* The deadline limits the time in the queue, not the time at the agent.  */
+  request->item.deadline += now - request->assigned_at;
   adm_requeue (request->router->adm, &request->item);
 }
 
@@ -226,15 +230,15 @@
 {
   if (request->agent == NULL)
     return;
-  if (request->ended)
-    answer_done (request);
+  if (request->attempt_ended)
+    answer_ack_done (request);
   else if (!request->not_started && request->idempotent)
-    answer_cancel (request);
-  request_detach (request);
+    answer_send_cancel (request);
+  request_detach_agent (request);
 }
 
-/* An attempt that failed goes elsewhere next.  A word that it was not started
-   says nothing against the endpoint.  */
+/* Makes the next attempt go to another agent.  NOT_STARTED is no failure of
+   the endpoint.  */
 static void
 avoid_agent (request_t *request, cfd_time_t now)
 {
@@ -243,7 +247,7 @@
 }
 
 static void
-over (request_t *request, const req_step_t *step, cfd_time_t now)
+end_request (request_t *request, const req_step_t *step, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
 
@@ -258,8 +262,8 @@
 }
 
 static void
-act (request_t *request, req_event_t event, req_step_t *step, bool began,
-     cfd_time_t now)
+apply_action (request_t *request, req_event_t event, req_step_t *step,
+              bool answer_began, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
 
@@ -268,115 +272,117 @@
     case REQ_DO_NOTHING:
       return;
     case REQ_DO_QUEUE:
-      if (!offer (request, now))
+      if (!enqueue (request, now))
         step->next = REQ_OVER;
       return;
     case REQ_DO_RETRY:
       router->retry_budget -= 1;
       router->counters.retried++;
       request->may_have_run = true;
-      router_note (router, TL_RETRY, request, "the agent was lost");
+      router_record_event (router, TL_RETRY, request, "the agent was lost");
       avoid_agent (request, now);
       release_agent (request);
-      put_back (request, now);
+      requeue (request, now);
       return;
     case REQ_DO_REQUEUE:
-      router->counters.returned++;
-      router_note (router, TL_RETRY, request,
-                   request->not_started ? "the agent gave it back unstarted"
-                                        : "the endpoint was not reached");
+      router->counters.requeued++;
+      router_record_event (router, TL_RETRY, request,
+                           request->not_started
+                               ? "the agent gave it back unstarted"
+                               : "the endpoint was not reached");
       avoid_agent (request, now);
       release_agent (request);
-      put_back (request, now);
+      requeue (request, now);
       return;
     case REQ_DO_ANSWER:
       begin_answer (request);
       return;
     case REQ_DO_FINISH:
-      finish (request, began);
+      finish_answer (request, answer_began);
       return;
     case REQ_DO_REFUSE:
-      refuse_late (request, event, step->run);
+      refuse_unserved (request, event, step->run);
       return;
     case REQ_DO_FAIL:
-      fail (request, event);
+      fail_request (request, event);
       return;
-    case REQ_DO_BREAK_OFF:
-      break_off (request);
+    case REQ_DO_TRUNCATE:
+      truncate_answer (request);
       return;
     case REQ_DO_CANCEL:
-      answer_cancel (request);
+      answer_send_cancel (request);
       return;
-    case REQ_DO_FORGET:
-      router->counters.left++;
-      router_note (router, TL_END, request, "the caller has left");
+    case REQ_DO_DROP:
+      router->counters.callers_gone++;
+      router_record_event (router, TL_END, request,
+                           "the caller has disconnected");
       return;
-    case REQ_DO_REPORT:
+    case REQ_DO_REPORT_BUG:
       INVARIANT ("request-life", false, req_state_name (request->state));
       return;
     }
 }
 
 req_facts_t
-request_facts (const request_t *request)
+request_get_facts (const request_t *request)
 {
   return (req_facts_t){ .idempotent = request->idempotent,
                         .may_have_run = request->may_have_run,
                         .caller_gone = request->web == NULL,
                         .may_retry = request->router->retry_budget >= 1
-                                     && request->attempts < ATTEMPTS_MAX };
+                                     && request->attempts < MAX_ATTEMPTS };
 }
 
 void
-request_event (request_t *request, req_event_t event, cfd_time_t now)
+request_handle_event (request_t *request, req_event_t event, cfd_time_t now)
 {
   cfd_router_t *router = request->router;
-  req_facts_t facts = request_facts (request);
+  req_facts_t facts = request_get_facts (request);
   req_step_t step = req_next (request->state, event, &facts);
-  bool began = request->state == REQ_ANSWERING;
+  bool answer_began = request->state == REQ_ANSWERING;
   bool was_queued = request->state == REQ_QUEUED;
   g_autofree char *account = g_strdup (request->item.account);
   g_autofree char *service = g_strdup (request->item.service);
 
-  act (request, event, &step, began, now);
+  apply_action (request, event, &step, answer_began, now);
   request->state = step.next;
   if (step.next == REQ_OVER)
-    over (request, &step, now);
+    end_request (request, &step, now);
   if (was_queued || step.next == REQ_QUEUED)
     grant_queue_changed (router, account, service, now);
 }
 
 static void
-on_closed (void *user)
+on_caller_closed (void *user)
 {
   request_t *request = user;
 
   request->web = NULL;
-  request_event (request, REQ_EV_CALLER_GONE, clock_now ());
+  request_handle_event (request, REQ_EV_CALLER_GONE, clock_now ());
 }
 
 void
-request_begin (request_t *request, cfd_time_t now)
+request_start (request_t *request, cfd_time_t now)
 {
   request->item.since = now;
-  request->item.deadline = now + request->router->request_ms;
-  web_on_closed (request->web, on_closed, request);
+  request->item.deadline = now + request->router->request_timeout_ms;
+  web_on_closed (request->web, on_caller_closed, request);
   if (request->key == NULL)
-    request_event (request, REQ_EV_CLAIMED, now);
+    request_handle_event (request, REQ_EV_CLAIMED, now);
   else
-    claim_begin (request, now);
+    claim_acquire (request, now);
 }
 
 static void
-give_up (void *user, adm_item_t *item)
+on_deadline (void *user, adm_item_t *item)
 {
   request_t *request = list_entry (item, request_t, item);
 
-  request_event (request, REQ_EV_DEADLINE, *(const cfd_time_t *)user);
+  request_handle_event (request, REQ_EV_DEADLINE, *(const cfd_time_t *)user);
 }
 
 void
-request_expire (cfd_router_t *router, cfd_time_t now)
+request_expire_queued (cfd_router_t *router, cfd_time_t now)
 {
-  adm_expire (router->adm, now, give_up, &now);
+  adm_expire (router->adm, now, on_deadline, &now);
 }
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -6,17 +6,18 @@
 #include <sodium.h>
 #include <string.h>
 
-#define EVENTS_KEPT 4096
-#define CONNECTIONS_MAX 4096
-#define IDLE_S 60
-/* Room for the frame around a body.  */
-#define BODY_MAX (MSG_BODY_MAX - 64u * 1024)
-/* Of all requests that wait or run here; part of the instance's memory.  */
-#define BODIES_MAX (64u * 1024 * 1024)
-#define KEEPING_MS 1000
-/* After the last answer the loop goes on so long, for acknowledgements and
-   claims on their way.  */
-#define QUIET_MS 300
+#define MAX_RECORDED_EVENTS 4096
+#define MAX_CONNECTIONS 4096
+#define IDLE_TIMEOUT_S 60
+/* Leaves room for the rest of the message around a body.  */
+#define MAX_BODY_BYTES (MSG_BODY_MAX - 64u * 1024)
+/* Total of the bodies of all requests that wait or run at this router; bounds
+   its memory.  */
+#define MAX_BODIES_BYTES (64u * 1024 * 1024)
+#define HOUSEKEEPING_INTERVAL_MS 1000
+/* How long the loop continues after the last answer, for acknowledgements and
+   claims that are still being sent.  */
+#define DRAIN_IDLE_MS 300
 
 /* ---- due work ---- */
 
@@ -44,54 +45,55 @@
 }
 
 char *
-router_name_request (cfd_router_t *router)
+router_new_request_id (cfd_router_t *router)
 {
   return g_strdup_printf ("%s.%" PRIx64 ".%" PRIu64, router->instance,
                           router->incarnation, ++router->last_id);
 }
 
 void
-router_note (cfd_router_t *router, tl_kind_t kind, const request_t *request,
-             const char *detail)
+router_record_event (cfd_router_t *router, tl_kind_t kind,
+                     const request_t *request, const char *detail)
 {
   const agent_t *agent = request->agent;
 
   tl_add (router->ring, kind, request->item.account,
           agent != NULL ? agent->zone : NULL,
           agent != NULL ? agent->name : NULL,
-          request->id != NULL ? request->id : request->trace, detail);
+          request->id != NULL ? request->id : request->trace_id, detail);
 }
 
-/* Once a second: what costs little and hurries nobody.  */
+/* Runs the cheap work that is not urgent, once a second.  */
 static void
-keep_house (cfd_router_t *router, cfd_time_t now)
+run_housekeeping (cfd_router_t *router, cfd_time_t now)
 {
-  if (now < router->keeping_at)
+  if (now < router->housekeeping_at)
     return;
-  router->keeping_at = now + KEEPING_MS;
-  turns_expire (router->turns, now);
+  router->housekeeping_at = now + HOUSEKEEPING_INTERVAL_MS;
+  fairness_expire (router->fairness, now);
   share_expire (router->share, now);
   home_expire (router->home, now);
   cost_expire (router->cost, now);
-  shares_run (router, now);
-  agents_release (router, now);
-  homes_release (router, now);
-  conf_keep (router, now);
+  shares_exchange (router, now);
+  agents_release_links (router, now);
+  homes_release_links (router, now);
+  conf_run_periodic (router, now);
 }
 
 static void
-stop_leftovers (cfd_router_t *router, cfd_time_t now)
+end_remaining_requests (cfd_router_t *router, cfd_time_t now)
 {
-  list_for_each_safe (node, &router->all)
-    request_event (list_entry (node, request_t, node), REQ_EV_STOP, now);
+  list_for_each_safe (node, &router->all_requests)
+    request_handle_event (list_entry (node, request_t, node), REQ_EV_SHUTDOWN,
+                          now);
 }
 
-/* Claims that still have to reach the platform count: one that was lost would
-   read as running for ever.  */
+/* Includes claims that are yet to reach the platform: a lost one would look
+   like a request that is still running, forever.  */
 static bool
 has_work (const cfd_router_t *router)
 {
-  return !list_is_empty (&router->all)
+  return !list_is_empty (&router->all_requests)
          || web_server_count_active (router->web) > 0
          || once_count_pending_writes (router->once) > 0;
 }
@@ -102,46 +104,47 @@
   if (!router->draining)
     return;
   if (now >= router->drain_until)
-    stop_leftovers (router, now);
+    end_remaining_requests (router, now);
   if (has_work (router))
     {
-      router->quiet_since = 0;
-      if (now < router->drain_until + QUIET_MS)
+      router->idle_since = 0;
+      if (now < router->drain_until + DRAIN_IDLE_MS)
         return;
     }
-  if (router->quiet_since == 0)
-    router->quiet_since = now;
-  if (now - router->quiet_since < QUIET_MS && now < router->drain_until)
+  if (router->idle_since == 0)
+    router->idle_since = now;
+  if (now - router->idle_since < DRAIN_IDLE_MS && now < router->drain_until)
     return;
-  log_info ("router", "Shut down: left=%u.",
+  log_info ("router", "Shutdown complete: left=%u.",
             web_server_count_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
 }
 
 static void
-run_due (cfd_router_t *router)
+run_due_work (cfd_router_t *router)
 {
   cfd_time_t now = clock_now ();
   cfd_time_t next;
 
-  request_expire (router, now);
-  agents_sort (router);
-  next = answer_give_up (router, now);
+  request_expire_queued (router, now);
+  agents_refresh_services (router);
+  next = answer_expire_lost (router, now);
   if (router->report_at <= now)
-    shares_run (router, now);
-  keep_house (router, now);
+    shares_exchange (router, now);
+  run_housekeeping (router, now);
   if (router->policy == CFD_POLICY_LOCAL)
-    baseline_pump (router, now);
+    baseline_dispatch (router, now);
   else
     grant_announce (router, now);
   check_drained (router, now);
   next = MIN (next, adm_next_deadline (router->adm));
   next = MIN (next, disp_next_due (router->disp, now));
   next = MIN (next, router->report_at);
-  next = MIN (next, router->keeping_at);
+  next = MIN (next, router->housekeeping_at);
   if (router->draining)
-    next = MIN (next, now + QUIET_MS / 10);
-  /* At least a millisecond on, so that no fault can make the loop spin.  */
+    next = MIN (next, now + DRAIN_IDLE_MS / 10);
+  /* At least one millisecond later, so that no fault can make the loop
+     spin.  */
   router_schedule (router, MAX (next, now + 1));
 }
 
@@ -151,34 +154,34 @@
   cfd_router_t *router = watcher->data;
 
   router->timer_at = CFD_TIME_NEVER;
-  run_due (router);
+  run_due_work (router);
 }
 
 /* ---- messages ---- */
 
 static void
-from_agent (cfd_router_t *router, const peer_id_t *peer, const msg_t *message,
-            cfd_time_t now)
+handle_agent_message (cfd_router_t *router, const peer_id_t *peer,
+                      const msg_t *message, cfd_time_t now)
 {
   switch (message->kind)
     {
     case MSG_GRANT:
-      grant_take (router, peer, &message->u.grant, now);
+      grant_handle (router, peer, &message->u.grant, now);
       return;
     case MSG_NOT_STARTED:
-      answer_not_started (router, peer, &message->u.not_started, now);
+      answer_handle_not_started (router, peer, &message->u.not_started, now);
       return;
     case MSG_HEAD:
-      answer_head (router, peer, &message->u.head, now);
+      answer_handle_head (router, peer, &message->u.head, now);
       return;
     case MSG_DATA:
-      answer_data (router, peer, &message->u.data, now);
+      answer_handle_data (router, peer, &message->u.data, now);
       return;
     case MSG_END:
-      answer_end (router, peer, &message->u.end, now);
+      answer_handle_end (router, peer, &message->u.end, now);
       return;
     case MSG_LOAD:
-      baseline_load (router, peer, &message->u.load);
+      baseline_handle_load (router, peer, &message->u.load);
       return;
     default:
       return;
@@ -186,13 +189,13 @@
 }
 
 static void
-from_router (cfd_router_t *router, const peer_id_t *peer, const msg_t *message,
-             cfd_time_t now)
+handle_router_message (cfd_router_t *router, const peer_id_t *peer,
+                       const msg_t *message, cfd_time_t now)
 {
   if (message->kind == MSG_REPORT)
-    shares_report (router, peer, &message->u.report, now);
+    shares_handle_report (router, peer, &message->u.report, now);
   else if (message->kind == MSG_SHARE)
-    shares_take (router, peer->instance, &message->u.share, now);
+    shares_handle_share (router, peer->instance, &message->u.share, now);
 }
 
 static void
@@ -202,15 +205,16 @@
   cfd_router_t *router = user;
 
   if (message->kind != MSG_CONFIG_PART)
-    conf_hear (router, peer, message->revision, now);
+    conf_observe_revision (router, peer, message->revision, now);
   if (message->kind == MSG_CONFIG_ASK)
-    conf_give (router, peer, &message->u.config_ask, now);
+    conf_handle_ask (router, peer, &message->u.config_ask, now);
   else if (message->kind == MSG_CONFIG_PART)
-    conf_take (router, peer, &message->u.config_part, message->revision, now);
+    conf_handle_part (router, peer, &message->u.config_part, message->revision,
+                      now);
   else if (peer->role == ROLE_AGENT)
-    from_agent (router, peer, message, now);
+    handle_agent_message (router, peer, message, now);
   else if (peer->role == ROLE_ROUTER)
-    from_router (router, peer, message, now);
+    handle_router_message (router, peer, message, now);
 }
 
 static void
@@ -256,16 +260,16 @@
 {
   cfd_router_t *router = user;
 
-  agents_listed (router);
-  homes_listed (router, now);
-  conf_listed (router);
+  agents_instances_changed (router);
+  homes_instances_changed (router, now);
+  conf_instances_changed (router);
   router_schedule (router, 0);
 }
 
 static void
-on_advanced (void *user)
+on_revision_advanced (void *user)
 {
-  conf_advanced (user);
+  conf_announce_revision (user);
 }
 
 /* ---- start and end ---- */
@@ -290,16 +294,17 @@
 }
 
 static bool
-start_callers (cfd_router_t *router, const cfd_settings_t *settings,
-               GError **error)
+start_web_server (cfd_router_t *router, const cfd_settings_t *settings,
+                  GError **error)
 {
-  const web_limits_t limits = { BODY_MAX, CONNECTIONS_MAX, IDLE_S };
+  const web_limits_t limits
+      = { MAX_BODY_BYTES, MAX_CONNECTIONS, IDLE_TIMEOUT_S };
 
   router->web = web_server_new (router->loop, settings->listen, &limits,
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_set_max_total_body_bytes (router->web, BODIES_MAX);
+  web_server_set_max_total_body_bytes (router->web, MAX_BODIES_BYTES);
   return true;
 }
 
@@ -307,17 +312,17 @@
 start_platform (cfd_router_t *router, const cfd_settings_t *settings)
 {
   static const store_events_t events
-      = { on_record, on_instances, on_advanced };
+      = { on_record, on_instances, on_revision_advanced };
   g_autofree char *owner = g_strdup_printf (
       "%s.%" G_GINT64_MODIFIER "x", router->instance, router->incarnation);
 
   router->store = store_new (router->ring, &events, router);
   store_set_self (router->store, ROLE_ROUTER, router->instance);
-  conf_listed (router);
+  conf_instances_changed (router);
   router->pool = fetch_pool_new (router->loop);
   router->plat = plat_new (router->pool, settings->platform);
   router->once = once_new (router->plat, owner);
-  claim_sweep (router, settings);
+  claim_start_sweep (router, settings);
 }
 
 static void
@@ -327,19 +332,19 @@
   router->instance = g_strdup (settings->instance);
   router->zone = g_strdup (settings->zone);
   router->policy = settings->policy;
-  router->request_ms = (cfd_time_t)settings->request_s * 1000;
-  router->drain_ms = (cfd_time_t)settings->drain_s * 1000;
+  router->request_timeout_ms = (cfd_time_t)settings->request_s * 1000;
+  router->drain_timeout_ms = (cfd_time_t)settings->drain_s * 1000;
   router->retry_budget = ROUTER_RETRY_BURST;
   router->timer_at = CFD_TIME_NEVER;
-  list_init (&router->all);
+  list_init (&router->all_requests);
   router->requests = g_hash_table_new (g_str_hash, g_str_equal);
-  router->ring = tl_ring_new (router->instance, EVENTS_KEPT);
+  router->ring = tl_ring_new (router->instance, MAX_RECORDED_EVENTS);
   router->adm = adm_new ();
   router->disp = disp_new (router->incarnation);
   router->share = share_new ();
   router->home = home_new ();
   router->wfq = wfq_new ();
-  router->turns = turns_new ();
+  router->fairness = fairness_new ();
   router->cost = cost_new ();
   agents_init (router);
   router->report_at = CFD_TIME_NEVER;
@@ -356,8 +361,9 @@
 
   if (sodium_init () < 0)
     {
-      g_set_error (error, CFD_ERROR, CFD_ERROR_UNAVAILABLE,
-                   "no random numbers; check /dev/urandom");
+      g_set_error (
+          error, CFD_ERROR, CFD_ERROR_UNAVAILABLE,
+          "cannot initialise the random number generator; check /dev/urandom");
       return NULL;
     }
   router = g_new0 (cfd_router_t, 1);
@@ -366,7 +372,7 @@
   start_platform (router, settings);
   if (!start_links (router, settings, error)
       || !router_admin_start (router, settings->admin_listen, error)
-      || !start_callers (router, settings, error))
+      || !start_web_server (router, settings, error))
     {
       cfd_router_free (router);
       return NULL;
@@ -385,7 +391,7 @@
   if (router->draining)
     return;
   router->draining = true;
-  router->drain_until = clock_now () + router->drain_ms;
+  router->drain_until = clock_now () + router->drain_timeout_ms;
   web_server_quiesce (router->web);
   tl_add (router->ring, TL_STOP, NULL, router->zone, NULL, NULL, "draining");
   log_info ("router", "Draining: waiting=%u in_flight=%u.",
@@ -399,11 +405,12 @@
   if (router == NULL)
     return;
   ev_timer_stop (router->loop, &router->timer);
-  /* Callers first: their leaving is told to requests that still are.  */
+  /* Before the requests: closing the connections notifies those that
+     remain.  */
   web_server_free (router->web);
   sweep_free (router->sweep);
   once_free (router->once);
-  list_for_each_safe (node, &router->all)
+  list_for_each_safe (node, &router->all_requests)
     request_free (list_entry (node, request_t, node));
   admin_free (router->admin);
   peer_hub_free (router->hub);
@@ -412,7 +419,7 @@
   plat_free (router->plat);
   fetch_pool_free (router->pool);
   cost_free (router->cost);
-  turns_free (router->turns);
+  fairness_free (router->fairness);
   wfq_free (router->wfq);
   home_free (router->home);
   share_free (router->share);
@@ -421,7 +428,7 @@
   g_hash_table_unref (router->requests);
   g_hash_table_unref (router->routers);
   g_hash_table_unref (router->agents);
-  g_hash_table_unref (router->served);
+  g_hash_table_unref (router->served_services);
   tl_ring_free (router->ring);
   g_free (router->instance);
   g_free (router->zone);
--- a/libcoltsfootdrum/router/test-wfq.c
+++ b/libcoltsfootdrum/router/test-wfq.c
@@ -1,4 +1,4 @@
-/* The baseline's weighted fair queueing.  */
+/* Weighted fair queueing of the baseline policy.  */
 
 #include "router/wfq.h"
 
@@ -9,13 +9,13 @@
   static const char *const names[] = { "a", "b", "c" };
 
   for (unsigned i = 0; i < accounts; i++)
-    wfq_backlogged (wfq, names[i], "s");
+    wfq_set_backlogged (wfq, names[i], "s");
   for (unsigned i = 0; i < rounds; i++)
     {
-      unsigned who = wfq_next (wfq, "s")[0] - 'a';
+      unsigned index = wfq_next_account (wfq, "s")[0] - 'a';
 
-      served[who]++;
-      wfq_charge (wfq, names[who], "s", 100, weights[who]);
+      served[index]++;
+      wfq_charge (wfq, names[index], "s", 100, weights[index]);
     }
 }
 
@@ -47,12 +47,13 @@
 static void
 test_idle_earns_nothing (void)
 {
-  /* An account away while another was served a lot must not then take all. */
+  /* An account that was idle while another was served must not take all slots
+     on its return.  */
   g_autoptr (wfq_t) wfq = wfq_new ();
   double weights[2] = { 1, 1 };
   unsigned served[2] = { 0 };
 
-  wfq_backlogged (wfq, "a", "s");
+  wfq_set_backlogged (wfq, "a", "s");
   wfq_charge (wfq, "a", "s", 1e6, 1);
   serve (wfq, 20, weights, served, 2);
   g_assert_cmpint (served[0], >=, 9);
@@ -64,12 +65,12 @@
 {
   g_autoptr (wfq_t) wfq = wfq_new ();
 
-  wfq_backlogged (wfq, "a", "s");
-  wfq_backlogged (wfq, "b", "other");
-  g_assert_cmpstr (wfq_next (wfq, "s"), ==, "a");
-  wfq_idle (wfq, "a", "s");
-  g_assert_null (wfq_next (wfq, "s"));
-  g_assert_cmpstr (wfq_next (wfq, "other"), ==, "b");
+  wfq_set_backlogged (wfq, "a", "s");
+  wfq_set_backlogged (wfq, "b", "other");
+  g_assert_cmpstr (wfq_next_account (wfq, "s"), ==, "a");
+  wfq_set_idle (wfq, "a", "s");
+  g_assert_null (wfq_next_account (wfq, "s"));
+  g_assert_cmpstr (wfq_next_account (wfq, "other"), ==, "b");
 }
 
 int
--- a/libcoltsfootdrum/router/wfq.c
+++ b/libcoltsfootdrum/router/wfq.c
@@ -47,7 +47,7 @@
 }
 
 static const entry_t *
-least (const wfq_t *wfq, const char *service)
+find_least (const wfq_t *wfq, const char *service)
 {
   const entry_t *best = NULL;
   GHashTableIter iter;
@@ -67,29 +67,29 @@
 }
 
 void
-wfq_backlogged (wfq_t *wfq, const char *account, const char *service)
+wfq_set_backlogged (wfq_t *wfq, const char *account, const char *service)
 {
   entry_t *entry = find_or_add (wfq, account, service);
   const entry_t *first;
 
   if (entry->backlogged)
     return;
-  first = least (wfq, service);
+  first = find_least (wfq, service);
   if (first != NULL && first->virtual_time > entry->virtual_time)
     entry->virtual_time = first->virtual_time;
   entry->backlogged = true;
 }
 
 void
-wfq_idle (wfq_t *wfq, const char *account, const char *service)
+wfq_set_idle (wfq_t *wfq, const char *account, const char *service)
 {
   find_or_add (wfq, account, service)->backlogged = false;
 }
 
 const char *
-wfq_next (const wfq_t *wfq, const char *service)
+wfq_next_account (const wfq_t *wfq, const char *service)
 {
-  const entry_t *entry = least (wfq, service);
+  const entry_t *entry = find_least (wfq, service);
 
   return entry != NULL ? entry->key.account : NULL;
 }
