--- a/libcoltsfootdrum/router/test-router-fixture.c
+++ b/libcoltsfootdrum/router/test-router-fixture.c
@@ -101,12 +101,12 @@
 on_platform_request (void *user, web_request_t *request)
 {
   fixture_t *fixture = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (strcmp (path, "/v1/watch") == 0)
     {
       fixture->watch = request;
-      web_on_closed (request, on_watch_closed, fixture);
+      web_set_on_closed (request, on_watch_closed, fixture);
     }
   else if (strcmp (path, "/v1/instances") == 0)
     answer_instances (request);
