--- a/libcoltsfootdrum/relay/rly-answer.c
+++ b/libcoltsfootdrum/relay/rly-answer.c
@@ -343,7 +343,7 @@
     }
   edp_record_success (request->edp, now);
   if (answer->status / 100 == 2)
-    prom_hist_add (&request->service->total_ms, now - request->arrived_at);
+    prom_hist_observe (&request->service->total_ms, now - request->arrived_at);
   if (answer->is_stream)
     {
       finish_stream (request);
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -134,8 +134,8 @@
       request->started = true;
       if (request->retry_key != 0)
         ret_mark_served (request->rly->ret, request->retry_key);
-      prom_hist_add (&request->service->first_byte_ms,
-                     now - request->arrived_at);
+      prom_hist_observe (&request->service->first_byte_ms,
+                         now - request->arrived_at);
     }
   if (first && is_success (&request->answer))
     {
@@ -233,7 +233,7 @@
       return false;
     }
   start_exchange (request, edp, now);
-  prom_hist_add (&request->service->wait_ms, now - request->arrived_at);
+  prom_hist_observe (&request->service->wait_ms, now - request->arrived_at);
   log_info (
       "relay",
       "A request was sent: request=%s account=%s endpoint=%s active=%u "
