--- a/libcoltsfootdrum/base/addr.c
+++ b/libcoltsfootdrum/base/addr.c
@@ -8,10 +8,10 @@
 #include <string.h>
 #include <unistd.h>
 
-#define BACKLOG 1024
+#define LISTEN_BACKLOG 1024
 
 static bool
-bad_address (const char *text, GError **error)
+set_address_error (const char *text, GError **error)
 {
   g_set_error (error, CFD_ERROR, CFD_ERROR_ADDRESS,
                "Address \"%s\" is not numeric; write IP:PORT as in "
@@ -26,24 +26,24 @@
   struct addrinfo hints
       = { .ai_flags = AI_NUMERICHOST | AI_NUMERICSERV | AI_PASSIVE,
           .ai_socktype = SOCK_STREAM };
-  struct addrinfo *found = NULL;
+  struct addrinfo *result = NULL;
   const char *colon = text != NULL ? strrchr (text, ':') : NULL;
   g_autofree char *host = NULL;
   guint64 port;
 
   if (colon == NULL || colon == text
       || !g_ascii_string_to_unsigned (colon + 1, 10, 0, 65535, &port, NULL))
-    return bad_address (text, error);
+    return set_address_error (text, error);
   if (text[0] == '[' && colon[-1] == ']')
     host = g_strndup (text + 1, colon - text - 2);
   else
     host = g_strndup (text, colon - text);
   if ((strchr (host, ':') != NULL) != (text[0] == '[')
-      || getaddrinfo (host, colon + 1, &hints, &found) != 0)
-    return bad_address (text, error);
-  memcpy (&addr->storage, found->ai_addr, found->ai_addrlen);
-  addr->length = found->ai_addrlen;
-  freeaddrinfo (found);
+      || getaddrinfo (host, colon + 1, &hints, &result) != 0)
+    return set_address_error (text, error);
+  memcpy (&addr->storage, result->ai_addr, result->ai_addrlen);
+  addr->length = result->ai_addrlen;
+  freeaddrinfo (result);
   return true;
 }
 
@@ -62,7 +62,7 @@
     goto fail;
   (void)setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (bind (fd, (struct sockaddr *)&addr.storage, addr.length) != 0
-      || listen (fd, BACKLOG) != 0)
+      || listen (fd, LISTEN_BACKLOG) != 0)
     goto fail;
   return fd;
 
--- a/libcoltsfootdrum/base/clock.c
+++ b/libcoltsfootdrum/base/clock.c
@@ -2,10 +2,10 @@
 
 #include <time.h>
 
-#define HLC_COUNT_BITS 16
+#define HLC_COUNTER_BITS 16
 
 static int64_t
-read_us (clockid_t clock)
+read_clock_us (clockid_t clock)
 {
   struct timespec t;
 
@@ -16,13 +16,13 @@
 cfd_time_t
 clock_now (void)
 {
-  return read_us (CLOCK_BOOTTIME) / 1000;
+  return read_clock_us (CLOCK_BOOTTIME) / 1000;
 }
 
 int64_t
 clock_now_us (void)
 {
-  return read_us (CLOCK_BOOTTIME);
+  return read_clock_us (CLOCK_BOOTTIME);
 }
 
 static int64_t (*wall_source) (void);
@@ -38,13 +38,13 @@
 {
   if (wall_source != NULL)
     return wall_source ();
-  return read_us (CLOCK_REALTIME) / 1000;
+  return read_clock_us (CLOCK_REALTIME) / 1000;
 }
 
 uint64_t
 hlc_tick (hlc_t *hlc, int64_t wall_ms)
 {
-  uint64_t wall = (uint64_t)wall_ms << HLC_COUNT_BITS;
+  uint64_t wall = (uint64_t)wall_ms << HLC_COUNTER_BITS;
 
   hlc->last = wall > hlc->last ? wall : hlc->last + 1;
   return hlc->last;
--- a/libcoltsfootdrum/base/list.h
+++ b/libcoltsfootdrum/base/list.h
@@ -1,6 +1,6 @@
-/* Intrusive doubly linked list: the node lives inside the element, so that
-   linking and unlinking never allocate and cannot fail.  A head is a node
-   linked to itself.  */
+/* Intrusive doubly linked list.  The node is embedded in the element, so that
+   linking and unlinking don't allocate and can't fail.  The head of an empty
+   list is a node linked to itself.  */
 
 #ifndef BASE_LIST_H
 #define BASE_LIST_H
@@ -14,14 +14,14 @@
   struct list_node *next;
 } list_node_t;
 
-/* The element of TYPE that holds NODE as MEMBER.  */
+/* Returns the element of TYPE in which NODE is embedded as MEMBER.  */
 #define list_entry(node, type, member)                                        \
   ((type *)((char *)(node)-offsetof (type, member)))
 
 #define list_for_each(node, head)                                             \
   for (list_node_t *node = (head)->next; node != (head); node = node->next)
 
-/* As list_for_each, and NODE may be unlinked in the body.  */
+/* Like list_for_each, but the body may unlink NODE.  */
 #define list_for_each_safe(node, head)                                        \
   for (list_node_t *node = (head)->next, *node##_next = node->next;           \
        node != (head); node = node##_next, node##_next = node->next)
@@ -39,7 +39,7 @@
   return head->next == head;
 }
 
-/* True for a node that is in a list; needs list_init at creation.  */
+/* Whether NODE is in a list; NODE must have been initialized by list_init.  */
 static inline bool
 list_is_linked (const list_node_t *node)
 {
@@ -61,7 +61,7 @@
   list_append (head->next, node);
 }
 
-/* Unlinks NODE and leaves it linked to itself; harmless when repeated.  */
+/* Unlinks NODE and links it to itself, so that a second call does nothing.  */
 static inline void
 list_remove (list_node_t *node)
 {
--- a/libcoltsfootdrum/base/log.c
+++ b/libcoltsfootdrum/base/log.c
@@ -1,6 +1,6 @@
-/* The log writer of GLib: all lines, ours and the libraries', go through
-   write_log.  The state here is process-wide, as GLib's writer is: every part
-   logs, also where no object of the process is at hand.  */
+/* The GLib log writer: write_log receives the lines of this program and of the
+   libraries.  The state is process-wide, as GLib's writer is, because all
+   parts log, also where no object of the process is accessible.  */
 
 #include "base/log.h"
 
@@ -13,48 +13,48 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LINES_A_SECOND 20
-#define WINDOW_MS 1000
-/* With its JSON escapes, its other members and the count of lost lines it fits
-   into PIPE_BUF.  */
-#define MESSAGE_MOST 1408
-/* Of the fields that a JSON line repeats as members.  */
-#define FIELDS_MOST 256
-/* Quotation marks, colon and comma of a member.  */
-#define MEMBER_MARKS 6
-#define LINE_MOST (PIPE_BUF - 96)
+#define MAX_LINES_PER_S 20
+#define RATE_WINDOW_MS 1000
+/* A message with its JSON escapes, the other members and the count of dropped
+   lines fits into PIPE_BUF.  */
+#define MAX_MESSAGE_BYTES 1408
+/* For the fields that a JSON line repeats as members.  */
+#define MAX_FIELD_BYTES 256
+/* Quotation marks, colon and comma of a JSON member.  */
+#define MEMBER_OVERHEAD_BYTES 6
+#define MAX_LINE_BYTES (PIPE_BUF - 96)
 
 #define FIELD_MESSAGE "MESSAGE"
 #define FIELD_PART "CFD_PART"
 #define FIELD_DOMAIN "GLIB_DOMAIN"
 
-/* The lines of one format in the present second.  */
+/* Rate limit of the lines of one format.  */
 typedef struct
 {
-  cfd_time_t since;
+  cfd_time_t window_start;
   unsigned written;
-  unsigned held_back;
+  unsigned suppressed;
 } log_rate_t;
 
 static struct
 {
   char *instance;
-  log_level_t least;
+  log_level_t threshold;
   bool json;
-  GHashTable *rates; /* format to log_rate_t */
+  GHashTable *rates; /* log_rate_t by format */
   log_sink_t sink;
   void *sink_user;
   invariant_hook_t hook;
   void *hook_user;
-  bool has_writer;
+  bool is_writer_installed;
   int descriptor;
-  unsigned lost; /* lines that the descriptor did not take */
-  unsigned failures;
-} state = { .least = LOG_INFO, .descriptor = STDERR_FILENO };
+  unsigned dropped_lines; /* because the descriptor wasn't writable */
+  unsigned failure_count;
+} state = { .threshold = LOG_INFO, .descriptor = STDERR_FILENO };
 
 static const char *const level_names[] = { "error", "warn", "info", "debug" };
 
-/* GLib's own ERROR would abort.  */
+/* G_LOG_LEVEL_ERROR would abort the process.  */
 static const GLogLevelFlags glib_levels[]
     = { G_LOG_LEVEL_CRITICAL, G_LOG_LEVEL_WARNING, G_LOG_LEVEL_INFO,
         G_LOG_LEVEL_DEBUG };
@@ -74,19 +74,19 @@
   return false;
 }
 
-/* Members that each line has; a field of such a name would be a second one. */
+/* Whether every JSON line has a member NAME, which a field would duplicate. */
 static bool
-is_own_member (const char *name)
+is_reserved_member (const char *name)
 {
-  static const char *const own[]
+  static const char *const reserved[]
       = { "wall_ms", "level", "instance", "part", "message", NULL };
 
-  return g_strv_contains (own, name);
+  return g_strv_contains (reserved, name);
 }
 
-/* Length of the key when WORD is KEY=VALUE, else 0.  */
+/* Returns the length of KEY if WORD is KEY=VALUE, else 0.  */
 static size_t
-key_length (const char *word)
+parse_key_length (const char *word)
 {
   static const char letters[] = G_CSET_a_2_z G_CSET_DIGITS "_";
   size_t length = strspn (word, letters);
@@ -94,41 +94,43 @@
   return word[length] == '=' ? length : 0;
 }
 
-/* The value that begins in *WORD and goes on to the next key, or to the end;
- *WORD is then its last.  */
+/* Returns the value that begins in *WORD and ends before the next key or at
+   the end of the message.  Sets *WORD to the value's last word.  */
 static char *
-take_value (char ***word, size_t key)
+read_value (char ***word, size_t key)
 {
   g_autoptr (GString) value = g_string_new (**word + key + 1);
 
-  while ((*word)[1] != NULL && key_length ((*word)[1]) == 0)
+  while ((*word)[1] != NULL && parse_key_length ((*word)[1]) == 0)
     g_string_append_printf (value, " %s", *++*word);
   if (value->len > 0 && strchr (".,;:", value->str[value->len - 1]) != NULL)
     g_string_truncate (value, value->len - 1);
   return g_string_free (g_steal_pointer (&value), FALSE);
 }
 
-/* The fields of MESSAGE as members, so that a reader needn't take the sentence
-   apart.  */
+/* Adds the fields of MESSAGE as members, so that a reader needn't parse the
+   sentence.  */
 static void
 add_fields (JsonBuilder *builder, const char *message)
 {
   g_auto (GStrv) words = g_strsplit (message, " ", 0);
   g_autoptr (GHashTable) seen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  size_t left = FIELDS_MOST;
+  size_t remaining_bytes = MAX_FIELD_BYTES;
 
   for (char **word = words; *word != NULL; word++)
     {
-      size_t key = key_length (*word);
+      size_t key = parse_key_length (*word);
       g_autofree char *name = g_strndup (*word, key);
-      g_autofree char *value = key > 0 ? take_value (&word, key) : NULL;
-      size_t taken = key + MEMBER_MARKS + (value ? strlen (value) : 0);
+      g_autofree char *value = key > 0 ? read_value (&word, key) : NULL;
+      size_t member_bytes
+          = key + MEMBER_OVERHEAD_BYTES + (value ? strlen (value) : 0);
 
-      if (value == NULL || taken > left || is_own_member (name)
+      if (value == NULL || member_bytes > remaining_bytes
+          || is_reserved_member (name)
           || !g_hash_table_add (seen, g_strdup (name)))
         continue;
-      left -= taken;
+      remaining_bytes -= member_bytes;
       json_builder_set_member_name (builder, name);
       json_builder_add_string_value (builder, value);
     }
@@ -170,37 +172,39 @@
       state.instance ? state.instance : "-", part, message);
 }
 
-/* A reader of our log that stopped must not stop us: a pipe that has room for
-   PIPE_BUF bytes takes one line without blocking, and else the line is lost
-   and counted.  */
+/* A stalled reader of the log must not block the process.  A pipe that polls
+   writable accepts PIPE_BUF bytes, hence one line, without blocking; otherwise
+   the line is dropped and counted.  */
 static void
-write_out (const char *line)
+write_to_descriptor (const char *line)
 {
   struct pollfd ready = { .fd = state.descriptor, .events = POLLOUT };
   g_autofree char *text = NULL;
 
   if (poll (&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0)
     {
-      state.lost++;
+      state.dropped_lines++;
       return;
     }
-  text = state.lost > 0 ? g_strdup_printf ("%.*s\n(lines lost: %u)\n",
-                                           LINE_MOST, line, state.lost)
-                        : g_strdup_printf ("%.*s\n", LINE_MOST, line);
+  text = state.dropped_lines > 0
+             ? g_strdup_printf ("%.*s\n(lines lost: %u)\n", MAX_LINE_BYTES,
+                                line, state.dropped_lines)
+             : g_strdup_printf ("%.*s\n", MAX_LINE_BYTES, line);
   if (write (state.descriptor, text, strlen (text)) < 0)
     {
-      state.lost++;
+      state.dropped_lines++;
       return;
     }
-  state.lost = 0;
+  state.dropped_lines = 0;
 }
 
-/* One event is one line, of bounded length, whatever a peer put into a name.
-   Free with g_free.  */
+/* Returns MESSAGE as valid UTF-8 of bounded length without control characters,
+   so that one event is one line whatever a peer put into a name.  Free with
+   g_free.  */
 static char *
-clean (const char *message)
+sanitize (const char *message)
 {
-  g_autofree char *cut = g_strndup (message, MESSAGE_MOST);
+  g_autofree char *cut = g_strndup (message, MAX_MESSAGE_BYTES);
   char *valid = g_utf8_make_valid (cut, -1);
 
   for (char *c = valid; *c != 0; c++)
@@ -212,18 +216,18 @@
 static void
 write_line (log_level_t level, const char *part, const char *message)
 {
-  g_autofree char *cleaned = clean (message);
-  g_autofree char *line = state.json ? json_line (level, part, cleaned)
-                                     : text_line (level, part, cleaned);
+  g_autofree char *sanitized = sanitize (message);
+  g_autofree char *line = state.json ? json_line (level, part, sanitized)
+                                     : text_line (level, part, sanitized);
 
   if (state.sink != NULL)
     state.sink (state.sink_user, line);
   else
-    write_out (line);
+    write_to_descriptor (line);
 }
 
 static log_level_t
-level_of (GLogLevelFlags flags)
+get_level (GLogLevelFlags flags)
 {
   if ((flags & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL)) != 0)
     return LOG_ERROR;
@@ -233,7 +237,7 @@
 }
 
 static const char *
-field_value (const GLogField *fields, gsize count, const char *key)
+find_field_value (const GLogField *fields, gsize count, const char *key)
 {
   for (gsize i = 0; i < count; i++)
     if (strcmp (fields[i].key, key) == 0 && fields[i].length < 0)
@@ -241,37 +245,37 @@
   return NULL;
 }
 
-/* All of GLib's log comes here, also what the libraries say: they have no
-   part, their domain takes its place.  */
+/* Receives all GLib log lines.  Those of the libraries have no part and get
+   their domain in its place.  */
 static GLogWriterOutput
 write_log (GLogLevelFlags flags, const GLogField *fields, gsize count,
            gpointer user)
 {
-  const char *message = field_value (fields, count, FIELD_MESSAGE);
-  const char *part = field_value (fields, count, FIELD_PART);
-  log_level_t level = level_of (flags);
+  const char *message = find_field_value (fields, count, FIELD_MESSAGE);
+  const char *part = find_field_value (fields, count, FIELD_PART);
+  log_level_t level = get_level (flags);
 
   if (part == NULL)
-    part = field_value (fields, count, FIELD_DOMAIN);
-  if (message != NULL && level <= state.least)
+    part = find_field_value (fields, count, FIELD_DOMAIN);
+  if (message != NULL && level <= state.threshold)
     write_line (level, part != NULL ? part : "-", message);
   return G_LOG_WRITER_HANDLED;
 }
 
-/* GLib takes a writer once in the life of a process.  */
+/* GLib accepts only one call of g_log_set_writer_func per process.  */
 static void
-use_writer (void)
+install_writer (void)
 {
-  if (state.has_writer)
+  if (state.is_writer_installed)
     return;
-  state.has_writer = true;
+  state.is_writer_installed = true;
   g_log_set_writer_func (write_log, NULL, NULL);
 }
 
-/* Whether a line of FORMAT may be written now; *HELD_BACK tells how many were
-   not since the last that was.  */
+/* Whether a line of FORMAT may be written now.  *SUPPRESSED receives the
+   number of lines suppressed since the last one written.  */
 static bool
-rate_allows (const char *format, unsigned *held_back)
+check_rate_limit (const char *format, unsigned *suppressed)
 {
   cfd_time_t now = clock_now ();
   log_rate_t *rate;
@@ -282,33 +286,33 @@
   if (rate == NULL)
     {
       rate = g_new0 (log_rate_t, 1);
-      rate->since = now;
+      rate->window_start = now;
       g_hash_table_insert (state.rates, (gpointer)format, rate);
     }
-  if (now - rate->since >= WINDOW_MS)
+  if (now - rate->window_start >= RATE_WINDOW_MS)
     {
-      rate->since = now;
+      rate->window_start = now;
       rate->written = 0;
     }
-  if (rate->written >= LINES_A_SECOND)
+  if (rate->written >= MAX_LINES_PER_S)
     {
-      rate->held_back++;
+      rate->suppressed++;
       return false;
     }
   rate->written++;
-  *held_back = rate->held_back;
-  rate->held_back = 0;
+  *suppressed = rate->suppressed;
+  rate->suppressed = 0;
   return true;
 }
 
 void
-log_setup (const char *instance, log_level_t least, bool json)
+log_setup (const char *instance, log_level_t threshold, bool json)
 {
   g_free (state.instance);
   state.instance = g_strdup (instance);
-  state.least = least;
+  state.threshold = threshold;
   state.json = json;
-  use_writer ();
+  install_writer ();
 }
 
 void
@@ -322,30 +326,30 @@
 {
   state.sink = sink;
   state.sink_user = user;
-  use_writer ();
+  install_writer ();
 }
 
 void
 log_at (log_level_t level, const char *part, const char *format, ...)
 {
   g_autofree char *message = NULL;
-  unsigned held_back = 0;
+  unsigned suppressed = 0;
   va_list arguments;
 
-  if (level > state.least || !rate_allows (format, &held_back))
+  if (level > state.threshold || !check_rate_limit (format, &suppressed))
     return;
   va_start (arguments, format);
   message = g_strdup_vprintf (format, arguments);
   va_end (arguments);
-  if (held_back > 0)
+  if (suppressed > 0)
     {
       char *counted
-          = g_strdup_printf ("%s (held back: %u)", message, held_back);
+          = g_strdup_printf ("%s (suppressed: %u)", message, suppressed);
 
       g_free (message);
       message = counted;
     }
-  use_writer ();
+  install_writer ();
   g_log_structured_array (glib_levels[level],
                           (GLogField[]){ { FIELD_MESSAGE, message, -1 },
                                          { FIELD_PART, part, -1 } },
@@ -369,8 +373,8 @@
 invariant_report_failure (const char *invariant, const char *file, int line,
                           const char *detail)
 {
-  state.failures++;
-  log_error ("invariant", "Broken: name=%s at=%s:%d detail=%s.", invariant,
+  state.failure_count++;
+  log_error ("invariant", "Violated: name=%s at=%s:%d detail=%s.", invariant,
              file, line, detail != NULL ? detail : "");
   if (state.hook != NULL)
     state.hook (state.hook_user, invariant, detail);
@@ -382,5 +386,5 @@
 unsigned
 invariant_count_failures (void)
 {
-  return state.failures;
+  return state.failure_count;
 }
--- a/libcoltsfootdrum/base/pair.c
+++ b/libcoltsfootdrum/base/pair.c
@@ -44,7 +44,7 @@
 }
 
 static void
-free_plain (gpointer entry)
+free_plain_entry (gpointer entry)
 {
   pair_clear (entry);
   g_free (entry);
@@ -54,7 +54,8 @@
 pair_table_new (GDestroyNotify free_entry)
 {
   return g_hash_table_new_full (pair_hash, pair_equal, NULL,
-                                free_entry != NULL ? free_entry : free_plain);
+                                free_entry != NULL ? free_entry
+                                                   : free_plain_entry);
 }
 
 gpointer
--- a/libcoltsfootdrum/base/pair.h
+++ b/libcoltsfootdrum/base/pair.h
@@ -1,4 +1,4 @@
-/* Hash table key of two names, such as a client account and a service.  */
+/* Pairs: hash tables keyed by the names of a client account and a service.  */
 
 #ifndef BASE_PAIR_H
 #define BASE_PAIR_H
@@ -15,17 +15,17 @@
 guint pair_hash (gconstpointer key);
 gboolean pair_equal (gconstpointer a, gconstpointer b);
 
-/* Replaces the borrowed names of PAIR by copies in one block, to be freed by
-   pair_clear.  */
+/* Replaces the borrowed names of PAIR by copies in one allocation, which
+   pair_clear frees.  */
 void pair_copy_names (pair_t *pair);
 void pair_clear (pair_t *pair);
 
-/* Tables of entries that begin with their pair_t.  FREE_ENTRY must call
-   pair_clear on it; NULL for entries that own nothing else.  */
+/* Creates a table of entries whose first member is their pair_t.  FREE_ENTRY
+   must call pair_clear on it; NULL suits entries that own nothing else.  */
 GHashTable *pair_table_new (GDestroyNotify free_entry);
 gpointer pair_table_find (GHashTable *table, const char *account,
                           const char *service);
-/* Adds a zeroed entry of SIZE bytes under copies of the names.  */
+/* Adds a zeroed entry of SIZE bytes, keyed by copies of the names.  */
 gpointer pair_table_add (GHashTable *table, const char *account,
                          const char *service, gsize size);
 
--- a/libcoltsfootdrum/base/settings.c
+++ b/libcoltsfootdrum/base/settings.c
@@ -8,12 +8,12 @@
 #include <stddef.h>
 #include <string.h>
 
-#define SECRET_LEAST 16u
-#define SECRET_MOST 1024u
-#define NAME_MOST 255u
-#define LONGEST_S 86400
-#define KEPT_MOST_S 2592000
-#define CALLS_MOST 1000
+#define MIN_SECRET_BYTES 16u
+#define MAX_SECRET_BYTES 1024u
+#define MAX_NAME_BYTES 255u
+#define MAX_DURATION_S 86400
+#define MAX_CLAIM_RETENTION_S 2592000
+#define MAX_CLAIM_CALLS_PER_S 1000
 
 typedef enum
 {
@@ -27,33 +27,33 @@
 struct setting
 {
   const char *flag;
-  const char *argument; /* its name in the help; NULL for a switch */
-  const char *standard; /* the default; NULL when required */
+  const char *argument;     /* placeholder in the help; NULL for a switch */
+  const char *default_text; /* NULL when required */
   setting_roles_t roles;
-  /* Checks TEXT and keeps it at TO; false when it is bad.  */
-  bool (*keep) (const char *text, void *to);
-  size_t offset;
-  bool hidden;        /* never printed */
-  const char *help;   /* what it is */
-  const char *remedy; /* how a good value looks */
+  /* Validates TEXT and stores its value at OUT; false when it is invalid.  */
+  bool (*parse) (const char *text, void *out);
+  size_t offset;      /* of the value in cfd_settings_t */
+  bool is_secret;     /* the value must never be printed */
+  const char *help;   /* one-line description */
+  const char *remedy; /* describes valid values */
 };
 
 static bool
-keep_text (const char *text, char **to)
+store_text (const char *text, char **out)
 {
-  g_free (*to);
-  *to = g_strdup (text);
+  g_free (*out);
+  *out = g_strdup (text);
   return true;
 }
 
 static bool
-keep_name (const char *text, void *to)
+parse_name (const char *text, void *out)
 {
   static const char allowed[] = G_CSET_A_2_Z G_CSET_a_2_z G_CSET_DIGITS "._-";
   size_t length = strlen (text);
 
-  return length > 0 && length <= NAME_MOST && g_ascii_isalnum (text[0])
-         && strspn (text, allowed) == length && keep_text (text, to);
+  return length > 0 && length <= MAX_NAME_BYTES && g_ascii_isalnum (text[0])
+         && strspn (text, allowed) == length && store_text (text, out);
 }
 
 static bool
@@ -65,74 +65,76 @@
 }
 
 static bool
-keep_address (const char *text, void *to)
+parse_address (const char *text, void *out)
 {
-  return is_address (text) && keep_text (text, to);
+  return is_address (text) && store_text (text, out);
 }
 
 static bool
-keep_url (const char *text, void *to)
+parse_url (const char *text, void *out)
 {
   static const char scheme[] = "http://";
 
   return g_str_has_prefix (text, scheme) && is_address (text + strlen (scheme))
-         && keep_text (text, to);
+         && store_text (text, out);
 }
 
 static bool
-keep_secret (const char *text, void *to)
+parse_secret (const char *text, void *out)
 {
   size_t length = strlen (text);
 
-  return length >= SECRET_LEAST && length <= SECRET_MOST
-         && keep_text (text, to);
+  return length >= MIN_SECRET_BYTES && length <= MAX_SECRET_BYTES
+         && store_text (text, out);
 }
 
 static bool
-keep_level (const char *text, void *to)
+parse_level (const char *text, void *out)
 {
   log_level_t level;
 
-  return log_level_parse (text, &level, NULL) && keep_text (text, to);
+  return log_level_parse (text, &level, NULL) && store_text (text, out);
 }
 
 static bool
-keep_seconds (const char *text, void *to)
+parse_seconds (const char *text, void *out)
 {
   gint64 seconds;
 
-  if (!g_ascii_string_to_signed (text, 10, 1, LONGEST_S, &seconds, NULL))
+  if (!g_ascii_string_to_signed (text, 10, 1, MAX_DURATION_S, &seconds, NULL))
     return false;
-  *(int *)to = (int)seconds;
+  *(int *)out = (int)seconds;
   return true;
 }
 
 static bool
-keep_kept (const char *text, void *to)
+parse_claim_retention (const char *text, void *out)
 {
   gint64 seconds;
 
-  if (!g_ascii_string_to_signed (text, 10, 0, KEPT_MOST_S, &seconds, NULL))
+  if (!g_ascii_string_to_signed (text, 10, 0, MAX_CLAIM_RETENTION_S, &seconds,
+                                 NULL))
     return false;
-  *(int *)to = (int)seconds;
+  *(int *)out = (int)seconds;
   return true;
 }
 
 static bool
-keep_calls (const char *text, void *to)
+parse_claim_calls (const char *text, void *out)
 {
   gint64 calls;
 
-  if (!g_ascii_string_to_signed (text, 10, 1, CALLS_MOST, &calls, NULL))
+  if (!g_ascii_string_to_signed (text, 10, 1, MAX_CLAIM_CALLS_PER_S, &calls,
+                                 NULL))
     return false;
-  *(int *)to = (int)calls;
+  *(int *)out = (int)calls;
   return true;
 }
 
 static bool
-keep_policy (const char *text, void *to)
+parse_policy (const char *text, void *out)
 {
-  cfd_policy_t *policy = to;
+  cfd_policy_t *policy = out;
 
   if (strcmp (text, "fleet") == 0)
     *policy = CFD_POLICY_FLEET;
@@ -144,13 +146,13 @@
 }
 
 static bool
-keep_switch (const char *text, void *to)
+parse_switch (const char *text, void *out)
 {
   static const char *const on[] = { "true", "1", "yes", NULL };
   static const char *const off[] = { "false", "0", "no", NULL };
 
-  *(bool *)to = g_strv_contains (on, text);
-  return *(bool *)to || g_strv_contains (off, text);
+  *(bool *)out = g_strv_contains (on, text);
+  return *(bool *)out || g_strv_contains (off, text);
 }
 
 #define NAME_REMEDY                                                           \
@@ -160,84 +162,92 @@
   "use a numeric IP:PORT as in 127.0.0.1:8080, with a port other than 0"
 #define SECONDS_REMEDY "use whole seconds from 1 to 86400"
 #define SWITCH_REMEDY "use true or false"
-#define AT(member) offsetof (cfd_settings_t, member)
+#define FIELD_OFFSET(member) offsetof (cfd_settings_t, member)
 
 static const setting_t settings[] = {
-  { "instance", "NAME", NULL, FOR_BOTH, keep_name, AT (instance), false,
-    "Name of this process in the platform's list of instances", NAME_REMEDY },
-  { "zone", "NAME", NULL, FOR_BOTH, keep_name, AT (zone), false,
+  { "instance", "NAME", NULL, FOR_BOTH, parse_name, FIELD_OFFSET (instance),
+    false, "Name of this process in the platform's list of instances",
+    NAME_REMEDY },
+  { "zone", "NAME", NULL, FOR_BOTH, parse_name, FIELD_OFFSET (zone), false,
     "Availability zone of this process", NAME_REMEDY },
-  { "platform", "URL", NULL, FOR_BOTH, keep_url, AT (platform), false,
-    "The platform's object API",
+  { "platform", "URL", NULL, FOR_BOTH, parse_url, FIELD_OFFSET (platform),
+    false, "The platform's object API",
     "use http://IP:PORT as in http://127.0.0.1:7000, with nothing after it" },
-  { "peer-listen", "IP:PORT", NULL, FOR_BOTH, keep_address, AT (peer_listen),
-    false, "Accepts links of the fleet's own processes", ADDRESS_REMEDY },
-  { "admin-listen", "IP:PORT", NULL, FOR_BOTH, keep_address, AT (admin_listen),
-    false, "Serves /healthz, /readyz, /metrics, /status and /events",
+  { "peer-listen", "IP:PORT", NULL, FOR_BOTH, parse_address,
+    FIELD_OFFSET (peer_listen), false,
+    "Accepts links of the fleet's own processes", ADDRESS_REMEDY },
+  { "admin-listen", "IP:PORT", NULL, FOR_BOTH, parse_address,
+    FIELD_OFFSET (admin_listen), false,
+    "Serves /healthz, /readyz, /metrics, /status and /events",
     ADDRESS_REMEDY },
-  { "listen", "IP:PORT", NULL, FOR_ROUTER, keep_address, AT (listen), false,
-    "Accepts callers' requests", ADDRESS_REMEDY },
-  { "endpoint", "NAME", NULL, FOR_AGENT, keep_name, AT (endpoint), false,
-    "Record of the endpoint that this agent feeds", NAME_REMEDY },
-  { "secret", "TEXT", NULL, FOR_BOTH, keep_secret, AT (secret), true,
+  { "listen", "IP:PORT", NULL, FOR_ROUTER, parse_address,
+    FIELD_OFFSET (listen), false, "Accepts callers' requests",
+    ADDRESS_REMEDY },
+  { "endpoint", "NAME", NULL, FOR_AGENT, parse_name, FIELD_OFFSET (endpoint),
+    false, "Record of the endpoint that this agent feeds", NAME_REMEDY },
+  { "secret", "TEXT", NULL, FOR_BOTH, parse_secret, FIELD_OFFSET (secret),
+    true,
     "Shared by all processes of the fleet; prefer the variable, because flags "
     "show in the list of processes",
     "use 16 to 1024 bytes, at best random, the same in the whole fleet" },
-  { "policy", "POLICY", "fleet", FOR_BOTH, keep_policy, AT (policy), false,
+  { "policy", "POLICY", "fleet", FOR_BOTH, parse_policy, FIELD_OFFSET (policy),
+    false,
     "Who gets a free slot: fleet is fair over the whole fleet, local is the "
     "baseline with a fair queue in each router",
     "use fleet or local" },
-  { "request-s", "SECONDS", "60", FOR_ROUTER, keep_seconds, AT (request_s),
-    false, "Longest wait of a request in the queue", SECONDS_REMEDY },
-  { "drain-s", "SECONDS", "300", FOR_BOTH, keep_seconds, AT (drain_s), false,
+  { "request-s", "SECONDS", "60", FOR_ROUTER, parse_seconds,
+    FIELD_OFFSET (request_s), false, "Longest wait of a request in the queue",
+    SECONDS_REMEDY },
+  { "drain-s", "SECONDS", "300", FOR_BOTH, parse_seconds,
+    FIELD_OFFSET (drain_s), false,
     "Longest time that a graceful shutdown waits for requests to end",
     SECONDS_REMEDY },
-  { "claims-kept-s", "SECONDS", "86400", FOR_ROUTER, keep_kept,
-    AT (claims_kept_s), false,
+  { "claims-kept-s", "SECONDS", "86400", FOR_ROUTER, parse_claim_retention,
+    FIELD_OFFSET (claims_kept_s), false,
     "Time that the claim of an Idempotency-Key is kept after its last write; "
     "0 keeps it for ever",
     "use whole seconds from 0 to 2592000, longer than callers ask again and "
     "than calls run, the same at all routers" },
-  { "claim-calls", "NUMBER", "50", FOR_ROUTER, keep_calls, AT (claim_calls),
-    false,
+  { "claim-calls", "NUMBER", "50", FOR_ROUTER, parse_claim_calls,
+    FIELD_OFFSET (claim_calls), false,
     "Most platform calls a second that all routers together spend to remove "
     "claims",
     "use 1 to 1000, the same at all routers" },
-  { "log-level", "LEVEL", "info", FOR_BOTH, keep_level, AT (log_level), false,
-    "Least important lines that are logged",
+  { "log-level", "LEVEL", "info", FOR_BOTH, parse_level,
+    FIELD_OFFSET (log_level), false, "Least important lines that are logged",
     "use error, warn, info or debug" },
-  { "log-json", NULL, "false", FOR_BOTH, keep_switch, AT (log_json), false,
-    "Logs one JSON object a line", SWITCH_REMEDY },
-  { "check", NULL, "false", FOR_BOTH, keep_switch, AT (check), false,
-    "Checks the settings and exits", SWITCH_REMEDY },
+  { "log-json", NULL, "false", FOR_BOTH, parse_switch, FIELD_OFFSET (log_json),
+    false, "Logs one JSON object a line", SWITCH_REMEDY },
+  { "check", NULL, "false", FOR_BOTH, parse_switch, FIELD_OFFSET (check),
+    false, "Checks the settings and exits", SWITCH_REMEDY },
 };
 
-#define SETTINGS G_N_ELEMENTS (settings)
+#define SETTING_COUNT G_N_ELEMENTS (settings)
 
-/* What the command line gave, before any check.  */
+/* Values of the command line before validation.  */
 typedef struct
 {
-  char *texts[SETTINGS];
-  gboolean switches[SETTINGS];
+  char *values[SETTING_COUNT];
+  gboolean switches[SETTING_COUNT];
   gboolean version;
   gboolean help;
   gboolean help_settings;
-} given_t;
+} raw_options_t;
 
 static void
-given_clear (given_t *given)
+raw_options_clear (raw_options_t *raw)
 {
-  for (size_t i = 0; i < SETTINGS; i++)
+  for (size_t i = 0; i < SETTING_COUNT; i++)
     {
-      if (given->texts[i] != NULL)
-        sodium_memzero (given->texts[i], strlen (given->texts[i]));
-      g_free (given->texts[i]);
+      if (raw->values[i] != NULL)
+        sodium_memzero (raw->values[i], strlen (raw->values[i]));
+      g_free (raw->values[i]);
     }
 }
-G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (given_t, given_clear)
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (raw_options_t, raw_options_clear)
 
 static bool
-role_parse (const char *role, setting_roles_t *mask)
+parse_role (const char *role, setting_roles_t *mask)
 {
   if (g_strcmp0 (role, "router") == 0)
     *mask = FOR_ROUTER;
@@ -248,9 +258,9 @@
   return true;
 }
 
-/* The environment variable of a flag; free with g_free.  */
+/* Returns the environment variable of a flag; free with g_free.  */
 static char *
-variable_name (const char *flag)
+get_variable_name (const char *flag)
 {
   g_autofree char *upper = g_ascii_strup (flag, -1);
 
@@ -259,32 +269,33 @@
 }
 
 static GOptionContext *
-make_context (setting_roles_t role, given_t *given)
+make_context (setting_roles_t role, raw_options_t *raw)
 {
-  static const GOptionEntry asks[] = {
+  static const GOptionEntry info_options[] = {
     { "help", 'h', 0, G_OPTION_ARG_NONE, NULL, "Prints this", NULL },
     { "help-settings", 0, 0, G_OPTION_ARG_NONE, NULL,
       "Prints all settings as a Markdown table", NULL },
     { "version", 0, 0, G_OPTION_ARG_NONE, NULL, "Prints the version", NULL },
   };
-  GOptionEntry entries[SETTINGS + G_N_ELEMENTS (asks) + 1] = { 0 };
+  GOptionEntry entries[SETTING_COUNT + G_N_ELEMENTS (info_options) + 1]
+      = { 0 };
   GOptionContext *context = g_option_context_new (NULL);
   size_t used = 0;
 
-  for (size_t i = 0; i < SETTINGS; i++)
+  for (size_t i = 0; i < SETTING_COUNT; i++)
     if ((settings[i].roles & role) != 0)
       entries[used++] = (GOptionEntry){
         .long_name = settings[i].flag,
         .arg = settings[i].argument ? G_OPTION_ARG_STRING : G_OPTION_ARG_NONE,
-        .arg_data = settings[i].argument ? (gpointer)&given->texts[i]
-                                         : (gpointer)&given->switches[i],
+        .arg_data = settings[i].argument ? (gpointer)&raw->values[i]
+                                         : (gpointer)&raw->switches[i],
         .description = settings[i].help,
         .arg_description = settings[i].argument
       };
-  memcpy (&entries[used], asks, sizeof asks);
-  entries[used].arg_data = &given->help;
-  entries[used + 1].arg_data = &given->help_settings;
-  entries[used + 2].arg_data = &given->version;
+  memcpy (&entries[used], info_options, sizeof info_options);
+  entries[used].arg_data = &raw->help;
+  entries[used + 1].arg_data = &raw->help_settings;
+  entries[used + 2].arg_data = &raw->version;
   g_option_context_set_help_enabled (context, FALSE);
   g_option_context_add_main_entries (context, entries, NULL);
   g_option_context_set_description (
@@ -294,10 +305,10 @@
 }
 
 static bool
-keep_setting (const setting_t *setting, const char *text, bool from_variable,
-              cfd_settings_t *kept, GError **error)
+parse_setting (const setting_t *setting, const char *text, bool from_variable,
+               cfd_settings_t *parsed, GError **error)
 {
-  g_autofree char *variable = variable_name (setting->flag);
+  g_autofree char *variable = get_variable_name (setting->flag);
 
   if (text == NULL)
     {
@@ -306,24 +317,24 @@
                    setting->remedy);
       return false;
     }
-  if (setting->keep (text, (char *)kept + setting->offset))
+  if (setting->parse (text, (char *)parsed + setting->offset))
     return true;
   g_set_error (error, CFD_ERROR, CFD_ERROR_SETTING,
                "%s%s has a bad value%s%s%s; %s", from_variable ? "" : "--",
                from_variable ? variable : setting->flag,
-               setting->hidden ? "" : " \"", setting->hidden ? "" : text,
-               setting->hidden ? "" : "\"", setting->remedy);
+               setting->is_secret ? "" : " \"", setting->is_secret ? "" : text,
+               setting->is_secret ? "" : "\"", setting->remedy);
   return false;
 }
 
 static bool
-keep_all (setting_roles_t role, const given_t *given, cfd_settings_t *kept,
-          GError **error)
+parse_all (setting_roles_t role, const raw_options_t *raw,
+           cfd_settings_t *parsed, GError **error)
 {
-  for (size_t i = 0; i < SETTINGS; i++)
+  for (size_t i = 0; i < SETTING_COUNT; i++)
     {
-      g_autofree char *variable = variable_name (settings[i].flag);
-      const char *text = given->switches[i] ? "true" : given->texts[i];
+      g_autofree char *variable = get_variable_name (settings[i].flag);
+      const char *text = raw->switches[i] ? "true" : raw->values[i];
       bool from_variable = text == NULL && g_getenv (variable) != NULL;
 
       if ((settings[i].roles & role) == 0)
@@ -331,44 +342,46 @@
       if (text == NULL)
         text = g_getenv (variable);
       if (text == NULL)
-        text = settings[i].standard;
-      if (!keep_setting (&settings[i], text, from_variable, kept, error))
+        text = settings[i].default_text;
+      if (!parse_setting (&settings[i], text, from_variable, parsed, error))
         return false;
     }
   return true;
 }
 
-/* Two listeners on one address: the second would fail to bind, late and with
-   a message that does not name the flags.  */
+/* Rejects two listeners on one address: the second bind would fail later, with
+   a message that doesn't name the flags.  */
 static bool
-listeners_differ (const cfd_settings_t *kept, GError **error)
+has_distinct_listeners (const cfd_settings_t *parsed, GError **error)
 {
-  const char *clash = NULL;
-
-  if (strcmp (kept->peer_listen, kept->admin_listen) == 0)
-    clash = "--peer-listen and --admin-listen";
-  else if (g_strcmp0 (kept->listen, kept->peer_listen) == 0)
-    clash = "--listen and --peer-listen";
-  else if (g_strcmp0 (kept->listen, kept->admin_listen) == 0)
-    clash = "--listen and --admin-listen";
-  if (clash == NULL)
+  const char *conflict = NULL;
+
+  if (strcmp (parsed->peer_listen, parsed->admin_listen) == 0)
+    conflict = "--peer-listen and --admin-listen";
+  else if (g_strcmp0 (parsed->listen, parsed->peer_listen) == 0)
+    conflict = "--listen and --peer-listen";
+  else if (g_strcmp0 (parsed->listen, parsed->admin_listen) == 0)
+    conflict = "--listen and --admin-listen";
+  if (conflict == NULL)
     return true;
   g_set_error (error, CFD_ERROR, CFD_ERROR_SETTING,
-               "%s have the same address; give each its own port", clash);
+               "%s have the same address; give each its own port", conflict);
   return false;
 }
 
-/* Prints what was asked for instead of a start.  */
+/* Prints the help, the settings or the version if RAW asks for one; the daemon
+   must not start then.  */
 static bool
-print_asked (const char *role, const given_t *given, GOptionContext *context)
+print_requested_info (const char *role, const raw_options_t *raw,
+                      GOptionContext *context)
 {
   g_autofree char *text = NULL;
 
-  if (given->help)
+  if (raw->help)
     text = g_option_context_get_help (context, TRUE, NULL);
-  else if (given->help_settings)
+  else if (raw->help_settings)
     text = settings_table (role);
-  else if (given->version)
+  else if (raw->version)
     text = g_strdup_printf ("cfd-%s %s\n", role, CFD_VERSION);
   else
     return false;
@@ -376,7 +389,8 @@
   return true;
 }
 
-/* GLib's parser takes what it used out of the vector.  */
+/* Copies ARGV, because GLib's parser removes the options that it has parsed
+   from the vector.  */
 static GStrv
 copy_arguments (int argc, char **argv)
 {
@@ -390,27 +404,27 @@
 cfd_settings_t *
 cfd_settings_parse (const char *role, int argc, char **argv, GError **error)
 {
-  g_auto (given_t) given = { 0 };
+  g_auto (raw_options_t) raw = { 0 };
   g_autoptr (GOptionContext) context = NULL;
-  cfd_settings_t *kept;
+  cfd_settings_t *parsed;
   g_auto (GStrv) arguments = copy_arguments (argc, argv);
-  g_autoptr (GError) fault = NULL;
+  g_autoptr (GError) parse_error = NULL;
   setting_roles_t mask;
 
-  if (!role_parse (role, &mask))
+  if (!parse_role (role, &mask))
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_SETTING,
                    "Role \"%s\" is unknown; use router or agent", role);
       return NULL;
     }
-  context = make_context (mask, &given);
-  if (!g_option_context_parse_strv (context, &arguments, &fault))
+  context = make_context (mask, &raw);
+  if (!g_option_context_parse_strv (context, &arguments, &parse_error))
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_SETTING, "%s; see --help",
-                   fault->message);
+                   parse_error->message);
       return NULL;
     }
-  if (print_asked (role, &given, context))
+  if (print_requested_info (role, &raw, context))
     return NULL;
   if (g_strv_length (arguments) > 1)
     {
@@ -419,30 +433,31 @@
                    arguments[1]);
       return NULL;
     }
-  kept = g_new0 (cfd_settings_t, 1);
-  if (keep_all (mask, &given, kept, error) && listeners_differ (kept, error))
-    return kept;
-  cfd_settings_free (kept);
+  parsed = g_new0 (cfd_settings_t, 1);
+  if (parse_all (mask, &raw, parsed, error)
+      && has_distinct_listeners (parsed, error))
+    return parsed;
+  cfd_settings_free (parsed);
   return NULL;
 }
 
 void
-cfd_settings_free (cfd_settings_t *kept)
+cfd_settings_free (cfd_settings_t *parsed)
 {
-  if (kept == NULL)
+  if (parsed == NULL)
     return;
-  if (kept->secret != NULL)
-    sodium_memzero (kept->secret, strlen (kept->secret));
-  g_free (kept->instance);
-  g_free (kept->zone);
-  g_free (kept->platform);
-  g_free (kept->peer_listen);
-  g_free (kept->admin_listen);
-  g_free (kept->secret);
-  g_free (kept->listen);
-  g_free (kept->endpoint);
-  g_free (kept->log_level);
-  g_free (kept);
+  if (parsed->secret != NULL)
+    sodium_memzero (parsed->secret, strlen (parsed->secret));
+  g_free (parsed->instance);
+  g_free (parsed->zone);
+  g_free (parsed->platform);
+  g_free (parsed->peer_listen);
+  g_free (parsed->admin_listen);
+  g_free (parsed->secret);
+  g_free (parsed->listen);
+  g_free (parsed->endpoint);
+  g_free (parsed->log_level);
+  g_free (parsed);
 }
 
 char *
@@ -451,22 +466,22 @@
   GString *table;
   setting_roles_t mask;
 
-  if (!role_parse (role, &mask))
+  if (!parse_role (role, &mask))
     return NULL;
   table = g_string_new ("| Flag | Variable | Default | Meaning |\n"
                         "|---|---|---|---|\n");
-  for (size_t i = 0; i < SETTINGS; i++)
+  for (size_t i = 0; i < SETTING_COUNT; i++)
     {
       const setting_t *row = &settings[i];
-      g_autofree char *variable = variable_name (row->flag);
+      g_autofree char *variable = get_variable_name (row->flag);
 
       if ((row->roles & mask) == 0)
         continue;
-      g_string_append_printf (table, "| `--%s%s%s` | `%s` | %s | %s; %s. |\n",
-                              row->flag, row->argument ? " " : "",
-                              row->argument ? row->argument : "", variable,
-                              row->standard ? row->standard : "required",
-                              row->help, row->remedy);
+      g_string_append_printf (
+          table, "| `--%s%s%s` | `%s` | %s | %s; %s. |\n", row->flag,
+          row->argument ? " " : "", row->argument ? row->argument : "",
+          variable, row->default_text ? row->default_text : "required",
+          row->help, row->remedy);
     }
   return g_string_free (table, FALSE);
 }
--- a/libcoltsfootdrum/base/test-clock.c
+++ b/libcoltsfootdrum/base/test-clock.c
@@ -1,4 +1,5 @@
-/* The clocks: boot time goes forward, logical stamps follow causes.  */
+/* Tests of the clocks: boot time doesn't go backward, and the logical stamp of
+   an event is greater than those of its causes.  */
 
 #include "base/clock.h"
 #include <glib.h>
@@ -14,9 +15,9 @@
 static void
 test_stamp_follows_cause (void)
 {
-  /* A peer whose wall clock is an hour ahead sends a frame; what we do next
-     must be stamped after it, or the time line would show effects before
-     causes.  */
+  /* A peer whose wall clock is an hour ahead sends a frame.  The next local
+     event must have a greater stamp, or the timeline would show effects before
+     their causes.  */
   hlc_t ours = { 0 };
   hlc_t theirs = { 0 };
   uint64_t sent = hlc_tick (&theirs, 1000 + 3600000);
@@ -28,8 +29,8 @@
 static void
 test_wall_goes_back (void)
 {
-  /* An operator sets the wall clock back by a day: what is done afterwards is
-     still stamped after what was done before.  */
+  /* An operator sets the wall clock back by a day: later events must still get
+     greater stamps than earlier ones.  */
   hlc_t ours = { 0 };
   uint64_t before = hlc_tick (&ours, 24 * 3600000);
 
--- a/libcoltsfootdrum/base/test-log.c
+++ b/libcoltsfootdrum/base/test-log.c
@@ -1,4 +1,4 @@
-/* The log: levels, one line an event, JSON, and the limit of a flood.  */
+/* Tests of the log: levels, one line per event, JSON and rate limits.  */
 
 #include "base/log.h"
 
@@ -9,25 +9,25 @@
 #include <unistd.h>
 
 static void
-keep_line (void *user, const char *line)
+record_line (void *user, const char *line)
 {
   g_ptr_array_add (user, g_strdup (line));
 }
 
 static GPtrArray *
-start_log (log_level_t least, bool json)
+start_capture (log_level_t least, bool json)
 {
   GPtrArray *lines = g_ptr_array_new_with_free_func (g_free);
 
   log_setup ("r1", least, json);
-  log_set_sink (keep_line, lines);
+  log_set_sink (record_line, lines);
   return lines;
 }
 
 static void
 test_levels (void)
 {
-  g_autoptr (GPtrArray) lines = start_log (LOG_WARN, false);
+  g_autoptr (GPtrArray) lines = start_capture (LOG_WARN, false);
 
   log_error ("part", "An error: key=%d.", 1);
   log_warn ("part", "A warning.");
@@ -41,7 +41,7 @@
 static void
 test_one_line (void)
 {
-  g_autoptr (GPtrArray) lines = start_log (LOG_INFO, false);
+  g_autoptr (GPtrArray) lines = start_capture (LOG_INFO, false);
 
   log_info ("part", "From a peer: name=%s.", "a\nFAKE error r1\r\xff");
   g_assert_cmpuint (lines->len, ==, 1);
@@ -52,7 +52,7 @@
 static void
 test_json (void)
 {
-  g_autoptr (GPtrArray) lines = start_log (LOG_INFO, true);
+  g_autoptr (GPtrArray) lines = start_capture (LOG_INFO, true);
   g_autoptr (JsonNode) root = NULL;
   JsonObject *line;
 
@@ -66,12 +66,12 @@
                    "Refused: account=\"a\"b\".");
 }
 
-/* A peer that sends bad frames as fast as it can must not fill the log, and
-   must not hide other lines.  */
+/* A peer that causes a log line at a high rate must neither fill the log nor
+   suppress lines of other formats.  */
 static void
 test_flood (void)
 {
-  g_autoptr (GPtrArray) lines = start_log (LOG_INFO, false);
+  g_autoptr (GPtrArray) lines = start_capture (LOG_INFO, false);
   unsigned flood = 0;
 
   for (int i = 0; i < 1000; i++)
@@ -80,17 +80,18 @@
   for (unsigned i = 0; i < lines->len; i++)
     if (strstr (lines->pdata[i], "A flood") != NULL)
       flood++;
-  /* The loop may cross into a second second, hardly into a fifth.  */
+  /* 20 lines per second: the loop may run into the next second, but hardly
+     into a fifth one.  */
   g_assert_cmpuint (flood, >=, 20);
   g_assert_cmpuint (flood, <=, 100);
   g_assert_nonnull (strstr (lines->pdata[lines->len - 1], "Another line"));
 }
 
-/* What GLib and the libraries say goes the same way.  */
+/* Lines of GLib and other libraries are formatted in the same way.  */
 static void
 test_of_libraries (void)
 {
-  g_autoptr (GPtrArray) lines = start_log (LOG_INFO, false);
+  g_autoptr (GPtrArray) lines = start_capture (LOG_INFO, false);
 
   g_log_structured ("Json", G_LOG_LEVEL_WARNING, "MESSAGE", "Odd: %d.", 7);
   g_log_structured ("Json", G_LOG_LEVEL_DEBUG, "MESSAGE", "Not written.");
@@ -118,14 +119,14 @@
   { "None: Peer=a =b 1.", "peer", NULL },
 };
 
-/* The fields of a sentence are members of the JSON object too.  */
+/* The fields of a message are also members of the JSON object.  */
 static void
 test_fields (void)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (field_cases); i++)
     {
       const field_case_t *c = &field_cases[i];
-      g_autoptr (GPtrArray) lines = start_log (LOG_INFO, true);
+      g_autoptr (GPtrArray) lines = start_capture (LOG_INFO, true);
       g_autoptr (JsonNode) root = NULL;
 
       log_info ("part", "%s", c->message);
@@ -136,11 +137,11 @@
     }
 }
 
-/* A JSON line stays whole when a peer sends a long name.  */
+/* A JSON line stays valid when a peer sends a long name.  */
 static void
 test_long_message (void)
 {
-  g_autoptr (GPtrArray) lines = start_log (LOG_INFO, true);
+  g_autoptr (GPtrArray) lines = start_capture (LOG_INFO, true);
   g_autofree char *name = g_strnfill (100000, '"');
   g_autoptr (JsonNode) root = NULL;
 
@@ -150,11 +151,11 @@
   g_assert_nonnull (root);
 }
 
-static char full[1 << 20];
+static char pipe_buffer[1 << 20];
 
-/* Whoever reads our standard error has stopped.  The pipe is full, and a write
-   would block the loop for good: all callers would hang for a log line.  The
-   line is dropped and counted, and the count told once there is room.  */
+/* The reader of standard error has stalled and the pipe is full: a blocking
+   write would stop the event loop, and all callers would hang.  The line is
+   dropped and counted, and the next line written gives the count.  */
 static void
 test_stuck_reader (void)
 {
@@ -165,18 +166,19 @@
   log_setup ("r1", LOG_INFO, false);
   log_set_sink (NULL, NULL);
   g_assert_cmpint (pipe2 (pipe_ends, O_NONBLOCK), ==, 0);
-  while (write (pipe_ends[1], full, 4096) > 0)
+  while (write (pipe_ends[1], pipe_buffer, 4096) > 0)
     continue;
   g_assert_cmpint (fcntl (pipe_ends[1], F_SETFL, 0), ==, 0);
   g_assert_cmpint (dup2 (pipe_ends[1], STDERR_FILENO), >=, 0);
   log_info ("part", "Lost.");
-  while (read (pipe_ends[0], full, sizeof full) > 0)
+  while (read (pipe_ends[0], pipe_buffer, sizeof pipe_buffer) > 0)
     continue;
-  memset (full, 0, sizeof full);
+  memset (pipe_buffer, 0, sizeof pipe_buffer);
   log_info ("part", "Seen.");
   g_assert_cmpint (dup2 (saved, STDERR_FILENO), >=, 0);
-  g_assert_cmpint (read (pipe_ends[0], full, sizeof full - 1), >, 0);
-  tail = strstr (full, "part: Seen.\n(lines lost: 1)\n");
+  g_assert_cmpint (read (pipe_ends[0], pipe_buffer, sizeof pipe_buffer - 1), >,
+                   0);
+  tail = strstr (pipe_buffer, "part: Seen.\n(lines lost: 1)\n");
   g_assert_nonnull (tail);
   close (pipe_ends[0]);
   close (pipe_ends[1]);
--- a/libcoltsfootdrum/base/test-settings.c
+++ b/libcoltsfootdrum/base/test-settings.c
@@ -1,5 +1,5 @@
-/* Settings: each bad value is refused at start with the flag, the value and
-   the remedy; the secret is never told.  */
+/* Tests of settings: an invalid value is rejected at startup with a message
+   that gives the flag, the value and the remedy, but never the secret.  */
 
 #include "base/settings.h"
 
@@ -9,8 +9,9 @@
 
 #define GOOD_SECRET "0123456789abcdef"
 
-/* A good router; a case replaces one value or removes it by NULL.  */
-static const char *const good[][2] = {
+/* Valid options of a router.  A case replaces one value, or removes the option
+   if the value is NULL.  */
+static const char *const valid_options[][2] = {
   { "instance", "r1" },
   { "zone", "zone-a" },
   { "platform", "http://127.0.0.1:7000" },
@@ -27,14 +28,15 @@
   bool replaced = false;
 
   g_ptr_array_add (argv, g_strdup ("cfd-router"));
-  for (unsigned i = 0; i < G_N_ELEMENTS (good); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (valid_options); i++)
     {
-      bool same = g_strcmp0 (good[i][0], flag) == 0;
-      const char *text = same ? value : good[i][1];
+      bool same = g_strcmp0 (valid_options[i][0], flag) == 0;
+      const char *text = same ? value : valid_options[i][1];
 
       replaced |= same;
       if (text != NULL)
-        g_ptr_array_add (argv, g_strdup_printf ("--%s=%s", good[i][0], text));
+        g_ptr_array_add (
+            argv, g_strdup_printf ("--%s=%s", valid_options[i][0], text));
     }
   if (flag != NULL && !replaced)
     g_ptr_array_add (argv, value != NULL
@@ -52,7 +54,7 @@
   {
     const char *flag;
     const char *value;
-    const char *told; /* what the error names; NULL when the value is good */
+    const char *expected_error; /* part of the message; NULL: value is valid */
   } cases[] = {
     { NULL, NULL, NULL },
     { "instance", NULL, "--instance or CFD_INSTANCE is missing" },
@@ -95,32 +97,33 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autoptr (cfd_settings_t) kept
+      g_autoptr (cfd_settings_t) parsed
           = parse_with (cases[i].flag, cases[i].value, &error);
 
-      if ((kept != NULL) != (cases[i].told == NULL))
+      if ((parsed != NULL) != (cases[i].expected_error == NULL))
         g_error ("--%s %s: %s", cases[i].flag, cases[i].value,
                  error ? error->message : "accepted");
-      if (cases[i].told == NULL)
+      if (cases[i].expected_error == NULL)
         continue;
       g_assert_error (error, CFD_ERROR, CFD_ERROR_SETTING);
-      if (strstr (error->message, cases[i].told) == NULL)
-        g_error ("\"%s\" lacks \"%s\"", error->message, cases[i].told);
+      if (strstr (error->message, cases[i].expected_error) == NULL)
+        g_error ("\"%s\" lacks \"%s\"", error->message,
+                 cases[i].expected_error);
     }
 }
 
 static void
 test_defaults (void)
 {
-  g_autoptr (cfd_settings_t) kept = parse_with (NULL, NULL, NULL);
-
-  g_assert_cmpint (kept->request_s, ==, 60);
-  g_assert_cmpint (kept->drain_s, ==, 300);
-  g_assert_cmpint (kept->policy, ==, CFD_POLICY_FLEET);
-  g_assert_cmpstr (kept->log_level, ==, "info");
-  g_assert_cmpstr (kept->listen, ==, "[::1]:7003");
-  g_assert_false (kept->log_json);
-  g_assert_false (kept->check);
+  g_autoptr (cfd_settings_t) parsed = parse_with (NULL, NULL, NULL);
+
+  g_assert_cmpint (parsed->request_s, ==, 60);
+  g_assert_cmpint (parsed->drain_s, ==, 300);
+  g_assert_cmpint (parsed->policy, ==, CFD_POLICY_FLEET);
+  g_assert_cmpstr (parsed->log_level, ==, "info");
+  g_assert_cmpstr (parsed->listen, ==, "[::1]:7003");
+  g_assert_false (parsed->log_json);
+  g_assert_false (parsed->check);
 }
 
 static void
@@ -132,7 +135,7 @@
     const char *value;
     const char *flag;
     const char *flag_value;
-    const char *told;
+    const char *expected_error;
     int drain_s;
   } cases[] = {
     { "CFD_DRAIN_S", "7", NULL, NULL, NULL, 7 },
@@ -145,20 +148,20 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autoptr (cfd_settings_t) kept = NULL;
+      g_autoptr (cfd_settings_t) parsed = NULL;
 
       g_setenv (cases[i].variable, cases[i].value, TRUE);
-      kept = parse_with (cases[i].flag, cases[i].flag_value, &error);
+      parsed = parse_with (cases[i].flag, cases[i].flag_value, &error);
       g_unsetenv (cases[i].variable);
-      if (cases[i].told != NULL)
-        g_assert_nonnull (strstr (error->message, cases[i].told));
+      if (cases[i].expected_error != NULL)
+        g_assert_nonnull (strstr (error->message, cases[i].expected_error));
       else
-        g_assert_cmpint (kept->drain_s, ==, cases[i].drain_s);
+        g_assert_cmpint (parsed->drain_s, ==, cases[i].drain_s);
     }
 }
 
 static void
-test_secret_is_not_told (void)
+test_secret_not_in_error (void)
 {
   g_autoptr (GError) error = NULL;
 
@@ -186,7 +189,7 @@
   g_test_add_func ("/settings/values", test_values);
   g_test_add_func ("/settings/defaults", test_defaults);
   g_test_add_func ("/settings/variables", test_variables);
-  g_test_add_func ("/settings/secret-is-not-told", test_secret_is_not_told);
+  g_test_add_func ("/settings/secret-not-in-error", test_secret_not_in_error);
   g_test_add_func ("/settings/table", test_table);
   return g_test_run ();
 }
