--- a/libcoltsfootdrum/http/fetch-easy.c
+++ b/libcoltsfootdrum/http/fetch-easy.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define CONNECT_MS_DEFAULT 1000
+#define DEFAULT_CONNECT_TIMEOUT_MS 1000
 
 static bool
 has_header (const char *const *headers, const char *name)
@@ -61,7 +61,7 @@
 fetch_easy_setup (CURL *easy, const fetch_request_t *request)
 {
   unsigned connect_timeout_ms = request->connect_timeout_ms == 0
-                                    ? CONNECT_MS_DEFAULT
+                                    ? DEFAULT_CONNECT_TIMEOUT_MS
                                     : request->connect_timeout_ms;
 
   curl_easy_setopt (easy, CURLOPT_URL, request->url);
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -1,5 +1,5 @@
 /* libcurl may not be entered from its own callbacks, yet the owner's
-   callbacks, which run inside them, may start, cancel and resume fetches.
+   callbacks, which run in_libcurl them, may start, cancel and resume fetches.
    What can't be done at once is marked on the fetch and done by the WORK
    timer, which fires in the next turn of the loop.  */
 
@@ -10,15 +10,15 @@
 #include <glib.h>
 #include <string.h>
 
-#define BODY_MAX (32u * 1024 * 1024)
+#define MAX_BODY_BYTES (32u * 1024 * 1024)
 
 struct fetch_pool
 {
   struct ev_loop *loop;
   CURLM *multi;
-  ev_timer timer; /* libcurl's own */
-  ev_timer work;  /* does what was put off */
-  bool inside;    /* in a call of libcurl that may call back */
+  ev_timer timer;    /* libcurl's own */
+  ev_timer deferred; /* does what was put off */
+  bool in_libcurl;   /* in a call of libcurl that may call back */
   list_node_t fetches;
 };
 
@@ -30,20 +30,20 @@
   struct curl_slist *header_list;
   fetch_request_t request; /* its pointers to data are not kept */
   unsigned idle_timeout_ms;
-  ev_timer silence;
+  ev_timer idle_timer;
   unsigned status;
   GPtrArray *head;
   GByteArray *body;
   char error[CURL_ERROR_SIZE];
-  bool added;      /* libcurl has it */
-  bool cancelled;  /* waits for WORK to free it */
-  bool withheld;   /* not sent, by the owner's word */
-  bool silent;     /* ran into the silence limit */
-  bool too_large;  /* ran into BODY_MAX */
-  bool ended;      /* in the last callback */
-  bool has_head;   /* the final head is complete */
-  bool want_pause; /* the owner's wish */
-  bool held;       /* libcurl holds back bytes */
+  bool is_added;        /* libcurl has it */
+  bool is_cancelled;    /* waits for WORK to free it */
+  bool send_denied;     /* not sent, by the owner's word */
+  bool timed_out_idle;  /* ran into the idle_timer limit */
+  bool too_large;       /* ran into MAX_BODY_BYTES */
+  bool finished;        /* in the last callback */
+  bool has_head;        /* the final head is complete */
+  bool pause_requested; /* the owner's wish */
+  bool has_paused_data; /* libcurl holds back bytes */
 };
 
 /* The watcher of one of libcurl's sockets.  */
@@ -54,12 +54,12 @@
 } fetch_socket_t;
 
 static void
-put_off (fetch_pool_t *pool)
+schedule_deferred (fetch_pool_t *pool)
 {
-  if (ev_is_active (&pool->work))
+  if (ev_is_active (&pool->deferred))
     return;
-  ev_timer_set (&pool->work, 0.0, 0.0);
-  ev_timer_start (pool->loop, &pool->work);
+  ev_timer_set (&pool->deferred, 0.0, 0.0);
+  ev_timer_start (pool->loop, &pool->deferred);
 }
 
 static void
@@ -67,9 +67,9 @@
 {
   fetch_pool_t *pool = fetch->pool;
 
-  if (fetch->added)
+  if (fetch->is_added)
     curl_multi_remove_handle (pool->multi, fetch->easy);
-  ev_timer_stop (pool->loop, &fetch->silence);
+  ev_timer_stop (pool->loop, &fetch->idle_timer);
   list_remove (&fetch->node);
   curl_easy_cleanup (fetch->easy);
   curl_slist_free_all (fetch->header_list);
@@ -79,17 +79,17 @@
 }
 
 static void
-restart_silence (fetch_t *fetch)
+restart_idle_timer (fetch_t *fetch)
 {
   if (fetch->idle_timeout_ms == 0)
     return;
   ev_now_update (fetch->pool->loop);
-  ev_timer_again (fetch->pool->loop, &fetch->silence);
+  ev_timer_again (fetch->pool->loop, &fetch->idle_timer);
 }
 
 /* Whether any of the request may have left.  */
 static bool
-may_be_sent (fetch_t *fetch, CURLcode code)
+may_have_been_sent (fetch_t *fetch, CURLcode code)
 {
   curl_off_t ready_us = 0;
 
@@ -107,13 +107,13 @@
 }
 
 static fetch_result_t
-result_of (fetch_t *fetch, CURLcode code)
+get_result (fetch_t *fetch, CURLcode code)
 {
   if (code == CURLE_OK && fetch->has_head)
     return FETCH_COMPLETE;
-  if (fetch->withheld)
+  if (fetch->send_denied)
     return FETCH_SEND_DENIED;
-  if (!may_be_sent (fetch, code))
+  if (!may_have_been_sent (fetch, code))
     return FETCH_CONNECT_FAILED;
   if (code == CURLE_OPERATION_TIMEDOUT)
     return FETCH_TIMEOUT;
@@ -121,9 +121,9 @@
 }
 
 static const char *
-detail_of (fetch_t *fetch, CURLcode code)
+get_detail (fetch_t *fetch, CURLcode code)
 {
-  if (fetch->silent)
+  if (fetch->timed_out_idle)
     return "no byte came within the silence limit";
   if (fetch->too_large)
     return "the answer is larger than the client takes";
@@ -137,15 +137,15 @@
 finish (fetch_t *fetch, CURLcode code)
 {
   const fetch_request_t *request = &fetch->request;
-  fetch_result_t result = result_of (fetch, code);
+  fetch_result_t result = get_result (fetch, code);
   size_t length = fetch->body->len;
 
-  fetch->ended = true;
+  fetch->finished = true;
   g_byte_array_append (fetch->body, (const guint8 *)"", 1);
   if (request->done != NULL)
     request->done (request->user, result, fetch->status,
                    (const char *)fetch->body->data, length,
-                   detail_of (fetch, code));
+                   get_detail (fetch, code));
   fetch_destroy (fetch);
 }
 
@@ -163,7 +163,7 @@
       if (message->msg != CURLMSG_DONE)
         continue;
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, &fetch);
-      if (fetch->cancelled)
+      if (fetch->is_cancelled)
         fetch_destroy (fetch);
       else
         finish (fetch, code);
@@ -175,9 +175,9 @@
 {
   int running;
 
-  pool->inside = true;
+  pool->in_libcurl = true;
   curl_multi_socket_action (pool->multi, socket, events, &running);
-  pool->inside = false;
+  pool->in_libcurl = false;
   finish_all_done (pool);
 }
 
@@ -246,9 +246,9 @@
 }
 
 static void
-add (fetch_t *fetch)
+add_to_multi (fetch_t *fetch)
 {
-  fetch->added = true;
+  fetch->is_added = true;
   curl_multi_add_handle (fetch->pool->multi, fetch->easy);
 }
 
@@ -257,15 +257,15 @@
 {
   fetch_pool_t *pool = fetch->pool;
 
-  fetch->held = false;
-  restart_silence (fetch);
-  pool->inside = true;
+  fetch->has_paused_data = false;
+  restart_idle_timer (fetch);
+  pool->in_libcurl = true;
   curl_easy_pause (fetch->easy, CURLPAUSE_CONT);
-  pool->inside = false;
+  pool->in_libcurl = false;
 }
 
 static void
-on_work (struct ev_loop *loop, ev_timer *timer, int revents)
+on_deferred (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   fetch_pool_t *pool = timer->data;
 
@@ -273,25 +273,25 @@
     {
       fetch_t *fetch = list_entry (node, fetch_t, node);
 
-      if (fetch->cancelled)
+      if (fetch->is_cancelled)
         fetch_destroy (fetch);
-      else if (!fetch->added)
-        add (fetch);
-      else if (fetch->held && !fetch->want_pause)
+      else if (!fetch->is_added)
+        add_to_multi (fetch);
+      else if (fetch->has_paused_data && !fetch->pause_requested)
         resume (fetch);
     }
   finish_all_done (pool);
 }
 
 static void
-on_silence (struct ev_loop *loop, ev_timer *timer, int revents)
+on_idle_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
   fetch_t *fetch = timer->data;
 
   ev_timer_stop (loop, timer);
-  if (fetch->cancelled)
+  if (fetch->is_cancelled)
     return;
-  fetch->silent = true;
+  fetch->timed_out_idle = true;
   finish (fetch, CURLE_OPERATION_TIMEDOUT);
 }
 
@@ -304,7 +304,7 @@
 }
 
 static void
-end_head (fetch_t *fetch)
+finish_head (fetch_t *fetch)
 {
   const fetch_request_t *request = &fetch->request;
 
@@ -322,25 +322,27 @@
 {
   fetch_t *fetch = user;
   size_t length = size * count;
-  size_t bare = length;
+  size_t trimmed_length = length;
 
-  if (fetch->cancelled)
+  if (fetch->is_cancelled)
     return 0;
-  restart_silence (fetch);
+  restart_idle_timer (fetch);
   if (fetch->has_head)
     return length; /* a trailer */
-  while (bare > 0 && (line[bare - 1] == '\r' || line[bare - 1] == '\n'))
-    bare--;
-  if (bare == 0)
-    end_head (fetch);
-  else if (bare >= 5 && memcmp (line, "HTTP/", 5) == 0)
+  while (trimmed_length > 0
+         && (line[trimmed_length - 1] == '\r'
+             || line[trimmed_length - 1] == '\n'))
+    trimmed_length--;
+  if (trimmed_length == 0)
+    finish_head (fetch);
+  else if (trimmed_length >= 5 && memcmp (line, "HTTP/", 5) == 0)
     {
-      fetch->status = parse_status (line, bare);
+      fetch->status = parse_status (line, trimmed_length);
       g_ptr_array_set_size (fetch->head, 0);
     }
   else
-    g_ptr_array_add (fetch->head, g_strndup (line, bare));
-  return fetch->cancelled ? 0 : length;
+    g_ptr_array_add (fetch->head, g_strndup (line, trimmed_length));
+  return fetch->is_cancelled ? 0 : length;
 }
 
 static size_t
@@ -350,36 +352,36 @@
   const fetch_request_t *request = &fetch->request;
   size_t length = size * count;
 
-  if (fetch->cancelled)
+  if (fetch->is_cancelled)
     return 0;
-  if (fetch->want_pause)
+  if (fetch->pause_requested)
     {
-      fetch->held = true;
-      ev_timer_stop (fetch->pool->loop, &fetch->silence);
+      fetch->has_paused_data = true;
+      ev_timer_stop (fetch->pool->loop, &fetch->idle_timer);
       return CURL_WRITEFUNC_PAUSE;
     }
-  restart_silence (fetch);
+  restart_idle_timer (fetch);
   if (request->data != NULL)
     request->data (request->user, bytes, length);
-  else if (fetch->body->len + length <= BODY_MAX)
+  else if (fetch->body->len + length <= MAX_BODY_BYTES)
     g_byte_array_append (fetch->body, (const guint8 *)bytes, length);
   else
     fetch->too_large = true;
-  return fetch->cancelled || fetch->too_large ? 0 : length;
+  return fetch->is_cancelled || fetch->too_large ? 0 : length;
 }
 
 static int
-on_connected (void *user, char *peer, char *local, int peer_port,
-              int local_port)
+on_prerequest (void *user, char *peer, char *local, int peer_port,
+               int local_port)
 {
   fetch_t *fetch = user;
   const fetch_request_t *request = &fetch->request;
 
-  if (fetch->cancelled)
+  if (fetch->is_cancelled)
     return CURL_PREREQFUNC_ABORT;
   if (request->may_send (request->user))
     return CURL_PREREQFUNC_OK;
-  fetch->withheld = true;
+  fetch->send_denied = true;
   return CURL_PREREQFUNC_ABORT;
 }
 
@@ -397,7 +399,7 @@
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, fetch);
   if (request->may_send != NULL)
     {
-      curl_easy_setopt (easy, CURLOPT_PREREQFUNCTION, on_connected);
+      curl_easy_setopt (easy, CURLOPT_PREREQFUNCTION, on_prerequest);
       curl_easy_setopt (easy, CURLOPT_PREREQDATA, fetch);
     }
   fetch->header_list = fetch_easy_setup (easy, request);
@@ -413,8 +415,8 @@
   list_init (&pool->fetches);
   ev_init (&pool->timer, on_timer);
   pool->timer.data = pool;
-  ev_init (&pool->work, on_work);
-  pool->work.data = pool;
+  ev_init (&pool->deferred, on_deferred);
+  pool->deferred.data = pool;
   pool->multi = curl_multi_init ();
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETFUNCTION, set_socket);
   curl_multi_setopt (pool->multi, CURLMOPT_SOCKETDATA, pool);
@@ -432,7 +434,7 @@
     fetch_destroy (list_entry (node, fetch_t, node));
   curl_multi_cleanup (pool->multi);
   ev_timer_stop (pool->loop, &pool->timer);
-  ev_timer_stop (pool->loop, &pool->work);
+  ev_timer_stop (pool->loop, &pool->deferred);
   curl_global_cleanup ();
   g_free (pool);
 }
@@ -454,27 +456,27 @@
   fetch->head = g_ptr_array_new_with_free_func (g_free);
   fetch->body = g_byte_array_new ();
   list_append (&pool->fetches, &fetch->node);
-  ev_init (&fetch->silence, on_silence);
-  fetch->silence.repeat = (double)request->idle_timeout_ms / 1000.0;
-  fetch->silence.data = fetch;
+  ev_init (&fetch->idle_timer, on_idle_timeout);
+  fetch->idle_timer.repeat = (double)request->idle_timeout_ms / 1000.0;
+  fetch->idle_timer.data = fetch;
   set_up (fetch, request);
-  restart_silence (fetch);
-  if (pool->inside)
-    put_off (pool);
+  restart_idle_timer (fetch);
+  if (pool->in_libcurl)
+    schedule_deferred (pool);
   else
-    add (fetch);
+    add_to_multi (fetch);
   return fetch;
 }
 
 void
 fetch_cancel (fetch_t *fetch)
 {
-  if (fetch->ended || fetch->cancelled)
+  if (fetch->finished || fetch->is_cancelled)
     return;
-  fetch->cancelled = true;
-  ev_timer_stop (fetch->pool->loop, &fetch->silence);
-  if (fetch->pool->inside)
-    put_off (fetch->pool);
+  fetch->is_cancelled = true;
+  ev_timer_stop (fetch->pool->loop, &fetch->idle_timer);
+  if (fetch->pool->in_libcurl)
+    schedule_deferred (fetch->pool);
   else
     fetch_destroy (fetch);
 }
@@ -482,7 +484,7 @@
 void
 fetch_pause (fetch_t *fetch, bool paused)
 {
-  fetch->want_pause = paused;
-  if (!paused && fetch->held)
-    put_off (fetch->pool);
+  fetch->pause_requested = paused;
+  if (!paused && fetch->has_paused_data)
+    schedule_deferred (fetch->pool);
 }
--- a/libcoltsfootdrum/http/test-fetch.c
+++ b/libcoltsfootdrum/http/test-fetch.c
@@ -12,15 +12,15 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define PATIENCE_S 30.0
+#define TIMEOUT_S 30.0
 #define PORT 7300
 
 /* How the server goes on after it has sent the script.  */
 typedef enum
 {
-  KEEP,
-  CLOSE
-} after_t;
+  KEEP_OPEN,
+  CLOSE_CONNECTION
+} after_script_t;
 
 typedef struct
 {
@@ -30,20 +30,20 @@
   ev_io connection;
   char url[64];
   const char *script;
-  after_t after;
+  after_script_t after;
   unsigned requests;
   /* What the client told.  */
   fetch_t *fetch;
   fetch_result_t result;
   unsigned status;
-  unsigned heads;
-  unsigned dones;
+  unsigned head_calls;
+  unsigned done_calls;
   GString *body;
-  unsigned asked;
+  unsigned may_send_calls;
   bool allowed;
-  void (*in_head) (void *fixture);
-  void (*in_data) (void *fixture);
-  void (*in_done) (void *fixture);
+  void (*during_head) (void *fixture);
+  void (*during_data) (void *fixture);
+  void (*during_done) (void *fixture);
 } fixture_t;
 
 /* ---- the server ---- */
@@ -73,7 +73,7 @@
   f->requests++;
   g_assert_cmpint (write (io->fd, f->script, strlen (f->script)), ==,
                    (ssize_t)strlen (f->script));
-  if (f->after == CLOSE)
+  if (f->after == CLOSE_CONNECTION)
     close_connection (f);
 }
 
@@ -144,10 +144,10 @@
 {
   fixture_t *f = user;
 
-  f->heads++;
+  f->head_calls++;
   f->status = status;
-  if (f->in_head != NULL)
-    f->in_head (f);
+  if (f->during_head != NULL)
+    f->during_head (f);
 }
 
 static void
@@ -156,8 +156,8 @@
   fixture_t *f = user;
 
   g_string_append_len (f->body, bytes, (gssize)length);
-  if (f->in_data != NULL)
-    f->in_data (f);
+  if (f->during_data != NULL)
+    f->during_data (f);
 }
 
 static void
@@ -166,11 +166,11 @@
 {
   fixture_t *f = user;
 
-  f->dones++;
+  f->done_calls++;
   f->result = result;
   f->status = status;
-  if (f->in_done != NULL)
-    f->in_done (f);
+  if (f->during_done != NULL)
+    f->during_done (f);
 }
 
 static fetch_request_t
@@ -200,7 +200,7 @@
 static void
 on_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  g_error ("the awaited did not come within %g s", PATIENCE_S);
+  g_error ("the awaited did not come within %g s", TIMEOUT_S);
 }
 
 static void
@@ -208,7 +208,7 @@
 {
   ev_timer timeout;
 
-  ev_timer_init (&timeout, on_timeout, PATIENCE_S, 0.0);
+  ev_timer_init (&timeout, on_timeout, TIMEOUT_S, 0.0);
   ev_now_update (f->loop);
   ev_timer_start (f->loop, &timeout);
   while (*count < reached)
@@ -221,31 +221,31 @@
 static const struct
 {
   const char *script;
-  after_t after;
+  after_script_t after;
   unsigned total_timeout_ms, idle_timeout_ms;
   fetch_result_t result;
   unsigned status;
   const char *body;
 } rows[] = {
-  { OK_HEAD "Content-Length: 2\r\n\r\nhi", KEEP, 0, 0, FETCH_COMPLETE, 200,
-    "hi" },
+  { OK_HEAD "Content-Length: 2\r\n\r\nhi", KEEP_OPEN, 0, 0, FETCH_COMPLETE,
+    200, "hi" },
   { "HTTP/1.1 100 Continue\r\n\r\n" OK_HEAD "Content-Length: 2\r\n\r\nhi",
-    KEEP, 0, 0, FETCH_COMPLETE, 200, "hi" },
+    KEEP_OPEN, 0, 0, FETCH_COMPLETE, 200, "hi" },
   { OK_HEAD "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nT: 1\r\n\r\n",
-    KEEP, 0, 0, FETCH_COMPLETE, 200, "hi" },
-  { "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", KEEP, 0, 0,
+    KEEP_OPEN, 0, 0, FETCH_COMPLETE, 200, "hi" },
+  { "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", KEEP_OPEN, 0, 0,
     FETCH_COMPLETE, 503, "" },
   /* The other side may have run the request in each of these.  */
-  { "", CLOSE, 0, 0, FETCH_INCOMPLETE, 0, "" },
-  { "no HTTP\r\n\r\n", CLOSE, 0, 0, FETCH_INCOMPLETE, 0, "" },
-  { OK_HEAD "Content-Length: 9\r\n\r\nhi", CLOSE, 0, 0, FETCH_INCOMPLETE, 200,
-    "hi" },
-  { OK_HEAD "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", CLOSE, 0, 0,
+  { "", CLOSE_CONNECTION, 0, 0, FETCH_INCOMPLETE, 0, "" },
+  { "no HTTP\r\n\r\n", CLOSE_CONNECTION, 0, 0, FETCH_INCOMPLETE, 0, "" },
+  { OK_HEAD "Content-Length: 9\r\n\r\nhi", CLOSE_CONNECTION, 0, 0,
     FETCH_INCOMPLETE, 200, "hi" },
-  { "", KEEP, 50, 0, FETCH_TIMEOUT, 0, "" },
-  { "", KEEP, 0, 50, FETCH_TIMEOUT, 0, "" },
-  { OK_HEAD "Content-Length: 9\r\n\r\nhi", KEEP, 0, 50, FETCH_TIMEOUT, 200,
-    "hi" },
+  { OK_HEAD "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", CLOSE_CONNECTION,
+    0, 0, FETCH_INCOMPLETE, 200, "hi" },
+  { "", KEEP_OPEN, 50, 0, FETCH_TIMEOUT, 0, "" },
+  { "", KEEP_OPEN, 0, 50, FETCH_TIMEOUT, 0, "" },
+  { OK_HEAD "Content-Length: 9\r\n\r\nhi", KEEP_OPEN, 0, 50, FETCH_TIMEOUT,
+    200, "hi" },
 };
 
 static void
@@ -256,15 +256,15 @@
       g_test_message ("row %u", i);
       f->script = rows[i].script;
       f->after = rows[i].after;
-      f->heads = 0;
+      f->head_calls = 0;
       g_string_truncate (f->body, 0);
       start (f, "POST", rows[i].total_timeout_ms, rows[i].idle_timeout_ms);
-      g_assert_cmpuint (f->dones, ==, i);
-      run_until (f, &f->dones, i + 1);
+      g_assert_cmpuint (f->done_calls, ==, i);
+      run_until (f, &f->done_calls, i + 1);
       g_assert_cmpint (f->result, ==, rows[i].result);
       g_assert_cmpuint (f->status, ==, rows[i].status);
       g_assert_cmpstr (f->body->str, ==, rows[i].body);
-      g_assert_cmpuint (f->heads, ==, rows[i].status == 0 ? 0 : 1);
+      g_assert_cmpuint (f->head_calls, ==, rows[i].status == 0 ? 0 : 1);
     }
 }
 
@@ -273,7 +273,7 @@
 {
   stop_listening (f);
   start (f, "POST", 0, 0);
-  run_until (f, &f->dones, 1);
+  run_until (f, &f->done_calls, 1);
   g_assert_cmpint (f->result, ==, FETCH_CONNECT_FAILED);
 }
 
@@ -285,11 +285,11 @@
      for a stale one sends the request again, and it runs twice.  */
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
   start (f, "POST", 0, 0);
-  run_until (f, &f->dones, 1);
+  run_until (f, &f->done_calls, 1);
   f->script = "";
-  f->after = CLOSE;
+  f->after = CLOSE_CONNECTION;
   start (f, "POST", 0, 0);
-  run_until (f, &f->dones, 2);
+  run_until (f, &f->done_calls, 2);
   g_assert_cmpint (f->result, ==, FETCH_INCOMPLETE);
   g_assert_cmpuint (f->requests, ==, 2);
 }
@@ -307,9 +307,9 @@
 {
   fixture_t *f = fixture;
 
-  f->in_done = NULL;
-  f->in_data = NULL;
-  f->in_head = NULL;
+  f->during_done = NULL;
+  f->during_data = NULL;
+  f->during_head = NULL;
   start (f, "GET", 0, 0);
 }
 
@@ -326,17 +326,17 @@
   /* libcurl may not be entered from its own callbacks: a cancel or start there
      must neither crash nor be lost.  */
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
-  f->in_head = cancel_and_start;
+  f->during_head = cancel_and_start;
   start (f, "POST", 0, 0);
-  run_until (f, &f->dones, 1);
-  g_assert_cmpuint (f->heads, ==, 2);
-  f->in_data = cancel_and_start;
+  run_until (f, &f->done_calls, 1);
+  g_assert_cmpuint (f->head_calls, ==, 2);
+  f->during_data = cancel_and_start;
   start (f, "POST", 0, 0);
-  run_until (f, &f->dones, 2);
-  g_assert_cmpuint (f->heads, ==, 4);
-  f->in_done = start_again;
+  run_until (f, &f->done_calls, 2);
+  g_assert_cmpuint (f->head_calls, ==, 4);
+  f->during_done = start_again;
   start (f, "POST", 0, 0);
-  run_until (f, &f->dones, 4);
+  run_until (f, &f->done_calls, 4);
 }
 
 static void
@@ -355,26 +355,26 @@
   cfd_time_t until;
 
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
-  f->in_head = pause_now;
+  f->during_head = pause_now;
   start (f, "POST", 0, 30);
-  run_until (f, &f->heads, 1);
+  run_until (f, &f->head_calls, 1);
   until = clock_now () + 60;
   while (clock_now () < until)
     ev_run (f->loop, EVRUN_NOWAIT);
   g_assert_cmpuint (f->body->len, ==, 0);
-  g_assert_cmpuint (f->dones, ==, 0);
+  g_assert_cmpuint (f->done_calls, ==, 0);
   fetch_pause (f->fetch, false);
-  run_until (f, &f->dones, 1);
+  run_until (f, &f->done_calls, 1);
   g_assert_cmpint (f->result, ==, FETCH_COMPLETE);
   g_assert_cmpstr (f->body->str, ==, "hi");
 }
 
 static bool
-refuse (void *user)
+count_and_decide (void *user)
 {
   fixture_t *f = user;
 
-  f->asked++;
+  f->may_send_calls++;
   return f->allowed;
 }
 
@@ -386,15 +386,15 @@
   fetch_request_t request = request_of (f, "POST", 0, 0);
 
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
-  request.may_send = refuse;
+  request.may_send = count_and_decide;
   f->fetch = fetch_start (f->pool, &request);
-  run_until (f, &f->dones, 1);
+  run_until (f, &f->done_calls, 1);
   g_assert_cmpint (f->result, ==, FETCH_SEND_DENIED);
-  g_assert_cmpuint (f->asked, ==, 1);
+  g_assert_cmpuint (f->may_send_calls, ==, 1);
   g_assert_cmpuint (f->requests, ==, 0);
   f->allowed = true;
   f->fetch = fetch_start (f->pool, &request);
-  run_until (f, &f->dones, 2);
+  run_until (f, &f->done_calls, 2);
   g_assert_cmpint (f->result, ==, FETCH_COMPLETE);
   g_assert_cmpuint (f->requests, ==, 1);
 }
--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -12,8 +12,8 @@
 #include <unistd.h>
 
 #define PORT 8080
-#define BODY_MAX 1000
-#define BODIES_MAX 2500
+#define MAX_BODY_BYTES 1000
+#define MAX_TOTAL_BODY_BYTES 2500
 #define WAIT_MS 10000
 
 typedef struct
@@ -21,10 +21,11 @@
   struct ev_loop *loop;
   web_server_t *server;
   char address[32];
-  web_request_t *all[2];  /* the first two not answered in the handler */
-  web_request_t *request; /* the newest, when not answered in the handler */
-  unsigned handled;
-  unsigned closed;
+  web_request_t *unanswered[2]; /* the first two not answered in the handler */
+  web_request_t
+      *newest_request; /* the newest, when not answered in the handler */
+  unsigned handler_calls;
+  unsigned closed_calls;
   uint64_t drained;
   const char *stream_headers[3];
 } fixture_t;
@@ -34,8 +35,8 @@
 {
   fixture_t *f = user;
 
-  f->closed++;
-  f->request = NULL;
+  f->closed_calls++;
+  f->newest_request = NULL;
 }
 
 static void
@@ -55,7 +56,7 @@
   const char *body = web_body (request, &length);
   const char *path = web_path (request);
 
-  f->handled++;
+  f->handler_calls++;
   if (strcmp (path, "/echo") == 0)
     web_respond (request, 200, "text/plain", NULL, body, length);
   else if (strcmp (path, "/refuse") == 0)
@@ -63,9 +64,9 @@
                          "not-run", 3);
   else
     {
-      f->request = request;
-      if (f->handled <= G_N_ELEMENTS (f->all))
-        f->all[f->handled - 1] = request;
+      f->newest_request = request;
+      if (f->handler_calls <= G_N_ELEMENTS (f->unanswered))
+        f->unanswered[f->handler_calls - 1] = request;
       web_on_closed (request, on_closed, f);
       if (strcmp (path, "/stream") == 0)
         web_stream_begin (request, 200, f->stream_headers, on_drained, f);
@@ -76,7 +77,7 @@
 set_up (fixture_t *f, gconstpointer data)
 {
   static unsigned count;
-  web_limits_t limits = { BODY_MAX, 16, 30 };
+  web_limits_t limits = { MAX_BODY_BYTES, 16, 30 };
   unsigned pid = (unsigned)getpid ();
   g_autoptr (GError) error = NULL;
 
@@ -86,7 +87,7 @@
   g_autofree char *listen = g_strdup_printf ("%s:%d", f->address, PORT);
   f->server = web_server_new (f->loop, listen, &limits, handle, f, &error);
   g_assert_no_error (error);
-  web_server_set_max_body_bytes (f->server, BODIES_MAX);
+  web_server_set_max_total_body_bytes (f->server, MAX_TOTAL_BODY_BYTES);
 }
 
 static void
@@ -97,7 +98,7 @@
 }
 
 static int
-ask (fixture_t *f, const char *text)
+send_request (fixture_t *f, const char *text)
 {
   struct sockaddr_in to = { .sin_family = AF_INET, .sin_port = htons (PORT) };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -112,7 +113,7 @@
 /* Reads until the text ends with END (NULL: until the connection closes) and
    tells in RESET whether it was reset.  */
 static char *
-answer (fixture_t *f, int fd, const char *end, bool *reset)
+read_response (fixture_t *f, int fd, const char *end, bool *reset)
 {
   GString *text = g_string_new ("");
   cfd_time_t limit = clock_now () + WAIT_MS;
@@ -151,7 +152,7 @@
     const char *text;
     const char *status;
     const char *has;
-    unsigned handled;
+    unsigned handler_calls;
   } cases[] = {
     { "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n"
       "Connection: close\r\n\r\nhello",
@@ -174,15 +175,15 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      int fd = ask (f, cases[i].text);
-      g_autofree char *text = answer (f, fd, NULL, NULL);
+      int fd = send_request (f, cases[i].text);
+      g_autofree char *text = read_response (f, fd, NULL, NULL);
 
       g_test_message ("case %u: %s", i, text);
       if (*cases[i].status)
         g_assert_cmpint (strncmp (text + 9, cases[i].status, 3), ==, 0);
       g_assert_nonnull (strstr (text, cases[i].has));
-      g_assert_cmpuint (f->handled, ==, cases[i].handled);
-      f->handled = 0;
+      g_assert_cmpuint (f->handler_calls, ==, cases[i].handler_calls);
+      f->handler_calls = 0;
       close (fd);
     }
 }
@@ -195,11 +196,11 @@
       "POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
       "Connection: close\r\n\r\n480\r\n%s\r\n0\r\n\r\n",
       fill);
-  int fd = ask (f, text);
-  g_autofree char *got = answer (f, fd, NULL, NULL);
+  int fd = send_request (f, text);
+  g_autofree char *got = read_response (f, fd, NULL, NULL);
 
   /* Whichever way MHD cuts the pieces, the handler never sees a part.  */
-  g_assert_cmpuint (f->handled, ==, 0);
+  g_assert_cmpuint (f->handler_calls, ==, 0);
   g_assert_true (*got == '\0' || strstr (got, " 413 "));
   close (fd);
 }
@@ -207,25 +208,26 @@
 static void
 test_stream (fixture_t *f, gconstpointer data)
 {
-  int fd = ask (f, "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n");
+  int fd = send_request (f, "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n");
   g_autofree char *first = NULL;
   g_autofree char *rest = NULL;
 
-  run_until (f, &f->handled, 1);
-  web_stream_write (f->request, "one", 3);
-  first = answer (f, fd, "one\r\n", NULL); /* arrives before the next part */
+  run_until (f, &f->handler_calls, 1);
+  web_stream_write (f->newest_request, "one", 3);
+  first = read_response (f, fd, "one\r\n",
+                         NULL); /* arrives before the next part */
   g_test_message ("%s", first);
   g_assert_true (g_str_has_suffix (first, "3\r\none\r\n"));
-  web_stream_write (f->request, "two!", 4);
-  web_stream_end (f->request, true);
-  rest = answer (f, fd, "0\r\n\r\n", NULL);
+  web_stream_write (f->newest_request, "two!", 4);
+  web_stream_end (f->newest_request, true);
+  rest = read_response (f, fd, "0\r\n\r\n", NULL);
   g_assert_cmpstr (rest, ==, "4\r\ntwo!\r\n0\r\n\r\n");
-  g_assert_cmpuint (f->closed, ==, 0);
+  g_assert_cmpuint (f->closed_calls, ==, 0);
   g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
   close (fd);
 }
 
-/* What the caller sees: an answer that breaks off, and can tell.  With
+/* What the caller sees: an read_response that breaks off, and can tell.  With
    chunks the last one is missing; with a length it is short; under HTTP/1.0,
    where the end of the connection ends the body, the connection is reset.  */
 static void
@@ -247,13 +249,13 @@
 
       f->drained = 0;
       f->stream_headers[0] = cases[i].length;
-      fd = ask (f, text);
-      run_until (f, &f->handled, i + 1);
-      web_stream_write (f->request, "half", 4);
-      g_autofree char *half = answer (
+      fd = send_request (f, text);
+      run_until (f, &f->handler_calls, i + 1);
+      web_stream_write (f->newest_request, "half", 4);
+      g_autofree char *half = read_response (
           f, fd, cases[i].length || i == 2 ? "half" : "half\r\n", NULL);
-      web_stream_end (f->request, false);
-      g_autofree char *rest = answer (f, fd, NULL, &reset);
+      web_stream_end (f->newest_request, false);
+      g_autofree char *rest = read_response (f, fd, NULL, &reset);
       g_assert_cmpstr (rest, ==, "");
       if (cases[i].length)
         g_assert_nonnull (strstr (half, "Content-Length: 9"));
@@ -271,17 +273,17 @@
   static char block[64 * 1024];
   const uint64_t window = 1024 * 1024;
   const uint64_t size = 64 * window;
-  int fd = ask (f, "GET /stream HTTP/1.0\r\nHost: a\r\n\r\n");
+  int fd = send_request (f, "GET /stream HTTP/1.0\r\nHost: a\r\n\r\n");
   uint64_t sent = 0;
   uint64_t got = 0;
   uint64_t held;
 
-  run_until (f, &f->handled, 1);
+  run_until (f, &f->handler_calls, 1);
   for (unsigned i = 0; i < 4000; i++)
     {
       while (sent < f->drained + window)
         {
-          web_stream_write (f->request, block, sizeof block);
+          web_stream_write (f->newest_request, block, sizeof block);
           sent += sizeof block;
         }
       ev_run (f->loop, EVRUN_NOWAIT);
@@ -297,15 +299,15 @@
         break;
       got += n > 0 ? (uint64_t)n : 0;
       ev_run (f->loop, EVRUN_NOWAIT);
-      while (f->request && sent < size && sent < f->drained + window)
+      while (f->newest_request && sent < size && sent < f->drained + window)
         {
-          web_stream_write (f->request, block, sizeof block);
+          web_stream_write (f->newest_request, block, sizeof block);
           sent += sizeof block;
         }
-      if (f->request && sent == size)
+      if (f->newest_request && sent == size)
         {
-          web_stream_end (f->request, true);
-          f->request = NULL;
+          web_stream_end (f->newest_request, true);
+          f->newest_request = NULL;
         }
     }
   g_assert_cmpuint (got, >=, size);
@@ -322,27 +324,27 @@
     {
       g_autofree char *text
           = g_strdup_printf ("GET %s HTTP/1.1\r\nHost: a\r\n\r\n", paths[i]);
-      int fd = ask (f, text);
+      int fd = send_request (f, text);
 
-      run_until (f, &f->handled, i + 1);
+      run_until (f, &f->handler_calls, i + 1);
       close (fd);
-      run_until (f, &f->closed, i + 1);
+      run_until (f, &f->closed_calls, i + 1);
     }
   g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
 }
 
-/* An answer to HEAD ends while its owner still writes; the owner must see
-   its flow control go on and end the stream as ever.  */
+/* An read_response to HEAD ends while its owner still writes; the owner must
+   see its flow control go on and end the stream as ever.  */
 static void
 test_head (fixture_t *f, gconstpointer data)
 {
-  int fd = ask (f, "HEAD /stream HTTP/1.1\r\nHost: a\r\n\r\n");
-  g_autofree char *head = answer (f, fd, "\r\n\r\n", NULL);
+  int fd = send_request (f, "HEAD /stream HTTP/1.1\r\nHost: a\r\n\r\n");
+  g_autofree char *head = read_response (f, fd, "\r\n\r\n", NULL);
 
   ev_run (f->loop, EVRUN_NOWAIT);
-  web_stream_write (f->request, "body", 4);
+  web_stream_write (f->newest_request, "body", 4);
   g_assert_cmpuint (f->drained, ==, 4);
-  web_stream_end (f->request, true);
+  web_stream_end (f->newest_request, true);
   g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
   close (fd);
 }
@@ -350,16 +352,16 @@
 static void
 test_quiesce (fixture_t *f, gconstpointer data)
 {
-  int fd = ask (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
-  int second = ask (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
+  int fd = send_request (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
+  int second = send_request (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
 
   /* Both were in the kernel's backlog only when the server was quiesced.  */
   web_server_quiesce (f->server);
-  run_until (f, &f->handled, 2);
+  run_until (f, &f->handler_calls, 2);
   for (unsigned i = 0; i < 2; i++)
-    web_respond (f->all[i], 200, "text/plain", NULL, "whole", 5);
-  g_autofree char *text = answer (f, fd, NULL, NULL);
-  g_autofree char *other = answer (f, second, NULL, NULL);
+    web_respond (f->unanswered[i], 200, "text/plain", NULL, "whole", 5);
+  g_autofree char *text = read_response (f, fd, NULL, NULL);
+  g_autofree char *other = read_response (f, second, NULL, NULL);
   g_assert_true (g_str_has_suffix (text, "whole"));
   g_assert_true (g_str_has_suffix (other, "whole"));
   g_assert_nonnull (strstr (text, "Connection: close"));
@@ -372,24 +374,24 @@
 static void
 test_bodies (fixture_t *f, gconstpointer data)
 {
-  g_autofree char *fill = g_strnfill (BODY_MAX, 'x');
+  g_autofree char *fill = g_strnfill (MAX_BODY_BYTES, 'x');
   g_autofree char *text = g_strdup_printf (
       "POST /wait HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n%s",
       fill);
-  int held[2] = { ask (f, text), ask (f, text) };
+  int held[2] = { send_request (f, text), send_request (f, text) };
   int more;
 
-  run_until (f, &f->handled, 2);
-  more = ask (f, text);
-  g_autofree char *refused = answer (f, more, "}", NULL);
+  run_until (f, &f->handler_calls, 2);
+  more = send_request (f, text);
+  g_autofree char *refused = read_response (f, more, "}", NULL);
   g_assert_nonnull (strstr (refused, " 503 "));
   g_assert_nonnull (strstr (refused, "not-run"));
   close (more);
-  web_respond (f->all[0], 200, NULL, NULL, "a", 1);
-  g_autofree char *first = answer (f, held[0], "a", NULL);
-  f->handled = 0;
-  more = ask (f, text);
-  run_until (f, &f->handled, 1);
+  web_respond (f->unanswered[0], 200, NULL, NULL, "a", 1);
+  g_autofree char *first = read_response (f, held[0], "a", NULL);
+  f->handler_calls = 0;
+  more = send_request (f, text);
+  run_until (f, &f->handler_calls, 1);
   close (held[0]);
   close (held[1]);
   close (more);
@@ -398,13 +400,13 @@
 static void
 test_free_with_work (fixture_t *f, gconstpointer data)
 {
-  int fd = ask (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
-  int other = ask (f, "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n");
+  int fd = send_request (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
+  int other = send_request (f, "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n");
 
-  run_until (f, &f->handled, 2);
+  run_until (f, &f->handler_calls, 2);
   web_server_free (f->server);
   f->server = NULL;
-  g_assert_cmpuint (f->closed, ==, 2);
+  g_assert_cmpuint (f->closed_calls, ==, 2);
   close (fd);
   close (other);
 }
--- a/libcoltsfootdrum/http/web-answer.c
+++ b/libcoltsfootdrum/http/web-answer.c
@@ -4,10 +4,10 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define STREAM_BLOCK (16u * 1024)
+#define STREAM_BLOCK_BYTES (16u * 1024)
 /* Nothing an owner with working flow control reaches; beyond it the stream is
    broken off so that a faulty sender can't fill the memory.  */
-#define STREAM_BUFFER_MAX (4u * 1024 * 1024)
+#define MAX_STREAM_BUFFER_BYTES (4u * 1024 * 1024)
 
 /* MHD works out the framing itself; a length is honoured for streams.  */
 static bool
@@ -70,8 +70,8 @@
 }
 
 static void
-give_response (web_request_t *request, unsigned status,
-               struct MHD_Response *response)
+set_response (web_request_t *request, unsigned status,
+              struct MHD_Response *response)
 {
   replace_header (request, response);
   request->status = status;
@@ -91,9 +91,9 @@
     MHD_add_response_header (response, MHD_HTTP_HEADER_CONTENT_TYPE,
                              content_type);
   add_headers (response, headers);
-  request->owned = false;
-  request->closed = NULL;
-  give_response (request, status, response);
+  request->has_owner = false;
+  request->on_closed = NULL;
+  set_response (request, status, response);
   web_free_if_done (request);
 }
 
@@ -120,30 +120,30 @@
 }
 
 static void
-tell_drained (web_request_t *request, size_t length)
+report_drained (web_request_t *request, size_t length)
 {
-  request->total += length;
-  if (request->drained && !request->ended)
-    request->drained (request->drained_user, request->total);
+  request->sent_bytes += length;
+  if (request->on_drained && !request->stream_ended)
+    request->on_drained (request->on_drained_user, request->sent_bytes);
 }
 
 static size_t
-buffered (const web_request_t *request)
+get_buffered_bytes (const web_request_t *request)
 {
-  return request->buffer->len - request->buffer_start;
+  return request->buffer->len - request->buffer_offset;
 }
 
 static ssize_t
-end_of_stream (const web_request_t *request)
+finish_stream (const web_request_t *request)
 {
   struct sockaddr none = { .sa_family = AF_UNSPEC };
   const union MHD_ConnectionInfo *info;
 
-  if (request->whole && !request->gone)
+  if (request->is_complete && !request->is_disconnected)
     return MHD_CONTENT_READER_END_OF_STREAM;
   /* A body of HTTP/1.0 ends with the connection: only a reset tells a part
-     from the whole.  MHD would shut the socket down in order; connecting it
-     to nowhere resets it first.  */
+     from the is_complete.  MHD would shut the socket down in order; connecting
+     it to nowhere resets it first.  */
   if (request->http10)
     {
       info = MHD_get_connection_info (request->connection,
@@ -153,40 +153,41 @@
   return MHD_CONTENT_READER_END_WITH_ERROR;
 }
 
-/* Moves the buffer's rest to its front once more than half is gone.  */
+/* Moves the buffer's rest to its front once more than half is is_disconnected.
+ */
 static void
 compact (web_request_t *request)
 {
-  if (request->buffer_start * 2 < request->buffer->len)
+  if (request->buffer_offset * 2 < request->buffer->len)
     return;
-  g_byte_array_remove_range (request->buffer, 0, request->buffer_start);
-  request->buffer_start = 0;
+  g_byte_array_remove_range (request->buffer, 0, request->buffer_offset);
+  request->buffer_offset = 0;
 }
 
 static ssize_t
 on_read (void *user, uint64_t position, char *out, size_t max)
 {
   web_request_t *request = user;
-  size_t length = MIN (buffered (request), max);
+  size_t length = MIN (get_buffered_bytes (request), max);
 
-  if (request->gone)
-    return end_of_stream (request);
-  if (length == 0 && request->ended)
-    return end_of_stream (request);
+  if (request->is_disconnected)
+    return finish_stream (request);
+  if (length == 0 && request->stream_ended)
+    return finish_stream (request);
   if (length == 0)
     {
       web_suspend (request);
       return 0;
     }
-  memcpy (out, request->buffer->data + request->buffer_start, length);
-  request->buffer_start += length;
+  memcpy (out, request->buffer->data + request->buffer_offset, length);
+  request->buffer_offset += length;
   compact (request);
-  tell_drained (request, length);
+  report_drained (request, length);
   return (ssize_t)length;
 }
 
 static uint64_t
-stream_size (const char *const *headers)
+get_stream_size (const char *const *headers)
 {
   static const char name[] = "Content-Length:";
 
@@ -199,16 +200,17 @@
 void
 web_stream_begin (web_request_t *request, unsigned status,
                   const char *const *headers,
-                  void (*drained) (void *user, uint64_t total), void *user)
+                  void (*on_drained) (void *user, uint64_t sent_bytes),
+                  void *user)
 {
   struct MHD_Response *response = MHD_create_response_from_callback (
-      stream_size (headers), STREAM_BLOCK, on_read, request, NULL);
+      get_stream_size (headers), STREAM_BLOCK_BYTES, on_read, request, NULL);
 
   request->buffer = g_byte_array_new ();
-  request->drained = drained;
-  request->drained_user = user;
+  request->on_drained = on_drained;
+  request->on_drained_user = user;
   add_headers (response, headers);
-  give_response (request, status, response);
+  set_response (request, status, response);
 }
 
 void
@@ -216,23 +218,23 @@
 {
   if (!request->connection)
     {
-      tell_drained (request, length);
+      report_drained (request, length);
       return;
     }
-  if (buffered (request) + length > STREAM_BUFFER_MAX)
-    request->gone = true;
+  if (get_buffered_bytes (request) + length > MAX_STREAM_BUFFER_BYTES)
+    request->is_disconnected = true;
   else
     g_byte_array_append (request->buffer, bytes, length);
   web_resume (request);
 }
 
 void
-web_stream_end (web_request_t *request, bool whole)
+web_stream_end (web_request_t *request, bool is_complete)
 {
-  request->ended = true;
-  request->whole = whole;
-  request->owned = false;
-  request->closed = NULL;
+  request->stream_ended = true;
+  request->is_complete = is_complete;
+  request->has_owner = false;
+  request->on_closed = NULL;
   if (request->connection)
     web_resume (request);
   web_free_if_done (request);
--- a/libcoltsfootdrum/http/web-private.h
+++ b/libcoltsfootdrum/http/web-private.h
@@ -19,10 +19,10 @@
   ev_io readable;
   ev_timer timeout;
   list_node_t requests;
-  unsigned active;
-  size_t bodies_max;
-  size_t bodies; /* bytes reserved by all requests */
-  bool quiesced;
+  unsigned active_requests;
+  size_t max_body_bytes_total;
+  size_t reserved_bytes_total; /* bytes reserved_bytes by all requests */
+  bool is_quiesced;
 };
 
 struct web_request
@@ -36,30 +36,30 @@
   GByteArray *body;
   bool http10;
   bool too_large;
-  bool no_room;
-  size_t reserved;   /* of the server's bodies */
-  size_t dropped;    /* bytes of a body over the limit */
-  bool handed;       /* the handler was called */
-  bool owned;        /* the owner has not ended its answer */
-  bool suspended;    /* by us, with PEEK watching for the caller's close */
-  bool gone;         /* the caller closed while suspended */
-  bool queued;       /* RESPONSE was given to MHD */
-  char *header_name; /* of web_set_response_header, or NULL */
+  bool over_memory_limit;
+  size_t reserved_bytes; /* of the server's reserved_bytes_total */
+  size_t dropped_bytes;  /* bytes of a body over the limit */
+  bool was_handled;      /* the handler was called */
+  bool has_owner;        /* the owner has not stream_ended its answer */
+  bool is_suspended;     /* by us, with PEEK watching for the caller's close */
+  bool is_disconnected;  /* the caller on_closed while is_suspended */
+  bool is_response_queued; /* RESPONSE was given to MHD */
+  char *header_name;       /* of web_set_response_header, or NULL */
   char *header_value;
   struct MHD_Response *response;
   unsigned status; /* of RESPONSE */
-  ev_io peek;
-  void (*closed) (void *user);
-  void *closed_user;
+  ev_io close_watcher;
+  void (*on_closed) (void *user);
+  void *on_closed_user;
 
   /* A streamed answer.  */
   GByteArray *buffer;
-  size_t buffer_start; /* bytes of BUFFER that left */
-  uint64_t total;      /* bytes that left */
-  bool ended;
-  bool whole;
-  void (*drained) (void *user, uint64_t total);
-  void *drained_user;
+  size_t buffer_offset; /* bytes of BUFFER that left */
+  uint64_t sent_bytes;  /* bytes that left */
+  bool stream_ended;
+  bool is_complete;
+  void (*on_drained) (void *user, uint64_t sent_bytes);
+  void *on_drained_user;
 };
 
 /* Both sides hold a request: MHD until its completed call, the owner until it
--- a/libcoltsfootdrum/http/web-request.c
+++ b/libcoltsfootdrum/http/web-request.c
@@ -82,8 +82,9 @@
 }
 
 void
-web_on_closed (web_request_t *request, void (*closed) (void *user), void *user)
+web_on_closed (web_request_t *request, void (*on_closed) (void *user),
+               void *user)
 {
-  request->closed = closed;
-  request->closed_user = user;
+  request->on_closed = on_closed;
+  request->on_closed_user = user;
 }
--- a/libcoltsfootdrum/http/web.c
+++ b/libcoltsfootdrum/http/web.c
@@ -8,18 +8,18 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define CONNECTION_MEMORY (32u * 1024)
-#define RETRY_ROOM_S 2
+#define CONNECTION_MEMORY_BYTES (32u * 1024)
+#define MEMORY_RETRY_AFTER_S 2
 /* Unanswered keep-alive probes that end a connection.  */
-#define PROBES 3
+#define KEEPALIVE_PROBES 3
 
 static void
 request_free (web_request_t *request)
 {
   list_remove (&request->node);
-  request->server->bodies -= request->reserved;
-  if (request->handed)
-    request->server->active--;
+  request->server->reserved_bytes_total -= request->reserved_bytes;
+  if (request->was_handled)
+    request->server->active_requests--;
   if (request->response)
     MHD_destroy_response (request->response);
   if (request->buffer)
@@ -37,26 +37,26 @@
 void
 web_free_if_done (web_request_t *request)
 {
-  if (!request->connection && !request->owned)
+  if (!request->connection && !request->has_owner)
     request_free (request);
 }
 
 /* MHD acts on a resume only when it next runs, and does not wake an outside
-   loop.  Never run it here: this may be inside one of its callbacks.  */
+   loop.  Never run_daemon it here: this may be inside one of its callbacks. */
 static void
 resume (web_request_t *request)
 {
   web_server_t *server = request->server;
 
-  request->suspended = false;
+  request->is_suspended = false;
   MHD_resume_connection (request->connection);
   ev_feed_event (server->loop, &server->readable, EV_READ);
 }
 
-/* MHD does not watch a suspended connection, so that a caller who leaves
+/* MHD does not watch a is_suspended connection, so that a caller who leaves
    would go unseen and its work go on: watch the socket here meanwhile.  */
 static void
-on_peek (struct ev_loop *loop, ev_io *watcher, int events)
+on_suspended_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   web_request_t *request = watcher->data;
   char byte;
@@ -67,7 +67,7 @@
   ev_io_stop (loop, watcher);
   if (got > 0)
     return; /* a pipelined request: its close shows when we write */
-  request->gone = true;
+  request->is_disconnected = true;
   resume (request);
 }
 
@@ -77,19 +77,20 @@
   const union MHD_ConnectionInfo *info = MHD_get_connection_info (
       request->connection, MHD_CONNECTION_INFO_CONNECTION_FD);
 
-  request->suspended = true;
+  request->is_suspended = true;
   MHD_suspend_connection (request->connection);
-  ev_io_init (&request->peek, on_peek, info->connect_fd, EV_READ);
-  request->peek.data = request;
-  ev_io_start (request->server->loop, &request->peek);
+  ev_io_init (&request->close_watcher, on_suspended_readable, info->connect_fd,
+              EV_READ);
+  request->close_watcher.data = request;
+  ev_io_start (request->server->loop, &request->close_watcher);
 }
 
 void
 web_resume (web_request_t *request)
 {
-  if (!request->suspended)
+  if (!request->is_suspended)
     return;
-  ev_io_stop (request->server->loop, &request->peek);
+  ev_io_stop (request->server->loop, &request->close_watcher);
   resume (request);
 }
 
@@ -97,8 +98,8 @@
 static enum MHD_Result
 queue_response (web_request_t *request)
 {
-  request->queued = true;
-  if (request->server->quiesced)
+  request->is_response_queued = true;
+  if (request->server->is_quiesced)
     MHD_add_response_header (request->response, MHD_HTTP_HEADER_CONNECTION,
                              "close");
   return MHD_queue_response (request->connection, request->status,
@@ -106,11 +107,11 @@
 }
 
 static void
-hand_over (web_request_t *request)
+call_handler (web_request_t *request)
 {
-  request->handed = true;
-  request->owned = true;
-  request->server->active++;
+  request->was_handled = true;
+  request->has_owner = true;
+  request->server->active_requests++;
   g_byte_array_append (request->body, (const guint8 *)"", 1);
   g_byte_array_set_size (request->body, request->body->len - 1);
   request->server->handler (request->server->user, request);
@@ -125,29 +126,29 @@
 }
 
 static void
-refuse_no_room (web_request_t *request)
+refuse_over_memory_limit (web_request_t *request)
 {
   web_respond_problem (
       request, MHD_HTTP_SERVICE_UNAVAILABLE, "No room",
       "Too many large requests are held here; ask again later.", "not-run",
-      RETRY_ROOM_S);
+      MEMORY_RETRY_AFTER_S);
 }
 
-/* Many large bodies at once, from one client account perhaps, must not take
-   the memory of the whole instance.  */
+/* Many large reserved_bytes_total at once, from one client account perhaps,
+   must not take the memory of the is_complete instance.  */
 static bool
-reserve (web_request_t *request, size_t length)
+reserve_body_bytes (web_request_t *request, size_t length)
 {
   web_server_t *server = request->server;
 
-  if (length > server->bodies_max
-      || server->bodies > server->bodies_max - length)
+  if (length > server->max_body_bytes_total
+      || server->reserved_bytes_total > server->max_body_bytes_total - length)
     {
-      request->no_room = true;
+      request->over_memory_limit = true;
       return false;
     }
-  server->bodies += length;
-  request->reserved += length;
+  server->reserved_bytes_total += length;
+  request->reserved_bytes += length;
   return true;
 }
 
@@ -159,15 +160,15 @@
 
   /* A chunked body names no length beforehand: drop what is over the limit,
      and close on a caller who sends far more.  */
-  if (needed > max || request->no_room
-      || (needed > request->reserved
-          && !reserve (request, needed - request->reserved)))
+  if (needed > max || request->over_memory_limit
+      || (needed > request->reserved_bytes
+          && !reserve_body_bytes (request, needed - request->reserved_bytes)))
     {
       request->too_large = true;
       g_byte_array_set_size (request->body, 0);
-      request->dropped += *length;
+      request->dropped_bytes += *length;
       *length = 0;
-      return request->dropped > max ? MHD_NO : MHD_YES;
+      return request->dropped_bytes > max ? MHD_NO : MHD_YES;
     }
   g_byte_array_append (request->body, (const guint8 *)data, *length);
   *length = 0;
@@ -188,8 +189,8 @@
   request->body = g_byte_array_new ();
   if (length > request->server->limits.max_body_bytes)
     refuse_too_large (request);
-  else if (!reserve (request, length))
-    refuse_no_room (request);
+  else if (!reserve_body_bytes (request, length))
+    refuse_over_memory_limit (request);
   else
     return MHD_YES;
   return queue_response (request);
@@ -206,23 +207,23 @@
     return on_headers (request, connection, method, version);
   if (*length > 0)
     return on_upload (request, data, length);
-  if (request->gone)
+  if (request->is_disconnected)
     return MHD_NO;
-  if (!request->handed && request->no_room)
-    refuse_no_room (request);
-  else if (!request->handed && request->too_large)
+  if (!request->was_handled && request->over_memory_limit)
+    refuse_over_memory_limit (request);
+  else if (!request->was_handled && request->too_large)
     refuse_too_large (request);
-  else if (!request->handed)
-    hand_over (request);
+  else if (!request->was_handled)
+    call_handler (request);
   if (request->response)
     return queue_response (request);
   web_suspend (request);
   return MHD_YES;
 }
 
-/* A caller whose connection has gone silent for good, with nothing on its way
-   back, would otherwise hold its request for hours: unanswered bytes and,
-   while nothing is sent, unanswered probes end the connection.  */
+/* A caller whose connection has is_disconnected silent for good, with nothing
+   on its way back, would otherwise hold its request for hours: unanswered
+   bytes and, while nothing is sent, unanswered probes end the connection.  */
 static void
 on_connection (void *user, struct MHD_Connection *connection, void **state,
                enum MHD_ConnectionNotificationCode code)
@@ -230,8 +231,8 @@
   const web_server_t *server = user;
   const int timeout_ms = (int)server->limits.idle_timeout_s * 1000;
   const int probe_s
-      = MAX (1, (int)server->limits.idle_timeout_s / (PROBES + 1));
-  const int probes = PROBES;
+      = MAX (1, (int)server->limits.idle_timeout_s / (KEEPALIVE_PROBES + 1));
+  const int probes = KEEPALIVE_PROBES;
   const int yes = 1;
   int fd;
 
@@ -273,23 +274,23 @@
   if (!request)
     return;
   *state = NULL;
-  if (request->suspended)
-    ev_io_stop (request->server->loop, &request->peek);
-  request->suspended = false;
+  if (request->is_suspended)
+    ev_io_stop (request->server->loop, &request->close_watcher);
+  request->is_suspended = false;
   request->connection = NULL;
-  /* A stream that MHD ended early as it should (an answer to HEAD) stays the
-     owner's, who may go on writing to nowhere.  */
-  if (request->owned && request->closed
+  /* A stream that MHD stream_ended early as it should (an answer to HEAD)
+     stays the owner's, who may go on writing to nowhere.  */
+  if (request->has_owner && request->on_closed
       && code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
     {
-      request->owned = false;
-      request->closed (request->closed_user);
+      request->has_owner = false;
+      request->on_closed (request->on_closed_user);
     }
   web_free_if_done (request);
 }
 
 static void
-run (web_server_t *server)
+run_daemon (web_server_t *server)
 {
   MHD_UNSIGNED_LONG_LONG wait_ms;
 
@@ -304,13 +305,13 @@
 static void
 on_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  run (watcher->data);
+  run_daemon (watcher->data);
 }
 
 static void
 on_timeout (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  run (watcher->data);
+  run_daemon (watcher->data);
 }
 
 static struct MHD_Daemon *
@@ -321,8 +322,8 @@
       server, MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_CONNECTION_LIMIT,
       server->limits.connections, MHD_OPTION_CONNECTION_TIMEOUT,
       server->limits.idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)CONNECTION_MEMORY, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
-      server, MHD_OPTION_URI_LOG_CALLBACK, on_target, server,
+      (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_NOTIFY_COMPLETED,
+      on_completed, server, MHD_OPTION_URI_LOG_CALLBACK, on_target, server,
       MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
       MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_END);
 }
@@ -340,7 +341,7 @@
   server = g_new0 (web_server_t, 1);
   server->loop = loop;
   server->limits = *limits;
-  server->bodies_max = SIZE_MAX;
+  server->max_body_bytes_total = SIZE_MAX;
   server->handler = handler;
   server->user = user;
   list_init (&server->requests);
@@ -367,9 +368,9 @@
 }
 
 void
-web_server_set_max_body_bytes (web_server_t *server, size_t bytes)
+web_server_set_max_total_body_bytes (web_server_t *server, size_t bytes)
 {
-  server->bodies_max = bytes;
+  server->max_body_bytes_total = bytes;
 }
 
 void
@@ -377,12 +378,12 @@
 {
   int fd;
 
-  if (server->quiesced)
+  if (server->is_quiesced)
     return;
   /* Take in the connections that the kernel has accepted already: closing the
      socket would reset them.  */
-  run (server);
-  server->quiesced = true;
+  run_daemon (server);
+  server->is_quiesced = true;
   fd = MHD_quiesce_daemon (server->daemon);
   if (fd >= 0)
     close (fd);
@@ -393,12 +394,12 @@
 {
   if (!server)
     return;
-  /* MHD must not be stopped with suspended connections.  */
+  /* MHD must not be stopped with is_suspended connections.  */
   list_for_each (node, &server->requests)
     {
       web_request_t *request = list_entry (node, web_request_t, node);
 
-      request->gone = true;
+      request->is_disconnected = true;
       web_resume (request);
     }
   MHD_stop_daemon (server->daemon);
@@ -412,5 +413,5 @@
 unsigned
 web_server_count_active (const web_server_t *server)
 {
-  return server->active;
+  return server->active_requests;
 }
