--- a/libcoltsfootdrum/base/log.c
+++ b/libcoltsfootdrum/base/log.c
@@ -344,7 +344,7 @@
   if (suppressed > 0)
     {
       char *counted
-          = g_strdup_printf ("%s (suppressed: %u)", message, suppressed);
+          = g_strdup_printf ("%s (held back: %u)", message, suppressed);
 
       g_free (message);
       message = counted;
@@ -374,7 +374,7 @@
                           const char *detail)
 {
   state.failure_count++;
-  log_error ("invariant", "Violated: name=%s at=%s:%d detail=%s.", invariant,
+  log_error ("invariant", "Broken: name=%s at=%s:%d detail=%s.", invariant,
              file, line, detail != NULL ? detail : "");
   if (state.hook != NULL)
     state.hook (state.hook_user, invariant, detail);
