--- a/libcoltsfootdrum/http/fetch-easy.c
+++ b/libcoltsfootdrum/http/fetch-easy.c
@@ -25,8 +25,8 @@
   for (const char *const *header = headers; header != NULL && *header != NULL;
        header++)
     list = curl_slist_append (list, *header);
-  /* Without these libcurl adds a wait for "100 Continue" and a content type
-     that nobody asked for.  */
+  /* Without these empty headers libcurl would wait for "100 Continue" and add
+     a default content type.  */
   list = curl_slist_append (list, "Expect:");
   if (!has_header (headers, "Content-Type"))
     list = curl_slist_append (list, "Content-Type:");
--- a/libcoltsfootdrum/http/fetch-easy.h
+++ b/libcoltsfootdrum/http/fetch-easy.h
@@ -1,10 +1,10 @@
-/* Sets up one libcurl handle for a request of the HTTP client.
+/* Configures a libcurl easy handle for a request of the HTTP client.
 
-   libcurl repeats a request by itself when a kept connection turns out to be
-   closed, also a POST that the other side had already run: the caller would
-   see one answer and the endpoint two requests.  So only a reuse_connection
-   request uses a kept connection; on a fresh connection libcurl never repeats.
- */
+   libcurl resends a request by itself if a persistent connection turns out to
+   be closed, even a POST that the server has already run: the caller would see
+   one response and the endpoint two requests.  Therefore only a request that
+   may be repeated uses a persistent connection; on a fresh connection libcurl
+   never resends.  */
 
 #ifndef HTTP_FETCH_EASY_H
 #define HTTP_FETCH_EASY_H
@@ -13,8 +13,8 @@
 
 #include <curl/curl.h>
 
-/* Sets method, URL, headers, body and limits of REQUEST, which need not
-   outlive the call.  The list returned must outlive EASY.  */
+/* Sets method, URL, headers, body and timeouts of REQUEST, which need not
+   outlive the call.  The returned list must outlive EASY.  */
 struct curl_slist *fetch_easy_setup (CURL *easy,
                                      const fetch_request_t *request);
 
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -1,7 +1,7 @@
-/* libcurl may not be entered from its own callbacks, yet the owner's
-   callbacks, which run in_libcurl them, may start, cancel and resume fetches.
-   What can't be done at once is marked on the fetch and done by the WORK
-   timer, which fires in the next turn of the loop.  */
+/* libcurl must not be called from its own callbacks, but the caller's
+   callbacks, which run inside them, may start, cancel and resume fetches.
+   Such an operation is marked on the fetch and carried out by the DEFERRED
+   timer, which fires in the next iteration of the loop.  */
 
 #include "http/fetch.h"
 #include "base/list.h"
@@ -16,9 +16,9 @@
 {
   struct ev_loop *loop;
   CURLM *multi;
-  ev_timer timer;    /* libcurl's own */
-  ev_timer deferred; /* does what was put off */
-  bool in_libcurl;   /* in a call of libcurl that may call back */
+  ev_timer timer;    /* libcurl's timeout */
+  ev_timer deferred; /* carries out deferred operations */
+  bool in_libcurl;   /* in a libcurl call that may invoke callbacks */
   list_node_t fetches;
 };
 
@@ -28,25 +28,25 @@
   fetch_pool_t *pool;
   CURL *easy;
   struct curl_slist *header_list;
-  fetch_request_t request; /* its pointers to data are not kept */
+  fetch_request_t request; /* url, headers and body are no longer valid */
   unsigned idle_timeout_ms;
   ev_timer idle_timer;
   unsigned status;
   GPtrArray *head;
   GByteArray *body;
   char error[CURL_ERROR_SIZE];
-  bool is_added;        /* libcurl has it */
-  bool is_cancelled;    /* waits for WORK to free it */
-  bool send_denied;     /* not sent, by the owner's word */
-  bool timed_out_idle;  /* ran into the idle_timer limit */
-  bool too_large;       /* ran into MAX_BODY_BYTES */
-  bool finished;        /* in the last callback */
-  bool has_head;        /* the final head is complete */
-  bool pause_requested; /* the owner's wish */
-  bool has_paused_data; /* libcurl holds back bytes */
+  bool is_added;        /* to the multi handle */
+  bool is_cancelled;    /* will be freed by the DEFERRED timer */
+  bool send_denied;     /* not sent, because may_send returned false */
+  bool timed_out_idle;  /* exceeded idle_timeout_ms */
+  bool too_large;       /* the body exceeded MAX_BODY_BYTES */
+  bool finished;        /* the done callback has been reached */
+  bool has_head;        /* the final response head is complete */
+  bool pause_requested; /* by fetch_pause */
+  bool has_paused_data; /* libcurl buffers bytes until the fetch resumes */
 };
 
-/* The watcher of one of libcurl's sockets.  */
+/* Watches one of libcurl's sockets.  */
 typedef struct
 {
   ev_io io;
@@ -87,7 +87,7 @@
   ev_timer_again (fetch->pool->loop, &fetch->idle_timer);
 }
 
-/* Whether any of the request may have left.  */
+/* Whether any byte of the request may have been sent.  */
 static bool
 may_have_been_sent (fetch_t *fetch, CURLcode code)
 {
@@ -124,15 +124,15 @@
 get_detail (fetch_t *fetch, CURLcode code)
 {
   if (fetch->timed_out_idle)
-    return "no byte came within the silence limit";
+    return "no byte was received within the idle timeout";
   if (fetch->too_large)
-    return "the answer is larger than the client takes";
+    return "the response body exceeds the client's size limit";
   if (fetch->error[0] != '\0')
     return fetch->error;
   return code == CURLE_OK ? "" : curl_easy_strerror (code);
 }
 
-/* Tells the owner of the end, and frees FETCH.  */
+/* Reports the result to the caller and frees FETCH.  */
 static void
 finish (fetch_t *fetch, CURLcode code)
 {
@@ -309,7 +309,7 @@
   const fetch_request_t *request = &fetch->request;
 
   if (fetch->status < 200)
-    return; /* interim: the final head follows */
+    return; /* an interim response; the final head follows */
   fetch->has_head = true;
   g_ptr_array_add (fetch->head, NULL);
   if (request->head != NULL)
--- a/libcoltsfootdrum/http/fetch.h
+++ b/libcoltsfootdrum/http/fetch.h
@@ -1,4 +1,5 @@
-/* HTTP client on the loop: libcurl's multi interface with socket actions.  */
+/* HTTP client on the event loop, by libcurl's multi interface with socket
+   actions.  */
 
 #ifndef HTTP_FETCH_H
 #define HTTP_FETCH_H
@@ -13,36 +14,37 @@
 
 typedef enum
 {
-  FETCH_COMPLETE,       /* the whole answer came */
-  FETCH_CONNECT_FAILED, /* no connection was made: the request was never sent
-                         */
-  FETCH_SEND_DENIED,    /* MAY_SEND said no: the request was never sent */
-  FETCH_INCOMPLETE, /* sent, maybe in part; whether it took effect is unknown
-                     */
-  FETCH_TIMEOUT     /* as FETCH_INCOMPLETE, after the time limit */
+  FETCH_COMPLETE,       /* the complete response was received */
+  FETCH_CONNECT_FAILED, /* not connected, so that nothing was sent */
+  FETCH_SEND_DENIED,    /* may_send returned false; nothing was sent */
+  FETCH_INCOMPLETE,     /* sent at least in part, but without a complete
+                           response: it may have taken effect */
+  FETCH_TIMEOUT         /* like FETCH_INCOMPLETE, after a timeout */
 } fetch_result_t;
 
 typedef struct
 {
   const char *method;
   const char *url;
-  const char *const *headers; /* NULL or NULL-ended "Name: value" */
+  const char *const *headers; /* NULL or NULL-terminated "Name: value" */
   const void *body;           /* copied */
   size_t body_length;
   unsigned connect_timeout_ms; /* 0: 1000 */
   unsigned total_timeout_ms;   /* 0: no limit */
-  unsigned idle_timeout_ms;    /* 0: none; no byte for so long is a timeout */
-  bool reuse_connection; /* may use a kept connection: libcurl sends again by
-                      itself when that turns out to be closed */
+  unsigned idle_timeout_ms;    /* time without a byte received; 0: no limit */
+  bool reuse_connection; /* allows a persistent connection, on which libcurl
+                            resends the request if it turns out to be closed */
 
-  /* Asked once the connection stands, just before the first byte is sent:
-     time may have passed since the start.  NULL: always.  */
+  /* Called once connected, just before the first byte is sent, because time
+     may have passed since fetch_start; false ends the fetch with
+     FETCH_SEND_DENIED.  NULL: always send.  */
   bool (*may_send) (void *user);
-  /* NULL when not wanted.  HEADERS is NULL-ended.  */
+  /* Receives the response head; may be NULL.  HEADERS is NULL-terminated.  */
   void (*head) (void *user, unsigned status, const char *const *headers);
-  /* With DATA set the body is streamed to it, else collected.  */
+  /* Receives the body in pieces.  If NULL, the body is collected for DONE.  */
   void (*data) (void *user, const void *bytes, size_t length);
-  /* Last call.  STATUS is 0 unless an answer began.  BODY is NUL-ended.  */
+  /* Last callback.  STATUS is 0 unless a response began.  BODY is
+     NUL-terminated.  */
   void (*done) (void *user, fetch_result_t result, unsigned status,
                 const char *body, size_t length, const char *detail);
   void *user;
@@ -54,11 +56,11 @@
 
 struct ev_loop *fetch_pool_loop (const fetch_pool_t *pool);
 
-/* Never calls back before it returns.  */
+/* Starts a request; no callback is invoked before this returns.  */
 fetch_t *fetch_start (fetch_pool_t *pool, const fetch_request_t *request);
-/* No call back comes afterwards; the connection is closed.  */
+/* Closes the connection; no callback is invoked afterwards.  */
 void fetch_cancel (fetch_t *fetch);
-/* Stops and restarts reading of the answer's body.  */
+/* Pauses or resumes reading of the response body.  */
 void fetch_pause (fetch_t *fetch, bool paused);
 
 #endif
--- a/libcoltsfootdrum/http/test-fetch.c
+++ b/libcoltsfootdrum/http/test-fetch.c
@@ -1,4 +1,5 @@
-/* The HTTP client against a server that answers by script, well or badly.  */
+/* Tests of the HTTP client against a scripted server with valid and invalid
+   responses.  */
 
 #include "base/clock.h"
 #include "http/fetch.h"
@@ -15,7 +16,7 @@
 #define TIMEOUT_S 30.0
 #define PORT 7300
 
-/* How the server goes on after it has sent the script.  */
+/* What the server does with the connection after it has sent the script.  */
 typedef enum
 {
   KEEP_OPEN,
@@ -32,7 +33,7 @@
   const char *script;
   after_script_t after;
   unsigned requests;
-  /* What the client told.  */
+  /* Results reported by the client.  */
   fetch_t *fetch;
   fetch_result_t result;
   unsigned status;
@@ -200,7 +201,7 @@
 static void
 on_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  g_error ("the awaited did not come within %g s", TIMEOUT_S);
+  g_error ("the awaited event did not occur within %g s", TIMEOUT_S);
 }
 
 static void
@@ -235,7 +236,7 @@
     KEEP_OPEN, 0, 0, FETCH_COMPLETE, 200, "hi" },
   { "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", KEEP_OPEN, 0, 0,
     FETCH_COMPLETE, 503, "" },
-  /* The other side may have run the request in each of these.  */
+  /* In each of these the server may have run the request.  */
   { "", CLOSE_CONNECTION, 0, 0, FETCH_INCOMPLETE, 0, "" },
   { "no HTTP\r\n\r\n", CLOSE_CONNECTION, 0, 0, FETCH_INCOMPLETE, 0, "" },
   { OK_HEAD "Content-Length: 9\r\n\r\nhi", CLOSE_CONNECTION, 0, 0,
@@ -280,9 +281,10 @@
 static void
 test_never_repeated (fixture_t *f, gconstpointer data)
 {
-  /* The endpoint answers one request and keeps the connection; it reads the
-     next, runs it, and breaks off.  A client that takes the broken connection
-     for a stale one sends the request again, and it runs twice.  */
+  /* The server responds to one request and keeps the connection open; it runs
+     the next request and closes the connection without a response.  A client
+     that takes this for a stale connection resends the request, which then
+     runs twice.  */
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
   start (f, "POST", 0, 0);
   run_until (f, &f->done_calls, 1);
@@ -323,8 +325,8 @@
 static void
 test_inside_callbacks (fixture_t *f, gconstpointer data)
 {
-  /* libcurl may not be entered from its own callbacks: a cancel or start there
-     must neither crash nor be lost.  */
+  /* libcurl must not be called from its own callbacks.  A fetch cancelled or
+     started in a callback must neither crash nor be lost.  */
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
   f->during_head = cancel_and_start;
   start (f, "POST", 0, 0);
@@ -350,8 +352,8 @@
 static void
 test_pause (fixture_t *f, gconstpointer data)
 {
-  /* A caller reads slowly: the endpoint's answer is paused, for longer than
-     the limit of silence, and must go on whole afterwards.  */
+  /* A caller reads slowly, so that the response is paused for longer than the
+     idle timeout; it must be received in full afterwards.  */
   cfd_time_t until;
 
   f->script = OK_HEAD "Content-Length: 2\r\n\r\nhi";
@@ -378,10 +380,11 @@
   return f->allowed;
 }
 
-/* An owner that learns between start and connection that a request must not be
-   sent any more: the server sees no byte of it, and the result says so.  */
+/* The caller finds after fetch_start, but before the connection is made, that
+   the request must not be sent any more.  The server must receive no byte of
+   it, and the result must say so.  */
 static void
-test_withheld (fixture_t *f, gconstpointer data)
+test_send_denied (fixture_t *f, gconstpointer data)
 {
   fetch_request_t request = request_of (f, "POST", 0, 0);
 
@@ -414,6 +417,6 @@
   add ("/fetch/never-repeated", test_never_repeated);
   add ("/fetch/inside-callbacks", test_inside_callbacks);
   add ("/fetch/pause", test_pause);
-  add ("/fetch/withheld", test_withheld);
+  add ("/fetch/send-denied", test_send_denied);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -1,5 +1,6 @@
-/* The HTTP server: malformed and oversized requests, streams, slow readers,
-   callers who leave.  Server and clients share one loop and one thread.  */
+/* Tests of the HTTP server: malformed and oversized requests, streams, slow
+   readers and callers that disconnect.  Server and clients share one event
+   loop and one thread.  */
 
 #include "base/clock.h"
 #include "http/web.h"
@@ -21,9 +22,9 @@
   struct ev_loop *loop;
   web_server_t *server;
   char address[32];
-  web_request_t *unanswered[2]; /* the first two not answered in the handler */
-  web_request_t
-      *newest_request; /* the newest, when not answered in the handler */
+  /* Requests to which the handler didn't respond: the first two, the last.  */
+  web_request_t *unanswered[2];
+  web_request_t *newest_request;
   unsigned handler_calls;
   unsigned closed_calls;
   uint64_t drained;
@@ -110,8 +111,8 @@
   return fd;
 }
 
-/* Reads until the text ends with END (NULL: until the connection closes) and
-   tells in RESET whether it was reset.  */
+/* Reads until the text ends with END, or until the connection is closed if END
+   is NULL.  Sets *RESET if the connection was reset.  */
 static char *
 read_response (fixture_t *f, int fd, const char *end, bool *reset)
 {
@@ -164,7 +165,7 @@
       "\"detail\":\"Ask \\\"later\\\".\",\"run\":\"not-run\"", 1 },
     { "GET /refuse HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", "429",
       "Retry-After: 3", 1 },
-    /* Refused before the body is read, and before the handler sees it.  */
+    /* Refused before the body is read and without calling the handler.  */
     { "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n", "413",
       "not-run", 0 },
     { "GET / HTTP/1.1\r\n\r\n", "400", "", 0 }, /* no Host */
@@ -199,7 +200,7 @@
   int fd = send_request (f, text);
   g_autofree char *got = read_response (f, fd, NULL, NULL);
 
-  /* Whichever way MHD cuts the pieces, the handler never sees a part.  */
+  /* However MHD splits the body, the handler is never called with a part.  */
   g_assert_cmpuint (f->handler_calls, ==, 0);
   g_assert_true (*got == '\0' || strstr (got, " 413 "));
   close (fd);
@@ -227,9 +228,10 @@
   close (fd);
 }
 
-/* What the caller sees: an read_response that breaks off, and can tell.  With
-   chunks the last one is missing; with a length it is short; under HTTP/1.0,
-   where the end of the connection ends the body, the connection is reset.  */
+/* The caller must be able to detect that a response is incomplete.  A chunked
+   body lacks its last chunk, a body with a length is too short, and under
+   HTTP/1.0, where the end of the connection ends the body, the connection is
+   reset.  */
 static void
 test_broken_stream (fixture_t *f, gconstpointer data)
 {
@@ -268,8 +270,8 @@
 static void
 test_slow_reader (fixture_t *f, gconstpointer data)
 {
-  /* The caller reads nothing; a sender that stops a mebibyte ahead of
-     DRAINED must be held back for good, and nothing may be lost after.  */
+  /* The caller reads nothing.  A sender that stays at most 1 MiB ahead of
+     DRAINED must be blocked, and no byte may be lost once the caller reads. */
   static char block[64 * 1024];
   const uint64_t window = 1024 * 1024;
   const uint64_t size = 64 * window;
@@ -333,8 +335,8 @@
   g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
 }
 
-/* An read_response to HEAD ends while its owner still writes; the owner must
-   see its flow control go on and end the stream as ever.  */
+/* A response to HEAD ends while its owner still writes.  Flow control must go
+   on for the owner, which ends the stream as usual.  */
 static void
 test_head (fixture_t *f, gconstpointer data)
 {
@@ -355,7 +357,7 @@
   int fd = send_request (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
   int second = send_request (f, "GET /wait HTTP/1.1\r\nHost: a\r\n\r\n");
 
-  /* Both were in the kernel's backlog only when the server was quiesced.  */
+  /* Both connections are still in the kernel's backlog here.  */
   web_server_quiesce (f->server);
   run_until (f, &f->handler_calls, 2);
   for (unsigned i = 0; i < 2; i++)
@@ -369,8 +371,8 @@
   close (second);
 }
 
-/* Requests that wait hold their bodies; the one for which there is no room is
-   refused at once, and the room comes back with the answers.  */
+/* Pending requests keep their bodies in memory.  A request that exceeds the
+   total limit is refused at once, and responses free memory for others.  */
 static void
 test_bodies (fixture_t *f, gconstpointer data)
 {
--- a/libcoltsfootdrum/http/web-answer.c
+++ b/libcoltsfootdrum/http/web-answer.c
@@ -5,11 +5,12 @@
 #include <sys/socket.h>
 
 #define STREAM_BLOCK_BYTES (16u * 1024)
-/* Nothing an owner with working flow control reaches; beyond it the stream is
-   broken off so that a faulty sender can't fill the memory.  */
+/* A sender with working flow control doesn't reach this limit; beyond it the
+   stream is aborted, so that a faulty sender can't exhaust the memory.  */
 #define MAX_STREAM_BUFFER_BYTES (4u * 1024 * 1024)
 
-/* MHD works out the framing itself; a length is honoured for streams.  */
+/* Whether MHD generates HEADER itself.  A stream's Content-Length is passed to
+   MHD by get_stream_size.  */
 static bool
 is_framing_header (const char *header)
 {
@@ -141,9 +142,9 @@
 
   if (request->is_complete && !request->is_disconnected)
     return MHD_CONTENT_READER_END_OF_STREAM;
-  /* A body of HTTP/1.0 ends with the connection: only a reset tells a part
-     from the is_complete.  MHD would shut the socket down in order; connecting
-     it to nowhere resets it first.  */
+  /* A body of HTTP/1.0 ends with the connection, so that only a reset shows
+     that it is incomplete.  MHD would shut the socket down gracefully;
+     connecting it to AF_UNSPEC resets it first.  */
   if (request->http10)
     {
       info = MHD_get_connection_info (request->connection,
@@ -153,8 +154,8 @@
   return MHD_CONTENT_READER_END_WITH_ERROR;
 }
 
-/* Moves the buffer's rest to its front once more than half is is_disconnected.
- */
+/* Moves the unread part of the buffer to its front once half of it has been
+   read.  */
 static void
 compact (web_request_t *request)
 {
--- a/libcoltsfootdrum/http/web-private.h
+++ b/libcoltsfootdrum/http/web-private.h
@@ -1,5 +1,5 @@
-/* What web.c (server), web-request.c (what a request says) and web-answer.c
-   (answers) share.  */
+/* HTTP server internals, shared by web.c (connections), web-request.c (request
+   accessors) and web-answer.c (responses).  */
 
 #ifndef HTTP_WEB_PRIVATE_H
 #define HTTP_WEB_PRIVATE_H
@@ -21,7 +21,7 @@
   list_node_t requests;
   unsigned active_requests;
   size_t max_body_bytes_total;
-  size_t reserved_bytes_total; /* bytes reserved_bytes by all requests */
+  size_t reserved_bytes_total; /* for the bodies of all requests */
   bool is_quiesced;
 };
 
@@ -37,14 +37,14 @@
   bool http10;
   bool too_large;
   bool over_memory_limit;
-  size_t reserved_bytes; /* of the server's reserved_bytes_total */
-  size_t dropped_bytes;  /* bytes of a body over the limit */
-  bool was_handled;      /* the handler was called */
-  bool has_owner;        /* the owner has not stream_ended its answer */
-  bool is_suspended;     /* by us, with PEEK watching for the caller's close */
-  bool is_disconnected;  /* the caller on_closed while is_suspended */
-  bool is_response_queued; /* RESPONSE was given to MHD */
-  char *header_name;       /* of web_set_response_header, or NULL */
+  size_t reserved_bytes;   /* part of the server's reserved_bytes_total */
+  size_t dropped_bytes;    /* of a body over the limit */
+  bool was_handled;        /* the handler has been called */
+  bool has_owner;          /* the handler's side hasn't ended its response */
+  bool is_suspended;       /* CLOSE_WATCHER detects a close by the caller */
+  bool is_disconnected;    /* closed while suspended, or must be closed */
+  bool is_response_queued; /* RESPONSE was passed to MHD */
+  char *header_name;       /* set by web_set_response_header, or NULL */
   char *header_value;
   struct MHD_Response *response;
   unsigned status; /* of RESPONSE */
@@ -52,21 +52,21 @@
   void (*on_closed) (void *user);
   void *on_closed_user;
 
-  /* A streamed answer.  */
+  /* A streamed response.  */
   GByteArray *buffer;
-  size_t buffer_offset; /* bytes of BUFFER that left */
-  uint64_t sent_bytes;  /* bytes that left */
+  size_t buffer_offset; /* bytes of BUFFER that MHD has read */
+  uint64_t sent_bytes;  /* bytes that MHD has read in total */
   bool stream_ended;
   bool is_complete;
   void (*on_drained) (void *user, uint64_t sent_bytes);
   void *on_drained_user;
 };
 
-/* Both sides hold a request: MHD until its completed call, the owner until it
-   ends the answer.  The last to let go frees it.  */
+/* Frees REQUEST once neither side uses it: MHD until its completed callback,
+   the owner until it ends the response.  */
 void web_free_if_done (web_request_t *request);
 
-/* Stops a connection until web_resume, watching for the caller's close.  */
+/* Suspends the connection until web_resume, or until the caller closes it.  */
 void web_suspend (web_request_t *request);
 void web_resume (web_request_t *request);
 
--- a/libcoltsfootdrum/http/web.c
+++ b/libcoltsfootdrum/http/web.c
@@ -10,7 +10,7 @@
 
 #define CONNECTION_MEMORY_BYTES (32u * 1024)
 #define MEMORY_RETRY_AFTER_S 2
-/* Unanswered keep-alive probes that end a connection.  */
+/* Unanswered keep-alive probes after which a connection is closed.  */
 #define KEEPALIVE_PROBES 3
 
 static void
@@ -41,8 +41,9 @@
     request_free (request);
 }
 
-/* MHD acts on a resume only when it next runs, and does not wake an outside
-   loop.  Never run_daemon it here: this may be inside one of its callbacks. */
+/* MHD handles a resume when it next runs, but doesn't wake an external event
+   loop.  MHD must not be run here, because this may be called from one of its
+   callbacks.  */
 static void
 resume (web_request_t *request)
 {
@@ -53,8 +54,9 @@
   ev_feed_event (server->loop, &server->readable, EV_READ);
 }
 
-/* MHD does not watch a is_suspended connection, so that a caller who leaves
-   would go unseen and its work go on: watch the socket here meanwhile.  */
+/* MHD doesn't watch a suspended connection, so that a caller's disconnect
+   would not be detected and its work would go on.  The socket is watched here
+   instead.  */
 static void
 on_suspended_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
@@ -66,7 +68,7 @@
     return;
   ev_io_stop (loop, watcher);
   if (got > 0)
-    return; /* a pipelined request: its close shows when we write */
+    return; /* a pipelined request; a later write detects a disconnect */
   request->is_disconnected = true;
   resume (request);
 }
@@ -94,7 +96,7 @@
   resume (request);
 }
 
-/* MHD takes a response inside its access callback only.  */
+/* MHD accepts a response only inside its access callback.  */
 static enum MHD_Result
 queue_response (web_request_t *request)
 {
@@ -122,20 +124,20 @@
 {
   web_respond_problem (
       request, MHD_HTTP_CONTENT_TOO_LARGE, "Request too large",
-      "The body is over the limit; send a smaller one.", "not-run", -1);
+      "The body exceeds the size limit; send a smaller one.", "not-run", -1);
 }
 
 static void
 refuse_over_memory_limit (web_request_t *request)
 {
-  web_respond_problem (
-      request, MHD_HTTP_SERVICE_UNAVAILABLE, "No room",
-      "Too many large requests are held here; ask again later.", "not-run",
-      MEMORY_RETRY_AFTER_S);
+  web_respond_problem (request, MHD_HTTP_SERVICE_UNAVAILABLE,
+                       "Memory limit reached",
+                       "Too many large requests are in progress; retry later.",
+                       "not-run", MEMORY_RETRY_AFTER_S);
 }
 
-/* Many large reserved_bytes_total at once, from one client account perhaps,
-   must not take the memory of the is_complete instance.  */
+/* Many large bodies at once, perhaps from one client account, must not exhaust
+   the memory of the whole instance.  */
 static bool
 reserve_body_bytes (web_request_t *request, size_t length)
 {
@@ -158,8 +160,8 @@
   size_t max = request->server->limits.max_body_bytes;
   size_t needed = request->body->len + *length;
 
-  /* A chunked body names no length beforehand: drop what is over the limit,
-     and close on a caller who sends far more.  */
+  /* The length of a chunked body isn't known in advance: drop a body over the
+     limit, and close the connection if the caller keeps sending.  */
   if (needed > max || request->over_memory_limit
       || (needed > request->reserved_bytes
           && !reserve_body_bytes (request, needed - request->reserved_bytes)))
@@ -221,9 +223,9 @@
   return MHD_YES;
 }
 
-/* A caller whose connection has is_disconnected silent for good, with nothing
-   on its way back, would otherwise hold its request for hours: unanswered
-   bytes and, while nothing is sent, unanswered probes end the connection.  */
+/* A caller whose connection died without a reset would otherwise occupy its
+   request for hours.  Unacknowledged data and, while nothing is sent,
+   unanswered keep-alive probes close the connection.  */
 static void
 on_connection (void *user, struct MHD_Connection *connection, void **state,
                enum MHD_ConnectionNotificationCode code)
@@ -248,8 +250,8 @@
   (void)setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof yes);
 }
 
-/* The first call for a request, before its headers are read: the only place
-   where MHD gives the target as it was sent.  */
+/* MHD's first callback for a request, before it reads the headers, and the
+   only one that receives the target as it was sent.  */
 static void *
 on_target (void *user, const char *uri, struct MHD_Connection *connection)
 {
@@ -278,8 +280,8 @@
     ev_io_stop (request->server->loop, &request->close_watcher);
   request->is_suspended = false;
   request->connection = NULL;
-  /* A stream that MHD stream_ended early as it should (an answer to HEAD)
-     stays the owner's, who may go on writing to nowhere.  */
+  /* When MHD rightly ends a stream early (a response to HEAD), the owner keeps
+     the request and may go on writing; the data is discarded.  */
   if (request->has_owner && request->on_closed
       && code != MHD_REQUEST_TERMINATED_COMPLETED_OK)
     {
@@ -380,8 +382,8 @@
 
   if (server->is_quiesced)
     return;
-  /* Take in the connections that the kernel has accepted already: closing the
-     socket would reset them.  */
+  /* Accept the connections that are in the kernel's backlog: closing the
+     listening socket would reset them.  */
   run_daemon (server);
   server->is_quiesced = true;
   fd = MHD_quiesce_daemon (server->daemon);
@@ -394,7 +396,7 @@
 {
   if (!server)
     return;
-  /* MHD must not be stopped with is_suspended connections.  */
+  /* MHD must not be stopped while connections are suspended.  */
   list_for_each (node, &server->requests)
     {
       web_request_t *request = list_entry (node, web_request_t, node);
--- a/libcoltsfootdrum/http/web.h
+++ b/libcoltsfootdrum/http/web.h
@@ -1,6 +1,7 @@
-/* HTTP server on the loop: libmicrohttpd with its epoll descriptor watched by
-   an ev_io.  Bodies are collected is_complete up to a limit; answers are
-   is_complete or streamed with bounded buffers and flow control.  */
+/* HTTP server on the event loop: libmicrohttpd (MHD), whose epoll descriptor
+   is watched by an ev_io.  Request bodies are collected up to a size limit;
+   responses are sent complete or streamed with bounded buffers and flow
+   control.  */
 
 #ifndef HTTP_WEB_H
 #define HTTP_WEB_H
@@ -15,35 +16,35 @@
 
 typedef struct
 {
-  size_t max_body_bytes;   /* a larger body is answered 413 */
-  unsigned connections;    /* more are refused */
-  unsigned idle_timeout_s; /* a connection silent for so long is on_closed */
+  size_t max_body_bytes;   /* a larger body gets a 413 response */
+  unsigned connections;    /* at most; more are refused */
+  unsigned idle_timeout_s; /* closes a connection without traffic */
 } web_limits_t;
 
-/* Called once for each request when its body is is_complete.  The handler must
-   answer REQUEST at some time, in the call or later, by web_respond or
-   web_stream_begin.  */
+/* Called once for each request when its body is complete.  The handler must
+   respond to REQUEST, in the call or later, by web_respond,
+   web_respond_problem or web_stream_begin.  */
 typedef void (*web_handler_t) (void *user, web_request_t *request);
 
 web_server_t *web_server_new (struct ev_loop *loop, const char *address,
                               const web_limits_t *limits,
                               web_handler_t handler, void *user,
                               GError **error);
-/* Bytes of reserved_bytes_total that all requests may hold together; a request
-   beyond it is answered 503.  No limit without this call.  */
+/* Limits the bodies of all requests together to BYTES; a request beyond the
+   limit gets a 503 response.  The default is no limit.  */
 void web_server_set_max_total_body_bytes (web_server_t *server, size_t bytes);
-/* Stops accepting; requests in progress go on.  */
+/* Stops accepting connections; requests in progress go on.  */
 void web_server_quiesce (web_server_t *server);
 void web_server_free (web_server_t *server);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (web_server_t, web_server_free)
 unsigned web_server_count_active (const web_server_t *server);
 
 const char *web_method (const web_request_t *request);
-/* The path with its query, as sent.  */
+/* Returns the path with its query, as sent.  */
 const char *web_target (const web_request_t *request);
-/* The path alone.  */
+/* Returns the path without the query.  */
 const char *web_path (const web_request_t *request);
-/* NULL when absent.  */
+/* Return NULL if NAME is absent.  */
 const char *web_query (const web_request_t *request, const char *name);
 const char *web_header (const web_request_t *request, const char *name);
 void web_foreach_header (const web_request_t *request,
@@ -51,43 +52,46 @@
                                         const char *value),
                          void *user);
 const char *web_body (const web_request_t *request, size_t *length);
-/* The body, which the request then no longer has; free with g_bytes_unref.  It
-   counts against the server's limit until the request is answered.  */
+/* Moves the body out of the request; free with g_bytes_unref.  It counts
+   towards the server's limit until the request is freed.  */
 GBytes *web_take_body (web_request_t *request);
 
-/* CLOSED is called at most once, when the caller went away before the
-   is_complete answer was sent; the request must not be used afterwards.  */
+/* Sets a callback that is called at most once, if the caller disconnects
+   before the complete response was sent.  The request must not be used
+   afterwards.  */
 void web_on_closed (web_request_t *request, void (*on_closed) (void *user),
                     void *user);
 
-/* Goes into the answer, whatever it is, instead of a header of the same name
-   in the answer's own.  One a request; a second call replaces the first.  */
+/* Sets a header of the response, which replaces a header of the same name
+   passed to web_respond or web_stream_begin.  A request has at most one; a
+   second call replaces the first.  */
 void web_set_response_header (web_request_t *request, const char *name,
                               const char *value);
-/* The value that was set, or NULL.  */
+/* Returns the value set by web_set_response_header, or NULL.  */
 const char *web_get_response_header (const web_request_t *request);
 
-/* HEADERS is NULL or NULL-stream_ended "Name: value" strings.  */
+/* Sends a complete response.  HEADERS is NULL or NULL-terminated "Name: value"
+   strings.  */
 void web_respond (web_request_t *request, unsigned status,
                   const char *content_type, const char *const *headers,
                   const void *body, size_t length);
 
-/* A problem+json answer after RFC 9457.  RUN is "not-run" or "unknown";
-   RETRY_AFTER_S below 0 leaves Retry-After out.  */
+/* Sends a problem+json response (RFC 9457).  RUN is "not-run" or "unknown".  A
+   RETRY_AFTER_S below 0 omits the header Retry-After.  */
 void web_respond_problem (web_request_t *request, unsigned status,
                           const char *title, const char *detail,
                           const char *run, int retry_after_s);
 
-/* A streamed answer.  DRAINED is called when bytes have left for the caller,
-   with the sent_bytes so far.  */
+/* Begins a streamed response.  ON_DRAINED is called when buffered bytes have
+   been passed to the connection, with their total so far.  */
 void web_stream_begin (web_request_t *request, unsigned status,
                        const char *const *headers,
                        void (*on_drained) (void *user, uint64_t sent_bytes),
                        void *user);
 void web_stream_write (web_request_t *request, const void *bytes,
                        size_t length);
-/* Ends the stream; WHOLE false breaks the connection off, so that the caller
-   can't take a part for the is_complete.  */
+/* Ends the stream.  IS_COMPLETE false aborts the connection, so that the
+   caller can't take a partial response for a complete one.  */
 void web_stream_end (web_request_t *request, bool is_complete);
 
 #endif
