--- a/libcoltsfootdrum/platform/plat.c
+++ b/libcoltsfootdrum/platform/plat.c
@@ -3,21 +3,21 @@
 
 #include <string.h>
 
-#define CONNECT_MS 1000
-#define WRITE_MS 3000
-#define READ_MS 8000
+#define CONNECT_TIMEOUT_MS 1000
+#define WRITE_TIMEOUT_MS 3000
+#define READ_TIMEOUT_MS 8000
 /* A connection can go silent for good: a change must be in force within
    seconds even then, and a process know soon that it is cut off.  */
-#define WATCH_SLACK_MS 2000
-#define INSTANCES_MS 2000
-#define PAGE_OBJECTS 500
+#define WATCH_TIMEOUT_MARGIN_MS 2000
+#define INSTANCES_TIMEOUT_MS 2000
+#define MAX_PAGE_OBJECTS 500
 
 struct plat
 {
   fetch_pool_t *pool;
   char *url;
-  uint64_t calls;
-  list_node_t waiting;
+  uint64_t call_count;
+  list_node_t pending_calls;
 };
 
 typedef struct
@@ -31,15 +31,15 @@
 } call_t;
 
 static plat_status_t
-status_of (const call_t *call, fetch_result_t result, unsigned status)
+get_status (const call_t *call, fetch_result_t result, unsigned status)
 {
-  plat_status_t doubt
+  plat_status_t failure_status
       = call->is_write ? PLAT_OUTCOME_UNKNOWN : PLAT_UNAVAILABLE;
 
   if (result == FETCH_CONNECT_FAILED)
     return PLAT_UNAVAILABLE;
   if (result != FETCH_COMPLETE)
-    return doubt;
+    return failure_status;
   switch (status)
     {
     case 200:
@@ -56,7 +56,7 @@
     case 503:
       return PLAT_UNAVAILABLE;
     default:
-      return status >= 500 ? doubt : PLAT_INVALID_RESPONSE;
+      return status >= 500 ? failure_status : PLAT_INVALID_RESPONSE;
     }
 }
 
@@ -79,26 +79,26 @@
          size_t length, const char *detail)
 {
   call_t *call = user;
-  plat_status_t outcome = status_of (call, result, status);
+  plat_status_t call_status = get_status (call, result, status);
   JsonObject *answer = NULL;
 
-  if (outcome == PLAT_OK)
+  if (call_status == PLAT_OK)
     {
       answer = parse_object (body, length);
       if (answer == NULL)
-        outcome = PLAT_INVALID_RESPONSE;
+        call_status = PLAT_INVALID_RESPONSE;
       else if (call->is_list)
         json_object_set_boolean_member (answer, "complete", TRUE);
     }
   list_remove (&call->node);
-  call->done (call->user, outcome, answer);
+  call->done (call->user, call_status, answer);
   g_free (call);
 }
 
 /* Sends REQUEST, whose URL is PATH under the platform's; frees PATH.  */
 static void
-send (plat_t *plat, fetch_request_t *request, char *path, bool is_list,
-      plat_done_t done, void *user)
+start_call (plat_t *plat, fetch_request_t *request, char *path, bool is_list,
+            plat_done_t done, void *user)
 {
   g_autofree char *url = g_strconcat (plat->url, path, NULL);
   call_t *call = g_new0 (call_t, 1);
@@ -110,19 +110,19 @@
   call->is_list = is_list;
   call->is_write = is_write;
   request->url = url;
-  request->connect_timeout_ms = CONNECT_MS;
+  request->connect_timeout_ms = CONNECT_TIMEOUT_MS;
   if (request->total_timeout_ms == 0)
-    request->total_timeout_ms = is_write ? WRITE_MS : READ_MS;
+    request->total_timeout_ms = is_write ? WRITE_TIMEOUT_MS : READ_TIMEOUT_MS;
   request->reuse_connection = !is_write;
   request->done = on_done;
   request->user = call;
-  list_append (&plat->waiting, &call->node);
-  plat->calls++;
+  list_append (&plat->pending_calls, &call->node);
+  plat->call_count++;
   call->fetch = fetch_start (plat->pool, request);
 }
 
 static char *
-object_path (const char *kind, const char *name)
+format_object_path (const char *kind, const char *name)
 {
   g_autofree char *escaped = g_uri_escape_string (name, NULL, FALSE);
 
@@ -138,12 +138,12 @@
   plat->url = g_strdup (url);
   if (g_str_has_suffix (plat->url, "/"))
     plat->url[strlen (plat->url) - 1] = '\0';
-  list_init (&plat->waiting);
+  list_init (&plat->pending_calls);
   return plat;
 }
 
 static void
-drop (call_t *call)
+cancel_call (call_t *call)
 {
   fetch_cancel (call->fetch);
   list_remove (&call->node);
@@ -153,12 +153,12 @@
 void
 plat_cancel (plat_t *plat, void *user)
 {
-  list_for_each_safe (node, &plat->waiting)
+  list_for_each_safe (node, &plat->pending_calls)
     {
       call_t *call = list_entry (node, call_t, node);
 
       if (call->user == user)
-        drop (call);
+        cancel_call (call);
     }
 }
 
@@ -173,8 +173,8 @@
 {
   if (plat == NULL)
     return;
-  list_for_each_safe (node, &plat->waiting)
-    drop (list_entry (node, call_t, node));
+  list_for_each_safe (node, &plat->pending_calls)
+    cancel_call (list_entry (node, call_t, node));
   g_free (plat->url);
   g_free (plat);
 }
@@ -185,33 +185,34 @@
 {
   fetch_request_t request = { .method = "GET" };
 
-  send (plat, &request, object_path (kind, name), false, done, user);
+  start_call (plat, &request, format_object_path (kind, name), false, done,
+              user);
 }
 
 void
-plat_list (plat_t *plat, uint64_t revision_least, plat_done_t done, void *user)
+plat_list (plat_t *plat, uint64_t min_revision, plat_done_t done, void *user)
 {
   fetch_request_t request = { .method = "GET" };
 
-  send (plat, &request,
-        g_strdup_printf ("/v1/objects?revision_least=%" G_GUINT64_FORMAT
-                         "&kinds=" PLAT_CONFIG_KINDS,
-                         revision_least),
-        true, done, user);
+  start_call (plat, &request,
+              g_strdup_printf ("/v1/objects?revision_least=%" G_GUINT64_FORMAT
+                               "&kinds=" PLAT_CONFIG_KINDS,
+                               min_revision),
+              true, done, user);
 }
 
 void
-plat_list_page (plat_t *plat, const char *kinds, uint64_t revision_least,
+plat_list_page (plat_t *plat, const char *kinds, uint64_t min_revision,
                 const char *after, plat_done_t done, void *user)
 {
   fetch_request_t request = { .method = "GET" };
   g_autofree char *escaped = g_uri_escape_string (after, NULL, FALSE);
 
-  send (plat, &request,
-        g_strdup_printf ("/v1/objects?revision_least=%" G_GUINT64_FORMAT
-                         "&kinds=%s&limit=%d&after=%s",
-                         revision_least, kinds, PAGE_OBJECTS, escaped),
-        false, done, user);
+  start_call (plat, &request,
+              g_strdup_printf ("/v1/objects?revision_least=%" G_GUINT64_FORMAT
+                               "&kinds=%s&limit=%d&after=%s",
+                               min_revision, kinds, MAX_PAGE_OBJECTS, escaped),
+              false, done, user);
 }
 
 void
@@ -221,14 +222,14 @@
   fetch_request_t request = { .method = "GET" };
   g_autofree char *escaped = g_uri_escape_string (after, NULL, FALSE);
 
-  send (plat, &request,
-        g_strdup_printf ("/v1/objects?kinds=%s&limit=%u&after=%s", kinds,
-                         limit, escaped),
-        false, done, user);
+  start_call (plat, &request,
+              g_strdup_printf ("/v1/objects?kinds=%s&limit=%u&after=%s", kinds,
+                               limit, escaped),
+              false, done, user);
 }
 
 static char *
-spec_body (JsonObject *spec)
+format_spec_body (JsonObject *spec)
 {
   g_autoptr (JsonNode) root = json_node_new (JSON_NODE_OBJECT);
   JsonObject *object = json_object_new ();
@@ -255,14 +256,15 @@
           .body = body,
           .body_length = body == NULL ? 0 : strlen (body) };
 
-  send (plat, &request, object_path (kind, name), false, done, user);
+  start_call (plat, &request, format_object_path (kind, name), false, done,
+              user);
 }
 
 void
 plat_put (plat_t *plat, const char *kind, const char *name,
           const char *version, JsonObject *spec, plat_done_t done, void *user)
 {
-  g_autofree char *body = spec_body (spec);
+  g_autofree char *body = format_spec_body (spec);
 
   send_conditional (plat, "PUT", kind, name, version, body, done, user);
 }
@@ -279,28 +281,29 @@
             void *user)
 {
   fetch_request_t request
-      = { .method = "GET", .total_timeout_ms = wait_ms + WATCH_SLACK_MS };
-
-  send (plat, &request,
-        g_strdup_printf ("/v1/watch?after=%" G_GUINT64_FORMAT
-                         "&wait_ms=%u&kinds=" PLAT_CONFIG_KINDS,
-                         after, wait_ms),
-        false, done, user);
+      = { .method = "GET",
+          .total_timeout_ms = wait_ms + WATCH_TIMEOUT_MARGIN_MS };
+
+  start_call (plat, &request,
+              g_strdup_printf ("/v1/watch?after=%" G_GUINT64_FORMAT
+                               "&wait_ms=%u&kinds=" PLAT_CONFIG_KINDS,
+                               after, wait_ms),
+              false, done, user);
 }
 
 void
 plat_list_instances (plat_t *plat, plat_done_t done, void *user)
 {
   fetch_request_t request
-      = { .method = "GET", .total_timeout_ms = INSTANCES_MS };
+      = { .method = "GET", .total_timeout_ms = INSTANCES_TIMEOUT_MS };
 
-  send (plat, &request, g_strdup ("/v1/instances"), false, done, user);
+  start_call (plat, &request, g_strdup ("/v1/instances"), false, done, user);
 }
 
 uint64_t
 plat_count_calls (const plat_t *plat)
 {
-  return plat->calls;
+  return plat->call_count;
 }
 
 const char *
--- a/libcoltsfootdrum/platform/plat.h
+++ b/libcoltsfootdrum/platform/plat.h
@@ -62,11 +62,11 @@
 void plat_get (plat_t *plat, const char *kind, const char *name,
                plat_done_t done, void *user);
 /* The answer has "complete": true, set here: what it lacks is not there.  */
-void plat_list (plat_t *plat, uint64_t revision_least, plat_done_t done,
+void plat_list (plat_t *plat, uint64_t min_revision, plat_done_t done,
                 void *user);
 /* One page of KINDS after the cursor AFTER, "" for the first.  A whole list of
    18,000 accounts parsed at once takes 46 MB, more than a node may spend.  */
-void plat_list_page (plat_t *plat, const char *kinds, uint64_t revision_least,
+void plat_list_page (plat_t *plat, const char *kinds, uint64_t min_revision,
                      const char *after, plat_done_t done, void *user);
 /* The same, LIMIT objects at most, whatever their revision.  */
 void plat_list_limited (plat_t *plat, const char *kinds, const char *after,
@@ -81,8 +81,8 @@
                  plat_done_t done, void *user);
 void plat_list_instances (plat_t *plat, plat_done_t done, void *user);
 
-/* Drops the calls made with USER: no call back comes, and whether a write took
-   effect stays unknown.  */
+/* Drops the call_count made with USER: no call back comes, and whether a write
+   took effect stays unknown.  */
 void plat_cancel (plat_t *plat, void *user);
 struct ev_loop *plat_loop (const plat_t *plat);
 
--- a/libcoltsfootdrum/platform/test-plat.c
+++ b/libcoltsfootdrum/platform/test-plat.c
@@ -34,21 +34,21 @@
 }
 
 static plat_status_t
-await (sp_test_t *test, result_t *result)
+wait_for_result (sp_test_t *test, result_t *result)
 {
   sp_test_run (test, is_done, result);
   return result->status;
 }
 
 static void
-forget (result_t *result)
+reset_result (result_t *result)
 {
   g_clear_pointer (&result->answer, json_object_unref);
   result->done = false;
 }
 
 static const char *
-version_now (sp_test_t *test)
+get_current_version (sp_test_t *test)
 {
   const sp_object_t *object = sp_model_newest (sp_state (test->sp), KIND, "x");
 
@@ -59,9 +59,9 @@
 {
   CREATE,
   UPDATE,
-  UPDATE_OLD, /* with a version that is no longer in force */
+  UPDATE_STALE, /* with a version that is no longer in force */
   DELETE,
-  DELETE_OLD,
+  DELETE_STALE,
   GET,
   LIST,
   WATCH,
@@ -70,17 +70,17 @@
 
 typedef enum
 {
-  NOTHING, /* the object is not there, before or after the call */
-  OLD,     /* the object as it was before */
-  NEW      /* as the call wrote it */
+  ABSENT,   /* the object is not there, before or after the start_call */
+  ORIGINAL, /* the object as it was before */
+  WRITTEN   /* as the start_call wrote it */
 } state_t;
 
 static void
-call (sp_test_t *test, op_t op, result_t *result)
+start_call (sp_test_t *test, op_t op, result_t *result)
 {
   g_autoptr (JsonObject) spec = json_object_new ();
   plat_t *plat = test->plat;
-  const char *version = version_now (test);
+  const char *version = get_current_version (test);
 
   json_object_set_boolean_member (spec, "new", TRUE);
   if (version == NULL)
@@ -93,13 +93,13 @@
     case UPDATE:
       plat_put (plat, KIND, "x", version, spec, on_done, result);
       break;
-    case UPDATE_OLD:
+    case UPDATE_STALE:
       plat_put (plat, KIND, "x", "0", spec, on_done, result);
       break;
     case DELETE:
       plat_delete (plat, KIND, "x", version, on_done, result);
       break;
-    case DELETE_OLD:
+    case DELETE_STALE:
       plat_delete (plat, KIND, "x", "0", on_done, result);
       break;
     case GET:
@@ -119,13 +119,13 @@
 }
 
 static state_t
-state_now (sp_test_t *test)
+get_current_state (sp_test_t *test)
 {
   const sp_object_t *object = sp_model_newest (sp_state (test->sp), KIND, "x");
 
   if (object == NULL)
-    return NOTHING;
-  return strstr (object->text, "\"new\":true") != NULL ? NEW : OLD;
+    return ABSENT;
+  return strstr (object->text, "\"new\":true") != NULL ? WRITTEN : ORIGINAL;
 }
 
 static const struct
@@ -136,37 +136,37 @@
   plat_status_t status;
   state_t after;
 } contract[] = {
-  { SP_UP, CREATE, NOTHING, PLAT_OK, NEW },
-  { SP_UP, CREATE, OLD, PLAT_CONFLICT, OLD },
-  { SP_UP, UPDATE, OLD, PLAT_OK, NEW },
-  { SP_UP, UPDATE, NOTHING, PLAT_CONFLICT, NOTHING },
-  { SP_UP, UPDATE_OLD, OLD, PLAT_CONFLICT, OLD },
-  { SP_UP, DELETE, OLD, PLAT_OK, NOTHING },
-  { SP_UP, DELETE, NOTHING, PLAT_NOT_FOUND, NOTHING },
-  { SP_UP, DELETE_OLD, OLD, PLAT_CONFLICT, OLD },
-  { SP_UP, GET, OLD, PLAT_OK, OLD },
-  { SP_UP, GET, NOTHING, PLAT_NOT_FOUND, NOTHING },
-  { SP_UP, LIST, OLD, PLAT_OK, OLD },
-  { SP_UP, WATCH, OLD, PLAT_OK, OLD },
-  { SP_UP, INSTANCES, OLD, PLAT_OK, OLD },
-  { SP_SLOW, CREATE, NOTHING, PLAT_OK, NEW },
-  { SP_SLOW, GET, OLD, PLAT_OK, OLD },
-  { SP_SLOW, LIST, OLD, PLAT_OK, OLD },
-  { SP_LOSE_ANSWER, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NEW },
-  { SP_LOSE_ANSWER, CREATE, OLD, PLAT_CONFLICT, OLD },
-  { SP_LOSE_ANSWER, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, NEW },
-  { SP_LOSE_ANSWER, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, NOTHING },
-  { SP_LOSE_ANSWER, GET, OLD, PLAT_OK, OLD },
-  { SP_DOWN, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NOTHING },
-  { SP_DOWN, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, OLD },
-  { SP_DOWN, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, OLD },
-  { SP_DOWN, GET, OLD, PLAT_UNAVAILABLE, OLD },
-  { SP_DOWN, LIST, OLD, PLAT_UNAVAILABLE, OLD },
-  { SP_DOWN, WATCH, OLD, PLAT_UNAVAILABLE, OLD },
-  { SP_DOWN, INSTANCES, OLD, PLAT_UNAVAILABLE, OLD },
-  { SP_STALE, GET, OLD, PLAT_NOT_FOUND, OLD },
-  { SP_STALE, CREATE, OLD, PLAT_CONFLICT, OLD },
-  { SP_STALE, UPDATE, OLD, PLAT_OK, NEW },
+  { SP_UP, CREATE, ABSENT, PLAT_OK, WRITTEN },
+  { SP_UP, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_UP, UPDATE, ORIGINAL, PLAT_OK, WRITTEN },
+  { SP_UP, UPDATE, ABSENT, PLAT_CONFLICT, ABSENT },
+  { SP_UP, UPDATE_STALE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_UP, DELETE, ORIGINAL, PLAT_OK, ABSENT },
+  { SP_UP, DELETE, ABSENT, PLAT_NOT_FOUND, ABSENT },
+  { SP_UP, DELETE_STALE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_UP, GET, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_UP, GET, ABSENT, PLAT_NOT_FOUND, ABSENT },
+  { SP_UP, LIST, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_UP, WATCH, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_UP, INSTANCES, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_SLOW, CREATE, ABSENT, PLAT_OK, WRITTEN },
+  { SP_SLOW, GET, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_SLOW, LIST, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_LOSE_ANSWER, CREATE, ABSENT, PLAT_OUTCOME_UNKNOWN, WRITTEN },
+  { SP_LOSE_ANSWER, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_LOSE_ANSWER, UPDATE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, WRITTEN },
+  { SP_LOSE_ANSWER, DELETE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ABSENT },
+  { SP_LOSE_ANSWER, GET, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_DOWN, CREATE, ABSENT, PLAT_OUTCOME_UNKNOWN, ABSENT },
+  { SP_DOWN, UPDATE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ORIGINAL },
+  { SP_DOWN, DELETE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ORIGINAL },
+  { SP_DOWN, GET, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
+  { SP_DOWN, LIST, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
+  { SP_DOWN, WATCH, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
+  { SP_DOWN, INSTANCES, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
+  { SP_STALE, GET, ORIGINAL, PLAT_NOT_FOUND, ORIGINAL },
+  { SP_STALE, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_STALE, UPDATE, ORIGINAL, PLAT_OK, WRITTEN },
 };
 
 static void
@@ -182,16 +182,16 @@
       /* The object's stale state is that it was not there yet.  */
       sp_test_write (&test, KIND, "x", NULL);
       sp_fault (test.sp, contract[i].mode, 20, 0);
-      if (contract[i].before == OLD)
+      if (contract[i].before == ORIGINAL)
         sp_test_write (&test, KIND, "x", SPEC);
-      call (&test, contract[i].op, &result);
+      start_call (&test, contract[i].op, &result);
       g_test_message ("row %u", i);
-      g_assert_cmpstr (plat_status_name (await (&test, &result)), ==,
+      g_assert_cmpstr (plat_status_name (wait_for_result (&test, &result)), ==,
                        plat_status_name (contract[i].status));
-      g_assert_cmpint (state_now (&test), ==, contract[i].after);
+      g_assert_cmpint (get_current_state (&test), ==, contract[i].after);
       g_assert_true ((result.answer != NULL)
                      == (contract[i].status == PLAT_OK));
-      forget (&result);
+      reset_result (&result);
     }
   sp_test_end (&test);
 }
@@ -207,7 +207,7 @@
   sp_test_begin (&test);
   sp_test_stop (&test);
   plat_delete (test.plat, KIND, "x", "0", on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_UNAVAILABLE);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_UNAVAILABLE);
   sp_test_end (&test);
 }
 
@@ -221,20 +221,20 @@
 
   sp_test_begin (&test);
   sp_fault (test.sp, SP_SLOW, 60000, 0);
-  call (&test, CREATE, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_OUTCOME_UNKNOWN);
-  g_assert_cmpint (state_now (&test), ==, NEW);
+  start_call (&test, CREATE, &result);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OUTCOME_UNKNOWN);
+  g_assert_cmpint (get_current_state (&test), ==, WRITTEN);
   sp_test_end (&test);
 }
 
 static gint64
-revision_of (const result_t *result)
+get_revision (const result_t *result)
 {
   return json_object_get_int_member (result->answer, "revision");
 }
 
 static guint
-count_of (const result_t *result)
+count_objects (const result_t *result)
 {
   return json_array_get_length (
       json_object_get_array_member (result->answer, "objects"));
@@ -254,14 +254,14 @@
   /* A claim is no configuration and wakes nobody.  */
   sp_test_write (&test, "claim", "c", SPEC);
   sp_test_write (&test, KIND, "x", NULL);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
-  g_assert_cmpint (revision_of (&result), ==, 3);
-  g_assert_cmpuint (count_of (&result), ==, 1);
-  forget (&result);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
+  g_assert_cmpint (get_revision (&result), ==, 3);
+  g_assert_cmpuint (count_objects (&result), ==, 1);
+  reset_result (&result);
   plat_watch (test.plat, 3, 10, on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
-  g_assert_cmpuint (count_of (&result), ==, 0);
-  forget (&result);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
+  g_assert_cmpuint (count_objects (&result), ==, 0);
+  reset_result (&result);
   sp_test_end (&test);
 }
 
@@ -277,11 +277,12 @@
   for (unsigned i = 0; i < SP_TEST_HISTORY + 2; i++)
     sp_test_write (&test, KIND, "x", i % 2 ? NULL : SPEC);
   plat_watch (test.plat, 1, 0, on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_REVISION_EXPIRED);
-  forget (&result);
+  g_assert_cmpint (wait_for_result (&test, &result), ==,
+                   PLAT_REVISION_EXPIRED);
+  reset_result (&result);
   plat_watch (test.plat, 2, 0, on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
-  forget (&result);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
+  reset_result (&result);
   sp_test_end (&test);
 }
 
@@ -297,15 +298,15 @@
   sp_test_write (&test, KIND, "x", SPEC);
   sp_fault (test.sp, SP_STALE, 0, 100000000);
   plat_list (test.plat, 1, on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_UNAVAILABLE);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_UNAVAILABLE);
   sp_test_end (&test);
 }
 
 static void
 test_cancel (void)
 {
-  /* The owner of a call goes away while it is under way: no call back may
-     reach it.  */
+  /* The owner of a start_call goes away while it is under way: no call
+     back may reach it.  */
   sp_test_t test;
   result_t gone = { false };
   result_t result = { false };
@@ -314,10 +315,10 @@
   plat_list_instances (test.plat, on_done, &gone);
   plat_list_instances (test.plat, on_done, &result);
   plat_cancel (test.plat, &gone);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
+  g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
   g_assert_false (gone.done);
   g_assert_cmpuint (plat_count_calls (test.plat), ==, 2);
-  forget (&result);
+  reset_result (&result);
   sp_test_end (&test);
 }
 
