--- a/libcoltsfootdrum/platform/plat.c
+++ b/libcoltsfootdrum/platform/plat.c
@@ -6,8 +6,8 @@
 #define CONNECT_TIMEOUT_MS 1000
 #define WRITE_TIMEOUT_MS 3000
 #define READ_TIMEOUT_MS 8000
-/* A connection can go silent for good: a change must be in force within
-   seconds even then, and a process know soon that it is cut off.  */
+/* A connection can die without a reset.  Even then a change must be in force
+   within seconds, and a process must soon detect that it is cut off.  */
 #define WATCH_TIMEOUT_MARGIN_MS 2000
 #define INSTANCES_TIMEOUT_MS 2000
 #define MAX_PAGE_OBJECTS 500
@@ -95,7 +95,7 @@
   g_free (call);
 }
 
-/* Sends REQUEST, whose URL is PATH under the platform's; frees PATH.  */
+/* Sends REQUEST to PATH of the platform's URL; frees PATH.  */
 static void
 start_call (plat_t *plat, fetch_request_t *request, char *path, bool is_list,
             plat_done_t done, void *user)
@@ -239,7 +239,8 @@
   return json_to_string (root, FALSE);
 }
 
-/* Writes with the condition that the object has VERSION, or is not there.  */
+/* Writes on the condition that the object has VERSION, or doesn't exist if
+   VERSION is NULL.  */
 static void
 send_conditional (plat_t *plat, const char *method, const char *kind,
                   const char *name, const char *version, const char *body,
--- a/libcoltsfootdrum/platform/test-plat.c
+++ b/libcoltsfootdrum/platform/test-plat.c
@@ -1,6 +1,5 @@
-/* The contract of the platform's object API, with its fault cases, against the
-   stand-in that the other tests use.  docs/OBJECT-API.md tells the contract.
- */
+/* Tests of the contract of the platform's object API (docs/OBJECT-API.md),
+   including faults, against the stand-in that the other tests use.  */
 
 #include "sp-test.h"
 
@@ -59,7 +58,7 @@
 {
   CREATE,
   UPDATE,
-  UPDATE_STALE, /* with a version that is no longer in force */
+  UPDATE_STALE, /* with an outdated version */
   DELETE,
   DELETE_STALE,
   GET,
@@ -70,9 +69,9 @@
 
 typedef enum
 {
-  ABSENT,   /* the object is not there, before or after the start_call */
-  ORIGINAL, /* the object as it was before */
-  WRITTEN   /* as the start_call wrote it */
+  ABSENT,   /* the object doesn't exist */
+  ORIGINAL, /* the object is as it was before the call */
+  WRITTEN   /* the object is as the call wrote it */
 } state_t;
 
 static void
@@ -179,7 +178,7 @@
     {
       result_t result = { false };
 
-      /* The object's stale state is that it was not there yet.  */
+      /* In the stale state that SP_STALE serves, the object is absent.  */
       sp_test_write (&test, KIND, "x", NULL);
       sp_fault (test.sp, contract[i].mode, 20, 0);
       if (contract[i].before == ORIGINAL)
@@ -199,8 +198,8 @@
 static void
 test_refused (void)
 {
-  /* Nobody listens: nothing was sent, so that a write surely did not take
-     effect, and its caller may be told so.  */
+  /* The connection is refused: nothing was sent, so that a write certainly
+     didn't take effect, and the status must say so.  */
   sp_test_t test;
   result_t result = { false };
 
@@ -214,8 +213,8 @@
 static void
 test_write_timeout (void)
 {
-  /* The platform is so slow that the caller gives up on a write, which takes
-     effect all the same: the status must leave that open.  */
+  /* The platform is so slow that a write times out, but takes effect
+     nevertheless.  The status must say that the outcome is unknown.  */
   sp_test_t test;
   result_t result = { false };
 
@@ -251,7 +250,7 @@
   plat_watch (test.plat, 1, 20000, on_done, &result);
   while (sp_calls (test.sp, "watch") == 0)
     ev_run (test.loop, EVRUN_ONCE);
-  /* A claim is no configuration and wakes nobody.  */
+  /* A claim isn't configuration and must not end the watch.  */
   sp_test_write (&test, "claim", "c", SPEC);
   sp_test_write (&test, KIND, "x", NULL);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
@@ -268,8 +267,8 @@
 static void
 test_watch_gap (void)
 {
-  /* A process was cut off while more was written than the platform keeps: the
-     watch must say so, or a deletion in the gap would never be seen.  */
+  /* A process was cut off during more writes than the platform's history
+     keeps.  The watch must fail, or a deletion in the gap would be missed.  */
   sp_test_t test;
   result_t result = { false };
 
@@ -289,8 +288,8 @@
 static void
 test_list_not_caught_up (void)
 {
-  /* A lagging replica answers the list: one that is behind what the process
-     has seen must not answer at all.  */
+  /* The list comes from a lagging replica: one that is behind the revision
+     that the process has already seen must refuse it.  */
   sp_test_t test;
   result_t result = { false };
 
@@ -305,8 +304,7 @@
 static void
 test_cancel (void)
 {
-  /* The owner of a start_call goes away while it is under way: no call
-     back may reach it.  */
+  /* The owner of a pending call is freed: its callback must not be invoked. */
   sp_test_t test;
   result_t gone = { false };
   result_t result = { false };
