--- a/libcoltsfootdrum/events/tl.c
+++ b/libcoltsfootdrum/events/tl.c
@@ -4,8 +4,8 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-/* Events told in the log when an invariant breaks.  */
-#define TOLD_AT_VIOLATION 20
+/* Events that are logged when an invariant is violated.  */
+#define EVENTS_LOGGED_AT_VIOLATION 20
 
 typedef struct
 {
@@ -24,7 +24,7 @@
 {
   char *instance;
   hlc_t clock;
-  uint64_t next; /* sequence of the next event, from 1 */
+  uint64_t next_sequence; /* of the next event, counted from 1 */
   unsigned capacity;
   tl_event_t events[];
 };
@@ -69,28 +69,30 @@
 }
 
 static uint64_t
-first_kept (const tl_ring_t *ring)
+get_first_sequence (const tl_ring_t *ring)
 {
-  return ring->next > ring->capacity ? ring->next - ring->capacity : 1;
+  return ring->next_sequence > ring->capacity
+             ? ring->next_sequence - ring->capacity
+             : 1;
 }
 
 static const tl_event_t *
-event_at (const tl_ring_t *ring, uint64_t sequence)
+get_event (const tl_ring_t *ring, uint64_t sequence)
 {
   return &ring->events[sequence % ring->capacity];
 }
 
 static void
-tell_violation (void *user, const char *invariant, const char *detail)
+log_violation (void *user, const char *invariant, const char *detail)
 {
   tl_ring_t *ring = user;
-  uint64_t from = first_kept (ring);
+  uint64_t from = get_first_sequence (ring);
 
-  if (ring->next > from + TOLD_AT_VIOLATION)
-    from = ring->next - TOLD_AT_VIOLATION;
-  for (uint64_t i = from; i < ring->next; i++)
+  if (ring->next_sequence > from + EVENTS_LOGGED_AT_VIOLATION)
+    from = ring->next_sequence - EVENTS_LOGGED_AT_VIOLATION;
+  for (uint64_t i = from; i < ring->next_sequence; i++)
     {
-      const tl_event_t *event = event_at (ring, i);
+      const tl_event_t *event = get_event (ring, i);
 
       log_error ("timeline",
                  "Before it: sequence=%" G_GUINT64_FORMAT
@@ -113,8 +115,8 @@
   ring = g_malloc0 (sizeof *ring + capacity * sizeof ring->events[0]);
   ring->instance = g_strdup (instance);
   ring->capacity = capacity;
-  ring->next = 1;
-  invariant_set_hook (tell_violation, ring);
+  ring->next_sequence = 1;
+  invariant_set_hook (log_violation, ring);
   return ring;
 }
 
@@ -138,7 +140,7 @@
 }
 
 static const char *
-or_empty (const char *text)
+get_text_or_empty (const char *text)
 {
   return text != NULL ? text : "";
 }
@@ -147,10 +149,10 @@
 tl_add (tl_ring_t *ring, tl_kind_t kind, const char *account, const char *zone,
         const char *endpoint, const char *request, const char *detail)
 {
-  tl_event_t *event = &ring->events[ring->next % ring->capacity];
+  tl_event_t *event = &ring->events[ring->next_sequence % ring->capacity];
 
   event_clear (event);
-  event->sequence = ring->next++;
+  event->sequence = ring->next_sequence++;
   event->wall_ms = clock_wall_ms ();
   event->stamp = hlc_tick (&ring->clock, event->wall_ms);
   event->kind = kind;
@@ -162,8 +164,9 @@
   log_debug ("timeline",
              "Event: kind=%s account=%s zone=%s endpoint=%s request=%s "
              "detail=%s.",
-             tl_kind_name (kind), or_empty (account), or_empty (zone),
-             or_empty (endpoint), or_empty (request), or_empty (detail));
+             tl_kind_name (kind), get_text_or_empty (account),
+             get_text_or_empty (zone), get_text_or_empty (endpoint),
+             get_text_or_empty (request), get_text_or_empty (detail));
 }
 
 static void
@@ -213,7 +216,7 @@
 }
 
 static bool
-passes (const tl_event_t *event, const tl_filter_t *filter)
+matches_filter (const tl_event_t *event, const tl_filter_t *filter)
 {
   if (filter == NULL)
     return true;
@@ -230,12 +233,13 @@
 {
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   g_autoptr (JsonNode) root = NULL;
-  uint64_t from = MAX (first_kept (ring), MIN (since, ring->next) + 1);
+  uint64_t from
+      = MAX (get_first_sequence (ring), MIN (since, ring->next_sequence) + 1);
 
   json_builder_begin_array (builder);
-  for (uint64_t i = from; i < ring->next; i++)
-    if (passes (event_at (ring, i), filter))
-      add_event (builder, ring, event_at (ring, i));
+  for (uint64_t i = from; i < ring->next_sequence; i++)
+    if (matches_filter (get_event (ring, i), filter))
+      add_event (builder, ring, get_event (ring, i));
   json_builder_end_array (builder);
   root = json_builder_get_root (builder);
   return json_to_string (root, FALSE);
