--- a/libcoltsfootdrum/events/test-tl.c
+++ b/libcoltsfootdrum/events/test-tl.c
@@ -1,4 +1,5 @@
-/* The time line: bounded, ordered, and readable from any sequence on.  */
+/* Tests of the timeline: it is bounded, ordered and can be read from any
+   sequence on.  */
 
 #include "events/tl.h"
 
@@ -8,7 +9,7 @@
 #define CAPACITY 4
 
 static JsonArray *
-events_since (tl_ring_t *ring, uint64_t since, JsonNode **root)
+parse_events_since (tl_ring_t *ring, uint64_t since, JsonNode **root)
 {
   g_autofree char *text = tl_to_json (ring, since, NULL);
 
@@ -41,7 +42,7 @@
 
       for (unsigned n = 0; n < cases[i].added; n++)
         tl_add (ring, TL_ADMIT, "branch", NULL, NULL, "q", NULL);
-      events = events_since (ring, cases[i].since, &root);
+      events = parse_events_since (ring, cases[i].since, &root);
       g_assert_cmpuint (json_array_get_length (events), ==, cases[i].count);
       if (cases[i].count > 0)
         g_assert_cmpint (
@@ -51,8 +52,8 @@
     }
 }
 
-/* A request is found by its name with all its attempts, and no other whose
-   name begins alike.  */
+/* The filter finds a request with all its attempts, but no request whose name
+   only has the same prefix.  */
 static void
 test_filter (void)
 {
@@ -92,7 +93,7 @@
 
   tl_add (ring, TL_END, "branch", "zone-a", "e\"1", "q1", "Ended\n\xff.");
   tl_add (ring, TL_STOP, NULL, NULL, NULL, NULL, NULL);
-  events = events_since (ring, 0, &root);
+  events = parse_events_since (ring, 0, &root);
   event = json_array_get_object_element (events, 0);
   g_assert_cmpstr (json_object_get_string_member (event, "instance"), ==,
                    "r1");
@@ -115,13 +116,13 @@
 }
 
 static void
-keep_lines (void *user, const char *line)
+record_line (void *user, const char *line)
 {
   g_string_append_printf (user, "%s\n", line);
 }
 
-/* A broken invariant tells what came before it, and stays in the ring.  The
-   abort of test builds comes after both, so this runs in a child.  */
+/* A violated invariant logs the preceding events and is recorded in the ring.
+   Test builds abort afterwards, so that this runs in a child process.  */
 static void
 test_invariant (void)
 {
@@ -145,7 +146,7 @@
 
   g_test_init (&argc, &argv, NULL);
   if (!g_test_subprocess ())
-    log_set_sink (keep_lines, lines);
+    log_set_sink (record_line, lines);
   g_test_add_func ("/tl/filter", test_filter);
   g_test_add_func ("/tl/window", test_window);
   g_test_add_func ("/tl/members", test_members);
