--- a/libcoltsfootdrum/admin/admin-node.c
+++ b/libcoltsfootdrum/admin/admin-node.c
@@ -8,29 +8,29 @@
   TRAFFIC_CONTROL,
   TRAFFIC_DATA,
   TRAFFIC_FRAMES
-} traffic_sort_t;
+} traffic_type_t;
 
 /* One sample of the metric NAME for each kind of frame that SORT has.  */
 static void
-put_traffic (GString *out, const char *name, traffic_sort_t sort,
-             const char *direction, const peer_traffic_t *traffic)
+append_traffic (GString *out, const char *name, traffic_type_t type,
+                const char *direction, const peer_traffic_t *traffic)
 {
   for (unsigned kind = MSG_HELLO; kind < MSG_KIND_COUNT; kind++)
     {
       g_autofree char *labels = g_strdup_printf (
           "direction=\"%s\",kind=\"%s\"", direction, msg_kind_name (kind));
-      uint64_t value = sort == TRAFFIC_FRAMES ? traffic[kind].frames
+      uint64_t value = type == TRAFFIC_FRAMES ? traffic[kind].frames
                                               : traffic[kind].bytes;
 
-      if (sort != TRAFFIC_FRAMES
-          && msg_is_control (kind) != (sort == TRAFFIC_CONTROL))
+      if (type != TRAFFIC_FRAMES
+          && msg_is_control (kind) != (type == TRAFFIC_CONTROL))
         continue;
       prom_append_sample (out, name, "counter", labels, (double)value);
     }
 }
 
 static void
-put_links (const peer_hub_t *hub, cfd_time_t up_ms, GString *out)
+append_link_metrics (const peer_hub_t *hub, cfd_time_t up_ms, GString *out)
 {
   static const char *const traffic[]
       = { [TRAFFIC_CONTROL] = "cfd_peer_control_bytes_total",
@@ -51,10 +51,10 @@
     { "cfd_peer_silences_total", NULL, c.silences },
   };
 
-  for (unsigned sort = 0; sort < G_N_ELEMENTS (traffic); sort++)
+  for (unsigned type = 0; type < G_N_ELEMENTS (traffic); type++)
     {
-      put_traffic (out, traffic[sort], sort, "in", c.in);
-      put_traffic (out, traffic[sort], sort, "out", c.out);
+      append_traffic (out, traffic[type], type, "in", c.in);
+      append_traffic (out, traffic[type], type, "out", c.out);
     }
   for (size_t i = 0; i < G_N_ELEMENTS (counters); i++)
     prom_append_sample (out, counters[i].name, "counter", counters[i].labels,
@@ -67,7 +67,7 @@
 }
 
 static void
-count_out (void *user, const rec_t *record)
+count_zone_out (void *user, const rec_t *record)
 {
   if (record->u.zone.out)
     (*(unsigned *)user)++;
@@ -80,7 +80,7 @@
   cfd_time_t now = clock_now ();
   unsigned zones_out = 0;
 
-  store_foreach (node->store, REC_ZONE, count_out, &zones_out);
+  store_foreach (node->store, REC_ZONE, count_zone_out, &zones_out);
   prom_append_sample (out, "cfd_config_revision", "gauge", NULL,
                       (double)store_get_revision (node->store));
   prom_append_sample (out, "cfd_config_age_ms", "gauge", NULL,
@@ -92,11 +92,11 @@
   prom_append_sample (out, "cfd_platform_calls_total", "counter", NULL,
                       (double)plat_count_calls (node->plat));
   prom_append_sample (out, "cfd_zones_out", "gauge", NULL, zones_out);
-  put_links (node->hub, now - started, out);
+  append_link_metrics (node->hub, now - started, out);
 }
 
 void
-admin_node_add_status (const admin_node_t *node, const char *not_ready,
+admin_node_add_status (const admin_node_t *node, const char *not_ready_reason,
                        JsonBuilder *out)
 {
   admin_add_text (out, "instance", node->instance);
@@ -109,6 +109,6 @@
   json_builder_set_member_name (out, "platform_up");
   json_builder_add_boolean_value (out, store_is_platform_up (node->store));
   json_builder_set_member_name (out, "ready");
-  json_builder_add_boolean_value (out, not_ready == NULL);
-  admin_add_text (out, "why_not", not_ready);
+  json_builder_add_boolean_value (out, not_ready_reason == NULL);
+  admin_add_text (out, "why_not", not_ready_reason);
 }
--- a/libcoltsfootdrum/admin/admin.c
+++ b/libcoltsfootdrum/admin/admin.c
@@ -5,16 +5,16 @@
 
 #include <string.h>
 
-#define ADMIN_BODY_MAX 4096
-#define ADMIN_CONNECTIONS 64
-#define ADMIN_IDLE_S 30
+#define ADMIN_MAX_BODY_BYTES 4096
+#define ADMIN_MAX_CONNECTIONS 64
+#define ADMIN_IDLE_TIMEOUT_S 30
 
 struct admin
 {
   web_server_t *server;
   admin_node_t node;
   cfd_time_t started;
-  admin_callbacks_t source;
+  admin_callbacks_t callbacks;
   void *user;
 };
 
@@ -26,9 +26,9 @@
 }
 
 static void
-respond_ready (const admin_t *admin, web_request_t *request)
+respond_readyz (const admin_t *admin, web_request_t *request)
 {
-  const char *why = admin->source.not_ready (admin->user);
+  const char *why = admin->callbacks.get_not_ready_reason (admin->user);
 
   if (why == NULL)
     respond_text (request, 200, "text/plain", "ready\n");
@@ -43,8 +43,9 @@
 
   admin_node_append_metrics (&admin->node, admin->started, out);
   prom_append_sample (out, "cfd_ready", "gauge", NULL,
-                      admin->source.not_ready (admin->user) == NULL);
-  admin->source.metrics (admin->user, out);
+                      admin->callbacks.get_not_ready_reason (admin->user)
+                          == NULL);
+  admin->callbacks.append_metrics (admin->user, out);
   prom_append_sample (out, "cfd_invariant_failures_total", "counter", NULL,
                       invariant_count_failures ());
   web_respond (request, 200, "text/plain; version=0.0.4", NULL, out->str,
@@ -59,9 +60,10 @@
   g_autofree char *text = NULL;
 
   json_builder_begin_object (builder);
-  admin_node_add_status (&admin->node, admin->source.not_ready (admin->user),
+  admin_node_add_status (&admin->node,
+                         admin->callbacks.get_not_ready_reason (admin->user),
                          builder);
-  admin->source.status (admin->user, builder);
+  admin->callbacks.add_status (admin->user, builder);
   json_builder_end_object (builder);
   root = json_builder_get_root (builder);
   text = json_to_string (root, FALSE);
@@ -102,7 +104,7 @@
   else if (g_str_equal (path, "/healthz"))
     respond_text (request, 200, "text/plain", "ok\n");
   else if (g_str_equal (path, "/readyz"))
-    respond_ready (admin, request);
+    respond_readyz (admin, request);
   else if (g_str_equal (path, "/metrics"))
     respond_metrics (admin, request);
   else if (g_str_equal (path, "/status"))
@@ -118,15 +120,15 @@
 
 admin_t *
 admin_new (struct ev_loop *loop, const char *address, const admin_node_t *node,
-           const admin_callbacks_t *source, void *user, GError **error)
+           const admin_callbacks_t *callbacks, void *user, GError **error)
 {
   static const web_limits_t limits
-      = { ADMIN_BODY_MAX, ADMIN_CONNECTIONS, ADMIN_IDLE_S };
+      = { ADMIN_MAX_BODY_BYTES, ADMIN_MAX_CONNECTIONS, ADMIN_IDLE_TIMEOUT_S };
   g_autoptr (admin_t) admin = g_new0 (admin_t, 1);
 
   admin->node = *node;
   admin->started = clock_now ();
-  admin->source = *source;
+  admin->callbacks = *callbacks;
   admin->user = user;
   admin->server
       = web_server_new (loop, address, &limits, on_request, admin, error);
--- a/libcoltsfootdrum/admin/admin.h
+++ b/libcoltsfootdrum/admin/admin.h
@@ -34,16 +34,17 @@
 typedef struct
 {
   /* NULL when ready, else why not.  */
-  const char *(*not_ready) (void *user);
-  void (*metrics) (void *user, GString *out);
+  const char *(*get_not_ready_reason) (void *user);
+  void (*append_metrics) (void *user, GString *out);
   /* Adds members to those that all daemons have: instance, role, zone,
      revision, config_age_ms, platform_up, ready, why_not.  */
-  void (*status) (void *user, JsonBuilder *out);
+  void (*add_status) (void *user, JsonBuilder *out);
 } admin_callbacks_t;
 
 admin_t *admin_new (struct ev_loop *loop, const char *address,
-                    const admin_node_t *node, const admin_callbacks_t *source,
-                    void *user, GError **error);
+                    const admin_node_t *node,
+                    const admin_callbacks_t *callbacks, void *user,
+                    GError **error);
 void admin_free (admin_t *admin);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (admin_t, admin_free)
 
@@ -54,7 +55,7 @@
 /* ---- admin-node.c ---- */
 void admin_node_append_metrics (const admin_node_t *node, cfd_time_t started,
                                 GString *out);
-void admin_node_add_status (const admin_node_t *node, const char *not_ready,
-                            JsonBuilder *out);
+void admin_node_add_status (const admin_node_t *node,
+                            const char *not_ready_reason, JsonBuilder *out);
 
 #endif
--- a/libcoltsfootdrum/admin/test-prom.c
+++ b/libcoltsfootdrum/admin/test-prom.c
@@ -11,8 +11,8 @@
 typedef struct
 {
   int64_t ms;
-  const char *first;  /* the first bucket that counts it */
-  const char *before; /* the last that does not; NULL: none */
+  const char *first_counting;    /* the first bucket that counts it */
+  const char *last_not_counting; /* the last that does not; NULL: none */
 } case_t;
 
 static const case_t cases[] = {
@@ -45,9 +45,9 @@
 
       prom_hist_observe (&hist, cases[i].ms);
       prom_hist_append (&hist, out, "cfd_x_ms", LABELS);
-      g_assert_true (has_bucket (out, cases[i].first, 1));
-      g_assert_true (cases[i].before == NULL
-                     || has_bucket (out, cases[i].before, 0));
+      g_assert_true (has_bucket (out, cases[i].first_counting, 1));
+      g_assert_true (cases[i].last_not_counting == NULL
+                     || has_bucket (out, cases[i].last_not_counting, 0));
       g_assert_true (has_bucket (out, "+Inf", 1));
     }
 }
