--- a/libcoltsfootdrum/admin/admin-node.c
+++ b/libcoltsfootdrum/admin/admin-node.c
@@ -1,4 +1,4 @@
-/* What every daemon shows, by the same names.  */
+/* Metrics and status members that routers and agents have in common.  */
 
 #include "admin/admin.h"
 #include "admin/prom.h"
@@ -10,7 +10,7 @@
   TRAFFIC_FRAMES
 } traffic_type_t;
 
-/* One sample of the metric NAME for each kind of frame that SORT has.  */
+/* Appends a sample of metric NAME for each kind of frame that TYPE covers.  */
 static void
 append_traffic (GString *out, const char *name, traffic_type_t type,
                 const char *direction, const peer_traffic_t *traffic)
--- a/libcoltsfootdrum/admin/admin.h
+++ b/libcoltsfootdrum/admin/admin.h
@@ -1,9 +1,9 @@
-/* The admin port of a daemon: /healthz, /readyz, /metrics (Prometheus text),
-   /status (one JSON object) and /events (the time line), with the filters
-   since=SEQUENCE, account=NAME and request=ID.  It
-   has its own address, apart from callers, and changes nothing.
+/* Admin port: a read-only HTTP server of a daemon on its own address, separate
+   from that of callers.  It serves /healthz, /readyz, /metrics (Prometheus
+   text), /status (a JSON object) and /events (the timeline, with the filters
+   since=SEQUENCE, account=NAME and request=ID).
 
-   What routers and agents have in common is shown by the same names at both;
+   Routers and agents use the same names for what they have in common.
    docs/METRICS.md lists all metrics.  */
 
 #ifndef ADMIN_ADMIN_H
@@ -18,7 +18,7 @@
 
 typedef struct admin admin_t;
 
-/* What each daemon has; all is borrowed.  */
+/* The objects that every daemon has; the pointers are borrowed.  */
 typedef struct
 {
   const char *instance;
@@ -30,14 +30,14 @@
   const peer_hub_t *hub;
 } admin_node_t;
 
-/* What is the daemon's own.  */
+/* Callbacks for the daemon's own state.  */
 typedef struct
 {
-  /* NULL when ready, else why not.  */
+  /* Returns NULL when the daemon is ready.  */
   const char *(*get_not_ready_reason) (void *user);
   void (*append_metrics) (void *user, GString *out);
-  /* Adds members to those that all daemons have: instance, role, zone,
-     revision, config_age_ms, platform_up, ready, why_not.  */
+  /* Adds members to those of all daemons, which are instance, role, zone,
+     revision, config_age_ms, platform_up, ready and why_not.  */
   void (*add_status) (void *user, JsonBuilder *out);
 } admin_callbacks_t;
 
@@ -48,7 +48,7 @@
 void admin_free (admin_t *admin);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (admin_t, admin_free)
 
-/* Members of the status object.  */
+/* Add a member to the status object.  */
 void admin_add_text (JsonBuilder *out, const char *name, const char *value);
 void admin_add_number (JsonBuilder *out, const char *name, int64_t value);
 
--- a/libcoltsfootdrum/admin/prom.c
+++ b/libcoltsfootdrum/admin/prom.c
@@ -1,5 +1,3 @@
-/* Prometheus' text format.  */
-
 #include "admin/prom.h"
 
 #include <string.h>
--- a/libcoltsfootdrum/admin/prom.h
+++ b/libcoltsfootdrum/admin/prom.h
@@ -1,5 +1,5 @@
-/* Prometheus' text format: samples, and latency histograms with fixed bounds.
- */
+/* Prometheus text format: counters, gauges and latency histograms with fixed
+   buckets.  */
 
 #ifndef ADMIN_PROM_H
 #define ADMIN_PROM_H
@@ -7,25 +7,27 @@
 #include <glib.h>
 #include <stdint.h>
 
-/* Appends one sample, before the first of its name the type line; TYPE is
-   "counter" or "gauge", LABELS is NULL or "name=\"value\",...".  */
+/* Appends a sample, preceded by the type line if it is the first of NAME.
+   TYPE is "counter" or "gauge", LABELS is NULL or "name=\"value\",...".  */
 void prom_append_sample (GString *out, const char *name, const char *type,
                          const char *labels, double value);
 
-/* Upper bounds are 1, 2, 5, 10, ... up to 10,000 ms, then infinity: a third of
-   a decade apart, from a loopback's round trip to callers' deadlines.  */
+/* The upper bounds of the buckets are 1, 2, 5, 10, ..., 10,000 ms and
+   infinity.  They are a third of a decade apart and range from a round trip on
+   the loopback interface to the deadlines of callers.  */
 #define PROM_BUCKETS 14
 
 typedef struct
 {
-  uint64_t counts[PROM_BUCKETS]; /* of one bucket alone */
+  uint64_t counts[PROM_BUCKETS]; /* per bucket, not cumulative */
   double sum_ms;
 } prom_hist_t;
 
+/* Counts a duration of MS milliseconds.  */
 void prom_hist_observe (prom_hist_t *hist, int64_t ms);
 
-/* Appends HIST; LABELS is "name=\"value\",...", and
-   the type line comes before the first of its name.  */
+/* Appends HIST, preceded by the type line if it is the first of NAME.  LABELS
+   is "name=\"value\",...".  */
 void prom_hist_append (const prom_hist_t *hist, GString *out, const char *name,
                        const char *labels);
 
--- a/libcoltsfootdrum/admin/test-prom.c
+++ b/libcoltsfootdrum/admin/test-prom.c
@@ -1,5 +1,5 @@
-/* Prometheus' text format: each span falls into one bucket, and the text adds
-   them up as its readers expect.  */
+/* Tests of the Prometheus text format: each duration is counted in one bucket,
+   and the buckets of the text are cumulative, as the format requires.  */
 
 #include "admin/prom.h"
 
@@ -11,8 +11,8 @@
 typedef struct
 {
   int64_t ms;
-  const char *first_counting;    /* the first bucket that counts it */
-  const char *last_not_counting; /* the last that does not; NULL: none */
+  const char *first_counting;    /* first bucket that includes MS */
+  const char *last_not_counting; /* last bucket that doesn't; NULL: none */
 } case_t;
 
 static const case_t cases[] = {
@@ -22,7 +22,7 @@
   { 3, "5", "2" },
   { 10000, "10000", "5000" },
   { 10001, "+Inf", "10000" },
-  /* A clock that stood still, or a process that did.  */
+  /* A negative duration, across a stop of the clock or of the process.  */
   { -5, "1", NULL },
 };
 
