--- a/libcoltsfootdrum/ctl/ctl-call.c
+++ b/libcoltsfootdrum/ctl/ctl-call.c
@@ -22,7 +22,7 @@
 }
 
 static plat_status_t
-wait_for (call_t *call, JsonObject **answer)
+run_until_done (call_t *call, JsonObject **answer)
 {
   ev_run (call->ctl->loop, 0);
   if (answer != NULL)
@@ -38,7 +38,7 @@
   call_t call = { .ctl = ctl };
 
   plat_get (ctl->plat, kind, name, on_done, &call);
-  return wait_for (&call, answer);
+  return run_until_done (&call, answer);
 }
 
 plat_status_t
@@ -47,7 +47,7 @@
   call_t call = { .ctl = ctl };
 
   plat_list (ctl->plat, 0, on_done, &call);
-  return wait_for (&call, answer);
+  return run_until_done (&call, answer);
 }
 
 plat_status_t
@@ -57,7 +57,7 @@
   call_t call = { .ctl = ctl };
 
   plat_put (ctl->plat, kind, name, version, spec, on_done, &call);
-  return wait_for (&call, answer);
+  return run_until_done (&call, answer);
 }
 
 plat_status_t
@@ -67,7 +67,7 @@
   call_t call = { .ctl = ctl };
 
   plat_delete (ctl->plat, kind, name, version, on_done, &call);
-  return wait_for (&call, NULL);
+  return run_until_done (&call, NULL);
 }
 
 plat_status_t
@@ -76,7 +76,7 @@
   call_t call = { .ctl = ctl };
 
   plat_list_instances (ctl->plat, on_done, &call);
-  return wait_for (&call, answer);
+  return run_until_done (&call, answer);
 }
 
 static void
@@ -96,7 +96,7 @@
 typedef struct
 {
   ctl_t *ctl;
-  unsigned open; /* pages not yet answered */
+  unsigned pending; /* pages not yet answered */
 } pages_t;
 
 typedef struct
@@ -113,8 +113,8 @@
 
   if (result == FETCH_COMPLETE && status == 200)
     page->instance->page = json_from_string (body, NULL);
-  page->pages->open--;
-  if (page->pages->open == 0)
+  page->pages->pending--;
+  if (page->pages->pending == 0)
     ev_break (page->pages->ctl->loop, EVBREAK_ONE);
 }
 
@@ -134,12 +134,12 @@
 
   page->pages = pages;
   page->instance = instance;
-  pages->open++;
+  pages->pending++;
   (void)fetch_start (pages->ctl->pool, &request);
 }
 
 static char *
-member (JsonObject *object, const char *name, const char *absent)
+get_string_member (JsonObject *object, const char *name, const char *absent)
 {
   return g_strdup (
       json_object_get_string_member_with_default (object, name, absent));
@@ -150,11 +150,11 @@
 {
   ctl_instance_t *instance = g_new0 (ctl_instance_t, 1);
 
-  instance->name = member (object, "name", "?");
-  instance->role = member (object, "role", "?");
-  instance->zone = member (object, "zone", "?");
-  instance->state = member (object, "state", "?");
-  instance->admin = member (object, "admin", NULL);
+  instance->name = get_string_member (object, "name", "?");
+  instance->role = get_string_member (object, "role", "?");
+  instance->zone = get_string_member (object, "zone", "?");
+  instance->state = get_string_member (object, "state", "?");
+  instance->admin = get_string_member (object, "admin", NULL);
   return instance;
 }
 
@@ -180,7 +180,7 @@
       if (instance->admin != NULL)
         fetch_page (&pages, instance, path);
     }
-  if (pages.open > 0)
+  if (pages.pending > 0)
     ev_run (ctl->loop, 0);
   return g_steal_pointer (&instances);
 }
--- a/libcoltsfootdrum/ctl/ctl-logs.c
+++ b/libcoltsfootdrum/ctl/ctl-logs.c
@@ -1,4 +1,4 @@
-/* Log lines of several processes as one story: JSON objects, one a line, as
+/* Log lines of several processes as one report: JSON objects, one a line, as
    the daemons write them; what stands before the first brace is passed over,
    for collectors put their own time or source there.
 
@@ -19,14 +19,14 @@
 typedef struct
 {
   gint64 wall_ms;
-  guint number; /* of the line, over all files */
+  guint sequence; /* of the line, over all files */
   JsonObject *members;
 } line_t;
 
 struct ctl_logs
 {
-  GPtrArray *lines; /* line_t */
-  guint unread;     /* lines that are no log lines */
+  GPtrArray *lines;     /* line_t */
+  guint unparsed_count; /* lines that are no log lines */
 };
 
 static void
@@ -57,7 +57,7 @@
 }
 
 static const char *
-text_of (const line_t *line, const char *name)
+get_string_member (const line_t *line, const char *name)
 {
   JsonNode *node = json_object_get_member (line->members, name);
 
@@ -68,7 +68,7 @@
 }
 
 static void
-read_line (ctl_logs_t *logs, const char *text)
+parse_line (ctl_logs_t *logs, const char *text)
 {
   const char *brace = strchr (text, '{');
   g_autoptr (JsonNode) root
@@ -79,14 +79,14 @@
   if (root == NULL || !JSON_NODE_HOLDS_OBJECT (root)
       || !json_object_has_member (json_node_get_object (root), "message"))
     {
-      logs->unread += *text != '\0';
+      logs->unparsed_count += *text != '\0';
       return;
     }
   members = json_node_get_object (root);
   line = g_new0 (line_t, 1);
   line->wall_ms
       = json_object_get_int_member_with_default (members, "wall_ms", 0);
-  line->number = logs->lines->len;
+  line->sequence = logs->lines->len;
   line->members = json_object_ref (members);
   g_ptr_array_add (logs->lines, line);
 }
@@ -97,21 +97,22 @@
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
 
   for (char **line = lines; *line != NULL; line++)
-    read_line (logs, *line);
+    parse_line (logs, *line);
 }
 
 static bool
-is_wanted (const line_t *line, const char *name, const char *value)
+matches_member (const line_t *line, const char *name, const char *value)
 {
-  return value == NULL || g_strcmp0 (text_of (line, name), value) == 0;
+  return value == NULL
+         || g_strcmp0 (get_string_member (line, name), value) == 0;
 }
 
 static bool
-matches (const line_t *line, const ctl_logs_filter_t *filter)
+matches_filter (const line_t *line, const ctl_logs_filter_t *filter)
 {
-  return is_wanted (line, "request", filter->request)
-         && is_wanted (line, "account", filter->account)
-         && is_wanted (line, "endpoint", filter->endpoint);
+  return matches_member (line, "request", filter->request)
+         && matches_member (line, "account", filter->account)
+         && matches_member (line, "endpoint", filter->endpoint);
 }
 
 /* What the lines of one request tell of where and when to look further.  */
@@ -121,47 +122,48 @@
   GHashTable *instances;
   gint64 first_ms;
   gint64 last_ms;
-} reach_t;
+} request_scope_t;
 
-static reach_t
-reach_of (const GPtrArray *found)
+static request_scope_t
+get_request_scope (const GPtrArray *selected)
 {
-  reach_t reach = { .endpoints = g_hash_table_new (g_str_hash, g_str_equal),
-                    .instances = g_hash_table_new (g_str_hash, g_str_equal),
-                    .first_ms = G_MAXINT64 };
+  request_scope_t scope
+      = { .endpoints = g_hash_table_new (g_str_hash, g_str_equal),
+          .instances = g_hash_table_new (g_str_hash, g_str_equal),
+          .first_ms = G_MAXINT64 };
 
-  for (guint i = 0; i < found->len; i++)
+  for (guint i = 0; i < selected->len; i++)
     {
-      const line_t *line = g_ptr_array_index (found, i);
-      const char *endpoint = text_of (line, "endpoint");
-      const char *instance = text_of (line, "instance");
+      const line_t *line = g_ptr_array_index (selected, i);
+      const char *endpoint = get_string_member (line, "endpoint");
+      const char *instance = get_string_member (line, "instance");
 
       if (endpoint != NULL && *endpoint != '\0')
-        g_hash_table_add (reach.endpoints, (void *)endpoint);
+        g_hash_table_add (scope.endpoints, (void *)endpoint);
       if (instance != NULL)
-        g_hash_table_add (reach.instances, (void *)instance);
-      reach.first_ms = MIN (reach.first_ms, line->wall_ms);
-      reach.last_ms = MAX (reach.last_ms, line->wall_ms);
+        g_hash_table_add (scope.instances, (void *)instance);
+      scope.first_ms = MIN (scope.first_ms, line->wall_ms);
+      scope.last_ms = MAX (scope.last_ms, line->wall_ms);
     }
-  return reach;
+  return scope;
 }
 
 /* A line of no request that may tell why: of an endpoint that the request went
    to, from any instance, or of what its own instance believes.  */
 static bool
-may_tell_why (const line_t *line, const reach_t *reach)
+is_possible_cause (const line_t *line, const request_scope_t *scope)
 {
-  const char *endpoint = text_of (line, "endpoint");
-  const char *instance = text_of (line, "instance");
+  const char *endpoint = get_string_member (line, "endpoint");
+  const char *instance = get_string_member (line, "instance");
 
-  if (text_of (line, "request") != NULL
-      || line->wall_ms < reach->first_ms - BEFORE_MS
-      || line->wall_ms > reach->last_ms + AFTER_MS)
+  if (get_string_member (line, "request") != NULL
+      || line->wall_ms < scope->first_ms - BEFORE_MS
+      || line->wall_ms > scope->last_ms + AFTER_MS)
     return false;
   if (endpoint != NULL)
-    return g_hash_table_contains (reach->endpoints, endpoint);
-  return instance != NULL && text_of (line, "account") == NULL
-         && g_hash_table_contains (reach->instances, instance);
+    return g_hash_table_contains (scope->endpoints, endpoint);
+  return instance != NULL && get_string_member (line, "account") == NULL
+         && g_hash_table_contains (scope->instances, instance);
 }
 
 static int
@@ -172,33 +174,33 @@
 
   if (x->wall_ms != y->wall_ms)
     return x->wall_ms < y->wall_ms ? -1 : 1;
-  return (x->number > y->number) - (x->number < y->number);
+  return (x->sequence > y->sequence) - (x->sequence < y->sequence);
 }
 
 static GPtrArray *
 select_lines (const ctl_logs_t *logs, const ctl_logs_filter_t *filter)
 {
-  GPtrArray *found = g_ptr_array_new ();
-  reach_t reach;
+  GPtrArray *selected = g_ptr_array_new ();
+  request_scope_t scope;
 
   for (guint i = 0; i < logs->lines->len; i++)
-    if (matches (g_ptr_array_index (logs->lines, i), filter))
-      g_ptr_array_add (found, g_ptr_array_index (logs->lines, i));
-  if (filter->request != NULL && found->len > 0)
+    if (matches_filter (g_ptr_array_index (logs->lines, i), filter))
+      g_ptr_array_add (selected, g_ptr_array_index (logs->lines, i));
+  if (filter->request != NULL && selected->len > 0)
     {
-      reach = reach_of (found);
+      scope = get_request_scope (selected);
       for (guint i = 0; i < logs->lines->len; i++)
-        if (may_tell_why (g_ptr_array_index (logs->lines, i), &reach))
-          g_ptr_array_add (found, g_ptr_array_index (logs->lines, i));
-      g_hash_table_unref (reach.endpoints);
-      g_hash_table_unref (reach.instances);
+        if (is_possible_cause (g_ptr_array_index (logs->lines, i), &scope))
+          g_ptr_array_add (selected, g_ptr_array_index (logs->lines, i));
+      g_hash_table_unref (scope.endpoints);
+      g_hash_table_unref (scope.instances);
     }
-  g_ptr_array_sort (found, compare);
-  return found;
+  g_ptr_array_sort (selected, compare);
+  return selected;
 }
 
 static void
-put_line (const line_t *line, bool json, GString *out)
+append_line (const line_t *line, bool json, GString *out)
 {
   g_autoptr (GDateTime) second
       = g_date_time_new_from_unix_utc (line->wall_ms / 1000);
@@ -214,21 +216,21 @@
       return;
     }
   time = second != NULL ? g_date_time_format (second, "%T") : g_strdup ("?");
-  g_string_append_printf (out, "%s.%03d %s %s: %s\n", time,
-                          (int)(line->wall_ms % 1000),
-                          text_of (line, "instance"), text_of (line, "part"),
-                          text_of (line, "message"));
+  g_string_append_printf (
+      out, "%s.%03d %s %s: %s\n", time, (int)(line->wall_ms % 1000),
+      get_string_member (line, "instance"), get_string_member (line, "part"),
+      get_string_member (line, "message"));
 }
 
 char *
 ctl_logs_format (const ctl_logs_t *logs, const ctl_logs_filter_t *filter,
                  bool json)
 {
-  g_autoptr (GPtrArray) found = select_lines (logs, filter);
+  g_autoptr (GPtrArray) selected = select_lines (logs, filter);
   g_autoptr (GString) out = g_string_new (NULL);
 
-  for (guint i = 0; i < found->len; i++)
-    put_line (g_ptr_array_index (found, i), json, out);
+  for (guint i = 0; i < selected->len; i++)
+    append_line (g_ptr_array_index (selected, i), json, out);
   return g_string_free (g_steal_pointer (&out), FALSE);
 }
 
@@ -256,7 +258,7 @@
                                      .endpoint = ctl->endpoint };
   ctl_exit_t status = CTL_USAGE;
   ctl_logs_t *logs;
-  char *story = NULL;
+  char *report = NULL;
 
   if (count < 1)
     return ctl_report_usage ("logs: name one or more files of log lines");
@@ -264,14 +266,14 @@
   for (int i = 0; i < count; i++)
     if (!read_file (logs, args[i]))
       goto out;
-  story = ctl_logs_format (logs, &filter, ctl->json);
-  fputs (story, stdout);
-  if (logs->unread > 0)
+  report = ctl_logs_format (logs, &filter, ctl->json);
+  fputs (report, stdout);
+  if (logs->unparsed_count > 0)
     fprintf (stderr, "cfdctl: logs: %u lines are no log lines\n",
-             logs->unread);
-  status = *story != '\0' ? CTL_OK : CTL_NOT_FOUND;
+             logs->unparsed_count);
+  status = *report != '\0' ? CTL_OK : CTL_NOT_FOUND;
 out:
-  g_free (story);
+  g_free (report);
   ctl_logs_free (logs);
   return status;
 }
--- a/libcoltsfootdrum/ctl/ctl-record.c
+++ b/libcoltsfootdrum/ctl/ctl-record.c
@@ -7,8 +7,8 @@
 
 /* A set without --if-version changes single members, so that it can be tried
    again on the newer record when another operator was first.  */
-#define SET_TRIES 5
-#define KEY_MAX 1024
+#define MAX_SET_ATTEMPTS 5
+#define MAX_KEY_BYTES 1024
 
 static const char *const kinds[]
     = { "client-account", "service", "availability-zone", "endpoint", NULL };
@@ -17,13 +17,13 @@
 check_kind (const char *kind)
 {
   rec_kind_t parsed;
-  const char *near;
+  const char *nearest;
 
   if (rec_kind_parse (kind, &parsed))
     return true;
-  near = ctl_find_nearest (kind, kinds);
-  if (near != NULL)
-    (void)ctl_report_usage ("no kind \"%s\"; did you mean %s?", kind, near);
+  nearest = ctl_find_nearest (kind, kinds);
+  if (nearest != NULL)
+    (void)ctl_report_usage ("no kind \"%s\"; did you mean %s?", kind, nearest);
   else
     (void)ctl_report_usage (
         "no kind \"%s\"; there are client-account, service, "
@@ -44,7 +44,7 @@
 }
 
 static char *
-spec_text (JsonObject *object)
+format_spec (JsonObject *object)
 {
   JsonNode *spec = json_object_get_member (object, "spec");
 
@@ -52,7 +52,7 @@
 }
 
 static const char *
-text_member (JsonObject *object, const char *name)
+get_string_member (JsonObject *object, const char *name)
 {
   return json_object_get_string_member_with_default (object, name, "?");
 }
@@ -67,15 +67,16 @@
       print_json (object);
       return;
     }
-  spec = spec_text (object);
-  printf ("%-18s %-24s version %-10s %s\n", text_member (object, "kind"),
-          text_member (object, "name"), text_member (object, "version"), spec);
+  spec = format_spec (object);
+  printf ("%-18s %-24s version %-10s %s\n", get_string_member (object, "kind"),
+          get_string_member (object, "name"),
+          get_string_member (object, "version"), spec);
 }
 
 /* The record in ANSWER, or why there is none.  */
 static ctl_exit_t
-show (const ctl_t *ctl, plat_status_t status, const char *name,
-      JsonObject *answer)
+print_result (const ctl_t *ctl, plat_status_t status, const char *name,
+              JsonObject *answer)
 {
   if (status != PLAT_OK)
     return ctl_report_failure (status, name);
@@ -89,7 +90,7 @@
   g_autoptr (GString) text = NULL;
   char *contents = NULL;
   char block[4096];
-  size_t got;
+  size_t received;
 
   if (!g_str_equal (file, "-"))
     {
@@ -97,8 +98,8 @@
       return contents;
     }
   text = g_string_new (NULL);
-  while ((got = fread (block, 1, sizeof block, stdin)) > 0)
-    g_string_append_len (text, block, (gssize)got);
+  while ((received = fread (block, 1, sizeof block, stdin)) > 0)
+    g_string_append_len (text, block, (gssize)received);
   return g_string_free (g_steal_pointer (&text), FALSE);
 }
 
@@ -134,7 +135,7 @@
 /* The spec of a new record: the file's, with the words' members over it.
    Without "schema" the newest is meant.  */
 static JsonObject *
-new_spec (const ctl_t *ctl, int count, char **words, GError **error)
+build_spec (const ctl_t *ctl, int count, char **words, GError **error)
 {
   g_autoptr (JsonObject) spec = NULL;
 
@@ -158,13 +159,13 @@
     return ctl_report_usage ("create takes KIND NAME [MEMBER=VALUE...]");
   if (!check_kind (args[0]))
     return CTL_USAGE;
-  spec = new_spec (ctl, count - 2, args + 2, &error);
+  spec = build_spec (ctl, count - 2, args + 2, &error);
   if (spec != NULL)
     (void)ctl_spec_check (args[0], args[1], spec, &error);
   if (error != NULL)
     return ctl_report_usage ("%s", error->message);
   status = ctl_put (ctl, args[0], args[1], NULL, spec, &answer);
-  return show (ctl, status, args[1], answer);
+  return print_result (ctl, status, args[1], answer);
 }
 
 ctl_exit_t
@@ -178,7 +179,7 @@
   if (!check_kind (args[0]))
     return CTL_USAGE;
   status = ctl_get (ctl, args[0], args[1], &answer);
-  return show (ctl, status, args[1], answer);
+  return print_result (ctl, status, args[1], answer);
 }
 
 ctl_exit_t
@@ -200,7 +201,8 @@
     {
       JsonObject *object = json_array_get_object_element (objects, i);
 
-      if (count == 0 || g_str_equal (text_member (object, "kind"), args[0]))
+      if (count == 0
+          || g_str_equal (get_string_member (object, "kind"), args[0]))
         print_record (ctl, object);
     }
   return CTL_OK;
@@ -209,8 +211,8 @@
 /* Reads the record, changes members and writes it back under the version read;
    members this program doesn't know stay as they are.  */
 static plat_status_t
-set_once (ctl_t *ctl, int count, char **args, JsonObject **answer,
-          GError **error)
+try_set (ctl_t *ctl, int count, char **args, JsonObject **answer,
+         GError **error)
 {
   g_autoptr (JsonObject) object = NULL;
   const char *version;
@@ -219,7 +221,7 @@
 
   if (status != PLAT_OK)
     return status;
-  version = text_member (object, "version");
+  version = get_string_member (object, "version");
   if (ctl->if_version != NULL && !g_str_equal (ctl->if_version, version))
     return PLAT_CONFLICT;
   spec = json_object_get_object_member (object, "spec");
@@ -235,17 +237,17 @@
   g_autoptr (GError) error = NULL;
   g_autoptr (JsonObject) answer = NULL;
   plat_status_t status = PLAT_CONFLICT;
-  int tries = ctl->if_version != NULL ? 1 : SET_TRIES;
+  int max_attempts = ctl->if_version != NULL ? 1 : MAX_SET_ATTEMPTS;
 
   if (count < 3)
     return ctl_report_usage ("set takes KIND NAME MEMBER=VALUE...");
   if (!check_kind (args[0]))
     return CTL_USAGE;
-  for (int i = 0; i < tries && status == PLAT_CONFLICT; i++)
-    status = set_once (ctl, count, args, &answer, &error);
+  for (int i = 0; i < max_attempts && status == PLAT_CONFLICT; i++)
+    status = try_set (ctl, count, args, &answer, &error);
   if (error != NULL)
     return ctl_report_usage ("%s", error->message);
-  return show (ctl, status, args[1], answer);
+  return print_result (ctl, status, args[1], answer);
 }
 
 ctl_exit_t
@@ -264,7 +266,7 @@
       status = ctl_get (ctl, args[0], args[1], &object);
       if (status != PLAT_OK)
         return ctl_report_failure (status, args[1]);
-      version = text_member (object, "version");
+      version = get_string_member (object, "version");
     }
   return ctl_report_failure (ctl_delete (ctl, args[0], args[1], version),
                              args[1]);
@@ -275,7 +277,7 @@
 ctl_exit_t
 ctl_cmd_key_hash (ctl_t *ctl, int count, char **args)
 {
-  char key[KEY_MAX];
+  char key[MAX_KEY_BYTES];
   g_autofree char *hash = NULL;
 
   if (count != 0)
--- a/libcoltsfootdrum/ctl/ctl-spec.c
+++ b/libcoltsfootdrum/ctl/ctl-spec.c
@@ -3,11 +3,11 @@
 #include <string.h>
 
 /* Words of which more letters are wrong are no misspelling.  */
-#define NEAREST_MAX 3
-#define NEAREST_LONGEST 63
+#define MAX_EDIT_DISTANCE 3
+#define MAX_WORD_LENGTH 63
 
 static JsonObject *
-descend (JsonObject *spec, const char *member, GError **error)
+get_nested_object (JsonObject *spec, const char *member, GError **error)
 {
   JsonNode *node = json_object_get_member (spec, member);
 
@@ -56,7 +56,7 @@
   last = g_strv_length (members) - 1;
   for (unsigned i = 0; i < last; i++)
     {
-      spec = descend (spec, members[i], error);
+      spec = get_nested_object (spec, members[i], error);
       if (spec == NULL)
         return false;
     }
@@ -81,21 +81,21 @@
 }
 
 static unsigned
-least (unsigned a, unsigned b, unsigned c)
+min3 (unsigned a, unsigned b, unsigned c)
 {
   return MIN (MIN (a, b), c);
 }
 
-/* Levenshtein's distance, one row at a time; words longer than the row are no
-   words of ours.  */
+/* Levenshtein's compute_edit_distance, one row at a time; words longer than
+   the row are no words of ours.  */
 static unsigned
-distance (const char *a, const char *b)
+compute_edit_distance (const char *a, const char *b)
 {
-  unsigned row[NEAREST_LONGEST + 1];
+  unsigned row[MAX_WORD_LENGTH + 1];
   size_t columns = strlen (b) + 1;
 
   if (columns > G_N_ELEMENTS (row))
-    return NEAREST_MAX + 1;
+    return MAX_EDIT_DISTANCE + 1;
   for (size_t j = 0; j < columns; j++)
     row[j] = (unsigned)j;
   for (size_t i = 1; a[i - 1] != '\0'; i++)
@@ -108,7 +108,7 @@
           unsigned above = row[j];
           unsigned change = a[i - 1] == b[j - 1] ? 0 : 1;
 
-          row[j] = least (above + 1, row[j - 1] + 1, diagonal + change);
+          row[j] = min3 (above + 1, row[j - 1] + 1, diagonal + change);
           diagonal = above;
         }
     }
@@ -119,15 +119,15 @@
 ctl_find_nearest (const char *text, const char *const *words)
 {
   const char *nearest = NULL;
-  unsigned best = NEAREST_MAX + 1;
+  unsigned best_distance = MAX_EDIT_DISTANCE + 1;
 
   for (; *words != NULL; words++)
     {
-      unsigned d = distance (text, *words);
+      unsigned d = compute_edit_distance (text, *words);
 
-      if (d >= best)
+      if (d >= best_distance)
         continue;
-      best = d;
+      best_distance = d;
       nearest = *words;
     }
   return nearest;
--- a/libcoltsfootdrum/ctl/ctl-timeline.c
+++ b/libcoltsfootdrum/ctl/ctl-timeline.c
@@ -8,33 +8,34 @@
 #include <string.h>
 
 static const char *
-text_member (JsonObject *object, const char *name)
+get_string_member (JsonObject *object, const char *name)
 {
   return json_object_get_string_member_with_default (object, name, "");
 }
 
 static bool
-passes (JsonObject *event, const char *member, const char *wanted)
+matches_member (JsonObject *event, const char *member, const char *wanted)
 {
-  return wanted == NULL || g_str_equal (text_member (event, member), wanted);
+  return wanted == NULL
+         || g_str_equal (get_string_member (event, member), wanted);
 }
 
 static bool
-is_wanted (const ctl_t *ctl, JsonObject *event)
+matches_options (const ctl_t *ctl, JsonObject *event)
 {
-  return passes (event, "account", ctl->account)
-         && passes (event, "zone", ctl->zone)
-         && passes (event, "endpoint", ctl->endpoint)
+  return matches_member (event, "account", ctl->account)
+         && matches_member (event, "zone", ctl->zone)
+         && matches_member (event, "endpoint", ctl->endpoint)
          && (ctl->request == NULL
-             || tl_matches_request (text_member (event, "request"),
+             || tl_matches_request (get_string_member (event, "request"),
                                     ctl->request))
-         && passes (event, "kind", ctl->kind);
+         && matches_member (event, "kind", ctl->kind);
 }
 
 /* Stamps are hybrid logical: each event comes after its causes, whatever the
    wall clocks say.  */
 static gint
-by_stamp (gconstpointer a, gconstpointer b)
+compare_stamps (gconstpointer a, gconstpointer b)
 {
   JsonObject *left = *(JsonObject *const *)a;
   JsonObject *right = *(JsonObject *const *)b;
@@ -46,7 +47,7 @@
 
 /* The endpoint that the agent of these events feeds, or NULL.  */
 static const char *
-endpoint_of (JsonArray *list)
+get_agent_endpoint (JsonArray *list)
 {
   const char *endpoint = NULL;
 
@@ -59,7 +60,7 @@
 
 /* Agents to the names of their endpoints.  */
 static GHashTable *
-find_endpoints (const GPtrArray *pages)
+map_agents_to_endpoints (const GPtrArray *pages)
 {
   GHashTable *found = g_hash_table_new (g_str_hash, g_str_equal);
 
@@ -71,7 +72,7 @@
       if (instance->page == NULL || !JSON_NODE_HOLDS_ARRAY (instance->page)
           || !g_str_equal (instance->role, "agent"))
         continue;
-      endpoint = endpoint_of (json_node_get_array (instance->page));
+      endpoint = get_agent_endpoint (json_node_get_array (instance->page));
       if (endpoint != NULL)
         g_hash_table_insert (found, instance->name, (gpointer)endpoint);
     }
@@ -81,18 +82,18 @@
 /* Routers know the agents alone and name them; one endpoint should have one
    name in the whole time line.  */
 static void
-name_endpoint (GHashTable *endpoints, JsonObject *event)
+replace_agent_name (GHashTable *endpoints, JsonObject *event)
 {
   const char *endpoint
-      = g_hash_table_lookup (endpoints, text_member (event, "endpoint"));
+      = g_hash_table_lookup (endpoints, get_string_member (event, "endpoint"));
 
   if (endpoint != NULL)
     json_object_set_string_member (event, "endpoint", endpoint);
 }
 
 static void
-collect (const ctl_t *ctl, const ctl_instance_t *instance,
-         GHashTable *endpoints, GPtrArray *events)
+collect_events (const ctl_t *ctl, const ctl_instance_t *instance,
+                GHashTable *endpoints, GPtrArray *events)
 {
   JsonArray *list;
 
@@ -103,8 +104,8 @@
     {
       JsonObject *event = json_array_get_object_element (list, i);
 
-      name_endpoint (endpoints, event);
-      if (is_wanted (ctl, event))
+      replace_agent_name (endpoints, event);
+      if (matches_options (ctl, event))
         g_ptr_array_add (events, event);
     }
 }
@@ -112,7 +113,7 @@
 static void
 print_field (JsonObject *event, const char *member)
 {
-  const char *text = text_member (event, member);
+  const char *text = get_string_member (event, member);
 
   if (*text != '\0')
     printf (" %s=%s", member, text);
@@ -136,12 +137,13 @@
       return;
     }
   printf ("%s.%03d %-14s %-12s", clock, (int)(wall % 1000),
-          text_member (event, "instance"), text_member (event, "kind"));
+          get_string_member (event, "instance"),
+          get_string_member (event, "kind"));
   print_field (event, "account");
   print_field (event, "zone");
   print_field (event, "endpoint");
   print_field (event, "request");
-  printf (" %s\n", text_member (event, "detail"));
+  printf (" %s\n", get_string_member (event, "detail"));
 }
 
 static void
@@ -157,7 +159,7 @@
 /* In a large fleet a process must not send thousands of events for the few of
    one request; the filters that make them few go with the question.  */
 static char *
-events_path (const ctl_t *ctl)
+format_events_path (const ctl_t *ctl)
 {
   g_autoptr (GString) path = g_string_new ("/events");
 
@@ -170,14 +172,14 @@
 print_timeline (ctl_t *ctl)
 {
   plat_status_t status;
-  g_autofree char *path = events_path (ctl);
+  g_autofree char *path = format_events_path (ctl);
   g_autoptr (GPtrArray) pages = ctl_fetch_pages (ctl, path, &status);
   g_autoptr (GPtrArray) events = g_ptr_array_new ();
   g_autoptr (GHashTable) endpoints = NULL;
 
   if (pages == NULL)
     return ctl_report_failure (status, "timeline");
-  endpoints = find_endpoints (pages);
+  endpoints = map_agents_to_endpoints (pages);
   for (unsigned i = 0; i < pages->len; i++)
     {
       const ctl_instance_t *instance = g_ptr_array_index (pages, i);
@@ -186,9 +188,9 @@
         fprintf (stderr,
                  "cfdctl: %s does not answer; its events are missing\n",
                  instance->name);
-      collect (ctl, instance, endpoints, events);
+      collect_events (ctl, instance, endpoints, events);
     }
-  g_ptr_array_sort (events, by_stamp);
+  g_ptr_array_sort (events, compare_stamps);
   for (unsigned i = 0; i < events->len; i++)
     print_event (ctl, g_ptr_array_index (events, i));
   return events->len > 0 ? CTL_OK : CTL_NOT_FOUND;
@@ -199,7 +201,7 @@
 {
   const char *names[TL_KIND_COUNT + 1] = { NULL };
   g_autofree char *all = NULL;
-  const char *near;
+  const char *nearest;
 
   for (unsigned i = 0; i < TL_KIND_COUNT; i++)
     {
@@ -207,11 +209,11 @@
       if (g_str_equal (names[i], kind))
         return true;
     }
-  near = ctl_find_nearest (kind, names);
+  nearest = ctl_find_nearest (kind, names);
   all = g_strjoinv (", ", (char **)names);
-  if (near != NULL)
+  if (nearest != NULL)
     (void)ctl_report_usage ("no kind of event \"%s\"; did you mean %s?", kind,
-                            near);
+                            nearest);
   else
     (void)ctl_report_usage ("no kind of event \"%s\"; there are %s", kind,
                             all);
--- a/libcoltsfootdrum/ctl/ctl.c
+++ b/libcoltsfootdrum/ctl/ctl.c
@@ -5,13 +5,13 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define TIMEOUT_S 5
-#define DEADLINE_S 12
+#define DEFAULT_TIMEOUT_S 5
+#define DEFAULT_DEADLINE_S 12
 
 typedef struct
 {
   const char *name;
-  const char *words;
+  const char *arguments;
   const char *help;
   ctl_exit_t (*run) (ctl_t *ctl, int count, char **args);
 } command_t;
@@ -44,13 +44,13 @@
 } options_t;
 
 static char *
-command_help (void)
+format_command_help (void)
 {
   g_autoptr (GString) text = g_string_new ("Commands:\n");
 
   for (unsigned i = 0; i < G_N_ELEMENTS (commands); i++)
     g_string_append_printf (text, "  %-9s %-28s %s\n", commands[i].name,
-                            commands[i].words, commands[i].help);
+                            commands[i].arguments, commands[i].help);
   g_string_append (text, "\nExit status: 0 done, 1 usage, 2 not found, "
                          "3 conflict, 4 unavailable or unknown, 5 deadline "
                          "passed.");
@@ -58,7 +58,8 @@
 }
 
 static bool
-parse (ctl_t *ctl, options_t *options, int *argc, char ***argv, GError **error)
+parse_options (ctl_t *ctl, options_t *options, int *argc, char ***argv,
+               GError **error)
 {
   const GOptionEntry entries[]
       = { { "platform", 0, 0, G_OPTION_ARG_STRING, &options->platform,
@@ -88,7 +89,7 @@
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
   g_autoptr (GOptionContext) context
       = g_option_context_new ("COMMAND [WORD...]");
-  g_autofree char *help = command_help ();
+  g_autofree char *help = format_command_help ();
 
   g_option_context_add_main_entries (context, entries, NULL);
   g_option_context_set_description (context, help);
@@ -99,7 +100,7 @@
 find_command (const char *name)
 {
   const char *names[G_N_ELEMENTS (commands) + 1] = { NULL };
-  const char *near;
+  const char *nearest;
 
   for (unsigned i = 0; i < G_N_ELEMENTS (commands); i++)
     {
@@ -107,9 +108,10 @@
         return &commands[i];
       names[i] = commands[i].name;
     }
-  near = ctl_find_nearest (name, names);
-  if (near != NULL)
-    (void)ctl_report_usage ("no command \"%s\"; did you mean %s?", name, near);
+  nearest = ctl_find_nearest (name, names);
+  if (nearest != NULL)
+    (void)ctl_report_usage ("no command \"%s\"; did you mean %s?", name,
+                            nearest);
   else
     (void)ctl_report_usage ("no command \"%s\"; see cfdctl --help", name);
   return NULL;
@@ -138,7 +140,7 @@
 }
 
 static ctl_exit_t
-run (ctl_t *ctl, const options_t *options, int count, char **words)
+run (ctl_t *ctl, const options_t *options, int count, char **arguments)
 {
   const command_t *command;
 
@@ -149,7 +151,7 @@
     }
   if (count < 1)
     return ctl_report_usage ("name a command; see cfdctl --help");
-  command = find_command (words[0]);
+  command = find_command (arguments[0]);
   if (command == NULL)
     return CTL_USAGE;
   if (options->platform == NULL && command->run != ctl_cmd_key_hash
@@ -160,11 +162,11 @@
   ctl->pool = fetch_pool_new (ctl->loop);
   if (options->platform != NULL)
     ctl->plat = plat_new (ctl->pool, options->platform);
-  return command->run (ctl, count - 1, words + 1);
+  return command->run (ctl, count - 1, arguments + 1);
 }
 
 static void
-clear (ctl_t *ctl, options_t *options)
+free_options (ctl_t *ctl, options_t *options)
 {
   plat_free (ctl->plat);
   fetch_pool_free (ctl->pool);
@@ -184,15 +186,16 @@
 int
 cfd_ctl_main (int argc, char **argv)
 {
-  ctl_t ctl = { .timeout_s = TIMEOUT_S, .deadline_s = DEADLINE_S };
+  ctl_t ctl
+      = { .timeout_s = DEFAULT_TIMEOUT_S, .deadline_s = DEFAULT_DEADLINE_S };
   options_t options = { NULL, NULL, FALSE };
   g_autoptr (GError) error = NULL;
   ctl_exit_t status = CTL_USAGE;
 
-  if (!parse (&ctl, &options, &argc, &argv, &error))
+  if (!parse_options (&ctl, &options, &argc, &argv, &error))
     (void)ctl_report_usage ("%s; see cfdctl --help", error->message);
   else if (check_options (&ctl, &options))
     status = run (&ctl, &options, argc - 1, argv + 1);
-  clear (&ctl, &options);
+  free_options (&ctl, &options);
   return status;
 }
--- a/libcoltsfootdrum/ctl/test-ctl.c
+++ b/libcoltsfootdrum/ctl/test-ctl.c
@@ -83,14 +83,14 @@
   static const ctl_logs_filter_t endpoint = { .endpoint = "e2" };
   static const ctl_logs_filter_t none = { .request = "9" };
   g_autoptr (ctl_logs_t) logs = ctl_logs_new ();
-  g_autofree char *story = NULL;
+  g_autofree char *report = NULL;
   g_autofree char *of_endpoint = NULL;
   g_autofree char *nothing = NULL;
 
   ctl_logs_read (logs, FAILED OTHER SENT LONG_AGO "no log line\n{\"a\":");
   ctl_logs_read (logs, LAPSED ELSEWHERE);
-  story = ctl_logs_format (logs, &one, false);
-  g_assert_cmpstr (story, ==,
+  report = ctl_logs_format (logs, &one, false);
+  g_assert_cmpstr (report, ==,
                    "00:00:05.100 r1 relay: sent\n"
                    "00:00:05.900 r2 endpoints: lapsed\n"
                    "00:00:06.000 r1 relay: failed\n");
