--- a/libcoltsfootdrum/ctl/ctl-call.c
+++ b/libcoltsfootdrum/ctl/ctl-call.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-/* One call whose answer the loop is run for.  */
+/* A call for whose result the event loop runs.  */
 typedef struct
 {
   ctl_t *ctl;
@@ -96,7 +96,7 @@
 typedef struct
 {
   ctl_t *ctl;
-  unsigned pending; /* pages not yet answered */
+  unsigned pending; /* pages without a response so far */
 } pages_t;
 
 typedef struct
--- a/libcoltsfootdrum/ctl/ctl-fleet.c
+++ b/libcoltsfootdrum/ctl/ctl-fleet.c
@@ -1,4 +1,4 @@
-/* zone, status: what the daemons' admin pages tell.  */
+/* Commands that use the daemons' admin pages: zone and status.  */
 
 #include "ctl/ctl.h"
 
@@ -48,8 +48,9 @@
   ev_timer_stop (ctl->loop, &timer);
 }
 
-/* How many instances are behind REVISION or silent; their names go to LATE.
-   An instance without an admin address can't be asked and counts as behind. */
+/* Returns the number of instances that are behind REVISION or don't respond,
+   and appends their names to BEHIND.  An instance without an admin address
+   can't be queried and counts as behind.  */
 static unsigned
 count_behind (const GPtrArray *instances, gint64 revision, GString *behind)
 {
--- a/libcoltsfootdrum/ctl/ctl-logs.c
+++ b/libcoltsfootdrum/ctl/ctl-logs.c
@@ -1,32 +1,32 @@
-/* Log lines of several processes as one report: JSON objects, one a line, as
-   the daemons write them; what stands before the first brace is passed over,
-   for collectors put their own time or source there.
+/* Merges the log lines of several processes.  A line is a JSON object as the
+   daemons write it; text before the first brace is skipped, because log
+   collectors put their own time or source there.
 
-   Order is by wall time, which differs between instances by some milliseconds;
-   lines of one instance stay in theirs.  */
+   Lines are ordered by wall time, which differs between instances by some
+   milliseconds; lines of equal time keep their order in the files.  */
 
 #include "ctl/ctl.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* What an instance and the request's endpoints went through so long before the
-   request's first line and after its last may be the cause: entries lapse and
-   silence is noticed within these.  */
+/* Lines of the request's instances and endpoints in this time before its first
+   line and after its last may show the cause of its outcome: state expires and
+   unresponsive peers are detected within these times.  */
 #define BEFORE_MS 4000
 #define AFTER_MS 1000
 
 typedef struct
 {
   gint64 wall_ms;
-  guint sequence; /* of the line, over all files */
+  guint sequence; /* position of the line over all files */
   JsonObject *members;
 } line_t;
 
 struct ctl_logs
 {
   GPtrArray *lines;     /* line_t */
-  guint unparsed_count; /* lines that are no log lines */
+  guint unparsed_count; /* lines that aren't log lines */
 };
 
 static void
@@ -115,7 +115,8 @@
          && matches_member (line, "endpoint", filter->endpoint);
 }
 
-/* What the lines of one request tell of where and when to look further.  */
+/* The endpoints, instances and time span of one request's lines, in which
+   other lines may show the cause of its outcome.  */
 typedef struct
 {
   GHashTable *endpoints;
@@ -148,8 +149,9 @@
   return scope;
 }
 
-/* A line of no request that may tell why: of an endpoint that the request went
-   to, from any instance, or of what its own instance believes.  */
+/* Whether LINE belongs to no request and may show the cause of the outcome: it
+   concerns an endpoint of the request, on any instance, or the state of one of
+   the request's instances.  */
 static bool
 is_possible_cause (const line_t *line, const request_scope_t *scope)
 {
@@ -269,7 +271,7 @@
   report = ctl_logs_format (logs, &filter, ctl->json);
   fputs (report, stdout);
   if (logs->unparsed_count > 0)
-    fprintf (stderr, "cfdctl: logs: %u lines are no log lines\n",
+    fprintf (stderr, "cfdctl: logs: %u lines are not log lines\n",
              logs->unparsed_count);
   status = *report != '\0' ? CTL_OK : CTL_NOT_FOUND;
 out:
--- a/libcoltsfootdrum/ctl/ctl-record.c
+++ b/libcoltsfootdrum/ctl/ctl-record.c
@@ -1,12 +1,12 @@
-/* create, get, list, set, delete, key-hash.  */
+/* Commands for records: create, get, list, set, delete and key-hash.  */
 
 #include "ctl/ctl.h"
 
 #include <stdio.h>
 #include <string.h>
 
-/* A set without --if-version changes single members, so that it can be tried
-   again on the newer record when another operator was first.  */
+/* A set without --if-version changes only single members, so that it can be
+   retried on the newer record after a conflict with another operator.  */
 #define MAX_SET_ATTEMPTS 5
 #define MAX_KEY_BYTES 1024
 
@@ -73,7 +73,7 @@
           get_string_member (object, "version"), spec);
 }
 
-/* The record in ANSWER, or why there is none.  */
+/* Prints the record in ANSWER, or the failure.  */
 static ctl_exit_t
 print_result (const ctl_t *ctl, plat_status_t status, const char *name,
               JsonObject *answer)
@@ -132,8 +132,8 @@
   return true;
 }
 
-/* The spec of a new record: the file's, with the words' members over it.
-   Without "schema" the newest is meant.  */
+/* Returns the spec of a new record: that of the file, overridden by the
+   members in WORDS.  "schema" defaults to the newest, 2.  */
 static JsonObject *
 build_spec (const ctl_t *ctl, int count, char **words, GError **error)
 {
@@ -208,8 +208,8 @@
   return CTL_OK;
 }
 
-/* Reads the record, changes members and writes it back under the version read;
-   members this program doesn't know stay as they are.  */
+/* Reads the record, changes members and writes it back on condition of the
+   version that was read.  Members unknown to this program are kept.  */
 static plat_status_t
 try_set (ctl_t *ctl, int count, char **args, JsonObject **answer,
          GError **error)
@@ -272,8 +272,8 @@
                              args[1]);
 }
 
-/* The key comes by standard input, never as an argument, which others could
-   read in the list of processes.  */
+/* The key is read from standard input and never taken as an argument, which
+   other users could read in the process list.  */
 ctl_exit_t
 ctl_cmd_key_hash (ctl_t *ctl, int count, char **args)
 {
@@ -283,7 +283,7 @@
   if (count != 0)
     return ctl_report_usage ("key-hash reads the key from standard input");
   if (fgets (key, sizeof key, stdin) == NULL)
-    return ctl_report_usage ("no key came by standard input");
+    return ctl_report_usage ("no key on standard input");
   g_strchomp (key);
   hash = rec_hash_key_to_hex (key);
   puts (hash);
--- a/libcoltsfootdrum/ctl/ctl-spec.c
+++ b/libcoltsfootdrum/ctl/ctl-spec.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Words of which more letters are wrong are no misspelling.  */
+/* A word at a larger distance isn't considered a misspelling.  */
 #define MAX_EDIT_DISTANCE 3
 #define MAX_WORD_LENGTH 63
 
@@ -86,8 +86,9 @@
   return MIN (MIN (a, b), c);
 }
 
-/* Levenshtein's compute_edit_distance, one row at a time; words longer than
-   the row are no words of ours.  */
+/* Returns the Levenshtein distance, computed row by row.  A word B longer than
+   the row gets a distance above the maximum, since no valid word is as long.
+ */
 static unsigned
 compute_edit_distance (const char *a, const char *b)
 {
--- a/libcoltsfootdrum/ctl/ctl-timeline.c
+++ b/libcoltsfootdrum/ctl/ctl-timeline.c
@@ -1,4 +1,4 @@
-/* timeline, explain: the events of all processes in one order.  */
+/* Commands timeline and explain: the merged events of all processes.  */
 
 #include "ctl/ctl.h"
 
@@ -32,8 +32,8 @@
          && matches_member (event, "kind", ctl->kind);
 }
 
-/* Stamps are hybrid logical: each event comes after its causes, whatever the
-   wall clocks say.  */
+/* Stamps are hybrid logical times: an event's stamp is greater than those of
+   its causes, however far the wall clocks differ.  */
 static gint
 compare_stamps (gconstpointer a, gconstpointer b)
 {
@@ -45,7 +45,7 @@
   return (first > second) - (first < second);
 }
 
-/* The endpoint that the agent of these events feeds, or NULL.  */
+/* Returns the endpoint of the agent that recorded these events, or NULL.  */
 static const char *
 get_agent_endpoint (JsonArray *list)
 {
@@ -58,7 +58,7 @@
   return endpoint;
 }
 
-/* Agents to the names of their endpoints.  */
+/* Maps the names of agents to the names of their endpoints.  */
 static GHashTable *
 map_agents_to_endpoints (const GPtrArray *pages)
 {
@@ -79,8 +79,8 @@
   return found;
 }
 
-/* Routers know the agents alone and name them; one endpoint should have one
-   name in the whole time line.  */
+/* Routers record an agent's name in place of its endpoint's.  Replaces it, so
+   that an endpoint has one name in the whole timeline.  */
 static void
 replace_agent_name (GHashTable *endpoints, JsonObject *event)
 {
@@ -156,8 +156,8 @@
   g_string_append_uri_escaped (path, value, NULL, FALSE);
 }
 
-/* In a large fleet a process must not send thousands of events for the few of
-   one request; the filters that make them few go with the question.  */
+/* Passes the filters account and request to the daemons: in a large fleet a
+   process must not send thousands of events of which few are wanted.  */
 static char *
 format_events_path (const ctl_t *ctl)
 {
@@ -245,7 +245,7 @@
   result = print_timeline (ctl);
   if (result == CTL_NOT_FOUND)
     fprintf (stderr,
-             "cfdctl: no event of %s is kept any more; time lines are bounded "
+             "cfdctl: no event of %s is left; timelines are bounded "
              "and end with their process\n",
              args[0]);
   return result;
--- a/libcoltsfootdrum/ctl/ctl.c
+++ b/libcoltsfootdrum/ctl/ctl.c
@@ -28,11 +28,11 @@
     ctl_cmd_key_hash },
   { "zone", "out|in NAME", "take a zone out or back; waits until in force",
     ctl_cmd_zone },
-  { "status", "", "what each instance says of itself", ctl_cmd_status },
+  { "status", "", "state that each instance reports", ctl_cmd_status },
   { "timeline", "", "events of all processes in one order", ctl_cmd_timeline },
   { "explain", "REQUEST-ID", "where a request went, when and why",
     ctl_cmd_explain },
-  { "logs", "FILE...", "log lines of several processes as one story",
+  { "logs", "FILE...", "log lines of several processes in order of time",
     ctl_cmd_logs },
 };
 
--- a/libcoltsfootdrum/ctl/ctl.h
+++ b/libcoltsfootdrum/ctl/ctl.h
@@ -1,6 +1,6 @@
-/* The operators' command line over the platform's object API and the admin
-   pages of the daemons.  Commands are synchronous: each call runs the loop
-   until its answer is there or its time is up.  */
+/* cfdctl: the operators' command line, a client of the platform's object API
+   and of the daemons' admin pages.  Commands are synchronous: each call runs
+   the event loop until it is complete or times out.  */
 
 #ifndef CTL_CTL_H
 #define CTL_CTL_H
@@ -26,17 +26,17 @@
   plat_t *plat;
   bool json;
   int timeout_s;
-  int deadline_s;   /* zone out and in: until it must be in force */
-  char *if_version; /* set and delete: only this version */
-  char *file;       /* create and set: read the spec from it, - is stdin */
-  char *account;    /* filters of timeline */
+  int deadline_s;   /* zone: time limit until the change is in force */
+  char *if_version; /* set, delete: only if the record has this version */
+  char *file;       /* create: file of the spec; - is standard input */
+  char *account;    /* filters of timeline and logs, from here on */
   char *zone;
   char *endpoint;
   char *request;
   char *kind;
 } ctl_t;
 
-/* ---- ctl-call.c: calls that wait for their answer ---- */
+/* ---- ctl-call.c: synchronous calls ---- */
 plat_status_t ctl_get (ctl_t *ctl, const char *kind, const char *name,
                        JsonObject **answer);
 plat_status_t ctl_list (ctl_t *ctl, JsonObject **answer);
@@ -47,7 +47,7 @@
                           const char *version);
 plat_status_t ctl_list_instances (ctl_t *ctl, JsonObject **answer);
 
-/* One instance of the platform's list and what its admin page said.  */
+/* An instance of the platform's list and its admin page.  */
 typedef struct
 {
   char *name;
@@ -55,15 +55,16 @@
   char *zone;
   char *state;
   char *admin;    /* IP:PORT, or NULL when the list has none */
-  JsonNode *page; /* NULL when it did not answer */
+  JsonNode *page; /* NULL when it didn't respond */
 } ctl_instance_t;
 
-/* Asks all instances at once for the JSON of PATH; an array of
-   ctl_instance_t, or NULL with the platform's status.  */
+/* Fetches the JSON of PATH from all instances concurrently.  Returns an array
+   of ctl_instance_t, or NULL with the platform's status.  */
 GPtrArray *ctl_fetch_pages (ctl_t *ctl, const char *path,
                             plat_status_t *status);
 
-/* Prints what went wrong with its remedy; returns the exit status.  */
+/* Prints the failure and its remedy unless STATUS is PLAT_OK; returns the exit
+   status.  */
 ctl_exit_t ctl_report_failure (plat_status_t status, const char *what);
 /* Prints "cfdctl: MESSAGE" and returns CTL_USAGE.  */
 ctl_exit_t ctl_report_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
@@ -71,10 +72,10 @@
 /* ---- ctl-logs.c: log lines of several processes ---- */
 typedef struct ctl_logs ctl_logs_t;
 
-/* NULL members are not looked at.  */
+/* Selects log lines; a NULL member matches any.  */
 typedef struct
 {
-  const char *request; /* and what may tell why it went as it did */
+  const char *request; /* also selects possible causes of its outcome */
   const char *account;
   const char *endpoint;
 } ctl_logs_filter_t;
@@ -82,13 +83,13 @@
 ctl_logs_t *ctl_logs_new (void);
 void ctl_logs_free (ctl_logs_t *logs);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (ctl_logs_t, ctl_logs_free)
-/* Adds the lines of TEXT; such as are no log lines are counted.  */
+/* Adds the log lines of TEXT; other lines are only counted.  */
 void ctl_logs_read (ctl_logs_t *logs, const char *text);
-/* The lines that FILTER lets through, in order of time; free with g_free.  */
+/* Formats the lines that match FILTER in order of time; free with g_free.  */
 char *ctl_logs_format (const ctl_logs_t *logs, const ctl_logs_filter_t *filter,
                        bool json);
 
-/* ---- commands; ARGS holds COUNT words after the command ---- */
+/* ---- commands; ARGS holds the COUNT arguments after the command ---- */
 ctl_exit_t ctl_cmd_create (ctl_t *ctl, int count, char **args);
 ctl_exit_t ctl_cmd_get (ctl_t *ctl, int count, char **args);
 ctl_exit_t ctl_cmd_list (ctl_t *ctl, int count, char **args);
@@ -101,15 +102,15 @@
 ctl_exit_t ctl_cmd_explain (ctl_t *ctl, int count, char **args);
 ctl_exit_t ctl_cmd_logs (ctl_t *ctl, int count, char **args);
 
-/* ---- ctl-spec.c: pure ---- */
-/* Sets MEMBER=VALUE in SPEC; MEMBER may name a nested one with dots.  VALUE
-   is JSON, or else a string.  */
+/* ---- ctl-spec.c: functions without I/O ---- */
+/* Sets a member of SPEC from WORD, which is MEMBER=VALUE.  Dots in MEMBER name
+   a nested member.  VALUE is JSON, or taken as a string if it isn't.  */
 bool ctl_spec_assign (JsonObject *spec, const char *word, GError **error);
 /* Whether the daemons would accept SPEC.  */
 bool ctl_spec_check (const char *kind, const char *name, JsonObject *spec,
                      GError **error);
-/* The word of WORDS (NULL-ended) nearest to TEXT, or NULL when none is near.
- */
+/* Returns the word of WORDS (NULL-terminated) with the smallest edit distance
+   to TEXT, or NULL if all distances are too large for a misspelling.  */
 const char *ctl_find_nearest (const char *text, const char *const *words);
 
 #endif
--- a/libcoltsfootdrum/ctl/test-ctl.c
+++ b/libcoltsfootdrum/ctl/test-ctl.c
@@ -1,4 +1,5 @@
-/* cfdctl's pure parts: members from words, hints for misspelt words.  */
+/* Tests of cfdctl's functions without I/O: assignment of members, suggestions
+   for misspelled words, selection of log lines.  */
 
 #include "ctl/ctl.h"
 
@@ -55,8 +56,8 @@
   g_assert_null (ctl_find_nearest ("zebra", words));
 }
 
-/* Lines of two processes and a collector's words before them: a request was
-   sent to an endpoint that then fell silent.  */
+/* Lines of two processes, one with a collector's prefix: a request was sent to
+   an endpoint that then stopped responding.  */
 #define SENT                                                                  \
   "12.1 r1 {\"wall_ms\":5100,\"instance\":\"r1\",\"part\":\"relay\","         \
   "\"message\":\"sent\",\"request\":\"7\",\"endpoint\":\"e1\"}\n"
