--- a/cli/cfd-agent.c
+++ b/cli/cfd-agent.c
@@ -1,4 +1,4 @@
-/* cfd-agent: the process beside one endpoint.  */
+/* cfd-agent: the agent daemon, which runs beside one endpoint.  */
 
 #include "libcoltsfootdrum.h"
 #include "base/log.h"
@@ -6,33 +6,35 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* The first signal begins a graceful shutdown, the second ends at once.  */
+/* State of the signal handlers.  */
 typedef struct
 {
   cfd_agent_t *agent;
   bool draining;
-} stop_t;
+} signal_context_t;
 
+/* The first signal begins a graceful shutdown, the second one exits at once.
+ */
 static void
 on_signal (struct ev_loop *loop, ev_signal *watcher, int events)
 {
-  stop_t *stop = watcher->data;
+  signal_context_t *context = watcher->data;
 
-  if (stop->draining)
+  if (context->draining)
     {
       ev_break (loop, EVBREAK_ALL);
       return;
     }
-  stop->draining = true;
-  cfd_agent_drain (stop->agent);
+  context->draining = true;
+  cfd_agent_drain (context->agent);
 }
 
 static void
 watch_signal (struct ev_loop *loop, ev_signal *watcher, int number,
-              stop_t *stop)
+              signal_context_t *context)
 {
   ev_signal_init (watcher, on_signal, number);
-  watcher->data = stop;
+  watcher->data = context;
   ev_signal_start (loop, watcher);
 }
 
@@ -44,9 +46,9 @@
       = cfd_settings_parse ("agent", argc, argv, &error);
   struct ev_loop *loop = ev_default_loop (0);
   g_autoptr (cfd_agent_t) agent = NULL;
-  ev_signal terminated;
-  ev_signal interrupted;
-  stop_t stop = { 0 };
+  ev_signal sigterm_watcher;
+  ev_signal sigint_watcher;
+  signal_context_t context = { 0 };
   log_level_t level = LOG_INFO;
 
   if (settings == NULL && error == NULL)
@@ -68,9 +70,9 @@
       fprintf (stderr, "cfd-agent: %s\n", error->message);
       return 1;
     }
-  stop.agent = agent;
-  watch_signal (loop, &terminated, SIGTERM, &stop);
-  watch_signal (loop, &interrupted, SIGINT, &stop);
+  context.agent = agent;
+  watch_signal (loop, &sigterm_watcher, SIGTERM, &context);
+  watch_signal (loop, &sigint_watcher, SIGINT, &context);
   ev_run (loop, 0);
   return 0;
 }
--- a/cli/cfd-router.c
+++ b/cli/cfd-router.c
@@ -1,4 +1,4 @@
-/* The router daemon: settings, the loop, signals.  */
+/* cfd-router: the router daemon.  */
 
 #include "base/log.h"
 #include "libcoltsfootdrum.h"
@@ -13,7 +13,8 @@
   bool draining;
 } program_t;
 
-/* The first signal begins a graceful shutdown, the second ends at once.  */
+/* The first signal begins a graceful shutdown, the second one exits at once.
+ */
 static void
 on_signal (struct ev_loop *loop, ev_signal *watcher, int events)
 {
@@ -28,8 +29,9 @@
   cfd_router_drain (program->router);
 }
 
-/* Each caller and each link takes a descriptor; the usual soft limit of 1024
-   is less than a router serves.  */
+/* Raises the soft limit of file descriptors to the hard limit.  Each caller
+   and each link needs a descriptor, and a router serves more than the usual
+   soft limit of 1024.  */
 static void
 raise_file_limit (void)
 {
@@ -39,7 +41,7 @@
     return;
   limit.rlim_cur = limit.rlim_max;
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
-    log_warn ("router", "The limit of open files stays as it was.");
+    log_warn ("router", "The limit of open files could not be raised.");
 }
 
 static int
--- a/libcoltsfootdrum/libcoltsfootdrum.h
+++ b/libcoltsfootdrum/libcoltsfootdrum.h
@@ -1,5 +1,6 @@
-/* Public interface of libcoltsfootdrum: what the thin daemons and tools call.
-   All state hangs off the opaque objects; there are no globals.  */
+/* Public interface of libcoltsfootdrum, which the daemons and the command line
+   call.  All state is in the opaque objects, except that of the log, which is
+   process-wide.  */
 
 #ifndef LIBCOLTSFOOTDRUM_H
 #define LIBCOLTSFOOTDRUM_H
@@ -10,8 +11,8 @@
 
 typedef enum
 {
-  CFD_POLICY_FLEET, /* agents take work by fleet-wide fair share */
-  CFD_POLICY_LOCAL  /* baseline: each router pushes by its own fair queue */
+  CFD_POLICY_FLEET, /* agents pull requests by fleet-wide fair share */
+  CFD_POLICY_LOCAL /* baseline: each router dispatches by its own fair queue */
 } cfd_policy_t;
 
 /* Settings of a daemon; README.md and the man pages list the flags.  */
@@ -20,17 +21,18 @@
   char *instance;     /* name in the platform's list of instances */
   char *zone;         /* availability zone */
   char *platform;     /* http://IP:PORT of the object API */
-  char *peer_listen;  /* IP:PORT for links between our processes */
+  char *peer_listen;  /* IP:PORT for links of the fleet's processes */
   char *admin_listen; /* IP:PORT for /metrics, /healthz, /readyz, /events */
   char *secret;       /* shared by the fleet */
   char *listen;       /* router: IP:PORT for callers */
   char *endpoint;     /* agent: name of its endpoint record */
   char *log_level;    /* error, warn, info, debug */
   bool log_json;
-  int drain_s;       /* limit of a graceful shutdown */
-  int request_s;     /* router: longest wait in the queue */
-  int claims_kept_s; /* router: time of a claim; 0: never removed */
-  int claim_calls;   /* of the fleet a second, to remove claims */
+  int drain_s;       /* time limit of a graceful shutdown */
+  int request_s;     /* router: maximum time in the queue */
+  int claims_kept_s; /* router: retention of a claim; 0: unlimited */
+  int claim_calls;   /* router: platform calls per second of all routers to
+                        remove claims */
   cfd_policy_t policy;
   bool check; /* validate the settings and exit */
 } cfd_settings_t;
@@ -38,9 +40,10 @@
 typedef struct cfd_router cfd_router_t;
 typedef struct cfd_agent cfd_agent_t;
 
-/* Parses flags and environment for ROLE ("router" or "agent").  NULL with
-   CFD_ERROR_SETTING for a bad value; NULL without an error when help or the
-   version was asked for and printed: then exit with success.  */
+/* Parses the flags and environment of ROLE ("router" or "agent").  Returns
+   NULL with CFD_ERROR_SETTING for an invalid value.  Returns NULL without an
+   error after printing the help, the settings or the version; the program must
+   then exit with success.  */
 cfd_settings_t *cfd_settings_parse (const char *role, int argc, char **argv,
                                     GError **error);
 void cfd_settings_free (cfd_settings_t *settings);
@@ -48,8 +51,8 @@
 
 cfd_router_t *cfd_router_new (struct ev_loop *loop,
                               const cfd_settings_t *settings, GError **error);
-/* Begins a graceful shutdown; the loop is broken when all is served or the
-   limit has passed.  */
+/* Begins a graceful shutdown.  Stops the event loop once all requests have
+   ended or the time limit has passed.  */
 void cfd_router_drain (cfd_router_t *router);
 void cfd_router_free (cfd_router_t *router);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (cfd_router_t, cfd_router_free)
@@ -60,7 +63,7 @@
 void cfd_agent_free (cfd_agent_t *agent);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (cfd_agent_t, cfd_agent_free)
 
-/* The operators' command line; returns the exit status.  */
+/* Runs the operators' command line, cfdctl; returns the exit status.  */
 int cfd_ctl_main (int argc, char **argv);
 
 #endif
