--- a/libcoltsfootdrum/base/settings.c
+++ b/libcoltsfootdrum/base/settings.c
@@ -380,7 +380,7 @@
   if (raw->help)
     text = g_option_context_get_help (context, TRUE, NULL);
   else if (raw->help_settings)
-    text = settings_table (role);
+    text = settings_format_table (role);
   else if (raw->version)
     text = g_strdup_printf ("cfd-%s %s\n", role, CFD_VERSION);
   else
@@ -461,7 +461,7 @@
 }
 
 char *
-settings_table (const char *role)
+settings_format_table (const char *role)
 {
   GString *table;
   setting_roles_t mask;
--- a/libcoltsfootdrum/base/settings.h
+++ b/libcoltsfootdrum/base/settings.h
@@ -9,6 +9,6 @@
 
 /* Returns the settings of ROLE as a Markdown table, as --help-settings prints
    it, or NULL for an unknown role.  Free with g_free.  */
-char *settings_table (const char *role);
+char *settings_format_table (const char *role);
 
 #endif
--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -54,8 +54,8 @@
 {
   fixture_t *f = user;
   size_t length;
-  const char *body = web_body (request, &length);
-  const char *path = web_path (request);
+  const char *body = web_get_body (request, &length);
+  const char *path = web_get_path (request);
 
   f->handler_calls++;
   if (strcmp (path, "/echo") == 0)
@@ -68,7 +68,7 @@
       f->newest_request = request;
       if (f->handler_calls <= G_N_ELEMENTS (f->unanswered))
         f->unanswered[f->handler_calls - 1] = request;
-      web_on_closed (request, on_closed, f);
+      web_set_on_closed (request, on_closed, f);
       if (strcmp (path, "/stream") == 0)
         web_stream_begin (request, 200, f->stream_headers, on_drained, f);
     }
--- a/libcoltsfootdrum/http/web.h
+++ b/libcoltsfootdrum/http/web.h
@@ -39,19 +39,19 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (web_server_t, web_server_free)
 unsigned web_server_count_active (const web_server_t *server);
 
-const char *web_method (const web_request_t *request);
+const char *web_get_method (const web_request_t *request);
 /* Returns the path with its query, as sent.  */
-const char *web_target (const web_request_t *request);
+const char *web_get_target (const web_request_t *request);
 /* Returns the path without the query.  */
-const char *web_path (const web_request_t *request);
+const char *web_get_path (const web_request_t *request);
 /* Return NULL if NAME is absent.  */
-const char *web_query (const web_request_t *request, const char *name);
-const char *web_header (const web_request_t *request, const char *name);
+const char *web_get_query (const web_request_t *request, const char *name);
+const char *web_get_header (const web_request_t *request, const char *name);
 void web_foreach_header (const web_request_t *request,
                          void (*visit) (void *user, const char *name,
                                         const char *value),
                          void *user);
-const char *web_body (const web_request_t *request, size_t *length);
+const char *web_get_body (const web_request_t *request, size_t *length);
 /* Moves the body out of the request; free with g_bytes_unref.  It counts
    towards the server's limit until the request is freed.  */
 GBytes *web_take_body (web_request_t *request);
@@ -59,8 +59,8 @@
 /* Sets a callback that is called at most once, if the caller disconnects
    before the complete response was sent.  The request must not be used
    afterwards.  */
-void web_on_closed (web_request_t *request, void (*on_closed) (void *user),
-                    void *user);
+void web_set_on_closed (web_request_t *request, void (*on_closed) (void *user),
+                        void *user);
 
 /* Sets a header of the response, which replaces a header of the same name
    passed to web_respond or web_stream_begin.  A request has at most one; a
--- a/libcoltsfootdrum/platform/plat.h
+++ b/libcoltsfootdrum/platform/plat.h
@@ -89,7 +89,7 @@
 /* Cancels the calls made with USER: no callback is invoked, and it stays
    unknown whether a write took effect.  */
 void plat_cancel (plat_t *plat, void *user);
-struct ev_loop *plat_loop (const plat_t *plat);
+struct ev_loop *plat_get_loop (const plat_t *plat);
 
 /* Returns the number of calls since the start, for the platform budget.  */
 uint64_t plat_count_calls (const plat_t *plat);
