--- a/libcoltsfootdrum/base/log.c
+++ b/libcoltsfootdrum/base/log.c
@@ -137,7 +137,7 @@
 }
 
 static char *
-json_line (log_level_t level, const char *part, const char *message)
+format_json_line (log_level_t level, const char *part, const char *message)
 {
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   g_autoptr (JsonNode) root = NULL;
@@ -161,7 +161,7 @@
 }
 
 static char *
-text_line (log_level_t level, const char *part, const char *message)
+format_text_line (log_level_t level, const char *part, const char *message)
 {
   g_autoptr (GDateTime) now = g_date_time_new_now_utc ();
   g_autofree char *time = g_date_time_format (now, "%Y-%m-%dT%H:%M:%S");
@@ -202,7 +202,7 @@
    so that one event is one line whatever a peer put into a name.  Free with
    g_free.  */
 static char *
-sanitize (const char *message)
+sanitize_message (const char *message)
 {
   g_autofree char *cut = g_strndup (message, MAX_MESSAGE_BYTES);
   char *valid = g_utf8_make_valid (cut, -1);
@@ -216,9 +216,10 @@
 static void
 write_line (log_level_t level, const char *part, const char *message)
 {
-  g_autofree char *sanitized = sanitize (message);
-  g_autofree char *line = state.json ? json_line (level, part, sanitized)
-                                     : text_line (level, part, sanitized);
+  g_autofree char *sanitized = sanitize_message (message);
+  g_autofree char *line = state.json
+                              ? format_json_line (level, part, sanitized)
+                              : format_text_line (level, part, sanitized);
 
   if (state.sink != NULL)
     state.sink (state.sink_user, line);
--- a/libcoltsfootdrum/ctl/ctl-logs.c
+++ b/libcoltsfootdrum/ctl/ctl-logs.c
@@ -169,7 +169,7 @@
 }
 
 static int
-compare (const void *a, const void *b)
+compare_lines (const void *a, const void *b)
 {
   const line_t *x = *(line_t *const *)a;
   const line_t *y = *(line_t *const *)b;
@@ -197,7 +197,7 @@
       g_hash_table_unref (scope.endpoints);
       g_hash_table_unref (scope.instances);
     }
-  g_ptr_array_sort (selected, compare);
+  g_ptr_array_sort (selected, compare_lines);
   return selected;
 }
 
--- a/libcoltsfootdrum/ctl/ctl.c
+++ b/libcoltsfootdrum/ctl/ctl.c
@@ -140,7 +140,7 @@
 }
 
 static ctl_exit_t
-run (ctl_t *ctl, const options_t *options, int count, char **arguments)
+run_command (ctl_t *ctl, const options_t *options, int count, char **arguments)
 {
   const command_t *command;
 
@@ -166,7 +166,7 @@
 }
 
 static void
-free_options (ctl_t *ctl, options_t *options)
+free_state (ctl_t *ctl, options_t *options)
 {
   plat_free (ctl->plat);
   fetch_pool_free (ctl->pool);
@@ -195,7 +195,7 @@
   if (!parse_options (&ctl, &options, &argc, &argv, &error))
     (void)ctl_report_usage ("%s; see cfdctl --help", error->message);
   else if (check_options (&ctl, &options))
-    status = run (&ctl, &options, argc - 1, argv + 1);
-  free_options (&ctl, &options);
+    status = run_command (&ctl, &options, argc - 1, argv + 1);
+  free_state (&ctl, &options);
   return status;
 }
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -150,7 +150,7 @@
 }
 
 static void
-finish_all_done (fetch_pool_t *pool)
+finish_completed (fetch_pool_t *pool)
 {
   CURLMsg *message;
   int left;
@@ -178,7 +178,7 @@
   pool->in_libcurl = true;
   curl_multi_socket_action (pool->multi, socket, events, &running);
   pool->in_libcurl = false;
-  finish_all_done (pool);
+  finish_completed (pool);
 }
 
 static void
@@ -253,7 +253,7 @@
 }
 
 static void
-resume (fetch_t *fetch)
+resume_transfer (fetch_t *fetch)
 {
   fetch_pool_t *pool = fetch->pool;
 
@@ -278,9 +278,9 @@
       else if (!fetch->is_added)
         add_to_multi (fetch);
       else if (fetch->has_paused_data && !fetch->pause_requested)
-        resume (fetch);
+        resume_transfer (fetch);
     }
-  finish_all_done (pool);
+  finish_completed (pool);
 }
 
 static void
--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -278,7 +278,7 @@
   int fd = send_request (f, "GET /stream HTTP/1.0\r\nHost: a\r\n\r\n");
   uint64_t sent = 0;
   uint64_t got = 0;
-  uint64_t held;
+  uint64_t blocked_at;
 
   run_until (f, &f->handler_calls, 1);
   for (unsigned i = 0; i < 4000; i++)
@@ -290,8 +290,8 @@
         }
       ev_run (f->loop, EVRUN_NOWAIT);
     }
-  held = sent;
-  g_assert_cmpuint (held, <, size);
+  blocked_at = sent;
+  g_assert_cmpuint (blocked_at, <, size);
   for (cfd_time_t limit = clock_now () + WAIT_MS; clock_now () < limit;)
     {
       static char part[1 << 20];
@@ -380,7 +380,7 @@
   g_autofree char *text = g_strdup_printf (
       "POST /wait HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\n%s",
       fill);
-  int held[2] = { send_request (f, text), send_request (f, text) };
+  int pending[2] = { send_request (f, text), send_request (f, text) };
   int more;
 
   run_until (f, &f->handler_calls, 2);
@@ -390,12 +390,12 @@
   g_assert_nonnull (strstr (refused, "not-run"));
   close (more);
   web_respond (f->unanswered[0], 200, NULL, NULL, "a", 1);
-  g_autofree char *first = read_response (f, held[0], "a", NULL);
+  g_autofree char *first = read_response (f, pending[0], "a", NULL);
   f->handler_calls = 0;
   more = send_request (f, text);
   run_until (f, &f->handler_calls, 1);
-  close (held[0]);
-  close (held[1]);
+  close (pending[0]);
+  close (pending[1]);
   close (more);
 }
 
--- a/libcoltsfootdrum/http/web-answer.c
+++ b/libcoltsfootdrum/http/web-answer.c
@@ -157,7 +157,7 @@
 /* Moves the unread part of the buffer to its front once half of it has been
    read.  */
 static void
-compact (web_request_t *request)
+compact_buffer (web_request_t *request)
 {
   if (request->buffer_offset * 2 < request->buffer->len)
     return;
@@ -182,7 +182,7 @@
     }
   memcpy (out, request->buffer->data + request->buffer_offset, length);
   request->buffer_offset += length;
-  compact (request);
+  compact_buffer (request);
   report_drained (request, length);
   return (ssize_t)length;
 }
--- a/libcoltsfootdrum/http/web.c
+++ b/libcoltsfootdrum/http/web.c
@@ -45,7 +45,7 @@
    loop.  MHD must not be run here, because this may be called from one of its
    callbacks.  */
 static void
-resume (web_request_t *request)
+resume_connection (web_request_t *request)
 {
   web_server_t *server = request->server;
 
@@ -70,7 +70,7 @@
   if (got > 0)
     return; /* a pipelined request; a later write detects a disconnect */
   request->is_disconnected = true;
-  resume (request);
+  resume_connection (request);
 }
 
 void
@@ -93,7 +93,7 @@
   if (!request->is_suspended)
     return;
   ev_io_stop (request->server->loop, &request->close_watcher);
-  resume (request);
+  resume_connection (request);
 }
 
 /* MHD accepts a response only inside its access callback.  */
--- a/libcoltsfootdrum/platform/test-plat.c
+++ b/libcoltsfootdrum/platform/test-plat.c
@@ -306,15 +306,15 @@
 {
   /* The owner of a pending call is freed: its callback must not be invoked. */
   sp_test_t test;
-  result_t gone = { false };
+  result_t cancelled_call = { false };
   result_t result = { false };
 
   sp_test_begin (&test);
-  plat_list_instances (test.plat, on_done, &gone);
+  plat_list_instances (test.plat, on_done, &cancelled_call);
   plat_list_instances (test.plat, on_done, &result);
-  plat_cancel (test.plat, &gone);
+  plat_cancel (test.plat, &cancelled_call);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
-  g_assert_false (gone.done);
+  g_assert_false (cancelled_call.done);
   g_assert_cmpuint (plat_count_calls (test.plat), ==, 2);
   reset_result (&result);
   sp_test_end (&test);
