--- a/libcoltsfootdrum/base/settings.c
+++ b/libcoltsfootdrum/base/settings.c
@@ -429,7 +429,7 @@
   if (g_strv_length (arguments) > 1)
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_SETTING,
-                   "\"%s\" is no flag; write flags as --NAME VALUE",
+                   "\"%s\" is not a flag; write flags as --NAME VALUE",
                    arguments[1]);
       return NULL;
     }
--- a/libcoltsfootdrum/ctl/ctl-fleet.c
+++ b/libcoltsfootdrum/ctl/ctl-fleet.c
@@ -211,7 +211,7 @@
   g_autoptr (GPtrArray) pages = NULL;
 
   if (count != 0)
-    return ctl_report_usage ("status takes no words");
+    return ctl_report_usage ("status takes no arguments");
   pages = ctl_fetch_pages (ctl, "/status", &status);
   if (pages == NULL)
     return ctl_report_failure (status, "status");
--- a/libcoltsfootdrum/ctl/ctl-record.c
+++ b/libcoltsfootdrum/ctl/ctl-record.c
@@ -23,10 +23,11 @@
     return true;
   nearest = ctl_find_nearest (kind, kinds);
   if (nearest != NULL)
-    (void)ctl_report_usage ("no kind \"%s\"; did you mean %s?", kind, nearest);
+    (void)ctl_report_usage ("unknown kind \"%s\"; did you mean %s?", kind,
+                            nearest);
   else
     (void)ctl_report_usage (
-        "no kind \"%s\"; there are client-account, service, "
+        "unknown kind \"%s\"; the kinds are client-account, service, "
         "availability-zone and endpoint",
         kind);
   return false;
@@ -117,7 +118,7 @@
   if (!JSON_NODE_HOLDS_OBJECT (node))
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_RECORD,
-                   "%s holds no JSON object; write the record's spec", file);
+                   "%s is not a JSON object; write the record's spec", file);
       return NULL;
     }
   return json_node_dup_object (node);
--- a/libcoltsfootdrum/ctl/ctl-timeline.c
+++ b/libcoltsfootdrum/ctl/ctl-timeline.c
@@ -212,11 +212,11 @@
   nearest = ctl_find_nearest (kind, names);
   all = g_strjoinv (", ", (char **)names);
   if (nearest != NULL)
-    (void)ctl_report_usage ("no kind of event \"%s\"; did you mean %s?", kind,
-                            nearest);
+    (void)ctl_report_usage ("unknown kind of event \"%s\"; did you mean %s?",
+                            kind, nearest);
   else
-    (void)ctl_report_usage ("no kind of event \"%s\"; there are %s", kind,
-                            all);
+    (void)ctl_report_usage ("unknown kind of event \"%s\"; the kinds are %s",
+                            kind, all);
   return false;
 }
 
--- a/libcoltsfootdrum/ctl/ctl.c
+++ b/libcoltsfootdrum/ctl/ctl.c
@@ -88,7 +88,7 @@
             "Print the version", NULL },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
   g_autoptr (GOptionContext) context
-      = g_option_context_new ("COMMAND [WORD...]");
+      = g_option_context_new ("COMMAND [ARGUMENT...]");
   g_autofree char *help = format_command_help ();
 
   g_option_context_add_main_entries (context, entries, NULL);
@@ -110,10 +110,10 @@
     }
   nearest = ctl_find_nearest (name, names);
   if (nearest != NULL)
-    (void)ctl_report_usage ("no command \"%s\"; did you mean %s?", name,
+    (void)ctl_report_usage ("unknown command \"%s\"; did you mean %s?", name,
                             nearest);
   else
-    (void)ctl_report_usage ("no command \"%s\"; see cfdctl --help", name);
+    (void)ctl_report_usage ("unknown command \"%s\"; see cfdctl --help", name);
   return NULL;
 }
 
