--- a/libcoltsfootdrum/ctl/ctl-fleet.c
+++ b/libcoltsfootdrum/ctl/ctl-fleet.c
@@ -49,8 +49,8 @@
 }
 
 /* Returns the number of instances that are behind REVISION or don't respond,
-   and appends their names to BEHIND.  An instance without an admin address
-   can't be queried and counts as behind.  */
+   and sets BEHIND to their names.  An instance without an admin address can't
+   be queried and counts as behind.  */
 static unsigned
 count_behind (const GPtrArray *instances, gint64 revision, GString *behind)
 {
--- a/libcoltsfootdrum/ctl/ctl-logs.c
+++ b/libcoltsfootdrum/ctl/ctl-logs.c
@@ -13,8 +13,8 @@
 /* Lines of the request's instances and endpoints in this time before its first
    line and after its last may show the cause of its outcome: state expires and
    unresponsive peers are detected within these times.  */
-#define BEFORE_MS 4000
-#define AFTER_MS 1000
+#define CAUSE_BEFORE_MS 4000
+#define CAUSE_AFTER_MS 1000
 
 typedef struct
 {
@@ -159,8 +159,8 @@
   const char *instance = get_string_member (line, "instance");
 
   if (get_string_member (line, "request") != NULL
-      || line->wall_ms < scope->first_ms - BEFORE_MS
-      || line->wall_ms > scope->last_ms + AFTER_MS)
+      || line->wall_ms < scope->first_ms - CAUSE_BEFORE_MS
+      || line->wall_ms > scope->last_ms + CAUSE_AFTER_MS)
     return false;
   if (endpoint != NULL)
     return g_hash_table_contains (scope->endpoints, endpoint);
--- a/libcoltsfootdrum/http/fetch.h
+++ b/libcoltsfootdrum/http/fetch.h
@@ -29,7 +29,7 @@
   const char *const *headers; /* NULL or NULL-terminated "Name: value" */
   const void *body;           /* copied */
   size_t body_length;
-  unsigned connect_timeout_ms; /* 0: 1000 */
+  unsigned connect_timeout_ms; /* 0: default of 1000 */
   unsigned total_timeout_ms;   /* 0: no limit */
   unsigned idle_timeout_ms;    /* time without a byte received; 0: no limit */
   bool reuse_connection; /* allows a persistent connection, on which libcurl
--- a/libcoltsfootdrum/http/web.h
+++ b/libcoltsfootdrum/http/web.h
@@ -37,6 +37,7 @@
 void web_server_quiesce (web_server_t *server);
 void web_server_free (web_server_t *server);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (web_server_t, web_server_free)
+/* Returns the number of requests passed to the handler and not yet freed.  */
 unsigned web_server_count_active (const web_server_t *server);
 
 const char *web_get_method (const web_request_t *request);
@@ -88,6 +89,8 @@
                        const char *const *headers,
                        void (*on_drained) (void *user, uint64_t sent_bytes),
                        void *user);
+/* Buffers BYTES for the caller.  A sender must limit what it writes ahead of
+   ON_DRAINED, because the stream is aborted if the buffer exceeds 4 MiB.  */
 void web_stream_write (web_request_t *request, const void *bytes,
                        size_t length);
 /* Ends the stream.  IS_COMPLETE false aborts the connection, so that the
