--- a/libcoltsfootdrum/ctl/test-ctl.c
+++ b/libcoltsfootdrum/ctl/test-ctl.c
@@ -1,4 +1,5 @@
-/* cfdctl's pure parts: members from words, hints for misspelt words.  */
+/* Tests of cfdctl's functions without I/O: assignment of members, suggestions
+   for misspelled words, selection of log lines.  */
 
 #include "ctl/ctl.h"
 
@@ -55,8 +56,8 @@
   g_assert_null (ctl_find_nearest ("zebra", words));
 }
 
-/* Lines of two processes and a collector's words before them: a request was
-   sent to an endpoint that then fell silent.  */
+/* Lines of two processes, one with a collector's prefix: a request was sent to
+   an endpoint that then stopped responding.  */
 #define SENT                                                                  \
   "12.1 r1 {\"wall_ms\":5100,\"instance\":\"r1\",\"part\":\"relay\","         \
   "\"message\":\"sent\",\"request\":\"7\",\"endpoint\":\"e1\"}\n"
@@ -83,14 +84,14 @@
   static const ctl_logs_filter_t endpoint = { .endpoint = "e2" };
   static const ctl_logs_filter_t none = { .request = "9" };
   g_autoptr (ctl_logs_t) logs = ctl_logs_new ();
-  g_autofree char *story = NULL;
+  g_autofree char *report = NULL;
   g_autofree char *of_endpoint = NULL;
   g_autofree char *nothing = NULL;
 
   ctl_logs_read (logs, FAILED OTHER SENT LONG_AGO "no log line\n{\"a\":");
   ctl_logs_read (logs, LAPSED ELSEWHERE);
-  story = ctl_logs_format (logs, &one, false);
-  g_assert_cmpstr (story, ==,
+  report = ctl_logs_format (logs, &one, false);
+  g_assert_cmpstr (report, ==,
                    "00:00:05.100 r1 relay: sent\n"
                    "00:00:05.900 r2 endpoints: lapsed\n"
                    "00:00:06.000 r1 relay: failed\n");
--- a/libcoltsfootdrum/http/fetch-easy.c
+++ b/libcoltsfootdrum/http/fetch-easy.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define CONNECT_MS_DEFAULT 1000
+#define DEFAULT_CONNECT_TIMEOUT_MS 1000
 
 static bool
 has_header (const char *const *headers, const char *name)
@@ -25,8 +25,8 @@
   for (const char *const *header = headers; header != NULL && *header != NULL;
        header++)
     list = curl_slist_append (list, *header);
-  /* Without these libcurl adds a wait for "100 Continue" and a content type
-     that nobody asked for.  */
+  /* Without these empty headers libcurl would wait for "100 Continue" and add
+     a default content type.  */
   list = curl_slist_append (list, "Expect:");
   if (!has_header (headers, "Content-Type"))
     list = curl_slist_append (list, "Content-Type:");
@@ -61,7 +61,7 @@
 fetch_easy_setup (CURL *easy, const fetch_request_t *request)
 {
   unsigned connect_timeout_ms = request->connect_timeout_ms == 0
-                                    ? CONNECT_MS_DEFAULT
+                                    ? DEFAULT_CONNECT_TIMEOUT_MS
                                     : request->connect_timeout_ms;
 
   curl_easy_setopt (easy, CURLOPT_URL, request->url);
--- a/libcoltsfootdrum/http/web-private.h
+++ b/libcoltsfootdrum/http/web-private.h
@@ -1,5 +1,5 @@
-/* What web.c (server), web-request.c (what a request says) and web-answer.c
-   (answers) share.  */
+/* HTTP server internals, shared by web.c (connections), web-request.c (request
+   accessors) and web-answer.c (responses).  */
 
 #ifndef HTTP_WEB_PRIVATE_H
 #define HTTP_WEB_PRIVATE_H
@@ -19,10 +19,10 @@
   ev_io readable;
   ev_timer timeout;
   list_node_t requests;
-  unsigned active;
-  size_t bodies_max;
-  size_t bodies; /* bytes reserved by all requests */
-  bool quiesced;
+  unsigned active_requests;
+  size_t max_body_bytes_total;
+  size_t reserved_bytes_total; /* for the bodies of all requests */
+  bool is_quiesced;
 };
 
 struct web_request
@@ -36,37 +36,37 @@
   GByteArray *body;
   bool http10;
   bool too_large;
-  bool no_room;
-  size_t reserved;   /* of the server's bodies */
-  size_t dropped;    /* bytes of a body over the limit */
-  bool handed;       /* the handler was called */
-  bool owned;        /* the owner has not ended its answer */
-  bool suspended;    /* by us, with PEEK watching for the caller's close */
-  bool gone;         /* the caller closed while suspended */
-  bool queued;       /* RESPONSE was given to MHD */
-  char *header_name; /* of web_set_response_header, or NULL */
+  bool over_memory_limit;
+  size_t reserved_bytes;   /* part of the server's reserved_bytes_total */
+  size_t dropped_bytes;    /* of a body over the limit */
+  bool was_handled;        /* the handler has been called */
+  bool has_owner;          /* the handler's side hasn't ended its response */
+  bool is_suspended;       /* CLOSE_WATCHER detects a close by the caller */
+  bool is_disconnected;    /* closed while suspended, or must be closed */
+  bool is_response_queued; /* RESPONSE was passed to MHD */
+  char *header_name;       /* set by web_set_response_header, or NULL */
   char *header_value;
   struct MHD_Response *response;
   unsigned status; /* of RESPONSE */
-  ev_io peek;
-  void (*closed) (void *user);
-  void *closed_user;
+  ev_io close_watcher;
+  void (*on_closed) (void *user);
+  void *on_closed_user;
 
-  /* A streamed answer.  */
+  /* A streamed response.  */
   GByteArray *buffer;
-  size_t buffer_start; /* bytes of BUFFER that left */
-  uint64_t total;      /* bytes that left */
-  bool ended;
-  bool whole;
-  void (*drained) (void *user, uint64_t total);
-  void *drained_user;
+  size_t buffer_offset; /* bytes of BUFFER that MHD has read */
+  uint64_t sent_bytes;  /* bytes that MHD has read in total */
+  bool stream_ended;
+  bool is_complete;
+  void (*on_drained) (void *user, uint64_t sent_bytes);
+  void *on_drained_user;
 };
 
-/* Both sides hold a request: MHD until its completed call, the owner until it
-   ends the answer.  The last to let go frees it.  */
+/* Frees REQUEST once neither side uses it: MHD until its completed callback,
+   the owner until it ends the response.  */
 void web_free_if_done (web_request_t *request);
 
-/* Stops a connection until web_resume, watching for the caller's close.  */
+/* Suspends the connection until web_resume, or until the caller closes it.  */
 void web_suspend (web_request_t *request);
 void web_resume (web_request_t *request);
 
