--- a/libcoltsfootdrum/agent/agent-config.c
+++ b/libcoltsfootdrum/agent/agent-config.c
@@ -18,7 +18,7 @@
 static void
 confirm_by_platform (cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard = now - store_age (agent->store, now);
+  cfd_time_t heard = now - store_get_age_ms (agent->store, now);
 
   if (heard > agent->woken_at + STALE_READ_MS)
     agent->unconfirmed = false;
@@ -30,9 +30,9 @@
 static bool
 platform_is_up (const cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard = now - store_age (agent->store, now);
+  cfd_time_t heard = now - store_get_age_ms (agent->store, now);
 
-  return store_platform_is_up (agent->store) && heard >= agent->cut_off_at;
+  return store_is_platform_up (agent->store) && heard >= agent->cut_off_at;
 }
 
 static void
@@ -49,9 +49,9 @@
 static void
 count_zones (const cfd_agent_t *agent, grant_state_t *state, cfd_time_t now)
 {
-  state->age_ms = store_age (agent->store, now);
+  state->age_ms = store_get_age_ms (agent->store, now);
   state->zones_known
-      = witness_zones (store_instances (agent->store, ROLE_ROUTER));
+      = witness_count_zones (store_get_instances (agent->store, ROLE_ROUTER));
   state->zones_heard = links_zones (agent->links);
 }
 
@@ -63,11 +63,11 @@
     .has_endpoint = agent->has_endpoint,
     .has_service = agent->has_service,
     .leaving = agent->leaving,
-    .zone_out = store_zone_is_out (agent->store, agent->zone)
+    .zone_out = store_is_zone_out (agent->store, agent->zone)
                 || (agent->record_zone != NULL
-                    && store_zone_is_out (agent->store, agent->record_zone)),
+                    && store_is_zone_out (agent->store, agent->record_zone)),
     .settling = agent->settling,
-    .behind = agent->peer_revision > store_revision (agent->store),
+    .behind = agent->peer_revision > store_get_revision (agent->store),
     .platform_up = platform_is_up (agent, now),
     .ejected
     = agent->lim.state == LIM_EJECTED && now < agent->lim.ejected_until,
@@ -93,8 +93,8 @@
 
   if (record == NULL || record->deleted || record->u.endpoint.leaving)
     return true;
-  return store_zone_is_out (agent->store, agent->zone)
-         || store_zone_is_out (agent->store, record->u.endpoint.zone);
+  return store_is_zone_out (agent->store, agent->zone)
+         || store_is_zone_out (agent->store, record->u.endpoint.zone);
 }
 
 /* ---- configuration ---- */
@@ -119,7 +119,7 @@
   if (now - agent->looked_at < LOOK_MS)
     return;
   agent->looked_at = now;
-  if (!store_wants_word (agent->store, now))
+  if (!store_should_ask_peer (agent->store, now))
     return;
   router = links_nth_up (agent->links, agent->looks++);
   if (router != NULL)
@@ -130,7 +130,7 @@
 config_hear (cfd_agent_t *agent, const char *router, uint64_t revision,
              cfd_time_t now)
 {
-  store_heard_of (agent->store, revision, now);
+  store_record_peer_revision (agent->store, revision, now);
   if (revision > agent->peer_revision)
     {
       agent->peer_revision = revision;
@@ -158,7 +158,7 @@
 void
 config_catch_up (cfd_agent_t *agent, cfd_time_t now)
 {
-  bool behind = agent->peer_revision > store_revision (agent->store);
+  bool behind = agent->peer_revision > store_get_revision (agent->store);
 
   ask_for_word (agent, now);
   if (!agent->unconfirmed && !behind)
@@ -176,10 +176,10 @@
 config_take_part (cfd_agent_t *agent, const char *router,
                   const msg_config_part_t *part, cfd_time_t now)
 {
-  bool is_news = store_take_part (agent->store, part, now);
+  bool is_news = store_apply_part (agent->store, part, now);
 
   /* A piece: the next one now, not at the next tick.  */
-  if (is_news && store_revision (agent->store) < agent->peer_revision)
+  if (is_news && store_get_revision (agent->store) < agent->peer_revision)
     ask_config (agent, (char *)router);
   if (agent->asked_since_woken)
     agent->unconfirmed = false;
--- a/libcoltsfootdrum/config/store-give.c
+++ b/libcoltsfootdrum/config/store-give.c
@@ -266,7 +266,7 @@
                       .open = g_string_new (NULL) };
   first_t first = { g_ptr_array_new (), store->piece_records, false };
 
-  part->from = MSG_FROM_NONE;
+  part->from = MSG_FROM_SNAPSHOT_PIECE;
   part->state = goes_on ? ask->state : store->revision;
   part->up_to = part->state;
   if (goes_on)
@@ -299,7 +299,7 @@
     }
   part->from = have < store->deletions_from ? 0 : have;
   part->up_to = store->revision;
-  part->age_ms = store_age (store, now);
+  part->age_ms = store_get_age_ms (store, now);
   if (have >= store->revision)
     return;
   if (part->from == 0 && ask->pieces)
--- a/libcoltsfootdrum/config/store-part.c
+++ b/libcoltsfootdrum/config/store-part.c
@@ -64,7 +64,7 @@
 }
 
 void
-store_take_objects (store_t *store, JsonObject *answer, cfd_time_t now)
+store_apply_objects (store_t *store, JsonObject *answer, cfd_time_t now)
 {
   bool is_whole = json_object_get_boolean_member_with_default (
       answer, "complete", FALSE);
@@ -170,7 +170,8 @@
 }
 
 bool
-store_take_part (store_t *store, const msg_config_part_t *part, cfd_time_t now)
+store_apply_part (store_t *store, const msg_config_part_t *part,
+                  cfd_time_t now)
 {
   uint64_t before = store->revision;
   bool is_news = part->state != 0 ? store_take_piece (store, part, now)
