--- a/libcoltsfootdrum/config/rec-parse.c
+++ b/libcoltsfootdrum/config/rec-parse.c
@@ -7,8 +7,8 @@
 
 #define WEIGHT_MAX 1e6
 #define QUEUE_MAX_DEFAULT 200
-#define QUEUE_MAX_MOST 100000
-#define SLOTS_MOST 65536
+#define QUEUE_MAX_LIMIT 100000
+#define SLOTS_LIMIT 65536
 #define SLOTS_COLD_DEFAULT 1
 #define KEY_HASH_LENGTH (REC_KEY_HASH_HEX_SIZE - 1)
 
@@ -16,8 +16,8 @@
 
 G_GNUC_PRINTF (4, 5)
 static bool
-bad (const rec_t *record, const char *member, GError **error,
-     const char *format, ...)
+set_member_error (const rec_t *record, const char *member, GError **error,
+                  const char *format, ...)
 {
   g_autofree char *reason = NULL;
   va_list arguments;
@@ -33,7 +33,7 @@
 
 /* The value of MEMBER when it has TYPE, else NULL.  */
 static JsonNode *
-value_of (JsonObject *object, const char *member, GType type)
+get_member_of_type (JsonObject *object, const char *member, GType type)
 {
   JsonNode *node = json_object_get_member (object, member);
 
@@ -46,34 +46,34 @@
 read_string (const rec_t *record, JsonObject *object, const char *member,
              char **text, GError **error)
 {
-  JsonNode *node = value_of (object, member, G_TYPE_STRING);
+  JsonNode *node = get_member_of_type (object, member, G_TYPE_STRING);
   const char *value = node == NULL ? NULL : json_node_get_string (node);
 
   if (value == NULL || value[0] == '\0' || strlen (value) > MSG_NAME_MAX)
-    return bad (record, member, error, "must be a text of 1 to %u bytes",
-                MSG_NAME_MAX);
+    return set_member_error (record, member, error,
+                             "must be a text of 1 to %u bytes", MSG_NAME_MAX);
   *text = g_strdup (value);
   return true;
 }
 
 /* Leaves DEFAULT when MEMBER is absent and IS_OPTIONAL is set.  */
 static bool
-read_count (const rec_t *record, JsonObject *object, const char *member,
-            gint64 least, gint64 most, bool is_optional, unsigned *count,
-            GError **error)
+read_uint (const rec_t *record, JsonObject *object, const char *member,
+           gint64 min, gint64 max, bool is_optional, unsigned *count,
+           GError **error)
 {
   JsonNode *node;
   gint64 value;
 
   if (is_optional && !json_object_has_member (object, member))
     return true;
-  node = value_of (object, member, G_TYPE_INT64);
-  value = node == NULL ? least - 1 : json_node_get_int (node);
-  if (value < least || value > most)
-    return bad (record, member, error,
-                "must be a whole number from %" G_GINT64_FORMAT
-                " to %" G_GINT64_FORMAT,
-                least, most);
+  node = get_member_of_type (object, member, G_TYPE_INT64);
+  value = node == NULL ? min - 1 : json_node_get_int (node);
+  if (value < min || value > max)
+    return set_member_error (record, member, error,
+                             "must be a whole number from %" G_GINT64_FORMAT
+                             " to %" G_GINT64_FORMAT,
+                             min, max);
   *count = (unsigned)value;
   return true;
 }
@@ -82,32 +82,32 @@
 read_bool (const rec_t *record, JsonObject *object, const char *member,
            bool *flag, GError **error)
 {
-  JsonNode *node = value_of (object, member, G_TYPE_BOOLEAN);
+  JsonNode *node = get_member_of_type (object, member, G_TYPE_BOOLEAN);
 
   if (node == NULL)
-    return bad (record, member, error, "must be true or false");
+    return set_member_error (record, member, error, "must be true or false");
   *flag = json_node_get_boolean (node);
   return true;
 }
 
 /* Reads one of two words; sets IS_SECOND when it is the second.  */
 static bool
-read_choice (const rec_t *record, JsonObject *object, const char *member,
-             const char *first, const char *second, bool *is_second,
-             GError **error)
+read_enum (const rec_t *record, JsonObject *object, const char *member,
+           const char *first, const char *second, bool *is_second,
+           GError **error)
 {
-  JsonNode *node = value_of (object, member, G_TYPE_STRING);
+  JsonNode *node = get_member_of_type (object, member, G_TYPE_STRING);
   const char *value = node == NULL ? "" : json_node_get_string (node);
 
   if (strcmp (value, first) != 0 && strcmp (value, second) != 0)
-    return bad (record, member, error, "must be \"%s\" or \"%s\"", first,
-                second);
+    return set_member_error (record, member, error, "must be \"%s\" or \"%s\"",
+                             first, second);
   *is_second = strcmp (value, second) == 0;
   return true;
 }
 
 static JsonArray *
-array_of (JsonObject *object, const char *member)
+get_array_member (JsonObject *object, const char *member)
 {
   JsonNode *node = json_object_get_member (object, member);
 
@@ -117,7 +117,7 @@
 }
 
 static JsonObject *
-object_at (JsonArray *array, guint index)
+get_object_element (JsonArray *array, guint index)
 {
   JsonNode *node = json_array_get_element (array, index);
 
@@ -126,7 +126,7 @@
 
 /* The text at INDEX, or NULL when it is something else.  */
 static const char *
-text_at (JsonArray *array, guint index)
+get_string_element (JsonArray *array, guint index)
 {
   JsonNode *node = json_array_get_element (array, index);
 
@@ -148,12 +148,13 @@
                GArray *hashes, GError **error)
 {
   rec_key_hash_t key;
-  JsonNode *node = value_of (object, member, G_TYPE_STRING);
+  JsonNode *node = get_member_of_type (object, member, G_TYPE_STRING);
   const char *hash = node == NULL ? NULL : json_node_get_string (node);
 
   if (!is_key_hash (hash))
-    return bad (record, member, error, "must be %d lower-case hex digits",
-                KEY_HASH_LENGTH);
+    return set_member_error (record, member, error,
+                             "must be %d lower-case hex digits",
+                             KEY_HASH_LENGTH);
   sodium_hex2bin (key.bytes, sizeof key.bytes, hash, KEY_HASH_LENGTH, NULL,
                   NULL, NULL);
   g_array_append_val (hashes, key);
@@ -164,16 +165,18 @@
 read_keys (const rec_t *record, JsonObject *spec, GArray *hashes,
            GError **error)
 {
-  JsonArray *keys = array_of (spec, "keys");
+  JsonArray *keys = get_array_member (spec, "keys");
 
   if (keys == NULL)
-    return bad (record, "keys", error, "must be an array of {\"hash\"}");
+    return set_member_error (record, "keys", error,
+                             "must be an array of {\"hash\"}");
   for (guint i = 0; i < json_array_get_length (keys); i++)
     {
-      JsonObject *key = object_at (keys, i);
+      JsonObject *key = get_object_element (keys, i);
 
       if (key == NULL)
-        return bad (record, "keys", error, "must be an array of {\"hash\"}");
+        return set_member_error (record, "keys", error,
+                                 "must be an array of {\"hash\"}");
       if (!read_key_hash (record, key, "hash", hashes, error))
         return false;
     }
@@ -193,14 +196,14 @@
   if (weight != NULL && JSON_NODE_HOLDS_VALUE (weight))
     account->weight = json_node_get_double (weight);
   if (!(account->weight > 0 && account->weight <= WEIGHT_MAX))
-    return bad (record, "weight", error, "must be a number above 0 up to %g",
-                WEIGHT_MAX);
+    return set_member_error (record, "weight", error,
+                             "must be a number above 0 up to %g", WEIGHT_MAX);
   if (schema == 1)
     ok = read_key_hash (record, spec, "key_hash", hashes, error);
   else
     ok = read_keys (record, spec, hashes, error)
-         && read_count (record, spec, "queue_max", 1, QUEUE_MAX_MOST, true,
-                        &account->queue_max, error);
+         && read_uint (record, spec, "queue_max", 1, QUEUE_MAX_LIMIT, true,
+                       &account->queue_max, error);
   /* A copy of the right size: the array's has room to grow.  */
   account->key_count = hashes->len;
   account->keys
@@ -210,15 +213,15 @@
 
 /* Adds a rule of schema 1: "METHOD PREFIX".  */
 static bool
-add_old_rule (const rec_t *record, const char *text, GPtrArray *rules,
-              GError **error)
+add_v1_rule (const rec_t *record, const char *text, GPtrArray *rules,
+             GError **error)
 {
   const char *space = text == NULL ? NULL : strchr (text, ' ');
   rec_rule_t *rule;
 
   if (space == NULL || space == text || space[1] != '/')
-    return bad (record, "idempotent", error,
-                "must be an array of \"METHOD /PREFIX\"");
+    return set_member_error (record, "idempotent", error,
+                             "must be an array of \"METHOD /PREFIX\"");
   rule = g_new0 (rec_rule_t, 1);
   rule->method = g_strndup (text, (gsize)(space - text));
   rule->prefix = g_strdup (space + 1);
@@ -228,16 +231,16 @@
 }
 
 static bool
-read_old_rules (rec_t *record, JsonObject *spec, GError **error)
+read_v1_rules (rec_t *record, JsonObject *spec, GError **error)
 {
-  JsonArray *array = array_of (spec, "idempotent");
+  JsonArray *array = get_array_member (spec, "idempotent");
 
   if (array == NULL && json_object_has_member (spec, "idempotent"))
-    return bad (record, "idempotent", error,
-                "must be an array of \"METHOD /PREFIX\"");
+    return set_member_error (record, "idempotent", error,
+                             "must be an array of \"METHOD /PREFIX\"");
   for (guint i = 0; array != NULL && i < json_array_get_length (array); i++)
-    if (!add_old_rule (record, text_at (array, i), record->u.service.rules,
-                       error))
+    if (!add_v1_rule (record, get_string_element (array, i),
+                      record->u.service.rules, error))
       return false;
   return true;
 }
@@ -245,18 +248,20 @@
 static bool
 read_rules (rec_t *record, JsonObject *spec, GError **error)
 {
-  JsonArray *array = array_of (spec, "rules");
+  JsonArray *array = get_array_member (spec, "rules");
 
   if (array == NULL && json_object_has_member (spec, "rules"))
-    return bad (record, "rules", error, "must be an array of rules");
+    return set_member_error (record, "rules", error,
+                             "must be an array of rules");
   for (guint i = 0; array != NULL && i < json_array_get_length (array); i++)
     {
-      JsonObject *object = object_at (array, i);
+      JsonObject *object = get_object_element (array, i);
       rec_rule_t *rule = g_new0 (rec_rule_t, 1);
 
       g_ptr_array_add (record->u.service.rules, rule);
       if (object == NULL)
-        return bad (record, "rules", error, "must be an array of rules");
+        return set_member_error (record, "rules", error,
+                                 "must be an array of rules");
       if (!read_string (record, object, "method", &rule->method, error)
           || !read_string (record, object, "prefix", &rule->prefix, error)
           || !read_bool (record, object, "idempotent", &rule->idempotent,
@@ -269,20 +274,22 @@
 static bool
 read_classes (rec_t *record, JsonObject *spec, GError **error)
 {
-  JsonArray *array = array_of (spec, "classes");
+  JsonArray *array = get_array_member (spec, "classes");
   g_autoptr (GPtrArray) names = NULL;
 
   if (array == NULL && json_object_has_member (spec, "classes"))
-    return bad (record, "classes", error, "must be an array of names");
+    return set_member_error (record, "classes", error,
+                             "must be an array of names");
   if (array == NULL || json_array_get_length (array) == 0)
     return true;
   names = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < json_array_get_length (array); i++)
     {
-      const char *name = text_at (array, i);
+      const char *name = get_string_element (array, i);
 
       if (name == NULL)
-        return bad (record, "classes", error, "must be an array of names");
+        return set_member_error (record, "classes", error,
+                                 "must be an array of names");
       g_ptr_array_add (names, g_strdup (name));
     }
   g_ptr_array_add (names, NULL);
@@ -300,11 +307,11 @@
 
   service->rules = g_ptr_array_new_with_free_func (rec_rule_free);
   service->classes = g_strdupv ((GStrv)default_classes);
-  if (!read_choice (record, spec, "type", "model", "plain", &is_plain, error))
+  if (!read_enum (record, spec, "type", "model", "plain", &is_plain, error))
     return false;
   service->is_model = !is_plain;
   if (schema == 1)
-    return read_old_rules (record, spec, error);
+    return read_v1_rules (record, spec, error);
   return read_rules (record, spec, error)
          && read_classes (record, spec, error);
 }
@@ -319,7 +326,7 @@
   if (json_object_has_member (spec, "region")
       && !read_string (record, spec, "region", &zone->region, error))
     return false;
-  return read_choice (record, spec, "state", "in", "out", &zone->out, error);
+  return read_enum (record, spec, "state", "in", "out", &zone->out, error);
 }
 
 static bool
@@ -330,12 +337,13 @@
   JsonObject *slots;
 
   if (node == NULL || !JSON_NODE_HOLDS_OBJECT (node))
-    return bad (record, "slots", error, "must be {\"max\", \"cold\"}");
+    return set_member_error (record, "slots", error,
+                             "must be {\"max\", \"cold\"}");
   slots = json_node_get_object (node);
-  return read_count (record, slots, "max", 1, SLOTS_MOST, false,
-                     &endpoint->slots_max, error)
-         && read_count (record, slots, "cold", 1, endpoint->slots_max, true,
-                        &endpoint->slots_cold, error);
+  return read_uint (record, slots, "max", 1, SLOTS_LIMIT, false,
+                    &endpoint->slots_max, error)
+         && read_uint (record, slots, "cold", 1, endpoint->slots_max, true,
+                       &endpoint->slots_cold, error);
 }
 
 static bool
@@ -350,13 +358,13 @@
       || !read_string (record, spec, "url", &endpoint->url, error))
     return false;
   if (!g_str_has_prefix (endpoint->url, "http://"))
-    return bad (record, "url", error, "must begin with http://");
+    return set_member_error (record, "url", error, "must begin with http://");
   if (schema == 1)
-    return read_count (record, spec, "slots", 1, SLOTS_MOST, false,
-                       &endpoint->slots_max, error);
+    return read_uint (record, spec, "slots", 1, SLOTS_LIMIT, false,
+                      &endpoint->slots_max, error);
   return read_slots (record, spec, error)
-         && read_choice (record, spec, "state", "in", "leaving",
-                         &endpoint->leaving, error);
+         && read_enum (record, spec, "state", "in", "leaving",
+                       &endpoint->leaving, error);
 }
 
 bool
@@ -365,8 +373,8 @@
 {
   unsigned schema = 0;
 
-  if (!read_count (record, spec, "schema", 1, G_MAXINT32, false, &schema,
-                   error))
+  if (!read_uint (record, spec, "schema", 1, G_MAXINT32, false, &schema,
+                  error))
     return false;
   if (schema > newest)
     {
--- a/libcoltsfootdrum/config/rec-parse.h
+++ b/libcoltsfootdrum/config/rec-parse.h
@@ -13,13 +13,13 @@
 #endif
 
 /* The text of a platform object; free with g_free.  */
-char *rec_object_text (JsonObject *object);
+char *rec_object_to_text (JsonObject *object);
 /* A record with its envelope alone, or NULL.  */
 rec_t *rec_parse_envelope (JsonObject *object, GError **error);
 /* Reads the rest of OBJECT into RECORD, by schemas up to NEWEST, and makes
    the shape of its text.  */
-bool rec_parse_rest (rec_t *record, JsonObject *object, unsigned newest,
-                     GError **error);
+bool rec_parse_contents (rec_t *record, JsonObject *object, unsigned newest,
+                         GError **error);
 
 /* Fills RECORD's union from SPEC by its kind.  False with CFD_ERROR_RECORD;
    what was filled by then is freed with the record.  */
--- a/libcoltsfootdrum/config/rec-text.c
+++ b/libcoltsfootdrum/config/rec-text.c
@@ -7,97 +7,99 @@
    which no JSON text has: control characters are escaped there.  */
 enum
 {
-  SLOT_NAME = 1,
-  SLOT_VERSION,
-  SLOT_REVISION,
-  SLOT_KEYS, /* the first of up to KEYS_MAX */
-  KEYS_MAX = 4,
-  SLOT_END = SLOT_KEYS + KEYS_MAX
+  PLACEHOLDER_NAME = 1,
+  PLACEHOLDER_VERSION,
+  PLACEHOLDER_REVISION,
+  PLACEHOLDER_KEYS, /* the first of up to KEYS_MAX */
+  MAX_TEMPLATE_KEYS = 4,
+  PLACEHOLDER_END = PLACEHOLDER_KEYS + MAX_TEMPLATE_KEYS
 };
 
-#define DIGITS_MAX 24
+#define REVISION_TEXT_SIZE 24
 
 typedef struct
 {
-  const char *values[SLOT_END]; /* NULL: not there */
-  char revision[DIGITS_MAX];
-  char keys[KEYS_MAX][REC_KEY_HASH_HEX_SIZE];
-} slots_t;
+  const char *values[PLACEHOLDER_END]; /* NULL: not there */
+  char revision[REVISION_TEXT_SIZE];
+  char keys[MAX_TEMPLATE_KEYS][REC_KEY_HASH_HEX_SIZE];
+} template_values_t;
 
 static void
-slots_of (const rec_t *record, slots_t *slots)
+collect_values (const rec_t *record, template_values_t *template)
 {
   const rec_account_t *account = &record->u.account;
   bool has_keys = record->kind == REC_ACCOUNT && !record->deleted;
-  unsigned keys = has_keys ? MIN (account->key_count, KEYS_MAX) : 0;
+  unsigned keys = has_keys ? MIN (account->key_count, MAX_TEMPLATE_KEYS) : 0;
 
-  memset (slots, 0, sizeof *slots);
-  g_snprintf (slots->revision, sizeof slots->revision, "%" G_GUINT64_FORMAT,
-              record->revision);
-  slots->values[SLOT_NAME] = record->name;
-  slots->values[SLOT_VERSION] = record->version;
-  slots->values[SLOT_REVISION] = slots->revision;
+  memset (template, 0, sizeof *template);
+  g_snprintf (template->revision, sizeof template->revision,
+              "%" G_GUINT64_FORMAT, record->revision);
+  template->values[PLACEHOLDER_NAME] = record->name;
+  template->values[PLACEHOLDER_VERSION] = record->version;
+  template->values[PLACEHOLDER_REVISION] = template->revision;
   for (unsigned i = 0; i < keys; i++)
-    slots->values[SLOT_KEYS + i]
-        = sodium_bin2hex (slots->keys[i], sizeof slots->keys[i],
+    template->values[PLACEHOLDER_KEYS + i]
+        = sodium_bin2hex (template->keys[i], sizeof template->keys[i],
                           account->keys[i].bytes, REC_KEY_HASH_SIZE);
 }
 
 /* Whether the value of SLOT stands at AT as a whole JSON value.  */
 static bool
-stands_at (const char *at, const char *value, int slot)
+is_value_at (const char *pos, const char *value, int placeholder)
 {
   size_t length = strlen (value);
 
-  if (length == 0 || strncmp (at, value, length) != 0)
+  if (length == 0 || strncmp (pos, value, length) != 0)
     return false;
-  if (slot == SLOT_REVISION)
-    return at[-1] == ':' && strchr (",}", at[length]) != NULL;
-  return at[-1] == '"' && at[length] == '"';
+  if (placeholder == PLACEHOLDER_REVISION)
+    return pos[-1] == ':' && strchr (",}", pos[length]) != NULL;
+  return pos[-1] == '"' && pos[length] == '"';
 }
 
 static int
-slot_at (const slots_t *slots, const char *at)
+find_placeholder (const template_values_t *template, const char *pos)
 {
-  for (int slot = SLOT_NAME; slot < SLOT_END; slot++)
-    if (slots->values[slot] != NULL
-        && stands_at (at, slots->values[slot], slot))
-      return slot;
+  for (int placeholder = PLACEHOLDER_NAME; placeholder < PLACEHOLDER_END;
+       placeholder++)
+    if (template->values[placeholder] != NULL
+        && is_value_at (pos, template->values[placeholder], placeholder))
+      return placeholder;
   return 0;
 }
 
 char *
-rec_text_shape (const char *text, const rec_t *record)
+rec_text_make_template (const char *text, const rec_t *record)
 {
-  g_autoptr (GString) shape = g_string_new (NULL);
-  slots_t slots;
+  g_autoptr (GString) text_template = g_string_new (NULL);
+  template_values_t template;
 
-  slots_of (record, &slots);
+  collect_values (record, &template);
   /* The first byte is the brace of an object: nothing looks before it.  */
-  g_string_append_c (shape, *text);
-  for (const char *at = text + 1; *at != '\0';)
+  g_string_append_c (text_template, *text);
+  for (const char *pos = text + 1; *pos != '\0';)
     {
-      int slot = slot_at (&slots, at);
+      int placeholder = find_placeholder (&template, pos);
 
-      g_string_append_c (shape, (char)(slot == 0 ? *at : slot));
-      at += slot == 0 ? 1 : strlen (slots.values[slot]);
+      g_string_append_c (text_template,
+                         (char)(placeholder == 0 ? *pos : placeholder));
+      pos += placeholder == 0 ? 1 : strlen (template.values[placeholder]);
     }
-  return g_ref_string_new_intern (shape->str);
+  return g_ref_string_new_intern (text_template->str);
 }
 
 char *
 rec_to_text (const rec_t *record)
 {
   GString *text = g_string_new (NULL);
-  slots_t slots;
+  template_values_t template;
 
-  slots_of (record, &slots);
-  for (const char *at = record->shape; *at != '\0'; at++)
+  collect_values (record, &template);
+  for (const char *pos = record->text_template; *pos != '\0'; pos++)
     {
-      if (*at > 0 && *at < SLOT_END)
-        g_string_append (text, slots.values[(int)*at]);
+      if (*pos > 0 && *pos < PLACEHOLDER_END)
+        g_string_append (text, template.values[(int)*pos]);
       else
-        g_string_append_c (text, *at);
+        g_string_append_c (text, *pos);
     }
   return g_string_free (text, FALSE);
 }
--- a/libcoltsfootdrum/config/rec-text.h
+++ b/libcoltsfootdrum/config/rec-text.h
@@ -13,6 +13,6 @@
 
 /* The shape of TEXT, the platform object that RECORD was parsed from; an
    interned string, freed by g_ref_string_release.  */
-char *rec_text_shape (const char *text, const rec_t *record);
+char *rec_text_make_template (const char *text, const rec_t *record);
 
 #endif
--- a/libcoltsfootdrum/config/rec.c
+++ b/libcoltsfootdrum/config/rec.c
@@ -42,7 +42,7 @@
 }
 
 static void
-clear_union (rec_t *record)
+free_union_members (rec_t *record)
 {
   switch (record->kind)
     {
@@ -70,15 +70,15 @@
 {
   if (record == NULL)
     return;
-  clear_union (record);
+  free_union_members (record);
   g_clear_pointer (&record->name, g_ref_string_release);
   g_free (record->version);
-  g_clear_pointer (&record->shape, g_ref_string_release);
+  g_clear_pointer (&record->text_template, g_ref_string_release);
   g_free (record);
 }
 
 char *
-rec_object_text (JsonObject *object)
+rec_object_to_text (JsonObject *object)
 {
   g_autoptr (JsonNode) root = json_node_new (JSON_NODE_OBJECT);
 
@@ -88,7 +88,7 @@
 
 /* The text member NAME, or NULL.  */
 static const char *
-text_member (JsonObject *object, const char *name)
+get_string_member (JsonObject *object, const char *name)
 {
   JsonNode *node = json_object_get_member (object, name);
 
@@ -99,10 +99,10 @@
 }
 
 static bool
-read_envelope (rec_t *record, JsonObject *object, GError **error)
+parse_envelope (rec_t *record, JsonObject *object, GError **error)
 {
-  const char *kind = text_member (object, "kind");
-  const char *name = text_member (object, "name");
+  const char *kind = get_string_member (object, "kind");
+  const char *name = get_string_member (object, "name");
   gint64 revision
       = json_object_get_int_member_with_default (object, "revision", 0);
 
@@ -122,7 +122,7 @@
       return false;
     }
   record->name = g_ref_string_new (name);
-  record->version = g_strdup (text_member (object, "version"));
+  record->version = g_strdup (get_string_member (object, "version"));
   record->revision = (uint64_t)revision;
   record->deleted
       = json_object_get_boolean_member_with_default (object, "deleted", FALSE);
@@ -134,7 +134,7 @@
 {
   rec_t *record = g_new0 (rec_t, 1);
 
-  if (!read_envelope (record, object, error))
+  if (!parse_envelope (record, object, error))
     {
       rec_free (record);
       return NULL;
@@ -143,8 +143,7 @@
 }
 
 static bool
-parse_spec_of (rec_t *record, JsonObject *object, unsigned newest,
-               GError **error)
+parse_spec (rec_t *record, JsonObject *object, unsigned newest, GError **error)
 {
   JsonNode *spec = json_object_get_member (object, "spec");
 
@@ -159,15 +158,15 @@
 }
 
 bool
-rec_parse_rest (rec_t *record, JsonObject *object, unsigned newest,
-                GError **error)
+rec_parse_contents (rec_t *record, JsonObject *object, unsigned newest,
+                    GError **error)
 {
   g_autofree char *text = NULL;
 
-  if (!parse_spec_of (record, object, newest, error))
+  if (!parse_spec (record, object, newest, error))
     return false;
-  text = rec_object_text (object);
-  record->shape = rec_text_shape (text, record);
+  text = rec_object_to_text (object);
+  record->text_template = rec_text_make_template (text, record);
   return true;
 }
 
@@ -177,7 +176,7 @@
   rec_t *record = rec_parse_envelope (object, error);
 
   if (record == NULL
-      || rec_parse_rest (record, object, REC_SCHEMA_NEWEST, error))
+      || rec_parse_contents (record, object, REC_SCHEMA_NEWEST, error))
     return record;
   rec_free (record);
   return NULL;
--- a/libcoltsfootdrum/config/rec.h
+++ b/libcoltsfootdrum/config/rec.h
@@ -89,7 +89,7 @@
   char *version; /* the platform's */
   uint64_t revision;
   bool deleted;
-  char *shape; /* of the text, see rec-text.h */
+  char *text_template; /* of the text, see rec-text.h */
   union
   {
     rec_account_t account;
--- a/libcoltsfootdrum/config/spread-tree.c
+++ b/libcoltsfootdrum/config/spread-tree.c
@@ -11,12 +11,12 @@
   char *self;
   unsigned rank;      /* of SELF among ROUTERS, or NOT_LISTED */
   GPtrArray *routers; /* names in order of rank, SELF too */
-  GPtrArray *told_routers;
-  GPtrArray *told_agents;
+  GPtrArray *child_routers;
+  GPtrArray *child_agents;
 };
 
 static gint
-compare (gconstpointer a, gconstpointer b)
+compare_ranks (gconstpointer a, gconstpointer b)
 {
   const store_instance_t *first = *(const store_instance_t *const *)a;
   const store_instance_t *second = *(const store_instance_t *const *)b;
@@ -28,18 +28,18 @@
 
 /* The names of the INSTANCES that stay, in order of rank.  */
 static GPtrArray *
-rank_all (const GPtrArray *instances)
+list_by_rank (const GPtrArray *instances)
 {
   GPtrArray *names = g_ptr_array_new_with_free_func (g_free);
-  g_autoptr (GPtrArray) staying = g_ptr_array_new ();
+  g_autoptr (GPtrArray) active = g_ptr_array_new ();
 
   for (guint i = 0; i < instances->len; i++)
     if (!((const store_instance_t *)instances->pdata[i])->leaving)
-      g_ptr_array_add (staying, instances->pdata[i]);
-  g_ptr_array_sort (staying, compare);
-  for (guint i = 0; i < staying->len; i++)
+      g_ptr_array_add (active, instances->pdata[i]);
+  g_ptr_array_sort (active, compare_ranks);
+  for (guint i = 0; i < active->len; i++)
     {
-      const store_instance_t *instance = staying->pdata[i];
+      const store_instance_t *instance = active->pdata[i];
 
       g_ptr_array_add (names, g_strdup (instance->name));
     }
@@ -47,7 +47,7 @@
 }
 
 static unsigned
-rank_of (const GPtrArray *names, const char *name)
+find_rank (const GPtrArray *names, const char *name)
 {
   for (guint i = 0; i < names->len; i++)
     if (strcmp (names->pdata[i], name) == 0)
@@ -56,17 +56,18 @@
 }
 
 static void
-choose_routers (spread_tree_t *tree)
+set_child_routers (spread_tree_t *tree)
 {
-  unsigned first = SPREAD_WATCHERS_PER_ROLE + tree->rank * SPREAD_TREE_FANOUT;
+  unsigned first_child
+      = SPREAD_WATCHERS_PER_ROLE + tree->rank * SPREAD_TREE_FANOUT;
 
-  for (unsigned i = first; i < first + SPREAD_TREE_FANOUT; i++)
+  for (unsigned i = first_child; i < first_child + SPREAD_TREE_FANOUT; i++)
     if (i < tree->routers->len)
-      g_ptr_array_add (tree->told_routers, tree->routers->pdata[i]);
+      g_ptr_array_add (tree->child_routers, tree->routers->pdata[i]);
 }
 
 static void
-choose_agents (spread_tree_t *tree, const GPtrArray *agents)
+set_child_agents (spread_tree_t *tree, const GPtrArray *agents)
 {
   unsigned routers = tree->routers->len;
 
@@ -77,7 +78,7 @@
 
       if (hash % routers == tree->rank
           || (hash + MAX (routers / 2, 1u)) % routers == tree->rank)
-        g_ptr_array_add (tree->told_agents, g_strdup (agent->name));
+        g_ptr_array_add (tree->child_agents, g_strdup (agent->name));
     }
 }
 
@@ -88,14 +89,14 @@
   spread_tree_t *tree = g_new0 (spread_tree_t, 1);
 
   tree->self = g_strdup (self);
-  tree->routers = rank_all (routers);
-  tree->rank = rank_of (tree->routers, self);
-  tree->told_routers = g_ptr_array_new ();
-  tree->told_agents = g_ptr_array_new_with_free_func (g_free);
+  tree->routers = list_by_rank (routers);
+  tree->rank = find_rank (tree->routers, self);
+  tree->child_routers = g_ptr_array_new ();
+  tree->child_agents = g_ptr_array_new_with_free_func (g_free);
   if (tree->rank == NOT_LISTED)
     return tree;
-  choose_routers (tree);
-  choose_agents (tree, agents);
+  set_child_routers (tree);
+  set_child_agents (tree, agents);
   return tree;
 }
 
@@ -104,8 +105,8 @@
 {
   if (tree == NULL)
     return;
-  g_ptr_array_unref (tree->told_agents);
-  g_ptr_array_unref (tree->told_routers);
+  g_ptr_array_unref (tree->child_agents);
+  g_ptr_array_unref (tree->child_routers);
   g_ptr_array_unref (tree->routers);
   g_free (tree->self);
   g_free (tree);
@@ -114,31 +115,31 @@
 const GPtrArray *
 spread_tree_get_child_routers (const spread_tree_t *tree)
 {
-  return tree->told_routers;
+  return tree->child_routers;
 }
 
 const GPtrArray *
 spread_tree_get_child_agents (const spread_tree_t *tree)
 {
-  return tree->told_agents;
+  return tree->child_agents;
 }
 
 const char *
-spread_tree_choose_source (const spread_tree_t *tree, unsigned choice)
+spread_tree_choose_source (const spread_tree_t *tree, unsigned attempt)
 {
   const GPtrArray *routers = tree->routers;
-  unsigned others = routers->len - (tree->rank == NOT_LISTED ? 0 : 1);
+  unsigned other_count = routers->len - (tree->rank == NOT_LISTED ? 0 : 1);
   unsigned index;
 
-  if (others == 0)
+  if (other_count == 0)
     return NULL;
-  if (choice == 0 && tree->rank != NOT_LISTED
+  if (attempt == 0 && tree->rank != NOT_LISTED
       && tree->rank >= SPREAD_WATCHERS_PER_ROLE)
     return routers
         ->pdata[(tree->rank - SPREAD_WATCHERS_PER_ROLE) / SPREAD_TREE_FANOUT];
   index = (unsigned)(XXH3_64bits_withSeed (tree->self, strlen (tree->self),
-                                           choice)
-                     % others);
+                                           attempt)
+                     % other_count);
   /* One further from SELF's own place on, which is left out.  */
   if (tree->rank != NOT_LISTED && index >= tree->rank)
     index++;
--- a/libcoltsfootdrum/config/spread.c
+++ b/libcoltsfootdrum/config/spread.c
@@ -16,7 +16,7 @@
 }
 
 static const store_instance_t *
-find (const GPtrArray *instances, const char *name)
+find_instance (const GPtrArray *instances, const char *name)
 {
   for (guint i = 0; i < instances->len; i++)
     {
@@ -31,7 +31,8 @@
 /* Instances of ZONE (NULL: of any) that go before NAME.  Those that leave
    don't count: their watch is about to end.  */
 static unsigned
-count_before (const GPtrArray *instances, const char *zone, const char *name)
+count_ranked_before (const GPtrArray *instances, const char *zone,
+                     const char *name)
 {
   unsigned count = 0;
 
@@ -49,50 +50,53 @@
 
 void
 spread_find_position (const GPtrArray *routers, const GPtrArray *agents,
-                      role_t role, const char *self, spread_position_t *place)
+                      role_t role, const char *self,
+                      spread_position_t *position)
 {
-  const GPtrArray *own = role == ROLE_ROUTER ? routers : agents;
-  const store_instance_t *instance = find (own, self);
+  const GPtrArray *own_role = role == ROLE_ROUTER ? routers : agents;
+  const store_instance_t *instance = find_instance (own_role, self);
 
-  place->fleet = routers->len + agents->len;
-  place->rank = 0;
-  place->is_first_in_zone = true;
+  position->instance_count = routers->len + agents->len;
+  position->rank = 0;
+  position->is_first_in_zone = true;
   if (instance == NULL)
     return;
-  place->rank = count_before (own, NULL, self);
-  place->is_first_in_zone
-      = count_before (routers, instance->zone, self) == 0
-        && count_before (agents, instance->zone, self) == 0;
+  position->rank = count_ranked_before (own_role, NULL, self);
+  position->is_first_in_zone
+      = count_ranked_before (routers, instance->zone, self) == 0
+        && count_ranked_before (agents, instance->zone, self) == 0;
 }
 
 bool
-spread_is_watcher (const spread_position_t *place)
+spread_is_watcher (const spread_position_t *position)
 {
-  return place->fleet <= SPREAD_SMALL_FLEET_INSTANCES
-         || place->rank < SPREAD_WATCHERS_PER_ROLE || place->is_first_in_zone;
+  return position->instance_count <= SPREAD_SMALL_FLEET_INSTANCES
+         || position->rank < SPREAD_WATCHERS_PER_ROLE
+         || position->is_first_in_zone;
 }
 
 unsigned
-spread_poll_interval_ms (const spread_position_t *place)
+spread_poll_interval_ms (const spread_position_t *position)
 {
-  return MAX (1000u, place->fleet * 1000u / SPREAD_MAX_FLEET_POLLS_PER_S);
+  return MAX (1000u,
+              position->instance_count * 1000u / SPREAD_MAX_FLEET_POLLS_PER_S);
 }
 
 unsigned
-spread_read_interval_ms (const spread_position_t *place)
+spread_read_interval_ms (const spread_position_t *position)
 {
   return MAX ((unsigned)SPREAD_MIN_READ_INTERVAL_MS,
-              place->fleet * 1000u / SPREAD_MAX_FLEET_READS_PER_S);
+              position->instance_count * 1000u / SPREAD_MAX_FLEET_READS_PER_S);
 }
 
 spread_action_t
-spread_choose_action (const spread_position_t *place, uint32_t age_ms,
+spread_choose_action (const spread_position_t *position, uint32_t age_ms,
                       cfd_time_t last_read, cfd_time_t now)
 {
   if (age_ms < SPREAD_ASK_PEER_AFTER_MS)
     return SPREAD_WAIT;
   if (age_ms < SPREAD_READ_PLATFORM_AFTER_MS
-      || now - last_read < spread_read_interval_ms (place))
+      || now - last_read < spread_read_interval_ms (position))
     return SPREAD_ASK_PEER;
   return SPREAD_READ_PLATFORM;
 }
--- a/libcoltsfootdrum/config/spread.h
+++ b/libcoltsfootdrum/config/spread.h
@@ -35,8 +35,8 @@
 
 typedef struct
 {
-  unsigned fleet; /* instances of all roles */
-  unsigned rank;  /* among those of the own role, from 0 */
+  unsigned instance_count; /* instances of all roles */
+  unsigned rank;           /* among those of the own role, from 0 */
   bool is_first_in_zone;
 } spread_position_t;
 
@@ -44,18 +44,18 @@
    An instance the list does not have yet gets rank 0: it watches.  */
 void spread_find_position (const GPtrArray *routers, const GPtrArray *agents,
                            role_t role, const char *self,
-                           spread_position_t *place);
+                           spread_position_t *position);
 
 /* Whether A goes before B by hash of the name.  */
 bool spread_ranks_before (const char *a, const char *b);
 
-bool spread_is_watcher (const spread_position_t *place);
+bool spread_is_watcher (const spread_position_t *position);
 
 /* Milliseconds between two reads of the list of instances.  */
-unsigned spread_poll_interval_ms (const spread_position_t *place);
+unsigned spread_poll_interval_ms (const spread_position_t *position);
 
 /* Least milliseconds between two reads of a process that hears nothing.  */
-unsigned spread_read_interval_ms (const spread_position_t *place);
+unsigned spread_read_interval_ms (const spread_position_t *position);
 
 typedef enum
 {
@@ -66,7 +66,7 @@
 
 /* What a process that does not watch does now, when the newest word is AGE_MS
    old and it last read the platform at LAST_READ.  */
-spread_action_t spread_choose_action (const spread_position_t *place,
+spread_action_t spread_choose_action (const spread_position_t *position,
                                       uint32_t age_ms, cfd_time_t last_read,
                                       cfd_time_t now);
 
--- a/libcoltsfootdrum/config/store-instances.c
+++ b/libcoltsfootdrum/config/store-instances.c
@@ -6,7 +6,7 @@
 #define PART "config"
 
 static const char *
-text_member (JsonObject *object, const char *name)
+get_string_member (JsonObject *object, const char *name)
 {
   JsonNode *node = json_object_get_member (object, name);
 
@@ -28,7 +28,7 @@
 }
 
 static bool
-role_parse (const char *text, role_t *role)
+parse_role (const char *text, role_t *role)
 {
   if (strcmp (text, "router") == 0)
     *role = ROLE_ROUTER;
@@ -41,7 +41,7 @@
 
 /* NULL for what is no router or agent, or has no name or address.  */
 static store_instance_t *
-instance_parse (JsonNode *node)
+parse_instance (JsonNode *node)
 {
   JsonObject *object;
   store_instance_t *instance;
@@ -50,16 +50,17 @@
   if (!JSON_NODE_HOLDS_OBJECT (node))
     return NULL;
   object = json_node_get_object (node);
-  if (!role_parse (text_member (object, "role"), &role)
-      || text_member (object, "name")[0] == '\0'
-      || text_member (object, "address")[0] == '\0')
+  if (!parse_role (get_string_member (object, "role"), &role)
+      || get_string_member (object, "name")[0] == '\0'
+      || get_string_member (object, "address")[0] == '\0')
     return NULL;
   instance = g_new0 (store_instance_t, 1);
   instance->role = role;
-  instance->name = g_strdup (text_member (object, "name"));
-  instance->zone = g_strdup (text_member (object, "zone"));
-  instance->address = g_strdup (text_member (object, "address"));
-  instance->leaving = strcmp (text_member (object, "state"), "leaving") == 0;
+  instance->name = g_strdup (get_string_member (object, "name"));
+  instance->zone = g_strdup (get_string_member (object, "zone"));
+  instance->address = g_strdup (get_string_member (object, "address"));
+  instance->leaving
+      = strcmp (get_string_member (object, "state"), "leaving") == 0;
   return instance;
 }
 
@@ -74,7 +75,7 @@
   for (guint i = 0; i < json_array_get_length (list); i++)
     {
       store_instance_t *instance
-          = instance_parse (json_array_get_element (list, i));
+          = parse_instance (json_array_get_element (list, i));
 
       if (instance != NULL)
         g_ptr_array_add (store->instances[instance->role], instance);
@@ -82,7 +83,7 @@
 }
 
 void
-store_take_instances (store_t *store, JsonObject *answer, cfd_time_t now)
+store_apply_instances (store_t *store, JsonObject *answer, cfd_time_t now)
 {
   JsonNode *node = json_object_get_member (answer, "instances");
   g_autofree char *text = NULL;
--- a/libcoltsfootdrum/config/store-pieces.c
+++ b/libcoltsfootdrum/config/store-pieces.c
@@ -46,7 +46,7 @@
      receiver that knows none      asks without PIECES and gets that frame; a
                                    piece would be ignored for its FROM
      sender that never ends        NEXT must lie beyond AFTER, and at most
-                                   STORE_STATE_RECORDS are noted: else
+                                   STORE_MAX_SNAPSHOT_RECORDS are noted: else
                                    the pieces are given up, and until the
                                    revision reaches STATE asks are for the
                                    whole in one frame, as before  */
@@ -57,16 +57,16 @@
 #define PART "config"
 /* So long without a next piece another state may take its place.  Below the
    8 s of SPREAD_READ_PLATFORM_AFTER_MS, above several asks.  */
-#define STILL_MS 4000
+#define STALL_TIMEOUT_MS 4000
 
 struct pieces
 {
   uint64_t state;
-  msg_cursor_t place; /* of the last record taken; its name is owned */
+  msg_cursor_t position; /* of the last record taken; its name is owned */
   GHashTable *present;
-  unsigned taken;
-  cfd_time_t moved; /* when the last piece was taken */
-  bool given_up;
+  unsigned record_count;
+  cfd_time_t advanced_at; /* when the last piece was taken */
+  bool is_abandoned;
 };
 
 void
@@ -75,21 +75,21 @@
   if (pieces == NULL)
     return;
   g_hash_table_unref (pieces->present);
-  g_free ((char *)pieces->place.name);
+  g_free ((char *)pieces->position.name);
   g_free (pieces);
 }
 
 static void
-forget (store_t *store)
+discard_pieces (store_t *store)
 {
   g_clear_pointer (&store->pieces, store_pieces_free);
 }
 
 void
-store_pieces_overtaken (store_t *store)
+store_drop_reached_pieces (store_t *store)
 {
   if (store->pieces != NULL && store->pieces->state <= store->revision)
-    forget (store);
+    discard_pieces (store);
 }
 
 void
@@ -98,26 +98,26 @@
   *ask = (msg_config_ask_t){ .have = store->revision, .pieces = true };
   if (store->pieces == NULL)
     return;
-  if (store->pieces->given_up)
+  if (store->pieces->is_abandoned)
     {
       ask->pieces = false;
       return;
     }
   ask->state = store->pieces->state;
-  ask->after = store->pieces->place;
+  ask->after = store->pieces->position;
 }
 
 static void
-begin (store_t *store, uint64_t state)
+begin_snapshot (store_t *store, uint64_t state)
 {
-  forget (store);
+  discard_pieces (store);
   store->pieces = g_new0 (pieces_t, 1);
   store->pieces->state = state;
   store->pieces->present = g_hash_table_new (NULL, NULL);
 }
 
 static bool
-same_place (const msg_cursor_t *a, const msg_cursor_t *b)
+is_same_position (const msg_cursor_t *a, const msg_cursor_t *b)
 {
   return a->kind == b->kind
          && (a->kind == 0 || g_strcmp0 (a->name, b->name) == 0);
@@ -126,84 +126,85 @@
 /* Whether PART goes on where the pieces taken end.  The first of a state
    begins anew where none is under way, or that one stands still.  */
 static bool
-is_next (store_t *store, const msg_config_part_t *part, cfd_time_t now)
+accept_piece (store_t *store, const msg_config_part_t *part, cfd_time_t now)
 {
   const pieces_t *pieces = store->pieces;
 
-  if (part->state <= store->revision || (pieces != NULL && pieces->given_up))
+  if (part->state <= store->revision
+      || (pieces != NULL && pieces->is_abandoned))
     return false;
   if (pieces != NULL && part->state == pieces->state
-      && same_place (&part->after, &pieces->place))
+      && is_same_position (&part->after, &pieces->position))
     return true;
   if (part->after.kind != 0
-      || (pieces != NULL && now - pieces->moved < STILL_MS))
+      || (pieces != NULL && now - pieces->advanced_at < STALL_TIMEOUT_MS))
     return false;
-  begin (store, part->state);
+  begin_snapshot (store, part->state);
   return true;
 }
 
 /* Whether the sender can be asked for what follows NEXT.  */
 static bool
-move_on (store_t *store, const msg_cursor_t *next, cfd_time_t now)
+advance_position (store_t *store, const msg_cursor_t *next, cfd_time_t now)
 {
   pieces_t *pieces = store->pieces;
-  const msg_cursor_t *place = &pieces->place;
+  const msg_cursor_t *position = &pieces->position;
 
-  if (next->kind < place->kind
-      || (next->kind == place->kind
-          && g_strcmp0 (next->name, place->name) <= 0)
-      || g_hash_table_size (pieces->present) > store->state_records)
+  if (next->kind < position->kind
+      || (next->kind == position->kind
+          && g_strcmp0 (next->name, position->name) <= 0)
+      || g_hash_table_size (pieces->present) > store->max_snapshot_records)
     return false;
-  g_free ((char *)place->name);
-  pieces->place = (msg_cursor_t){ next->kind, g_strdup (next->name) };
-  pieces->moved = now;
+  g_free ((char *)position->name);
+  pieces->position = (msg_cursor_t){ next->kind, g_strdup (next->name) };
+  pieces->advanced_at = now;
   return true;
 }
 
 /* All pieces were taken.  They are out of the way first: who is told that the
    revision rose may ask at once.  */
 static void
-finish (store_t *store, const msg_config_part_t *part, cfd_time_t now)
+finish_snapshot (store_t *store, const msg_config_part_t *part, cfd_time_t now)
 {
   pieces_t *pieces = g_steal_pointer (&store->pieces);
 
-  store_took_whole (store, pieces->present, pieces->state, now);
-  store_advance (store, pieces->state, pieces->taken);
+  store_complete_snapshot (store, pieces->present, pieces->state, now);
+  store_advance_revision (store, pieces->state, pieces->record_count);
   if (part->age_ms != UINT32_MAX)
-    store_heard (store, now - (cfd_time_t)part->age_ms);
+    store_record_contact (store, now - (cfd_time_t)part->age_ms);
   store_pieces_free (pieces);
 }
 
 /* Else it would be taken from the start again and again.  */
 static void
-give_up (pieces_t *pieces)
+abandon_snapshot (pieces_t *pieces)
 {
   log_warn (PART,
             "A whole state in pieces does not end, and is left: records=%u.",
-            pieces->taken);
+            pieces->record_count);
   g_hash_table_remove_all (pieces->present);
-  pieces->given_up = true;
+  pieces->is_abandoned = true;
 }
 
 bool
-store_take_piece (store_t *store, const msg_config_part_t *part,
-                  cfd_time_t now)
+store_apply_piece (store_t *store, const msg_config_part_t *part,
+                   cfd_time_t now)
 {
   pieces_t *pieces;
 
-  if (!is_next (store, part, now))
+  if (!accept_piece (store, part, now))
     return false;
   pieces = store->pieces;
   for (uint32_t i = 0; i < part->count; i++)
-    pieces->taken
-        += store_take_text (store, part->records[i], pieces->present, now);
+    pieces->record_count
+        += store_apply_text (store, part->records[i], pieces->present, now);
   if (part->next.kind == 0)
     {
-      finish (store, part, now);
+      finish_snapshot (store, part, now);
       return true;
     }
-  if (move_on (store, &part->next, now))
+  if (advance_position (store, &part->next, now))
     return true;
-  give_up (pieces);
+  abandon_snapshot (pieces);
   return false;
 }
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -11,7 +11,7 @@
 /* ---- keys of accounts ---- */
 
 static guint
-hash_of_key (gconstpointer key)
+hash_key_table_key (gconstpointer key)
 {
   guint value;
 
@@ -22,7 +22,7 @@
 /* In constant time, so that the time of a refusal tells nothing of how near a
    guess came.  */
 static gboolean
-same_key (gconstpointer a, gconstpointer b)
+are_keys_equal (gconstpointer a, gconstpointer b)
 {
   return sodium_memcmp (a, b, sizeof (rec_key_hash_t)) == 0;
 }
@@ -30,13 +30,13 @@
 /* Gives the key HASH to the account with the least name of those that have
    it, so that all processes choose the same one.  */
 static void
-give_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
+assign_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
   const store_entry_t *other = g_hash_table_lookup (store->keys, hash);
 
   if (other != NULL && other != entry)
     {
-      store->keys_shared = true;
+      store->has_shared_keys = true;
       log_warn (PART,
                 "Two accounts have one key, the first by name holds it:"
                 " account=%s other=%s.",
@@ -49,9 +49,9 @@
 
 /* Calls VISIT for each key of ENTRY.  */
 static void
-each_key (store_t *store, store_entry_t *entry,
-          void (*visit) (store_t *store, rec_key_hash_t *hash,
-                         store_entry_t *entry))
+foreach_key (store_t *store, store_entry_t *entry,
+             void (*visit) (store_t *store, rec_key_hash_t *hash,
+                            store_entry_t *entry))
 {
   const rec_t *record = entry->record;
 
@@ -62,7 +62,7 @@
 }
 
 static void
-take_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
+release_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
   if (g_hash_table_lookup (store->keys, hash) == entry)
     g_hash_table_remove (store->keys, hash);
@@ -71,17 +71,17 @@
 /* ENTRY's record changed from one with the keys that were taken.  Where keys
    were ever shared, one that was given up may belong to another account.  */
 static void
-learn_keys (store_t *store, store_entry_t *entry)
+assign_keys (store_t *store, store_entry_t *entry)
 {
   GHashTableIter iter;
   gpointer other;
 
-  each_key (store, entry, give_key);
-  if (!store->keys_shared || entry->kind != REC_ACCOUNT)
+  foreach_key (store, entry, assign_key);
+  if (!store->has_shared_keys || entry->kind != REC_ACCOUNT)
     return;
   g_hash_table_iter_init (&iter, store->entries[REC_ACCOUNT]);
   while (g_hash_table_iter_next (&iter, NULL, &other))
-    each_key (store, other, give_key);
+    foreach_key (store, other, assign_key);
 }
 
 /* ---- entries ---- */
@@ -98,7 +98,7 @@
 }
 
 static store_entry_t *
-entry_need (store_t *store, const rec_t *record)
+get_or_add_entry (store_t *store, const rec_t *record)
 {
   GHashTable *entries = store->entries[record->kind];
   store_entry_t *entry = g_hash_table_lookup (entries, record->name);
@@ -120,7 +120,7 @@
 }
 
 static void
-note_zone (store_t *store, const rec_t *before, const rec_t *record)
+log_zone_change (store_t *store, const rec_t *before, const rec_t *record)
 {
   bool was_out = before != NULL && !before->deleted && before->u.zone.out;
   bool is_out = !record->deleted && record->u.zone.out;
@@ -136,22 +136,22 @@
 
 /* Puts RECORD, which is owned from now on, into force.  */
 static void
-put_in_force (store_t *store, store_entry_t *entry, rec_t *record,
+apply_record (store_t *store, store_entry_t *entry, rec_t *record,
               cfd_time_t now)
 {
   g_autoptr (rec_t) before = entry->record;
-  bool was_there = before != NULL && !before->deleted;
+  bool was_present = before != NULL && !before->deleted;
 
   INVARIANT ("record-monotonic", record->revision >= entry->revision,
              "a record in force went back to an older revision");
-  each_key (store, entry, take_key);
+  foreach_key (store, entry, release_key);
   g_clear_pointer (&entry->text, g_free);
   entry->record = record;
   entry->revision = record->revision;
-  learn_keys (store, entry);
+  assign_keys (store, entry);
   if (record->kind == REC_ZONE)
-    note_zone (store, before, record);
-  if (record->deleted && !was_there)
+    log_zone_change (store, before, record);
+  if (record->deleted && !was_present)
     return;
   if (store->events != NULL && store->events->record != NULL)
     store->events->record (store->user, record, now);
@@ -160,21 +160,21 @@
 /* Keeps the text of a record that can't be read, for peers that can, and
    leaves the last good one in force.  */
 static void
-keep_text (store_entry_t *entry, const rec_t *record, JsonObject *object,
-           const GError *error)
+keep_unparsed_text (store_entry_t *entry, const rec_t *record,
+                    JsonObject *object, const GError *error)
 {
   log_warn (PART, "Skipped a record, %s: revision=%" G_GUINT64_FORMAT ": %s.",
             entry->record != NULL ? "the last good one stays in force"
                                   : "none was in force",
             record->revision, error->message);
   g_free (entry->text);
-  entry->text = rec_object_text (object);
+  entry->text = rec_object_to_text (object);
   entry->revision = record->revision;
 }
 
 /* Before any parsing, which is most of the work and memory.  */
 static bool
-is_unwanted (const store_t *store, JsonObject *object)
+is_kind_skipped (const store_t *store, JsonObject *object)
 {
   const char *kind
       = json_object_get_string_member_with_default (object, "kind", "");
@@ -184,13 +184,13 @@
 }
 
 store_entry_t *
-store_take_object (store_t *store, JsonObject *object, cfd_time_t now)
+store_apply_object (store_t *store, JsonObject *object, cfd_time_t now)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (rec_t) record = NULL;
   store_entry_t *entry;
 
-  if (is_unwanted (store, object))
+  if (is_kind_skipped (store, object))
     return NULL;
   record = rec_parse_envelope (object, &error);
   if (record == NULL)
@@ -198,19 +198,19 @@
       log_warn (PART, "Skipped an object: %s.", error->message);
       return NULL;
     }
-  entry = entry_need (store, record);
+  entry = get_or_add_entry (store, record);
   if (record->revision <= entry->revision)
     return entry;
-  if (rec_parse_rest (record, object, store->schema_newest, &error))
-    put_in_force (store, entry, g_steal_pointer (&record), now);
+  if (rec_parse_contents (record, object, store->newest_schema, &error))
+    apply_record (store, entry, g_steal_pointer (&record), now);
   else
-    keep_text (entry, record, object, error);
+    keep_unparsed_text (entry, record, object, error);
   return entry;
 }
 
 /* The record that says that NAME is gone as of REVISION.  */
 static rec_t *
-tombstone (rec_kind_t kind, const char *name, uint64_t revision)
+make_tombstone (rec_kind_t kind, const char *name, uint64_t revision)
 {
   g_autoptr (JsonObject) object = json_object_new ();
 
@@ -229,8 +229,8 @@
 }
 
 void
-store_drop_absent (store_t *store, GHashTable *present, uint64_t revision,
-                   cfd_time_t now)
+store_delete_absent (store_t *store, GHashTable *present, uint64_t revision,
+                     cfd_time_t now)
 {
   for (int kind = REC_ACCOUNT; kind < STORE_KINDS; kind++)
     {
@@ -245,8 +245,8 @@
           if (is_deleted (entry) || entry->revision > revision
               || g_hash_table_contains (present, entry))
             continue;
-          put_in_force (store, entry, tombstone (kind, entry->name, revision),
-                        now);
+          apply_record (store, entry,
+                        make_tombstone (kind, entry->name, revision), now);
         }
     }
 }
@@ -254,21 +254,21 @@
 /* ---- revision and age ---- */
 
 void
-store_advance (store_t *store, uint64_t revision, unsigned changed)
+store_advance_revision (store_t *store, uint64_t revision, unsigned changed)
 {
   g_autofree char *detail = NULL;
 
   if (revision <= store->revision)
     return;
   store->revision = revision;
-  store_pieces_overtaken (store);
+  store_drop_reached_pieces (store);
   detail = g_strdup_printf ("revision=%" G_GUINT64_FORMAT " records=%u",
                             revision, changed);
   log_info (PART, "Configuration is in force: %s.", detail);
   if (store->ring != NULL)
     tl_add (store->ring, TL_CONFIG, NULL, NULL, NULL, NULL, detail);
-  if (store->events != NULL && store->events->advanced != NULL)
-    store->events->advanced (store->user);
+  if (store->events != NULL && store->events->revision_advanced != NULL)
+    store->events->revision_advanced (store->user);
 }
 
 void
@@ -276,22 +276,24 @@
 {
   if (revision <= store->revision)
     return;
-  if (store->ahead <= store->revision)
-    store->ahead_since = now;
-  store->ahead = MAX (store->ahead, revision);
+  if (store->peer_revision <= store->revision)
+    store->behind_since = now;
+  store->peer_revision = MAX (store->peer_revision, revision);
 }
 
 cfd_time_t
 store_get_behind_ms (const store_t *store, cfd_time_t now)
 {
-  return store->ahead > store->revision ? now - store->ahead_since : 0;
+  return store->peer_revision > store->revision ? now - store->behind_since
+                                                : 0;
 }
 
 void
-store_heard (store_t *store, cfd_time_t heard)
+store_record_contact (store_t *store, cfd_time_t last_contact)
 {
-  if (store->heard == CFD_TIME_NEVER || heard > store->heard)
-    store->heard = heard;
+  if (store->last_contact == CFD_TIME_NEVER
+      || last_contact > store->last_contact)
+    store->last_contact = last_contact;
 }
 
 uint64_t
@@ -303,9 +305,10 @@
 uint32_t
 store_get_age_ms (const store_t *store, cfd_time_t now)
 {
-  if (store->heard == CFD_TIME_NEVER)
+  if (store->last_contact == CFD_TIME_NEVER)
     return UINT32_MAX;
-  return (uint32_t)CLAMP (now - store->heard, 0, (cfd_time_t)UINT32_MAX);
+  return (uint32_t)CLAMP (now - store->last_contact, 0,
+                          (cfd_time_t)UINT32_MAX);
 }
 
 bool
@@ -399,7 +402,7 @@
 /* ---- life ---- */
 
 bool
-store_role_keeps (role_t role, rec_kind_t kind)
+store_role_keeps_kind (role_t role, rec_kind_t kind)
 {
   return role != ROLE_AGENT || kind != REC_ACCOUNT;
 }
@@ -410,7 +413,7 @@
   g_free (store->self);
   store->self = g_strdup (instance);
   store->self_role = role;
-  store->keeps_accounts = store_role_keeps (role, REC_ACCOUNT);
+  store->keeps_accounts = store_role_keeps_kind (role, REC_ACCOUNT);
 }
 
 store_t *
@@ -421,15 +424,15 @@
   store->ring = ring;
   store->events = events;
   store->user = user;
-  store->heard = CFD_TIME_NEVER;
+  store->last_contact = CFD_TIME_NEVER;
   store->keeps_accounts = true;
-  store->schema_newest = REC_SCHEMA_NEWEST;
-  store->piece_records = STORE_PIECE_RECORDS;
-  store->state_records = STORE_STATE_RECORDS;
+  store->newest_schema = REC_SCHEMA_NEWEST;
+  store->max_piece_records = STORE_MAX_PIECE_RECORDS;
+  store->max_snapshot_records = STORE_MAX_SNAPSHOT_RECORDS;
   for (int kind = 0; kind < STORE_KINDS; kind++)
     store->entries[kind]
         = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
-  store->keys = g_hash_table_new (hash_of_key, same_key);
+  store->keys = g_hash_table_new (hash_key_table_key, are_keys_equal);
   for (int role = 0; role < STORE_ROLES; role++)
     store->instances[role] = g_ptr_array_new ();
   return store;
--- a/libcoltsfootdrum/config/store.h
+++ b/libcoltsfootdrum/config/store.h
@@ -32,7 +32,7 @@
   /* The list of instances changed.  */
   void (*instances) (void *user, cfd_time_t now);
   /* The revision in force rose.  */
-  void (*advanced) (void *user);
+  void (*revision_advanced) (void *user);
 } store_events_t;
 
 store_t *store_new (tl_ring_t *ring, const store_events_t *events, void *user);
--- a/libcoltsfootdrum/config/test-follow.c
+++ b/libcoltsfootdrum/config/test-follow.c
@@ -4,9 +4,9 @@
 #include "config/store.h"
 #include "sp-test.h"
 
-#define IN "{\"schema\":1,\"out\":false}"
-#define OUT "{\"schema\":2,\"state\":\"out\"}"
-#define ZONE "availability-zone"
+#define ZONE_IN "{\"schema\":1,\"out\":false}"
+#define ZONE_OUT "{\"schema\":2,\"state\":\"out\"}"
+#define ZONE_KIND "availability-zone"
 /* An agent that starts before any zone was written.  */
 #define FIRST_AGENT "first-agent"
 
@@ -14,14 +14,14 @@
 {
   sp_test_t test;
   store_t *store;
-  unsigned lists; /* times that the list of instances changed */
+  unsigned list_changes; /* times that the list of instances changed */
   uint64_t watches;
 } fixture_t;
 
 static void
 on_instances (void *user, cfd_time_t now)
 {
-  ((fixture_t *)user)->lists++;
+  ((fixture_t *)user)->list_changes++;
 }
 
 static void
@@ -34,7 +34,7 @@
   if (data != NULL)
     store_set_self (f->store, ROLE_AGENT, data);
   if (g_strcmp0 (data, FIRST_AGENT) != 0)
-    sp_test_write (&f->test, ZONE, "a", IN);
+    sp_test_write (&f->test, ZONE_KIND, "a", ZONE_IN);
   store_follow (f->store, f->test.loop, f->test.plat);
 }
 
@@ -55,7 +55,7 @@
 }
 
 static void
-catch_up (fixture_t *f)
+wait_until_caught_up (fixture_t *f)
 {
   sp_test_run (&f->test, has_caught_up, f);
 }
@@ -69,15 +69,15 @@
     {
       g_autofree char *name = g_strdup_printf ("z%04u", i);
 
-      sp_test_write (&f->test, ZONE, name, IN);
+      sp_test_write (&f->test, ZONE_KIND, name, ZONE_IN);
     }
   while (sp_calls (f->test.sp, "list") < 2)
     ev_run (f->test.loop, EVRUN_ONCE);
-  sp_test_write (&f->test, ZONE, "z0001", NULL);
-  sp_test_write (&f->test, ZONE, "z0002", OUT);
-  sp_test_write (&f->test, ZONE, "z1199", NULL);
-  sp_test_write (&f->test, ZONE, "zz", OUT);
-  catch_up (f);
+  sp_test_write (&f->test, ZONE_KIND, "z0001", NULL);
+  sp_test_write (&f->test, ZONE_KIND, "z0002", ZONE_OUT);
+  sp_test_write (&f->test, ZONE_KIND, "z1199", NULL);
+  sp_test_write (&f->test, ZONE_KIND, "zz", ZONE_OUT);
+  wait_until_caught_up (f);
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 3);
   g_assert_null (store_get (f->store, REC_ZONE, "z0001"));
   g_assert_null (store_get (f->store, REC_ZONE, "z1199"));
@@ -105,14 +105,14 @@
      revision than the platform; the watch brings it up, and goes on to count
      the writes of accounts.  */
   write_accounts (f, 5);
-  catch_up (f);
+  wait_until_caught_up (f);
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
   g_assert_null (store_get (f->store, REC_ACCOUNT, "account-0"));
   g_assert_nonnull (store_get (f->store, REC_ZONE, "a"));
   write_accounts (f, 1);
-  catch_up (f);
-  sp_test_write (&f->test, ZONE, "a", OUT);
-  catch_up (f);
+  wait_until_caught_up (f);
+  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
+  wait_until_caught_up (f);
   g_assert_true (store_is_zone_out (f->store, "a"));
 }
 
@@ -123,7 +123,7 @@
      The watch from the agent's list on finds a gap each time; only a list of
      all kinds leads out of it.  */
   write_accounts (f, 2 * SP_TEST_HISTORY);
-  catch_up (f);
+  wait_until_caught_up (f);
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
   g_assert_null (store_get (f->store, REC_ACCOUNT, "account-0"));
 }
@@ -143,14 +143,14 @@
 static void
 test_changes (fixture_t *f, gconstpointer data)
 {
-  catch_up (f);
+  wait_until_caught_up (f);
   g_assert_true (store_is_platform_up (f->store));
   g_assert_false (store_is_zone_out (f->store, "a"));
-  sp_test_write (&f->test, ZONE, "a", OUT);
-  catch_up (f);
+  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
+  wait_until_caught_up (f);
   g_assert_true (store_is_zone_out (f->store, "a"));
-  sp_test_write (&f->test, ZONE, "a", NULL);
-  catch_up (f);
+  sp_test_write (&f->test, ZONE_KIND, "a", NULL);
+  wait_until_caught_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
 }
@@ -161,15 +161,15 @@
   /* The platform is down while more is written than its history holds, among
      it a deletion.  Meanwhile the last configuration stays in force; after it
      the gap is seen and everything is listed again.  */
-  catch_up (f);
+  wait_until_caught_up (f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   sp_test_run (&f->test, is_down, f);
-  sp_test_write (&f->test, ZONE, "a", NULL);
+  sp_test_write (&f->test, ZONE_KIND, "a", NULL);
   for (unsigned i = 0; i <= SP_TEST_HISTORY; i++)
-    sp_test_write (&f->test, ZONE, "b", i % 2 == 0 ? OUT : IN);
+    sp_test_write (&f->test, ZONE_KIND, "b", i % 2 == 0 ? ZONE_OUT : ZONE_IN);
   g_assert_nonnull (store_get (f->store, REC_ZONE, "a"));
   sp_fault (f->test.sp, SP_UP, 0, 0);
-  catch_up (f);
+  wait_until_caught_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
   g_assert_true (store_is_zone_out (f->store, "b"));
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
@@ -189,8 +189,8 @@
   /* After an outage the platform answers from a replica that lags behind what
      is in force here.  Nothing may go back, and what comes when the replica
      has caught up is taken.  */
-  sp_test_write (&f->test, ZONE, "a", OUT);
-  catch_up (f);
+  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
+  wait_until_caught_up (f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   sp_test_run (&f->test, is_down, f);
   f->watches = sp_calls (f->test.sp, "watch");
@@ -199,15 +199,15 @@
   sp_test_run (&f->test, has_watched_again, f);
   g_assert_true (store_is_zone_out (f->store, "a"));
   sp_fault (f->test.sp, SP_UP, 0, 0);
-  sp_test_write (&f->test, ZONE, "a", IN);
-  catch_up (f);
+  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_IN);
+  wait_until_caught_up (f);
   g_assert_false (store_is_zone_out (f->store, "a"));
 }
 
 static bool
 has_list (void *user)
 {
-  return ((fixture_t *)user)->lists > 0;
+  return ((fixture_t *)user)->list_changes > 0;
 }
 
 static void
@@ -232,7 +232,7 @@
 }
 
 static bool
-is_not (void *user, const char *router)
+is_other_router (void *user, const char *router)
 {
   return g_strcmp0 (user, router) != 0;
 }
@@ -254,8 +254,8 @@
       g_autofree char *account = g_strdup_printf ("account-%u", i);
       const char *home
           = store_find_home_router (f->store, account, "s", NULL, NULL);
-      const char *without = store_find_home_router (f->store, account, "s",
-                                                    is_not, (void *)"r2");
+      const char *without = store_find_home_router (
+          f->store, account, "s", is_other_router, (void *)"r2");
 
       homes[home[1] - '0']++;
       g_assert_cmpstr (without, !=, "r2");
@@ -267,7 +267,7 @@
 }
 
 static void
-add (const char *path, void (*test) (fixture_t *, gconstpointer))
+add_case (const char *path, void (*test) (fixture_t *, gconstpointer))
 {
   g_test_add (path, fixture_t, NULL, set_up, test, tear_down);
 }
@@ -277,15 +277,15 @@
 {
   g_test_init (&argc, &argv, NULL);
   log_setup ("test", LOG_ERROR, false);
-  add ("/follow/changes", test_changes);
-  add ("/follow/pages", test_pages);
+  add_case ("/follow/changes", test_changes);
+  add_case ("/follow/pages", test_pages);
   g_test_add ("/follow/agent", fixture_t, "agent", set_up, test_agent,
               tear_down);
   g_test_add ("/follow/agent-short-history", fixture_t, FIRST_AGENT, set_up,
               test_agent_short_history, tear_down);
-  add ("/follow/outage-beyond-history", test_outage_beyond_history);
-  add ("/follow/stale-platform", test_stale_platform);
-  add ("/follow/instances", test_instances);
-  add ("/follow/home", test_home);
+  add_case ("/follow/outage-beyond-history", test_outage_beyond_history);
+  add_case ("/follow/stale-platform", test_stale_platform);
+  add_case ("/follow/instances", test_instances);
+  add_case ("/follow/home", test_home);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/config/test-rec.c
+++ b/libcoltsfootdrum/config/test-rec.c
@@ -68,7 +68,7 @@
   g_assert_nonnull (strstr (text, "\"later\":[1]"));
 }
 
-static const char *const texts[] = {
+static const char *const round_trip_texts[] = {
   /* Members in another order, and unknown ones with the values left out.  */
   "{\"revision\":7,\"x\":7,\"y\":[7,17,77],\"spec\":{\"key_hash\":\"" HASH_A
   "\",\"again\":\"" HASH_A "\",\"weight\":0.1,\"schema\":1},\"version\":\"7\","
@@ -93,9 +93,9 @@
   /* A record goes through a process that keeps only its parsed form and a
      shape.  Peers must get what the platform would have told them, to the
      byte, or a newer process behind this one reads another record.  */
-  for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (round_trip_texts); i++)
     {
-      g_autoptr (JsonNode) root = json_from_string (texts[i], NULL);
+      g_autoptr (JsonNode) root = json_from_string (round_trip_texts[i], NULL);
       g_autofree char *before = json_to_string (root, FALSE);
       g_autoptr (rec_t) record = rec_parse (json_node_get_object (root), NULL);
       g_autofree char *after = NULL;
@@ -117,7 +117,7 @@
       = parse_good ("client-account",
                     "{\"schema\":1,\"weight\":2,\"key_hash\":\"" HASH_B "\"}");
 
-  g_assert_true (first->shape == second->shape);
+  g_assert_true (first->text_template == second->text_template);
 }
 
 static void
@@ -168,7 +168,7 @@
   const char *method;
   const char *path;
   bool idempotent;
-} calls[] = {
+} idempotent_calls[] = {
   { V1_PLAIN, "GET", "/past/1", true },
   { V1_PLAIN, "GET", "/past/?to=/invoices", true },
   { V1_PLAIN, "POST", "/past/1", false },
@@ -186,14 +186,17 @@
 static void
 test_idempotent (void)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (calls); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (idempotent_calls); i++)
     {
-      g_autoptr (rec_t) record = parse_good ("service", calls[i].spec);
+      g_autoptr (rec_t) record
+          = parse_good ("service", idempotent_calls[i].spec);
 
-      g_test_message ("%s %s", calls[i].method, calls[i].path);
+      g_test_message ("%s %s", idempotent_calls[i].method,
+                      idempotent_calls[i].path);
       g_assert_true (rec_service_is_idempotent (&record->u.service,
-                                                calls[i].method, calls[i].path)
-                     == calls[i].idempotent);
+                                                idempotent_calls[i].method,
+                                                idempotent_calls[i].path)
+                     == idempotent_calls[i].idempotent);
     }
 }
 
@@ -215,8 +218,8 @@
 {
   const char *kind;
   const char *spec;
-  const char *says;
-} bad[] = {
+  const char *expected_text;
+} invalid_records[] = {
   { "client-account", "{}", "\"schema\"" },
   { "client-account", "{\"schema\":\"1\"}", "\"schema\"" },
   { "client-account", "{\"schema\":3}", "update the program" },
@@ -266,14 +269,16 @@
 static void
 test_bad (void)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (invalid_records); i++)
     {
       g_autoptr (GError) error = NULL;
 
-      g_assert_null (parse (bad[i].kind, bad[i].spec, &error));
+      g_assert_null (
+          parse (invalid_records[i].kind, invalid_records[i].spec, &error));
       g_assert_error (error, CFD_ERROR, CFD_ERROR_RECORD);
       g_test_message ("%s", error->message);
-      g_assert_nonnull (strstr (error->message, bad[i].says));
+      g_assert_nonnull (
+          strstr (error->message, invalid_records[i].expected_text));
     }
 }
 
--- a/libcoltsfootdrum/config/test-spread-tree.c
+++ b/libcoltsfootdrum/config/test-spread-tree.c
@@ -13,7 +13,7 @@
 }
 
 static GPtrArray *
-make (const char *role, unsigned count)
+make_instances (const char *role, unsigned count)
 {
   GPtrArray *instances = g_ptr_array_new_with_free_func (instance_free);
 
@@ -29,17 +29,17 @@
 
 /* Adds "ABOVE>BELOW" for each name of TOLD.  */
 static void
-note (GHashTable *pairs, const char *above, const GPtrArray *told)
+add_pairs (GHashTable *pairs, const char *parent, const GPtrArray *children)
 {
-  for (guint i = 0; i < told->len; i++)
+  for (guint i = 0; i < children->len; i++)
     g_hash_table_add (
-        pairs, g_strdup_printf ("%s>%s", above, (char *)told->pdata[i]));
+        pairs, g_strdup_printf ("%s>%s", parent, (char *)children->pdata[i]));
 }
 
 static const struct
 {
   unsigned routers, leaving, agents;
-  unsigned agents_most; /* that one router tells */
+  unsigned max_agents; /* that one router tells */
 } fleets[] = { { 1, 0, 40, 40 },
                { 2, 0, 40, 40 },
                { 36, 0, 64, 12 },
@@ -49,16 +49,18 @@
 static void
 test_fleet (guint index)
 {
-  unsigned staying = fleets[index].routers - fleets[index].leaving;
-  g_autoptr (GPtrArray) routers = make ("router", fleets[index].routers);
-  g_autoptr (GPtrArray) agents = make ("agent", fleets[index].agents);
+  unsigned active = fleets[index].routers - fleets[index].leaving;
+  g_autoptr (GPtrArray) routers
+      = make_instances ("router", fleets[index].routers);
+  g_autoptr (GPtrArray) agents
+      = make_instances ("agent", fleets[index].agents);
   g_autoptr (GHashTable) pairs
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  unsigned asked_above = 0;
+  unsigned asked_parent = 0;
 
   for (guint i = 0; i < fleets[index].leaving; i++)
-    ((store_instance_t *)routers->pdata[staying + i])->leaving = true;
-  for (guint i = 0; i < staying; i++)
+    ((store_instance_t *)routers->pdata[active + i])->leaving = true;
+  for (guint i = 0; i < active; i++)
     {
       const char *self = ((store_instance_t *)routers->pdata[i])->name;
       g_autoptr (spread_tree_t) tree = spread_tree_new (routers, agents, self);
@@ -66,37 +68,38 @@
       g_assert_cmpuint (spread_tree_get_child_routers (tree)->len, <=,
                         SPREAD_TREE_FANOUT);
       g_assert_cmpuint (spread_tree_get_child_agents (tree)->len, <=,
-                        fleets[index].agents_most);
-      note (pairs, self, spread_tree_get_child_routers (tree));
-      note (pairs, self, spread_tree_get_child_agents (tree));
+                        fleets[index].max_agents);
+      add_pairs (pairs, self, spread_tree_get_child_routers (tree));
+      add_pairs (pairs, self, spread_tree_get_child_agents (tree));
     }
   /* Each router but the roots is told by one, each agent by two.  */
   g_assert_cmpuint (g_hash_table_size (pairs), ==,
-                    staying - MIN (staying, SPREAD_WATCHERS_PER_ROLE)
-                        + fleets[index].agents * MIN (staying, 2));
-  for (guint i = 0; i < staying; i++)
+                    active - MIN (active, SPREAD_WATCHERS_PER_ROLE)
+                        + fleets[index].agents * MIN (active, 2));
+  for (guint i = 0; i < active; i++)
     {
       const char *self = ((store_instance_t *)routers->pdata[i])->name;
       g_autoptr (spread_tree_t) tree = spread_tree_new (routers, agents, self);
-      g_autoptr (GHashTable) asked
+      g_autoptr (GHashTable) asked_names
           = g_hash_table_new (g_str_hash, g_str_equal);
       g_autofree char *pair = g_strdup_printf (
           "%s>%s", spread_tree_choose_source (tree, 0), self);
 
-      asked_above += g_hash_table_contains (pairs, pair);
-      for (unsigned choice = 0; staying > 1 && choice < 20; choice++)
+      asked_parent += g_hash_table_contains (pairs, pair);
+      for (unsigned attempt = 0; active > 1 && attempt < 20; attempt++)
         {
-          const char *name = spread_tree_choose_source (tree, choice);
+          const char *name = spread_tree_choose_source (tree, attempt);
 
           /* Never itself, nor one that leaves.  */
           g_assert_cmpstr (name, !=, self);
-          g_assert_cmpuint (atoi (strchr (name, '-') + 1), <, staying);
-          g_hash_table_add (asked, (gpointer)name);
+          g_assert_cmpuint (atoi (strchr (name, '-') + 1), <, active);
+          g_hash_table_add (asked_names, (gpointer)name);
         }
-      g_assert_cmpuint (g_hash_table_size (asked), >=, MIN (staying - 1, 8));
+      g_assert_cmpuint (g_hash_table_size (asked_names), >=,
+                        MIN (active - 1, 8));
     }
-  g_assert_cmpuint (asked_above, >=,
-                    staying - MIN (staying, SPREAD_WATCHERS_PER_ROLE));
+  g_assert_cmpuint (asked_parent, >=,
+                    active - MIN (active, SPREAD_WATCHERS_PER_ROLE));
 }
 
 static void
@@ -113,8 +116,8 @@
 test_alone (void)
 {
   /* A list that does not have this router yet, or no other.  */
-  g_autoptr (GPtrArray) none = make ("router", 0);
-  g_autoptr (GPtrArray) one = make ("router", 1);
+  g_autoptr (GPtrArray) none = make_instances ("router", 0);
+  g_autoptr (GPtrArray) one = make_instances ("router", 1);
   g_autoptr (spread_tree_t) first = spread_tree_new (none, none, "router-0");
   g_autoptr (spread_tree_t) second = spread_tree_new (one, none, "router-0");
   g_autoptr (spread_tree_t) third = spread_tree_new (one, one, "new");
--- a/libcoltsfootdrum/config/test-spread.c
+++ b/libcoltsfootdrum/config/test-spread.c
@@ -22,7 +22,7 @@
 }
 
 static GPtrArray *
-make (role_t role, unsigned count, unsigned zones)
+make_instances (role_t role, unsigned count, unsigned zones)
 {
   GPtrArray *instances = g_ptr_array_new_with_free_func (instance_free);
 
@@ -39,19 +39,19 @@
 }
 
 static unsigned
-count_watchers (const fleet_t *fleet, const GPtrArray *of, bool *zones)
+count_watchers (const fleet_t *fleet, const GPtrArray *list, bool *zones)
 {
   unsigned watchers = 0;
 
-  for (guint i = 0; i < of->len; i++)
+  for (guint i = 0; i < list->len; i++)
     {
-      const store_instance_t *instance = g_ptr_array_index (of, i);
-      spread_position_t place;
+      const store_instance_t *instance = g_ptr_array_index (list, i);
+      spread_position_t position;
       unsigned zone = 0;
 
       spread_find_position (fleet->routers, fleet->agents, instance->role,
-                            instance->name, &place);
-      if (instance->leaving || !spread_is_watcher (&place))
+                            instance->name, &position);
+      if (instance->leaving || !spread_is_watcher (&position))
         continue;
       watchers++;
       g_assert_cmpint (sscanf (instance->zone, "zone-%u", &zone), ==, 1);
@@ -63,7 +63,7 @@
 static const struct
 {
   unsigned routers, agents, zones;
-  unsigned least, most; /* watchers */
+  unsigned min_watchers, max_watchers; /* watchers */
 } fleets[] = {
   { 4, 16, 4, 20, 20 },  { 8, 24, 4, 32, 32 },    { 8, 25, 4, 10, 14 },
   { 40, 60, 4, 10, 14 }, { 330, 600, 6, 10, 16 },
@@ -74,15 +74,16 @@
 {
   for (guint i = 0; i < G_N_ELEMENTS (fleets); i++)
     {
-      fleet_t fleet = { make (ROLE_ROUTER, fleets[i].routers, fleets[i].zones),
-                        make (ROLE_AGENT, fleets[i].agents, fleets[i].zones) };
+      fleet_t fleet
+          = { make_instances (ROLE_ROUTER, fleets[i].routers, fleets[i].zones),
+              make_instances (ROLE_AGENT, fleets[i].agents, fleets[i].zones) };
       bool zones[8] = { false };
       unsigned watchers = count_watchers (&fleet, fleet.routers, zones)
                           + count_watchers (&fleet, fleet.agents, zones);
 
       g_test_message ("fleet %u: %u watchers", i, watchers);
-      g_assert_cmpuint (watchers, >=, fleets[i].least);
-      g_assert_cmpuint (watchers, <=, fleets[i].most);
+      g_assert_cmpuint (watchers, >=, fleets[i].min_watchers);
+      g_assert_cmpuint (watchers, <=, fleets[i].max_watchers);
       for (unsigned zone = 0; zone < fleets[i].zones; zone++)
         g_assert_true (zones[zone]);
       g_ptr_array_unref (fleet.routers);
@@ -95,9 +96,10 @@
 {
   /* Half of the routers leave at once: others must take their place as soon as
      the list says so, not when the last watch has ended.  */
-  fleet_t fleet = { make (ROLE_ROUTER, 40, 4), make (ROLE_AGENT, 60, 4) };
+  fleet_t fleet = { make_instances (ROLE_ROUTER, 40, 4),
+                    make_instances (ROLE_AGENT, 60, 4) };
   bool zones[8] = { false };
-  spread_position_t place;
+  spread_position_t position;
 
   for (guint i = 0; i < fleet.routers->len; i++)
     {
@@ -108,8 +110,8 @@
   g_assert_cmpuint (count_watchers (&fleet, fleet.routers, zones), >=,
                     SPREAD_WATCHERS_PER_ROLE);
   spread_find_position (fleet.routers, fleet.agents, ROLE_ROUTER, "unlisted",
-                        &place);
-  g_assert_true (spread_is_watcher (&place));
+                        &position);
+  g_assert_true (spread_is_watcher (&position));
   g_ptr_array_unref (fleet.routers);
   g_ptr_array_unref (fleet.agents);
 }
@@ -119,8 +121,8 @@
   unsigned fleet;
   uint32_t age_ms;
   cfd_time_t since_read;
-  spread_action_t step;
-} steps[] = {
+  spread_action_t action;
+} action_cases[] = {
   { 100, 0, 100000, SPREAD_WAIT },
   { 100, SPREAD_ASK_PEER_AFTER_MS - 1, 100000, SPREAD_WAIT },
   { 100, SPREAD_ASK_PEER_AFTER_MS, 100000, SPREAD_ASK_PEER },
@@ -140,13 +142,14 @@
 {
   const cfd_time_t now = 1000000;
 
-  for (guint i = 0; i < G_N_ELEMENTS (steps); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (action_cases); i++)
     {
-      spread_position_t place = { .fleet = steps[i].fleet };
+      spread_position_t position = { .instance_count = action_cases[i].fleet };
 
-      g_assert_cmpint (spread_choose_action (&place, steps[i].age_ms,
-                                             now - steps[i].since_read, now),
-                       ==, steps[i].step);
+      g_assert_cmpint (spread_choose_action (&position, action_cases[i].age_ms,
+                                             now - action_cases[i].since_read,
+                                             now),
+                       ==, action_cases[i].action);
     }
 }
 
@@ -158,9 +161,10 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (fleets_ms); i++)
     {
-      spread_position_t place = { .fleet = fleets_ms[i][0] };
+      spread_position_t position = { .instance_count = fleets_ms[i][0] };
 
-      g_assert_cmpuint (spread_poll_interval_ms (&place), ==, fleets_ms[i][1]);
+      g_assert_cmpuint (spread_poll_interval_ms (&position), ==,
+                        fleets_ms[i][1]);
     }
 }
 
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -25,7 +25,7 @@
 
       write_account (model, name, key);
     }
-  take_list (store, model);
+  apply_list (store, model);
   store_make_part (store, ROLE_ROUTER, &(msg_config_ask_t){ 0 }, 0, &part);
   g_assert_cmpuint (part.count, >, 0);
   g_assert_cmpuint (part.count, <=, MSG_ENTRIES_MAX);
@@ -70,17 +70,17 @@
 
   store_set_self (router, ROLE_ROUTER, "r");
   store_set_self (agent, ROLE_AGENT, "a");
-  write_zone (model, "a", IN);
+  write_zone (model, "a", ZONE_IN);
   write_account (model, "acc", "key");
-  take_list (router, model);
-  take_list (agent, model);
+  apply_list (router, model);
+  apply_list (agent, model);
   g_assert_null (store_get (agent, REC_ACCOUNT, "acc"));
   g_assert_cmpuint (store_get_revision (agent), ==, 2);
   write_account (model, "acc", "new");
-  take_list (router, model);
+  apply_list (router, model);
   g_assert_true (part_has (router, ROLE_ROUTER, 2, "client-account"));
   g_assert_false (part_has (router, ROLE_AGENT, 2, "client-account"));
-  take_part_as (agent, ROLE_AGENT, router, 2);
+  apply_part_as (agent, ROLE_AGENT, router, 2);
   g_assert_cmpuint (store_get_revision (agent), ==, 3);
   g_assert_cmpuint (store_get_age_ms (agent, 2000), ==, 1000);
   sp_model_free (model);
@@ -100,11 +100,11 @@
   store_set_self (router, ROLE_ROUTER, "r");
   store_set_self (agent, ROLE_AGENT, "a");
   write_account (model, "acc", "key");
-  take_list (router, model); /* at 1000 */
+  apply_list (router, model); /* at 1000 */
   write_account (model, "acc", "new");
-  write_zone (model, "a", OUT);
-  take_list (agent, model);
-  take_part (router, agent, store_get_revision (router));
+  write_zone (model, "a", ZONE_OUT);
+  apply_list (agent, model);
+  apply_part (router, agent, store_get_revision (router));
   g_assert_nonnull (store_get (router, REC_ACCOUNT, "acc"));
   g_assert_cmpuint (store_get_revision (router), ==, 1);
   g_assert_cmpuint (store_get_age_ms (router, 9000), ==, 8000);
@@ -123,19 +123,19 @@
   g_autofree char *changes = NULL;
   unsigned pieces = 0;
 
-  write_zone (model, "a", IN);
-  take_list (store, model); /* at 1000 */
-  take_list (peer, model);
+  write_zone (model, "a", ZONE_IN);
+  apply_list (store, model); /* at 1000 */
+  apply_list (peer, model);
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
 
       write_account (model, name, name);
       if (i == ACCOUNTS / 2)
-        write_zone (model, "a", OUT);
+        write_zone (model, "a", ZONE_OUT);
     }
-  changes = sp_model_changes (model, store_get_revision (store), KINDS);
-  take (store, changes, false);
+  changes = sp_model_changes (model, store_get_revision (store), ALL_KINDS);
+  apply_answer (store, changes, false);
   while (store_get_revision (peer) < store_get_revision (store))
     {
       uint64_t before = store_get_revision (peer);
@@ -185,12 +185,12 @@
 
       write_account (model, name, name);
     }
-  take_list (store, model);
-  take_list (peer, model);
-  take (store, "{\"revision\":99999,\"objects\":[]}", true);
-  store->deletions_from = 0; /* as if it had seen each one go */
+  apply_list (store, model);
+  apply_list (peer, model);
+  apply_answer (store, "{\"revision\":99999,\"objects\":[]}", true);
+  store->deletions_known_from = 0; /* as if it had seen each one go */
   for (unsigned i = 0; i < 40; i++)
-    take_part (peer, store, store_get_revision (peer));
+    apply_part (peer, store, store_get_revision (peer));
   g_assert_cmpuint (store_get_revision (peer), ==, 99999);
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
@@ -208,9 +208,9 @@
   sp_model_t *model = sp_model_new (100);
 
   write_account (model, "a", "old");
-  take_list (store, model);
+  apply_list (store, model);
   write_account (model, "a", "new");
-  take_list (store, model);
+  apply_list (store, model);
   g_assert_null (store_find_account_by_key (store, "old"));
   g_assert_cmpstr (store_find_account_by_key (store, "new")->name, ==, "a");
   sp_model_free (model);
@@ -225,12 +225,12 @@
   sp_model_t *model = sp_model_new (100);
 
   write_account (model, "b", "same");
-  take_list (store, model);
+  apply_list (store, model);
   write_account (model, "a", "same");
-  take_list (store, model);
+  apply_list (store, model);
   g_assert_cmpstr (store_find_account_by_key (store, "same")->name, ==, "a");
   sp_model_write (model, "client-account", "a", NULL, 0);
-  take_list (store, model);
+  apply_list (store, model);
   g_assert_cmpstr (store_find_account_by_key (store, "same")->name, ==, "b");
   sp_model_free (model);
 }
--- a/libcoltsfootdrum/config/test-store-help.c
+++ b/libcoltsfootdrum/config/test-store-help.c
@@ -1,7 +1,7 @@
 #include "config/test-store-help.h"
 
 JsonObject *
-object_from (const char *text)
+parse_object (const char *text)
 {
   g_autoptr (JsonNode) root = json_from_string (text, NULL);
 
@@ -10,9 +10,9 @@
 }
 
 void
-take (store_t *store, const char *text, bool is_whole)
+apply_answer (store_t *store, const char *text, bool is_whole)
 {
-  g_autoptr (JsonObject) answer = object_from (text);
+  g_autoptr (JsonObject) answer = parse_object (text);
 
   if (is_whole)
     json_object_set_boolean_member (answer, "complete", TRUE);
@@ -29,15 +29,15 @@
 }
 
 void
-take_list (store_t *store, const sp_model_t *model)
+apply_list (store_t *store, const sp_model_t *model)
 {
-  g_autofree char *text = sp_model_list (model, KINDS);
+  g_autofree char *text = sp_model_list (model, ALL_KINDS);
 
-  take (store, text, true);
+  apply_answer (store, text, true);
 }
 
 void
-take_part_as (store_t *to, role_t role, const store_t *from, uint64_t have)
+apply_part_as (store_t *to, role_t role, const store_t *from, uint64_t have)
 {
   const msg_config_ask_t ask = { .have = have };
   msg_config_part_t part;
@@ -48,9 +48,9 @@
 }
 
 void
-take_part (store_t *to, const store_t *from, uint64_t have)
+apply_part (store_t *to, const store_t *from, uint64_t have)
 {
-  take_part_as (to, ROLE_ROUTER, from, have);
+  apply_part_as (to, ROLE_ROUTER, from, have);
 }
 
 void
--- a/libcoltsfootdrum/config/test-store-help.h
+++ b/libcoltsfootdrum/config/test-store-help.h
@@ -7,22 +7,22 @@
 #include "config/store-impl.h"
 #include "sp.h"
 
-#define KINDS PLAT_CONFIG_KINDS
-#define IN "{\"schema\":1,\"out\":false}"
-#define OUT "{\"schema\":2,\"state\":\"out\"}"
-#define NEWER "{\"schema\":9,\"out\":false}"
+#define ALL_KINDS PLAT_CONFIG_KINDS
+#define ZONE_IN "{\"schema\":1,\"out\":false}"
+#define ZONE_OUT "{\"schema\":2,\"state\":\"out\"}"
+#define ZONE_NEWER_SCHEMA "{\"schema\":9,\"out\":false}"
 
-JsonObject *object_from (const char *text);
+JsonObject *parse_object (const char *text);
 
 /* Hands STORE an answer of the platform, at the time 1000.  */
-void take (store_t *store, const char *text, bool is_whole);
+void apply_answer (store_t *store, const char *text, bool is_whole);
 /* The same, a list of all that MODEL has.  */
-void take_list (store_t *store, const sp_model_t *model);
+void apply_list (store_t *store, const sp_model_t *model);
 /* Hands TO the part of FROM for a peer of ROLE that has HAVE, at 2000.  */
-void take_part_as (store_t *to, role_t role, const store_t *from,
-                   uint64_t have);
+void apply_part_as (store_t *to, role_t role, const store_t *from,
+                    uint64_t have);
 /* The same for a router.  */
-void take_part (store_t *to, const store_t *from, uint64_t have);
+void apply_part (store_t *to, const store_t *from, uint64_t have);
 
 /* Writes a zone record to the platform's state; SPEC NULL deletes it.  */
 void write_zone (sp_model_t *model, const char *name, const char *spec);
--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -7,8 +7,8 @@
 
 #include <string.h>
 
-#define PIECE 2u
-#define ASKS_MAX 20u
+#define PIECE_RECORDS 2u
+#define MAX_ASKS 20u
 #define STEP_MS 10
 #define WAIT_MS 5000
 
@@ -18,130 +18,130 @@
 typedef struct
 {
   sp_model_t *model;
-  store_t *to;
+  store_t *receiver;
   store_t *sender;
-  store_t *older;
+  store_t *older_peer;
   cfd_time_t now;
   bool has_g;
-  bool lost_d; /* it was deleted */
-  uint64_t seen;
-  msg_config_part_t held;
-} scene_t;
+  bool is_d_deleted; /* it was deleted */
+  uint64_t last_revision;
+  msg_config_part_t delayed;
+} scenario_t;
 
 static store_t *
-listed (const sp_model_t *model)
+make_listed_store (const sp_model_t *model)
 {
   store_t *store = store_new (NULL, NULL, NULL);
 
-  store->piece_records = PIECE;
-  take_list (store, model);
+  store->max_piece_records = PIECE_RECORDS;
+  apply_list (store, model);
   return store;
 }
 
 static void
-scene_start (scene_t *scene)
+scenario_start (scenario_t *scenario)
 {
   static const char *const first[] = { "a", "b", "c", "d" };
   static const char *const later[] = { "c", "bb", "f" };
 
-  *scene = (scene_t){ .model = sp_model_new (100), .now = 2000 };
+  *scenario = (scenario_t){ .model = sp_model_new (100), .now = 2000 };
   for (unsigned i = 0; i < G_N_ELEMENTS (first); i++)
-    write_account (scene->model, first[i], first[i]);
-  scene->to = listed (scene->model);
-  sp_model_write (scene->model, "client-account", "b", NULL, 0);
-  write_account (scene->model, "e", "e");
-  scene->older = listed (scene->model);
+    write_account (scenario->model, first[i], first[i]);
+  scenario->receiver = make_listed_store (scenario->model);
+  sp_model_write (scenario->model, "client-account", "b", NULL, 0);
+  write_account (scenario->model, "e", "e");
+  scenario->older_peer = make_listed_store (scenario->model);
   for (unsigned i = 0; i < G_N_ELEMENTS (later); i++)
-    write_account (scene->model, later[i], "new");
-  scene->sender = listed (scene->model);
+    write_account (scenario->model, later[i], "new");
+  scenario->sender = make_listed_store (scenario->model);
 }
 
 static void
-scene_end (scene_t *scene)
+scenario_end (scenario_t *scenario)
 {
-  store_part_clear (&scene->held);
-  store_free (scene->to);
-  store_free (scene->sender);
-  store_free (scene->older);
-  sp_model_free (scene->model);
+  store_part_clear (&scenario->delayed);
+  store_free (scenario->receiver);
+  store_free (scenario->sender);
+  store_free (scenario->older_peer);
+  sp_model_free (scenario->model);
 }
 
 /* The sender learns of what was written.  */
 static void
-catch_up (scene_t *scene)
+catch_up (scenario_t *scenario)
 {
-  g_autofree char *changes
-      = sp_model_changes (scene->model, scene->sender->revision, KINDS);
+  g_autofree char *changes = sp_model_changes (
+      scenario->model, scenario->sender->revision, ALL_KINDS);
 
-  take (scene->sender, changes, false);
+  apply_answer (scenario->sender, changes, false);
 }
 
 static void
-write_and_tell (scene_t *scene, const char *name, const char *key)
+write_and_update (scenario_t *scenario, const char *name, const char *key)
 {
   if (key != NULL)
-    write_account (scene->model, name, key);
+    write_account (scenario->model, name, key);
   else
-    sp_model_write (scene->model, "client-account", name, NULL, 0);
-  catch_up (scene);
+    sp_model_write (scenario->model, "client-account", name, NULL, 0);
+  catch_up (scenario);
 }
 
 /* What FROM sends to the receiver's ask for the state of FROM_STATE, or for
    the one that it is at when that is 0.  As on the wire, the place outlives
    what the receiver does next.  */
 static void
-make (const scene_t *scene, const store_t *from, uint64_t from_state,
-      msg_config_part_t *part)
+make_part (const scenario_t *scenario, const store_t *from,
+           uint64_t from_state, msg_config_part_t *part)
 {
   msg_config_ask_t ask;
 
-  store_make_ask (scene->to, &ask);
+  store_make_ask (scenario->receiver, &ask);
   ask.after.name = g_intern_string (ask.after.name);
   if (from_state != 0)
     ask.state = from_state;
-  store_make_part (from, ROLE_ROUTER, &ask, scene->now, part);
+  store_make_part (from, ROLE_ROUTER, &ask, scenario->now, part);
 }
 
 static void
-take_from (scene_t *scene, const store_t *from, uint64_t from_state,
-           unsigned times)
+deliver_piece (scenario_t *scenario, const store_t *from, uint64_t from_state,
+               unsigned times)
 {
   msg_config_part_t part;
 
-  make (scene, from, from_state, &part);
+  make_part (scenario, from, from_state, &part);
   for (unsigned i = 0; i < times; i++)
-    store_apply_part (scene->to, &part, scene->now);
+    store_apply_part (scenario->receiver, &part, scenario->now);
   store_part_clear (&part);
 }
 
 /* The sender's answer to an ask without a place.  */
 static void
-take_first (scene_t *scene, bool pieces)
+deliver_first_part (scenario_t *scenario, bool pieces)
 {
   const msg_config_ask_t ask
-      = { .have = scene->to->revision, .pieces = pieces };
+      = { .have = scenario->receiver->revision, .pieces = pieces };
   msg_config_part_t part;
 
-  store_make_part (scene->sender, ROLE_ROUTER, &ask, scene->now, &part);
-  store_apply_part (scene->to, &part, scene->now);
+  store_make_part (scenario->sender, ROLE_ROUTER, &ask, scenario->now, &part);
+  store_apply_part (scenario->receiver, &part, scenario->now);
   store_part_clear (&part);
 }
 
 /* A piece after which the sender stands where it stood before.  */
 static void
-take_endless (scene_t *scene)
+deliver_repeated_position (scenario_t *scenario)
 {
   msg_config_part_t part;
 
-  make (scene, scene->sender, 0, &part);
+  make_part (scenario, scenario->sender, 0, &part);
   part.next = part.after;
-  store_apply_part (scene->to, &part, scene->now);
+  store_apply_part (scenario->receiver, &part, scenario->now);
   store_part_clear (&part);
 }
 
 /* The receiver has g from a page of the platform's list that goes on.  */
 static void
-take_page_with_g (scene_t *scene)
+apply_page_with_g (scenario_t *scenario)
 {
   g_autoptr (GHashTable) present = NULL;
   g_autofree char *text = NULL;
@@ -149,18 +149,19 @@
   const char *next = NULL;
   uint64_t revision = 0;
 
-  write_account (scene->model, "g", "g");
-  text = sp_model_changes (scene->model, scene->sender->revision, KINDS);
-  page = object_from (text);
+  write_account (scenario->model, "g", "g");
+  text = sp_model_changes (scenario->model, scenario->sender->revision,
+                           ALL_KINDS);
+  page = parse_object (text);
   json_object_set_string_member (page, "next", "client-account/g");
-  g_assert_true (store_take_page (scene->to, page, &present, &revision, &next,
-                                  scene->now));
-  scene->has_g = true;
+  g_assert_true (store_apply_page (scenario->receiver, page, &present,
+                                   &revision, &next, scenario->now));
+  scenario->has_g = true;
 }
 
 static const struct
 {
-  char what;
+  char code;
   const char *name;
   const char *key; /* NULL deletes it */
 } writes[] = {
@@ -169,72 +170,73 @@
 };
 
 static void
-step (scene_t *scene, char what)
+run_step (scenario_t *scenario, char code)
 {
   g_autoptr (store_t) empty = store_new (NULL, NULL, NULL);
 
   for (unsigned i = 0; i < G_N_ELEMENTS (writes); i++)
-    if (writes[i].what == what)
+    if (writes[i].code == code)
       {
-        write_and_tell (scene, writes[i].name, writes[i].key);
+        write_and_update (scenario, writes[i].name, writes[i].key);
         return;
       }
-  switch (what)
+  switch (code)
     {
     case 'p': /* the next piece */
-      take_from (scene, scene->sender, 0, 1);
+      deliver_piece (scenario, scenario->sender, 0, 1);
       return;
     case 'd': /* the same, doubled */
-      take_from (scene, scene->sender, 0, 2);
+      deliver_piece (scenario, scenario->sender, 0, 2);
       return;
     case 'h': /* it is on its way, and comes late or never */
-      make (scene, scene->sender, 0, &scene->held);
+      make_part (scenario, scenario->sender, 0, &scenario->delayed);
       return;
     case 'r': /* what was held comes */
-      store_apply_part (scene->to, &scene->held, scene->now);
+      store_apply_part (scenario->receiver, &scenario->delayed, scenario->now);
       return;
     case 'f': /* the answer to an ask of before the first piece */
-      take_first (scene, true);
+      deliver_first_part (scenario, true);
       return;
     case 'W': /* a sender that knows no pieces */
-      take_first (scene, false);
+      deliver_first_part (scenario, false);
       return;
     case 'o':
-      take_from (scene, scene->older, 0, 1);
+      deliver_piece (scenario, scenario->older_peer, 0, 1);
       return;
     case 'O': /* the older peer's piece of its own state, at the same place */
-      take_from (scene, scene->older, scene->older->revision, 1);
+      deliver_piece (scenario, scenario->older_peer,
+                     scenario->older_peer->revision, 1);
       return;
     case 's': /* the sender is dead, the other takes its place */
-      store_free (scene->sender);
-      scene->sender = listed (scene->model);
-      take_from (scene, scene->sender, 0, 1);
+      store_free (scenario->sender);
+      scenario->sender = make_listed_store (scenario->model);
+      deliver_piece (scenario, scenario->sender, 0, 1);
       return;
     case 'R': /* the sender restarted and has nothing yet */
-      take_from (scene, empty, 0, 1);
+      deliver_piece (scenario, empty, 0, 1);
       return;
     case 'w':
-      scene->now += WAIT_MS;
+      scenario->now += WAIT_MS;
       return;
     case 'G':
-      take_page_with_g (scene);
+      apply_page_with_g (scenario);
       return;
     case 'c':
-      catch_up (scene);
+      catch_up (scenario);
       return;
     case 'L': /* the sender lists anew, and so learns that d is gone */
-      sp_model_write (scene->model, "client-account", "d", NULL, 0);
-      take_list (scene->sender, scene->model);
-      scene->lost_d = true;
+      sp_model_write (scenario->model, "client-account", "d", NULL, 0);
+      apply_list (scenario->sender, scenario->model);
+      scenario->is_d_deleted = true;
       return;
     case 'u': /* the receiver reads the platform itself */
-      take_list (scene->to, scene->model);
+      apply_list (scenario->receiver, scenario->model);
       return;
     case 'B':
-      take_endless (scene);
+      deliver_repeated_position (scenario);
       return;
     case 'b': /* it bears less than the state has */
-      scene->to->state_records = 1;
+      scenario->receiver->max_snapshot_records = 1;
       return;
     default:
       g_assert_not_reached ();
@@ -243,29 +245,31 @@
 
 /* What must hold at every moment.  */
 static void
-check (scene_t *scene)
+check_invariants (scenario_t *scenario)
 {
-  const store_t *to = scene->to;
-
-  scene->now += STEP_MS;
-  g_assert_cmpuint (to->revision, >=, scene->seen);
-  scene->seen = to->revision;
-  g_assert_true (scene->lost_d || store_get (to, REC_ACCOUNT, "d") != NULL);
-  g_assert_true (!scene->has_g || store_get (to, REC_ACCOUNT, "g") != NULL);
+  const store_t *receiver = scenario->receiver;
+
+  scenario->now += STEP_MS;
+  g_assert_cmpuint (receiver->revision, >=, scenario->last_revision);
+  scenario->last_revision = receiver->revision;
+  g_assert_true (scenario->is_d_deleted
+                 || store_get (receiver, REC_ACCOUNT, "d") != NULL);
+  g_assert_true (!scenario->has_g
+                 || store_get (receiver, REC_ACCOUNT, "g") != NULL);
   /* Dropped at an end alone: the revision tells that it came.  */
-  g_assert_true ((store_get (to, REC_ACCOUNT, "b") != NULL)
-                 == (to->revision <= 4));
+  g_assert_true ((store_get (receiver, REC_ACCOUNT, "b") != NULL)
+                 == (receiver->revision <= 4));
 }
 
 static void
-check_same (const store_t *to, const store_t *sender)
+check_equal (const store_t *receiver, const store_t *sender)
 {
   static const char *const names[]
       = { "a", "aa", "b", "bb", "c", "d", "e", "f", "g" };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (names); i++)
     {
-      const rec_t *here = store_get (to, REC_ACCOUNT, names[i]);
+      const rec_t *here = store_get (receiver, REC_ACCOUNT, names[i]);
       const rec_t *there = store_get (sender, REC_ACCOUNT, names[i]);
 
       g_test_message ("%s", names[i]);
@@ -279,7 +283,7 @@
 {
   const char *name;
   const char *steps;
-  unsigned more; /* asks until the receiver has the sender's state */
+  unsigned remaining_asks; /* asks until the receiver has the sender's state */
 } fault_case_t;
 
 static const fault_case_t cases[] = {
@@ -336,25 +340,26 @@
 {
   const fault_case_t *fault = data;
   unsigned asks = 0;
-  scene_t scene;
+  scenario_t scenario;
 
-  scene_start (&scene);
-  for (const char *what = fault->steps; *what != 0; what++)
+  scenario_start (&scenario);
+  for (const char *code = fault->steps; *code != 0; code++)
     {
-      g_test_message ("%c", *what);
-      step (&scene, *what);
-      check (&scene);
+      g_test_message ("%c", *code);
+      run_step (&scenario, *code);
+      check_invariants (&scenario);
     }
-  while (scene.to->revision < scene.sender->revision && asks < ASKS_MAX)
+  while (scenario.receiver->revision < scenario.sender->revision
+         && asks < MAX_ASKS)
     {
-      step (&scene, 'p');
-      check (&scene);
+      run_step (&scenario, 'p');
+      check_invariants (&scenario);
       asks++;
     }
-  check_same (scene.to, scene.sender);
-  g_assert_null (scene.to->pieces);
-  g_assert_cmpuint (asks, ==, fault->more);
-  scene_end (&scene);
+  check_equal (scenario.receiver, scenario.sender);
+  g_assert_null (scenario.receiver->pieces);
+  g_assert_cmpuint (asks, ==, fault->remaining_asks);
+  scenario_end (&scenario);
 }
 
 static void
@@ -363,22 +368,22 @@
   /* A program from before the pieces asks, and gets the whole in one frame.
      Were it given a piece, for which it has no eyes, it must leave it alone:
      all that the piece lacks would be deleted.  */
-  scene_t scene;
+  scenario_t scenario;
   msg_config_part_t part;
 
-  scene_start (&scene);
-  store_make_part (scene.sender, ROLE_ROUTER,
+  scenario_start (&scenario);
+  store_make_part (scenario.sender, ROLE_ROUTER,
                    &(msg_config_ask_t){ .have = 4, .pieces = true }, 2000,
                    &part);
-  g_assert_cmpuint (part.state, ==, scene.sender->revision);
+  g_assert_cmpuint (part.state, ==, scenario.sender->revision);
   part.state = 0;
   part.next.kind = 0;
-  g_assert_false (store_apply_part (scene.to, &part, 2000));
-  check (&scene);
+  g_assert_false (store_apply_part (scenario.receiver, &part, 2000));
+  check_invariants (&scenario);
   store_part_clear (&part);
-  step (&scene, 'W');
-  check_same (scene.to, scene.sender);
-  scene_end (&scene);
+  run_step (&scenario, 'W');
+  check_equal (scenario.receiver, scenario.sender);
+  scenario_end (&scenario);
 }
 
 static void
@@ -387,20 +392,20 @@
   /* Only the end of the sender's own present state is as fresh as what the
      sender knows: else a receiver that lacks the rest takes work as if it had
      heard of all.  */
-  scene_t scene;
-
-  scene_start (&scene);
-  scene.sender->heard = 1500;
-  step (&scene, 'p');
-  step (&scene, 'F');
-  step (&scene, 'p');
-  step (&scene, 'p');
-  g_assert_cmpuint (scene.to->revision, <, scene.sender->revision);
-  g_assert_cmpuint (store_get_age_ms (scene.to, 3000), ==, 2000);
-  scene.sender->heard = 2000;
-  step (&scene, 'p');
-  g_assert_cmpuint (store_get_age_ms (scene.to, 3000), ==, 1000);
-  scene_end (&scene);
+  scenario_t scenario;
+
+  scenario_start (&scenario);
+  scenario.sender->last_contact = 1500;
+  run_step (&scenario, 'p');
+  run_step (&scenario, 'F');
+  run_step (&scenario, 'p');
+  run_step (&scenario, 'p');
+  g_assert_cmpuint (scenario.receiver->revision, <, scenario.sender->revision);
+  g_assert_cmpuint (store_get_age_ms (scenario.receiver, 3000), ==, 2000);
+  scenario.sender->last_contact = 2000;
+  run_step (&scenario, 'p');
+  g_assert_cmpuint (store_get_age_ms (scenario.receiver, 3000), ==, 1000);
+  scenario_end (&scenario);
 }
 
 int
--- a/libcoltsfootdrum/config/test-store.c
+++ b/libcoltsfootdrum/config/test-store.c
@@ -16,14 +16,14 @@
   g_autofree char *old_list = NULL;
   g_autofree char *old_watch = NULL;
 
-  write_zone (model, "a", IN);
-  old_list = sp_model_list (model, KINDS);
-  old_watch = sp_model_changes (model, 0, KINDS);
-  write_zone (model, "a", OUT);
-  take_list (store, model);
+  write_zone (model, "a", ZONE_IN);
+  old_list = sp_model_list (model, ALL_KINDS);
+  old_watch = sp_model_changes (model, 0, ALL_KINDS);
+  write_zone (model, "a", ZONE_OUT);
+  apply_list (store, model);
   g_assert_true (store_is_zone_out (store, "a"));
-  take (store, old_list, true);
-  take (store, old_watch, false);
+  apply_answer (store, old_list, true);
+  apply_answer (store, old_watch, false);
   g_assert_true (store_is_zone_out (store, "a"));
   g_assert_cmpuint (store_get_revision (store), ==, 2);
   sp_model_free (model);
@@ -40,11 +40,11 @@
   g_autofree char *old_list = NULL;
   g_autoptr (JsonObject) old = NULL;
 
-  write_zone (model, "a", OUT);
-  old_list = sp_model_list (model, KINDS);
-  old = object_from (old_list);
+  write_zone (model, "a", ZONE_OUT);
+  old_list = sp_model_list (model, ALL_KINDS);
+  old = parse_object (old_list);
   write_zone (model, "a", NULL);
-  take_list (store, model); /* at 1000 */
+  apply_list (store, model); /* at 1000 */
   store_apply_objects (store, old, 9000);
   g_assert_null (store_get (store, REC_ZONE, "a"));
   g_assert_cmpuint (store_get_age_ms (store, 9000), ==, 8000);
@@ -60,11 +60,11 @@
   sp_model_t *model = sp_model_new (100);
   msg_config_part_t part;
 
-  write_zone (model, "a", OUT);
-  take_list (store, model);
-  write_zone (model, "a", NEWER);
-  write_zone (model, "b", NEWER);
-  take_list (store, model);
+  write_zone (model, "a", ZONE_OUT);
+  apply_list (store, model);
+  write_zone (model, "a", ZONE_NEWER_SCHEMA);
+  write_zone (model, "b", ZONE_NEWER_SCHEMA);
+  apply_list (store, model);
   g_assert_cmpuint (store_get_revision (store), ==, 3);
   g_assert_true (store_is_zone_out (store, "a"));
   g_assert_null (store_get (store, REC_ZONE, "b"));
@@ -73,8 +73,8 @@
   g_assert_nonnull (strstr (part.records[0], "\"schema\":9"));
   g_assert_null (strstr (part.records[0], "\"schema\":2"));
   store_part_clear (&part);
-  write_zone (model, "a", IN);
-  take_list (store, model);
+  write_zone (model, "a", ZONE_IN);
+  apply_list (store, model);
   g_assert_false (store_is_zone_out (store, "a"));
   sp_model_free (model);
 }
@@ -87,28 +87,28 @@
      it had, says so in its log, and passes the new text on, so that a new
      program which hears of it through the old one alone is right.  Once the
      record is written as version 1 again, all agree.  */
-  g_autoptr (store_t) new_one = store_new (NULL, NULL, NULL);
-  g_autoptr (store_t) old_one = store_new (NULL, NULL, NULL);
+  g_autoptr (store_t) new_store = store_new (NULL, NULL, NULL);
+  g_autoptr (store_t) old_store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) behind = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
 
-  old_one->schema_newest = 1;
-  write_zone (model, "a", IN);
-  take_list (new_one, model);
-  take_part (old_one, new_one, 0);
-  take_part (behind, old_one, 0);
-  write_zone (model, "a", OUT);
-  take_list (new_one, model);
-  take_part (old_one, new_one, 1);
-  take_part (behind, old_one, 1);
-  g_assert_true (store_is_zone_out (new_one, "a"));
-  g_assert_false (store_is_zone_out (old_one, "a"));
+  old_store->newest_schema = 1;
+  write_zone (model, "a", ZONE_IN);
+  apply_list (new_store, model);
+  apply_part (old_store, new_store, 0);
+  apply_part (behind, old_store, 0);
+  write_zone (model, "a", ZONE_OUT);
+  apply_list (new_store, model);
+  apply_part (old_store, new_store, 1);
+  apply_part (behind, old_store, 1);
+  g_assert_true (store_is_zone_out (new_store, "a"));
+  g_assert_false (store_is_zone_out (old_store, "a"));
   g_assert_true (store_is_zone_out (behind, "a"));
-  g_assert_cmpuint (store_get_revision (old_one), ==, 2);
+  g_assert_cmpuint (store_get_revision (old_store), ==, 2);
   write_zone (model, "a", "{\"schema\":1,\"out\":true}");
-  take_list (new_one, model);
-  take_part (old_one, new_one, 2);
-  g_assert_true (store_is_zone_out (old_one, "a"));
+  apply_list (new_store, model);
+  apply_part (old_store, new_store, 2);
+  g_assert_true (store_is_zone_out (old_store, "a"));
   sp_model_free (model);
 }
 
@@ -119,7 +119,7 @@
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   const char *record
       = "{\"kind\":\"availability-zone\",\"name\":\"a\",\"version\":\"v\","
-        "\"revision\":9,\"spec\":" OUT "}";
+        "\"revision\":9,\"spec\":" ZONE_OUT "}";
   msg_config_part_t part
       = { .from = 5, .up_to = 9, .count = 1, .records = &record };
 
@@ -142,12 +142,12 @@
   g_autoptr (store_t) late = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
 
-  write_zone (model, "a", OUT);
-  take_list (cut_off, model);
+  write_zone (model, "a", ZONE_OUT);
+  apply_list (cut_off, model);
   write_zone (model, "a", NULL);
-  write_zone (model, "b", IN);
-  take_list (late, model);
-  take_part (cut_off, late, store_get_revision (cut_off));
+  write_zone (model, "b", ZONE_IN);
+  apply_list (late, model);
+  apply_part (cut_off, late, store_get_revision (cut_off));
   g_assert_null (store_get (cut_off, REC_ZONE, "a"));
   g_assert_nonnull (store_get (cut_off, REC_ZONE, "b"));
   g_assert_cmpuint (store_get_revision (cut_off), ==, 3);
@@ -164,11 +164,11 @@
   sp_model_t *model = sp_model_new (100);
 
   g_assert_cmpuint (store_get_age_ms (first, 5000), ==, UINT32_MAX);
-  take_part (second, first, 0);
+  apply_part (second, first, 0);
   g_assert_cmpuint (store_get_age_ms (second, 5000), ==, UINT32_MAX);
-  write_zone (model, "a", IN);
-  take_list (first, model);     /* at 1000 */
-  take_part (second, first, 0); /* at 2000 */
+  write_zone (model, "a", ZONE_IN);
+  apply_list (first, model);     /* at 1000 */
+  apply_part (second, first, 0); /* at 2000 */
   g_assert_cmpuint (store_get_age_ms (first, 5000), ==, 4000);
   g_assert_cmpuint (store_get_age_ms (second, 5000), ==, 4000);
   sp_model_free (model);
@@ -178,36 +178,36 @@
 {
   unsigned records;
   unsigned deleted;
-} heard_t;
+} event_counts_t;
 
 static void
 on_record (void *user, const rec_t *record, cfd_time_t now)
 {
-  heard_t *heard = user;
+  event_counts_t *counts = user;
 
-  heard->records++;
+  counts->records++;
   if (record->deleted)
-    heard->deleted++;
+    counts->deleted++;
 }
 
 static void
 test_events (void)
 {
   const store_events_t events = { .record = on_record };
-  heard_t heard = { 0 };
-  g_autoptr (store_t) store = store_new (NULL, &events, &heard);
+  event_counts_t counts = { 0 };
+  g_autoptr (store_t) store = store_new (NULL, &events, &counts);
   sp_model_t *model = sp_model_new (100);
 
-  write_zone (model, "a", IN);
-  write_zone (model, "b", IN);
-  take_list (store, model);
-  take_list (store, model);
-  g_assert_cmpuint (heard.records, ==, 2);
+  write_zone (model, "a", ZONE_IN);
+  write_zone (model, "b", ZONE_IN);
+  apply_list (store, model);
+  apply_list (store, model);
+  g_assert_cmpuint (counts.records, ==, 2);
   write_zone (model, "a", NULL);
-  take_list (store, model);
-  take_list (store, model);
-  g_assert_cmpuint (heard.records, ==, 3);
-  g_assert_cmpuint (heard.deleted, ==, 1);
+  apply_list (store, model);
+  apply_list (store, model);
+  g_assert_cmpuint (counts.records, ==, 3);
+  g_assert_cmpuint (counts.deleted, ==, 1);
   sp_model_free (model);
 }
 
@@ -219,7 +219,8 @@
 
 /* What the platform's state says of zone NAME.  */
 static void
-assert_same (const store_t *store, const sp_model_t *model, const char *name)
+assert_zone_matches (const store_t *store, const sp_model_t *model,
+                     const char *name)
 {
   const sp_object_t *object
       = sp_model_newest (model, "availability-zone", name);
@@ -239,7 +240,8 @@
 random_step (GRand *random, sp_model_t *model, store_t **stores,
              GPtrArray *late)
 {
-  static const char *const specs[] = { IN, OUT, NEWER, NULL };
+  static const char *const zone_specs[]
+      = { ZONE_IN, ZONE_OUT, ZONE_NEWER_SCHEMA, NULL };
   store_t *store = stores[g_rand_int_range (random, 0, STORES)];
   store_t *other = stores[g_rand_int_range (random, 0, STORES)];
   char name[2] = { (char)('a' + g_rand_int_range (random, 0, NAMES)), '\0' };
@@ -248,33 +250,35 @@
     {
     case 0:
     case 1:
-      write_zone (model, name,
-                  specs[g_rand_int_range (random, 0, G_N_ELEMENTS (specs))]);
-      g_ptr_array_add (late, sp_model_list (model, KINDS));
+      write_zone (
+          model, name,
+          zone_specs[g_rand_int_range (random, 0, G_N_ELEMENTS (zone_specs))]);
+      g_ptr_array_add (late, sp_model_list (model, ALL_KINDS));
       break;
     case 2:
-      take_part (store, other, store_get_revision (store));
+      apply_part (store, other, store_get_revision (store));
       break;
     case 3:
       /* The receiver has moved on since it asked.  */
-      take_part (store, other,
-                 g_rand_int_range (random, 0,
-                                   (gint32)store_get_revision (store) + 1));
+      apply_part (store, other,
+                  g_rand_int_range (random, 0,
+                                    (gint32)store_get_revision (store) + 1));
       break;
     case 4:
       if (late->len > 0)
-        take (store,
-              g_ptr_array_index (
-                  late, g_rand_int_range (random, 0, (gint32)late->len)),
-              true);
+        apply_answer (
+            store,
+            g_ptr_array_index (
+                late, g_rand_int_range (random, 0, (gint32)late->len)),
+            true);
       break;
     default:
       {
         g_autofree char *changes
-            = sp_model_changes (model, store_get_revision (store), KINDS);
+            = sp_model_changes (model, store_get_revision (store), ALL_KINDS);
 
         if (changes != NULL)
-          take (store, changes, false);
+          apply_answer (store, changes, false);
         break;
       }
     }
@@ -300,14 +304,14 @@
           before[i] = store_get_revision (stores[i]);
           for (char name[2] = "a"; name[0] < 'a' + NAMES; name[0]++)
             if (before[i] == sp_model_revision (model, NULL))
-              assert_same (stores[i], model, name);
+              assert_zone_matches (stores[i], model, name);
         }
     }
   for (int i = 0; i < STORES; i++)
     {
-      take_list (stores[i], model);
+      apply_list (stores[i], model);
       for (char name[2] = "a"; name[0] < 'a' + NAMES; name[0]++)
-        assert_same (stores[i], model, name);
+        assert_zone_matches (stores[i], model, name);
       store_free (stores[i]);
     }
   sp_model_free (model);
--- a/libcoltsfootdrum/config/test-witness.c
+++ b/libcoltsfootdrum/config/test-witness.c
@@ -7,7 +7,7 @@
 #define AGENTS 200u
 
 static GPtrArray *
-make (unsigned routers)
+make_routers (unsigned routers)
 {
   GPtrArray *list = g_ptr_array_new_with_free_func (g_free);
   static const char *const zones[ZONES] = { "a", "b", "c" };
@@ -24,7 +24,7 @@
 }
 
 static void
-drop (GPtrArray *list)
+free_routers (GPtrArray *list)
 {
   for (guint i = 0; i < list->len; i++)
     g_free (((store_instance_t *)list->pdata[i])->name);
@@ -35,9 +35,9 @@
 static void
 test_spread (void)
 {
-  GPtrArray *list = make (30);
-  unsigned most = 0;
-  unsigned all = 0;
+  GPtrArray *list = make_routers (30);
+  unsigned max_agents = 0;
+  unsigned total = 0;
 
   ((store_instance_t *)list->pdata[0])->leaving = true;
   for (guint i = 0; i < list->len; i++)
@@ -52,27 +52,27 @@
           count += witness_is_selected (list, router->name, agent);
         }
       g_assert_true ((count == 0) == router->leaving);
-      most = MAX (most, count);
-      all += count;
+      max_agents = MAX (max_agents, count);
+      total += count;
     }
-  g_assert_cmpuint (all, ==, AGENTS * ZONES * WITNESS_PER_ZONE);
+  g_assert_cmpuint (total, ==, AGENTS * ZONES * WITNESS_PER_ZONE);
   /* 40 on the mean.  */
-  g_assert_cmpuint (most, <, 70);
+  g_assert_cmpuint (max_agents, <, 70);
   g_assert_false (witness_is_selected (list, "not-listed", "agent-0"));
-  drop (list);
+  free_routers (list);
 }
 
 static void
 test_zones (void)
 {
-  GPtrArray *list = make (4);
+  GPtrArray *list = make_routers (4);
 
   g_assert_cmpuint (witness_count_zones (list), ==, 3);
   ((store_instance_t *)list->pdata[1])->leaving = true;
   g_assert_cmpuint (witness_count_zones (list), ==, 2);
   ((store_instance_t *)list->pdata[0])->leaving = true;
   g_assert_cmpuint (witness_count_zones (list), ==, 2);
-  drop (list);
+  free_routers (list);
 }
 
 int
--- a/libcoltsfootdrum/config/witness.c
+++ b/libcoltsfootdrum/config/witness.c
@@ -6,15 +6,15 @@
 #include <xxhash.h>
 
 static uint64_t
-weight_of (const char *router, const char *agent)
+compute_weight (const char *router, const char *agent)
 {
-  XXH64_hash_t first = XXH64 (agent, strlen (agent), 0);
+  XXH64_hash_t seed = XXH64 (agent, strlen (agent), 0);
 
-  return XXH64 (router, strlen (router), first);
+  return XXH64 (router, strlen (router), seed);
 }
 
 static const store_instance_t *
-find (const GPtrArray *routers, const char *name)
+find_router (const GPtrArray *routers, const char *name)
 {
   for (guint i = 0; i < routers->len; i++)
     {
@@ -30,21 +30,21 @@
 witness_is_selected (const GPtrArray *routers, const char *self,
                      const char *agent)
 {
-  const store_instance_t *own = find (routers, self);
-  uint64_t weight = weight_of (self, agent);
-  unsigned before = 0;
+  const store_instance_t *self_router = find_router (routers, self);
+  uint64_t weight = compute_weight (self, agent);
+  unsigned higher_count = 0;
 
-  if (own == NULL || own->leaving)
+  if (self_router == NULL || self_router->leaving)
     return false;
   for (guint i = 0; i < routers->len; i++)
     {
       const store_instance_t *other = g_ptr_array_index (routers, i);
 
-      if (!other->leaving && strcmp (other->zone, own->zone) == 0
-          && weight_of (other->name, agent) > weight)
-        before++;
+      if (!other->leaving && strcmp (other->zone, self_router->zone) == 0
+          && compute_weight (other->name, agent) > weight)
+        higher_count++;
     }
-  return before < WITNESS_PER_ZONE;
+  return higher_count < WITNESS_PER_ZONE;
 }
 
 unsigned
--- a/libcoltsfootdrum/router/test-router-config.c
+++ b/libcoltsfootdrum/router/test-router-config.c
@@ -365,8 +365,8 @@
       sp_test_write (&f->test, ZONE, name, OUT);
     }
   above = play (f, ABOVE, f->test.loop);
-  above->store->deletions_from = 2 + MANY;
-  above->store->piece_records = 4;
+  above->store->deletions_known_from = 2 + MANY;
+  above->store->max_piece_records = 4;
   tell (f, above);
   g_assert_cmpint (until (f, has_many), <, SPREAD_ASK_PEER_AFTER_MS);
   g_assert_true (store_is_zone_out (f->router->store, "z0"));
--- a/tests/bench-state.c
+++ b/tests/bench-state.c
@@ -151,7 +151,7 @@
   fill (store, accounts);
   /* Its first list ended after the last change at the receiver.  */
   store->revision = accounts + 1;
-  store->deletions_from = accounts + 1;
+  store->deletions_known_from = accounts + 1;
   reset_peak ();
   before = status_kb ("VmRSS:");
   for (;;)
