--- a/libcoltsfootdrum/config/rec-parse.c
+++ b/libcoltsfootdrum/config/rec-parse.c
@@ -14,6 +14,7 @@
 
 static const char *const default_classes[] = { "full-shift", "quick", NULL };
 
+/* Sets ERROR to say what is wrong with MEMBER of RECORD; returns false.  */
 G_GNUC_PRINTF (4, 5)
 static bool
 set_member_error (const rec_t *record, const char *member, GError **error,
@@ -31,7 +32,7 @@
   return false;
 }
 
-/* The value of MEMBER when it has TYPE, else NULL.  */
+/* Returns MEMBER if it is a value of TYPE, else NULL.  */
 static JsonNode *
 get_member_of_type (JsonObject *object, const char *member, GType type)
 {
@@ -51,12 +52,13 @@
 
   if (value == NULL || value[0] == '\0' || strlen (value) > MSG_NAME_MAX)
     return set_member_error (record, member, error,
-                             "must be a text of 1 to %u bytes", MSG_NAME_MAX);
+                             "must be a string of 1 to %u bytes",
+                             MSG_NAME_MAX);
   *text = g_strdup (value);
   return true;
 }
 
-/* Leaves DEFAULT when MEMBER is absent and IS_OPTIONAL is set.  */
+/* Leaves COUNT as it is when MEMBER is absent and IS_OPTIONAL is set.  */
 static bool
 read_uint (const rec_t *record, JsonObject *object, const char *member,
            gint64 min, gint64 max, bool is_optional, unsigned *count,
@@ -90,7 +92,7 @@
   return true;
 }
 
-/* Reads one of two words; sets IS_SECOND when it is the second.  */
+/* Parses MEMBER, one of two words; sets IS_SECOND if it is the second.  */
 static bool
 read_enum (const rec_t *record, JsonObject *object, const char *member,
            const char *first, const char *second, bool *is_second,
@@ -124,7 +126,7 @@
   return JSON_NODE_HOLDS_OBJECT (node) ? json_node_get_object (node) : NULL;
 }
 
-/* The text at INDEX, or NULL when it is something else.  */
+/* Returns the string at INDEX, or NULL if the element is no string.  */
 static const char *
 get_string_element (JsonArray *array, guint index)
 {
@@ -204,7 +206,7 @@
     ok = read_keys (record, spec, hashes, error)
          && read_uint (record, spec, "queue_max", 1, QUEUE_MAX_LIMIT, true,
                        &account->queue_max, error);
-  /* A copy of the right size: the array's has room to grow.  */
+  /* The copy has the exact size, without the array's spare capacity.  */
   account->key_count = hashes->len;
   account->keys
       = g_memdup2 (hashes->data, hashes->len * sizeof (rec_key_hash_t));
--- a/libcoltsfootdrum/config/rec-text.c
+++ b/libcoltsfootdrum/config/rec-text.c
@@ -3,14 +3,14 @@
 #include <sodium.h>
 #include <string.h>
 
-/* What a shape leaves out.  Its place is marked by the byte of that number,
-   which no JSON text has: control characters are escaped there.  */
+/* Placeholders of a template.  Each is a byte of this value, which doesn't
+   occur in JSON text, where control characters are escaped.  */
 enum
 {
   PLACEHOLDER_NAME = 1,
   PLACEHOLDER_VERSION,
   PLACEHOLDER_REVISION,
-  PLACEHOLDER_KEYS, /* the first of up to KEYS_MAX */
+  PLACEHOLDER_KEYS, /* the first of MAX_TEMPLATE_KEYS */
   MAX_TEMPLATE_KEYS = 4,
   PLACEHOLDER_END = PLACEHOLDER_KEYS + MAX_TEMPLATE_KEYS
 };
@@ -19,31 +19,31 @@
 
 typedef struct
 {
-  const char *values[PLACEHOLDER_END]; /* NULL: not there */
+  const char *values[PLACEHOLDER_END]; /* NULL when absent */
   char revision[REVISION_TEXT_SIZE];
   char keys[MAX_TEMPLATE_KEYS][REC_KEY_HASH_HEX_SIZE];
-} template_values_t;
+} substitutions_t;
 
 static void
-collect_values (const rec_t *record, template_values_t *template)
+collect_substitutions (const rec_t *record, substitutions_t *subst)
 {
   const rec_account_t *account = &record->u.account;
   bool has_keys = record->kind == REC_ACCOUNT && !record->deleted;
   unsigned keys = has_keys ? MIN (account->key_count, MAX_TEMPLATE_KEYS) : 0;
 
-  memset (template, 0, sizeof *template);
-  g_snprintf (template->revision, sizeof template->revision,
-              "%" G_GUINT64_FORMAT, record->revision);
-  template->values[PLACEHOLDER_NAME] = record->name;
-  template->values[PLACEHOLDER_VERSION] = record->version;
-  template->values[PLACEHOLDER_REVISION] = template->revision;
+  memset (subst, 0, sizeof *subst);
+  g_snprintf (subst->revision, sizeof subst->revision, "%" G_GUINT64_FORMAT,
+              record->revision);
+  subst->values[PLACEHOLDER_NAME] = record->name;
+  subst->values[PLACEHOLDER_VERSION] = record->version;
+  subst->values[PLACEHOLDER_REVISION] = subst->revision;
   for (unsigned i = 0; i < keys; i++)
-    template->values[PLACEHOLDER_KEYS + i]
-        = sodium_bin2hex (template->keys[i], sizeof template->keys[i],
+    subst->values[PLACEHOLDER_KEYS + i]
+        = sodium_bin2hex (subst->keys[i], sizeof subst->keys[i],
                           account->keys[i].bytes, REC_KEY_HASH_SIZE);
 }
 
-/* Whether the value of SLOT stands at AT as a whole JSON value.  */
+/* Whether VALUE, that of PLACEHOLDER, is the whole JSON value at POS.  */
 static bool
 is_value_at (const char *pos, const char *value, int placeholder)
 {
@@ -57,12 +57,12 @@
 }
 
 static int
-find_placeholder (const template_values_t *template, const char *pos)
+find_placeholder (const substitutions_t *subst, const char *pos)
 {
   for (int placeholder = PLACEHOLDER_NAME; placeholder < PLACEHOLDER_END;
        placeholder++)
-    if (template->values[placeholder] != NULL
-        && is_value_at (pos, template->values[placeholder], placeholder))
+    if (subst->values[placeholder] != NULL
+        && is_value_at (pos, subst->values[placeholder], placeholder))
       return placeholder;
   return 0;
 }
@@ -71,18 +71,19 @@
 rec_text_make_template (const char *text, const rec_t *record)
 {
   g_autoptr (GString) text_template = g_string_new (NULL);
-  template_values_t template;
+  substitutions_t subst;
 
-  collect_values (record, &template);
-  /* The first byte is the brace of an object: nothing looks before it.  */
+  collect_substitutions (record, &subst);
+  /* The first byte is the brace of the object, so is_value_at never reads
+     before the text.  */
   g_string_append_c (text_template, *text);
   for (const char *pos = text + 1; *pos != '\0';)
     {
-      int placeholder = find_placeholder (&template, pos);
+      int placeholder = find_placeholder (&subst, pos);
 
       g_string_append_c (text_template,
                          (char)(placeholder == 0 ? *pos : placeholder));
-      pos += placeholder == 0 ? 1 : strlen (template.values[placeholder]);
+      pos += placeholder == 0 ? 1 : strlen (subst.values[placeholder]);
     }
   return g_ref_string_new_intern (text_template->str);
 }
@@ -91,13 +92,13 @@
 rec_to_text (const rec_t *record)
 {
   GString *text = g_string_new (NULL);
-  template_values_t template;
+  substitutions_t subst;
 
-  collect_values (record, &template);
+  collect_substitutions (record, &subst);
   for (const char *pos = record->text_template; *pos != '\0'; pos++)
     {
       if (*pos > 0 && *pos < PLACEHOLDER_END)
-        g_string_append (text, template.values[(int)*pos]);
+        g_string_append (text, subst.values[(int)*pos]);
       else
         g_string_append_c (text, *pos);
     }
--- a/libcoltsfootdrum/config/rec.c
+++ b/libcoltsfootdrum/config/rec.c
@@ -86,7 +86,7 @@
   return json_to_string (root, FALSE);
 }
 
-/* The text member NAME, or NULL.  */
+/* Returns the string member NAME, or NULL.  */
 static const char *
 get_string_member (JsonObject *object, const char *name)
 {
@@ -109,7 +109,7 @@
   if (!rec_kind_parse (kind, &record->kind))
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_RECORD,
-                   "kind \"%s\" is not one of ours; update the program",
+                   "kind \"%s\" is unknown; update the program",
                    kind == NULL ? "" : kind);
       return false;
     }
@@ -117,7 +117,7 @@
       || revision <= 0)
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_RECORD,
-                   "a %s has no good name or revision; correct the object",
+                   "a %s has no valid name or revision; correct the object",
                    kind);
       return false;
     }
@@ -182,9 +182,9 @@
   return NULL;
 }
 
-/* Whether PATH lies under PREFIX; the query is no part of it.  A path with
-   dots that climb could lead out of the prefix at the endpoint, and a call
-   that must not repeat would be taken for one that may: it never matches.  */
+/* Whether PATH, without its query, begins with PREFIX.  A path with ".." never
+   matches: the endpoint could resolve it to a path outside of the prefix, and
+   a request that must not be repeated would be taken for one that may.  */
 static bool
 path_matches (const char *path, const char *prefix)
 {
--- a/libcoltsfootdrum/config/test-rec.c
+++ b/libcoltsfootdrum/config/test-rec.c
@@ -1,4 +1,5 @@
-/* Records of both schema versions side by side, and bad ones.  */
+/* Tests of the parser with records of both schema versions and invalid
+   records.  */
 
 #include "config/rec.h"
 
@@ -34,7 +35,7 @@
   return record;
 }
 
-/* Each byte of the account's key number INDEX is BYTE.  */
+/* Checks that each byte of the key hash at INDEX is BYTE.  */
 static void
 assert_key (const rec_t *record, unsigned index, unsigned char byte)
 {
@@ -63,23 +64,24 @@
   g_assert_cmpuint (v2->u.account.key_count, ==, 2);
   assert_key (v2, 0, 0xaa);
   assert_key (v2, 1, 0xbb);
-  /* A member of a newer writer is passed on unchanged.  */
+  /* An unknown member from a newer writer is passed on unchanged.  */
   text = rec_to_text (v2);
   g_assert_nonnull (strstr (text, "\"later\":[1]"));
 }
 
 static const char *const round_trip_texts[] = {
-  /* Members in another order, and unknown ones with the values left out.  */
+  /* Members in another order, and unknown ones whose values are equal to those
+     that placeholders stand for.  */
   "{\"revision\":7,\"x\":7,\"y\":[7,17,77],\"spec\":{\"key_hash\":\"" HASH_A
   "\",\"again\":\"" HASH_A "\",\"weight\":0.1,\"schema\":1},\"version\":\"7\","
   "\"name\":\"7\",\"kind\":\"client-account\"}",
-  /* A name that is a member's too, and one that is written with escapes.  */
+  /* A name that is also a member's name, and one with escape sequences.  */
   "{\"kind\":\"client-account\",\"name\":\"weight\",\"version\":\"weight\","
   "\"revision\":1,\"spec\":{\"schema\":2,\"weight\":1e3,\"keys\":[]}}",
   "{\"kind\":\"client-account\",\"name\":\"a\\\"\\u0001\\\\\",\"version\":"
   "\"\","
   "\"revision\":12,\"spec\":{\"schema\":2,\"weight\":1,\"keys\":[]}}",
-  /* More keys than there are marks, one of them twice.  */
+  /* More keys than placeholders, with duplicates.  */
   "{\"kind\":\"client-account\",\"name\":\"n\",\"revision\":1,\"spec\":{"
   "\"schema\":2,\"weight\":1,\"keys\":[{\"hash\":\"" HASH_A
   "\"},{\"hash\":\"" HASH_B "\",\"note\":\"" HASH_B "\"},{\"hash\":\"" HASH_A
@@ -90,9 +92,9 @@
 static void
 test_text (void)
 {
-  /* A record goes through a process that keeps only its parsed form and a
-     shape.  Peers must get what the platform would have told them, to the
-     byte, or a newer process behind this one reads another record.  */
+  /* A process keeps only a record's parsed form and a template.  Peers must
+     get the same bytes as from the platform; otherwise a newer process that
+     gets the record from this one would parse a different record.  */
   for (guint i = 0; i < G_N_ELEMENTS (round_trip_texts); i++)
     {
       g_autoptr (JsonNode) root = json_from_string (round_trip_texts[i], NULL);
@@ -109,7 +111,8 @@
 static void
 test_shared_shape (void)
 {
-  /* What makes 18,000 accounts small: they differ in marks alone.  */
+  /* 18,000 accounts take little memory because those that differ only in the
+     values of placeholders share a template.  */
   g_autoptr (rec_t) first
       = parse_good ("client-account",
                     "{\"schema\":1,\"weight\":2,\"key_hash\":\"" HASH_A "\"}");
@@ -213,7 +216,7 @@
   g_assert_cmpuint (rec_service_get_class_rank (&v2->u.service, "x"), ==, 2);
 }
 
-/* Each is refused by an error that holds the text.  */
+/* Each is rejected with an error message that contains EXPECTED_TEXT.  */
 static const struct
 {
   const char *kind;
