--- a/libcoltsfootdrum/config/spread-tree.c
+++ b/libcoltsfootdrum/config/spread-tree.c
@@ -26,7 +26,8 @@
   return spread_ranks_before (first->name, second->name) ? -1 : 1;
 }
 
-/* The names of the INSTANCES that stay, in order of rank.  */
+/* Returns the names of those INSTANCES that aren't leaving, in order of
+   rank.  */
 static GPtrArray *
 list_by_rank (const GPtrArray *instances)
 {
@@ -140,7 +141,7 @@
   index = (unsigned)(XXH3_64bits_withSeed (tree->self, strlen (tree->self),
                                            attempt)
                      % other_count);
-  /* One further from SELF's own place on, which is left out.  */
+  /* Skip SELF.  */
   if (tree->rank != NOT_LISTED && index >= tree->rank)
     index++;
   return routers->pdata[index];
--- a/libcoltsfootdrum/config/spread.c
+++ b/libcoltsfootdrum/config/spread.c
@@ -28,8 +28,8 @@
   return NULL;
 }
 
-/* Instances of ZONE (NULL: of any) that go before NAME.  Those that leave
-   don't count: their watch is about to end.  */
+/* Counts the instances of ZONE (of any zone when NULL) that rank before NAME.
+   Those that are leaving don't count, because their watch is about to end.  */
 static unsigned
 count_ranked_before (const GPtrArray *instances, const char *zone,
                      const char *name)
--- a/libcoltsfootdrum/config/spread.h
+++ b/libcoltsfootdrum/config/spread.h
@@ -1,13 +1,15 @@
-/* Who reads the platform in a large fleet.  Pure.
+/* Selection of the processes that watch the platform in a large fleet.  Pure
+   functions without I/O.
 
-   The platform's rates grow more slowly than the fleet, so its load must not
-   grow with it.  Up to SPREAD_SMALL_FLEET_INSTANCES instances everyone
-   watches.  In a larger fleet the first SPREAD_WATCHERS_PER_ROLE of each role
-   by hash of the name watch, and the first in each zone, so that each zone has
-   a watcher while the others are cut off.  All others learn from peers: each
-   frame carries its sender's revision, and the age of what is known travels
-   with each CONFIG_PART.  One that hears nothing asks peers first, then reads
-   the platform itself.  */
+   The platform's rate limits grow more slowly than the fleet, so its load must
+   not grow with the fleet.  In a fleet of up to SPREAD_SMALL_FLEET_INSTANCES
+   instances every process watches.  In a larger one the watchers are the first
+   SPREAD_WATCHERS_PER_ROLE instances of each role by the hash of their name,
+   and the first in each zone, so that a zone still has a watcher when it is
+   partitioned from the others.  All other processes get changes from peers:
+   each frame carries its sender's revision, and each CONFIG_PART the age of
+   the sender's configuration.  A process that gets no update asks peers first,
+   then reads the platform itself.  */
 
 #ifndef CONFIG_SPREAD_H
 #define CONFIG_SPREAD_H
@@ -18,54 +20,57 @@
 
 #define SPREAD_SMALL_FLEET_INSTANCES 32
 #define SPREAD_WATCHERS_PER_ROLE 5
-/* Without word for so long a process asks a peer each second ...  */
+/* A process whose configuration is older than this asks a peer each second. */
 #define SPREAD_ASK_PEER_AFTER_MS 4000
-/* ... and for so long reads the platform, at most at this interval.  */
+/* One whose configuration is older than this reads the platform, at most once
+   in SPREAD_MIN_READ_INTERVAL_MS.  */
 #define SPREAD_READ_PLATFORM_AFTER_MS 8000
 #define SPREAD_MIN_READ_INTERVAL_MS 4000
-/* A process that knows of a newer revision, and was not given it by a peer for
-   so long, reads the platform too.  */
+/* A process that has known of a newer revision for this long without getting
+   it from a peer reads the platform too.  */
 #define SPREAD_MAX_BEHIND_MS 2000
-/* Most reads a second by the whole fleet: of the list of instances, and of the
-   configuration by processes that hear nothing.  In a fleet of 930 the latter
-   is one each 9.3 s for each process, so that a change is in force within 12 s
-   even where no peer tells of it.  */
+/* Limits for the whole fleet: reads per second of the list of instances, and
+   of the configuration by processes that get no update from peers.  In a fleet
+   of 930 the latter allows one read per process each 9.3 s, so that a change
+   is in force within 12 s even if no peer sends it.  */
 #define SPREAD_MAX_FLEET_POLLS_PER_S 60
 #define SPREAD_MAX_FLEET_READS_PER_S 100
 
 typedef struct
 {
   unsigned instance_count; /* instances of all roles */
-  unsigned rank;           /* among those of the own role, from 0 */
+  unsigned rank;           /* among the instances of the own role, from 0 */
   bool is_first_in_zone;
 } spread_position_t;
 
-/* The place of SELF among INSTANCES, arrays of store_instance_t of all roles.
-   An instance the list does not have yet gets rank 0: it watches.  */
+/* Sets POSITION to that of SELF in the fleet.  ROUTERS and AGENTS are arrays
+   of store_instance_t.  An instance that is not listed yet gets rank 0 and so
+   is a watcher.  */
 void spread_find_position (const GPtrArray *routers, const GPtrArray *agents,
                            role_t role, const char *self,
                            spread_position_t *position);
 
-/* Whether A goes before B by hash of the name.  */
+/* Whether instance A ranks before B by the hash of their names.  */
 bool spread_ranks_before (const char *a, const char *b);
 
 bool spread_is_watcher (const spread_position_t *position);
 
-/* Milliseconds between two reads of the list of instances.  */
+/* Returns the interval between two reads of the list of instances.  */
 unsigned spread_poll_interval_ms (const spread_position_t *position);
 
-/* Least milliseconds between two reads of a process that hears nothing.  */
+/* Returns the shortest interval between two reads of the configuration by a
+   process that gets no update from peers.  */
 unsigned spread_read_interval_ms (const spread_position_t *position);
 
 typedef enum
 {
   SPREAD_WAIT,
-  SPREAD_ASK_PEER,     /* a peer */
-  SPREAD_READ_PLATFORM /* the platform, and ask a peer */
+  SPREAD_ASK_PEER,
+  SPREAD_READ_PLATFORM /* and ask a peer as well */
 } spread_action_t;
 
-/* What a process that does not watch does now, when the newest word is AGE_MS
-   old and it last read the platform at LAST_READ.  */
+/* Returns the action due for a process that is no watcher, whose configuration
+   is AGE_MS old and which last read the platform at LAST_READ.  */
 spread_action_t spread_choose_action (const spread_position_t *position,
                                       uint32_t age_ms, cfd_time_t last_read,
                                       cfd_time_t now);
--- a/libcoltsfootdrum/config/test-spread-tree.c
+++ b/libcoltsfootdrum/config/test-spread-tree.c
@@ -1,4 +1,5 @@
-/* Who tells whom, by fleet: everyone is reached, nobody tells many.  */
+/* Tests of the distribution tree for several fleets: every process is reached,
+   and no router has many children.  */
 
 #include "config/spread-tree.h"
 #include "config/store.h"
@@ -27,7 +28,7 @@
   return instances;
 }
 
-/* Adds "ABOVE>BELOW" for each name of TOLD.  */
+/* Adds "PARENT>CHILD" for each name in CHILDREN.  */
 static void
 add_pairs (GHashTable *pairs, const char *parent, const GPtrArray *children)
 {
@@ -39,7 +40,7 @@
 static const struct
 {
   unsigned routers, leaving, agents;
-  unsigned max_agents; /* that one router tells */
+  unsigned max_agents; /* of one router */
 } fleets[] = { { 1, 0, 40, 40 },
                { 2, 0, 40, 40 },
                { 36, 0, 64, 12 },
@@ -72,7 +73,7 @@
       add_pairs (pairs, self, spread_tree_get_child_routers (tree));
       add_pairs (pairs, self, spread_tree_get_child_agents (tree));
     }
-  /* Each router but the roots is told by one, each agent by two.  */
+  /* Each router but the roots has one parent, each agent two.  */
   g_assert_cmpuint (g_hash_table_size (pairs), ==,
                     active - MIN (active, SPREAD_WATCHERS_PER_ROLE)
                         + fleets[index].agents * MIN (active, 2));
@@ -90,7 +91,7 @@
         {
           const char *name = spread_tree_choose_source (tree, attempt);
 
-          /* Never itself, nor one that leaves.  */
+          /* Never itself, nor a router that is leaving.  */
           g_assert_cmpstr (name, !=, self);
           g_assert_cmpuint (atoi (strchr (name, '-') + 1), <, active);
           g_hash_table_add (asked_names, (gpointer)name);
@@ -115,7 +116,7 @@
 static void
 test_alone (void)
 {
-  /* A list that does not have this router yet, or no other.  */
+  /* Lists that lack this router, or have no other.  */
   g_autoptr (GPtrArray) none = make_instances ("router", 0);
   g_autoptr (GPtrArray) one = make_instances ("router", 1);
   g_autoptr (spread_tree_t) first = spread_tree_new (none, none, "router-0");
--- a/libcoltsfootdrum/config/test-spread.c
+++ b/libcoltsfootdrum/config/test-spread.c
@@ -1,4 +1,5 @@
-/* Who watches the platform, and what the others do, by fleet and by time.  */
+/* Tests of the selection of watchers by fleet, and of the actions of all other
+   processes by time.  */
 
 #include "config/spread.h"
 #include "config/store.h"
@@ -63,7 +64,7 @@
 static const struct
 {
   unsigned routers, agents, zones;
-  unsigned min_watchers, max_watchers; /* watchers */
+  unsigned min_watchers, max_watchers;
 } fleets[] = {
   { 4, 16, 4, 20, 20 },  { 8, 24, 4, 32, 32 },    { 8, 25, 4, 10, 14 },
   { 40, 60, 4, 10, 14 }, { 330, 600, 6, 10, 16 },
@@ -94,8 +95,8 @@
 static void
 test_watcher_leaves (void)
 {
-  /* Half of the routers leave at once: others must take their place as soon as
-     the list says so, not when the last watch has ended.  */
+  /* Half of the routers leave at once.  Others must become watchers as soon as
+     the list shows it, not when the last watch has ended.  */
   fleet_t fleet = { make_instances (ROLE_ROUTER, 40, 4),
                     make_instances (ROLE_AGENT, 60, 4) };
   bool zones[8] = { false };
--- a/libcoltsfootdrum/config/test-witness.c
+++ b/libcoltsfootdrum/config/test-witness.c
@@ -1,4 +1,5 @@
-/* Who is a witness for whom: some in each zone, and none that leaves.  */
+/* Tests of the selection of witnesses: some in each zone, and none that is
+   leaving.  */
 
 #include "config/store.h"
 #include "config/witness.h"
@@ -31,7 +32,8 @@
   g_ptr_array_unref (list);
 }
 
-/* Each agent has its witnesses in each zone, and no router has many agents. */
+/* Each agent has witnesses in each zone, and no router is the witness of many
+   agents.  */
 static void
 test_spread (void)
 {
@@ -56,7 +58,7 @@
       total += count;
     }
   g_assert_cmpuint (total, ==, AGENTS * ZONES * WITNESS_PER_ZONE);
-  /* 40 on the mean.  */
+  /* The mean is 40.  */
   g_assert_cmpuint (max_agents, <, 70);
   g_assert_false (witness_is_selected (list, "not-listed", "agent-0"));
   free_routers (list);
