--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -1,22 +1,23 @@
-/* Follows the platform: lists once, then watches by long poll, lists again
-   when the platform no longer knows that far back, and reads the list of
-   instances at an interval.  A process that need not watch (spread.h) looks
-   each second whether it has heard enough from peers.  */
+/* Synchronisation with the platform.  Lists the configuration once, then
+   watches it by long polling; lists again when the platform's history no
+   longer reaches back to the revision in force; and polls the list of
+   instances.  A process that is no watcher (spread.h) checks each second
+   whether it is up to date through its peers.  */
 
 #include "config/spread.h"
 #include "config/store-impl.h"
 #include "base/log.h"
 
 #define PART "config"
-/* Short, because a connection can go silent for good: a change must be in
-   force everywhere within seconds even then.  */
+/* Short, because a connection can hang for good, and a change must be in force
+   everywhere within seconds even then.  */
 #define WATCH_TIMEOUT_MS 5000
-/* In a large fleet there are few watchers, and the others' knowledge is as
-   old as theirs.  */
+/* Shorter in a large fleet, where few processes watch and the configuration of
+   all others is as old as theirs.  */
 #define LARGE_FLEET_WATCH_TIMEOUT_MS 2000
 #define PEER_CHECK_INTERVAL_MS 1000
-/* Between two watches of which the first brought nothing: a platform that
-   answers at once, against the contract, must not be asked in a busy loop.  */
+/* Delay after a watch that brought no change.  It prevents a busy loop when a
+   platform, against its API, answers at once.  */
 #define EMPTY_WATCH_GAP_MS 50
 #define MIN_BACKOFF_MS 250
 #define MAX_BACKOFF_MS 5000
@@ -29,16 +30,16 @@
   struct ev_loop *loop;
   plat_t *plat;
   GRand *random;
-  ev_timer config_timer;    /* the next read of the configuration */
-  ev_timer instances_timer; /* the next read of the list of instances */
+  ev_timer config_timer;    /* next read of the configuration */
+  ev_timer instances_timer; /* next read of the list of instances */
   bool is_listed;
-  bool is_history_short;  /* a watch after a list of fewer kinds found so */
-  bool is_catching_up;    /* from a list of fewer kinds to what is newest */
-  const char *list_kinds; /* of the list being read */
-  char *cursor;           /* of the list's next page */
+  bool is_history_short; /* for a watch after a list of fewer kinds */
+  bool is_catching_up; /* after a list of fewer kinds, until the next watch */
+  const char *list_kinds; /* of the current list */
+  char *cursor;           /* of the current list's next page */
   GHashTable *present;
   uint64_t list_revision;
-  unsigned failures; /* in a row */
+  unsigned failures; /* consecutive */
   unsigned instances_failures;
   cfd_time_t last_read;
 };
@@ -52,8 +53,8 @@
   ev_timer_start (follow->loop, timer);
 }
 
-/* Doubles with each failure, and draws from the upper half, so that a fleet
-   does not come back in step when the platform does.  */
+/* Doubles the limit with each failure and draws from its upper half, so that
+   the fleet's processes don't all retry at the same time.  */
 static unsigned
 backoff_ms (follow_t *follow, unsigned failures)
 {
@@ -73,9 +74,9 @@
     return;
   follow->store->platform_is_up = is_up;
   if (is_up)
-    log_info (PART, "The platform answers.");
+    log_info (PART, "Platform is reachable.");
   else
-    log_warn (PART, "The platform does not answer: status=%s.",
+    log_warn (PART, "Platform is unreachable: status=%s.",
               plat_status_name (status));
 }
 
@@ -92,7 +93,7 @@
                         store->self, position);
 }
 
-/* Begins the list anew with the next read.  */
+/* Makes the next read start a new list.  */
 static void
 reset_list (follow_t *follow)
 {
@@ -147,7 +148,7 @@
                    store->revision > before ? 0 : EMPTY_WATCH_GAP_MS);
       return;
     case PLAT_GONE:
-      log_info (PART, "The platform's history is too short, listing again.");
+      log_info (PART, "Platform history is too short, listing again.");
       follow->is_history_short = true;
       reset_list (follow);
       break;
@@ -158,13 +159,15 @@
                backoff_ms (follow, follow->failures++));
 }
 
-/* The kinds to list.  An agent's first list leaves out the accounts: 2 pages
-   in place of 38 at each start.  Its revision is that of the last write to the
-   other kinds, and the watch from there on, of all kinds, brings the rest.
-   Where the platform has forgotten those changes, and for a later list, which
-   must reach the revision in force, all kinds are listed and accounts skipped:
-   else a platform without any of the other kinds would be listed and watched
-   in turns for ever.  */
+/* Returns the kinds to list.  An agent's first list leaves out the accounts,
+   so that it takes 2 pages instead of 38 at each start.  The list's revision
+   is that of the last write to the other kinds; the watch from there on covers
+   all kinds and reaches the newest revision.  If the platform's history is too
+   short for that watch, and for later lists, which must reach the revision in
+   force, all kinds are listed and accounts skipped.  Otherwise a platform that
+   has no records of the other kinds would be listed and watched in turns
+   without end.
+ */
 static const char *
 choose_list_kinds (const follow_t *follow)
 {
@@ -175,7 +178,8 @@
   return PLAT_AGENT_KINDS;
 }
 
-/* Reads what changed, and waits for a change for WAIT_MS.  */
+/* Reads the next page of the list, or the changes since the revision in force,
+   waiting up to TIMEOUT_MS for one.  */
 static void
 read_platform (follow_t *follow, unsigned timeout_ms, cfd_time_t now)
 {
@@ -194,7 +198,7 @@
       follow->cursor == NULL ? "" : follow->cursor, on_list_page, follow);
 }
 
-/* Whether a process that does not watch reads the platform now.  */
+/* Whether a process that is no watcher has to read the platform now.  */
 static bool
 should_read_platform (const follow_t *follow,
                       const spread_position_t *position, cfd_time_t now)
--- a/libcoltsfootdrum/config/store-instances.c
+++ b/libcoltsfootdrum/config/store-instances.c
@@ -1,3 +1,5 @@
+/* Parsing of the platform's list of instances.  */
+
 #include "config/store-impl.h"
 #include "base/log.h"
 
@@ -39,7 +41,7 @@
   return true;
 }
 
-/* NULL for what is no router or agent, or has no name or address.  */
+/* Returns NULL if NODE is no router or agent, or has no name or address.  */
 static store_instance_t *
 parse_instance (JsonNode *node)
 {
--- a/libcoltsfootdrum/config/store-pieces.c
+++ b/libcoltsfootdrum/config/store-pieces.c
@@ -1,71 +1,81 @@
-/* A whole state that comes in pieces.
+/* Receiving a snapshot in pieces.
 
-   A store that is behind its peer's first list needs a whole state
-   (store-give.c).  It comes in pieces of some 256 KB, in the order of kind and
-   name.  The sender keeps nothing between them: each ask says where it stands.
+   A store that is behind its peer's first list needs a snapshot (see
+   store-send.c).  It comes in pieces of about 256 KB, ordered by kind and
+   name.  The sender keeps no state between pieces, since each CONFIG_ASK
+   carries the position:
 
-     ask   HAVE, PIECES, and from the second on STATE and AFTER as taken
-     part  STATE, AFTER, the records after AFTER as they are now, deleted ones
-           too, and NEXT, the place of the last; no NEXT: that was the end
+     ask   HAVE, PIECES, and from the second one on STATE and AFTER, the
+           position that the receiver has reached
+     part  STATE, AFTER, the records after AFTER as they are now, including
+           deleted ones, and NEXT, the position of the last record; without
+           NEXT it is the last piece
 
    STATE is the sender's revision when it made the first piece.  The receiver
-   puts records into force as they come, each by its own revision, notes which
-   it saw, and at the end drops those up to STATE that it didn't see, and has
-   STATE.  What changed since comes as changes after STATE.
-
-   Why that is right though pieces are made at different times, and by
-   different senders: whoever makes a piece has at least STATE, so that each
-   record in its range that was there at STATE is in the piece, or was deleted
-   since.  What is seen is of STATE or newer, and what isn't seen is gone; the
-   changes after STATE tell the same once more.  A record can't move in the
-   order.  A receiver that has STATE already takes nothing: it may know of a
-   deletion that the piece does not.
-
-     fault                         what happens
-     piece or ask lost             the next ask, of each frame that shows a
-                                   newer revision or of each second, says the
-                                   same place
-     piece doubled, or two peers   the second is not after the place taken
-     are asked at once             then, and is left
-     piece of another state        left: its maker may lack records of STATE
-     record written meanwhile      behind the place: by the changes after
-                                   STATE; before it: in its piece, newer than
-                                   STATE, and STATE's end does not drop it
-     record deleted meanwhile      the same; or it is not seen, and dropped
-     sender has a newer list       it goes on; after STATE the receiver is
-     meanwhile                     behind that list, and gets it whole
-     sender dies or restarts       any peer that has STATE goes on from there
-     only older peers are left     they begin their own state, which is left
-                                   while the former moves, and taken once it
-                                   stood still for STILL_MS
-     receiver restarts             it has no place: from the start
-     revision rises otherwise      up to STATE or above: the pieces are
-                                   forgotten; below: they go on
-     sender that knows no pieces   ignores the late fields of the ask and sends
-                                   the whole in one frame, which ends this
-     receiver that knows none      asks without PIECES and gets that frame; a
-                                   piece would be ignored for its FROM
-     sender that never ends        NEXT must lie beyond AFTER, and at most
-                                   STORE_MAX_SNAPSHOT_RECORDS are noted: else
-                                   the pieces are given up, and until the
-                                   revision reaches STATE asks are for the
-                                   whole in one frame, as before  */
+   puts records into force as they come, each by its own revision, and keeps
+   the set of those that it got.  At the end it deletes the records up to STATE
+   that are not in the set, and its revision is STATE.  Later changes come as
+   changes after STATE.
+
+   This is correct although pieces are made at different times and by different
+   senders.  The sender of a piece has at least STATE, so each record in the
+   piece's range that existed at STATE is in the piece or was deleted since.
+   Records that came are of STATE or newer, and those that did not come no
+   longer exist; the changes after STATE bring the same result once more.  A
+   record never changes its position.  A receiver that has reached STATE
+   ignores the pieces, because it may know of a deletion that a piece does not.
+
+     fault                         handling
+     piece or ask lost             the next ask names the same position; one is
+                                   sent for each frame with a newer revision,
+                                   and one each second
+     piece duplicated, or two      the second piece doesn't continue at the
+     peers asked at once           position reached, and is ignored
+     piece of another snapshot     ignored: its sender may lack records of
+                                   STATE
+     record written meanwhile      before the position: comes with the changes
+                                   after STATE; after it: comes in its piece,
+                                   newer than STATE, and is not deleted at the
+                                   end
+     record deleted meanwhile      likewise; or it does not come and is deleted
+                                   at the end
+     sender gets a newer list      the pieces continue; after STATE the
+     meanwhile                     receiver is behind that list and gets a new
+                                   snapshot
+     sender dies or restarts       any peer that has STATE continues
+     only older peers are left     they begin snapshots of their own revision,
+                                   which are ignored until the current one has
+                                   not advanced for STALL_TIMEOUT_MS
+     receiver restarts             it has no position and begins anew
+     revision rises by other       up to STATE or above: the pieces are
+     means                         discarded; below STATE: they continue
+     sender without support for    ignores the optional fields of the ask and
+     pieces                        sends the snapshot in one frame, which ends
+                                   the pieces
+     receiver without support      asks without PIECES and gets one frame; it
+     for pieces                    would ignore a piece because of its FROM
+     sender that never ends        NEXT must be after AFTER, and the set is
+                                   limited to STORE_MAX_SNAPSHOT_RECORDS;
+                                   otherwise the pieces are abandoned, and asks
+                                   are for one frame until the revision reaches
+                                   STATE  */
 
 #include "config/store-impl.h"
 #include "base/log.h"
 
 #define PART "config"
-/* So long without a next piece another state may take its place.  Below the
-   8 s of SPREAD_READ_PLATFORM_AFTER_MS, above several asks.  */
+/* After this long without a next piece, another snapshot may replace the
+   current one.  Less than the 8 s of SPREAD_READ_PLATFORM_AFTER_MS, and enough
+   for several asks.  */
 #define STALL_TIMEOUT_MS 4000
 
 struct pieces
 {
   uint64_t state;
-  msg_cursor_t position; /* of the last record taken; its name is owned */
+  msg_cursor_t position; /* of the last record received; owns the name */
   GHashTable *present;
   unsigned record_count;
-  cfd_time_t advanced_at; /* when the last piece was taken */
+  cfd_time_t advanced_at; /* when the last piece was received */
   bool is_abandoned;
 };
 
@@ -123,8 +133,9 @@
          && (a->kind == 0 || g_strcmp0 (a->name, b->name) == 0);
 }
 
-/* Whether PART goes on where the pieces taken end.  The first of a state
-   begins anew where none is under way, or that one stands still.  */
+/* Whether PART continues the current snapshot at the position reached.  The
+   first piece of another snapshot is accepted too, and begins that one, if
+   there is none or the current one has stalled.  */
 static bool
 accept_piece (store_t *store, const msg_config_part_t *part, cfd_time_t now)
 {
@@ -143,7 +154,8 @@
   return true;
 }
 
-/* Whether the sender can be asked for what follows NEXT.  */
+/* Moves the position to NEXT.  Returns false if the sender violates the limits
+   against a snapshot that never ends.  */
 static bool
 advance_position (store_t *store, const msg_cursor_t *next, cfd_time_t now)
 {
@@ -161,8 +173,8 @@
   return true;
 }
 
-/* All pieces were taken.  They are out of the way first: who is told that the
-   revision rose may ask at once.  */
+/* Ends the snapshot after its last piece.  STORE->pieces is cleared first,
+   because the handler of the new revision may send a CONFIG_ASK at once.  */
 static void
 finish_snapshot (store_t *store, const msg_config_part_t *part, cfd_time_t now)
 {
@@ -175,12 +187,12 @@
   store_pieces_free (pieces);
 }
 
-/* Else it would be taken from the start again and again.  */
+/* Remembers that the snapshot was abandoned, so that it is not received from
+   the start again and again.  */
 static void
 abandon_snapshot (pieces_t *pieces)
 {
-  log_warn (PART,
-            "A whole state in pieces does not end, and is left: records=%u.",
+  log_warn (PART, "Abandoned a snapshot whose pieces do not end: records=%u.",
             pieces->record_count);
   g_hash_table_remove_all (pieces->present);
   pieces->is_abandoned = true;
--- a/libcoltsfootdrum/config/store-receive.c
+++ b/libcoltsfootdrum/config/store-receive.c
@@ -1,14 +1,14 @@
-/* What comes into the store from the platform and from peers.  Both carry
-   revisions of the same counter of the platform, so the higher is the newer,
-   whoever says it.  */
+/* Changes that come into the store from the platform and from peers.  Both
+   carry revisions of the same counter of the platform, so the higher revision
+   is the newer one, whichever source it comes from.  */
 
 #include "config/store-impl.h"
 #include "base/log.h"
 
 #define PART "config"
 
-/* Takes OBJECTS, an array of objects, and notes their entries in PRESENT
-   unless that is NULL.  */
+/* Applies OBJECTS, an array of objects, and adds their entries to PRESENT
+   unless that is NULL.  Returns the number of objects.  */
 static unsigned
 apply_array (store_t *store, JsonArray *objects, GHashTable *present,
              cfd_time_t now)
@@ -46,7 +46,8 @@
              "the configuration in force went back to an older revision");
 }
 
-/* The objects of ANSWER and its revision, or NULL when it has none.  */
+/* Returns the objects of ANSWER and sets its REVISION, or returns NULL if
+   ANSWER is invalid.  */
 static JsonArray *
 parse_answer (JsonObject *answer, uint64_t *revision)
 {
@@ -79,11 +80,10 @@
     return;
   if (revision < store->revision)
     {
-      log_debug (
-          PART,
-          "The platform answered an older state: revision=%" G_GUINT64_FORMAT
-          ".",
-          revision);
+      log_debug (PART,
+                 "Ignored an older answer of the platform: "
+                 "revision=%" G_GUINT64_FORMAT ".",
+                 revision);
       return;
     }
   changed = apply_array (store, objects, present, now);
@@ -109,7 +109,8 @@
       *present = g_hash_table_new (NULL, NULL);
       *revision = page_revision;
     }
-  /* What was deleted here since must not come back from an older state.  */
+  /* A page older than the revision in force could bring back records that have
+     been deleted since.  */
   if (page_revision >= store->revision)
     apply_array (store, objects, *present, now);
   if (*next != NULL)
@@ -153,8 +154,8 @@
   uint64_t before = store->revision;
   unsigned changed = 0;
 
-  /* A gap before FROM may hide a deletion; the next ask closes it.  What ends
-     before the revision in force brings nothing.  */
+  /* A gap before FROM may hide a deletion; the next CONFIG_ASK closes it.  A
+     part that ends before the revision in force brings nothing new.  */
   if (part->from > store->revision || part->up_to < store->revision)
     return false;
   if (is_snapshot)
--- a/libcoltsfootdrum/config/store-send.c
+++ b/libcoltsfootdrum/config/store-send.c
@@ -1,10 +1,10 @@
-/* What goes out from the store to peers.
+/* Parts that the store sends to peers.
 
-   A part from revision FROM brings each change after it, deletions too.  A
-   store knows of all deletions only since the last whole state it took: a peer
-   that is behind that gets a whole state (FROM 0), and marks as deleted what
-   that lacks.  Else a record deleted while both were cut off would stay in
-   force at the peer for ever.  */
+   A part from revision FROM brings all later changes, including deletions.  A
+   store knows all deletions only since the last snapshot that it applied.  A
+   peer that is behind that snapshot gets a snapshot (FROM 0) and marks all
+   records that it lacks as deleted.  Otherwise a record that was deleted while
+   both were disconnected would stay in force at the peer for ever.  */
 
 #include "config/store-impl.h"
 #include "base/log.h"
@@ -12,20 +12,21 @@
 #include <string.h>
 
 #define PART "config"
-/* A whole state that is larger is not sent in one frame, to a peer that knows
-   no pieces; that reads the platform.  */
+/* A larger snapshot is not sent to a peer that doesn't support pieces; that
+   peer has to read the platform.  */
 #define MAX_SNAPSHOT_FRAME_BYTES ((size_t)8 * 1024 * 1024)
-/* Changes and whole states go in pieces of about this size, each asked for
-   when the one before was taken: 18,000 accounts in one frame would take 4 MB
-   several times over at both ends, an eighth of what a node may spend.  */
+/* Changes and snapshots are sent in pieces of about this size, and the peer
+   asks for each after applying the one before.  18,000 accounts in one frame
+   would take several copies of 4 MB at both ends, an eighth of a node's memory
+   limit.  */
 #define TARGET_PIECE_BYTES ((size_t)256 * 1024)
-/* Objects are packed into arrays of about this size.  */
+/* Objects are packed into JSON arrays of about this size.  */
 #define TARGET_ARRAY_BYTES ((size_t)32 * 1024)
 
 typedef struct
 {
-  GPtrArray *arrays;   /* finished arrays */
-  GString *open_array; /* the array being filled */
+  GPtrArray *arrays;   /* complete JSON arrays */
+  GString *open_array; /* the JSON array being filled */
   size_t bytes;
 } packer_t;
 
@@ -71,7 +72,8 @@
          - (first->revision < second->revision);
 }
 
-/* The entries for a peer of ROLE that changed after FROM, oldest first.  */
+/* Returns the entries for a peer of ROLE that changed after FROM, oldest
+   first.  */
 static GPtrArray *
 changes_after (const store_t *store, role_t role, uint64_t from)
 {
@@ -93,9 +95,9 @@
   return changes;
 }
 
-/* Packs CHANGES up to BYTES_MAX and never cuts between two of one revision:
-   the rest would seem known at the peer.  True when all of them were packed,
-   else UP_TO is the revision of the last that was.  */
+/* Packs CHANGES up to MAX_BYTES, and always all of one revision: the peer
+   would otherwise take the rest for known.  Returns true if all changes were
+   packed; otherwise sets UP_TO to the revision of the last one packed.  */
 static bool
 pack_changes (const GPtrArray *changes, size_t max_bytes, packer_t *packer,
               uint64_t *up_to)
@@ -117,8 +119,8 @@
   return true;
 }
 
-/* A part that brings nothing, so that the peer neither advances nor takes what
-   it knows for fresh.  */
+/* Makes a part without changes, by which the peer neither advances nor renews
+   the age of its configuration.  */
 static void
 make_empty_part (uint64_t have, msg_config_part_t *part)
 {
@@ -127,14 +129,15 @@
   part->age_ms = UINT32_MAX;
 }
 
-/* For a peer that knows no pieces a whole state can't be cut: what the first
-   piece lacks would be deleted there.  */
+/* Handles a snapshot that is too large for a peer without support for pieces.
+   It can't be split, because the peer would delete all records that the first
+   piece lacks.  */
 static void
 reject_oversized_snapshot (uint64_t have, packer_t *packer,
                            msg_config_part_t *part)
 {
   log_warn (PART,
-            "The configuration is too large for a peer, which has to read"
+            "Configuration is too large to send to a peer, which has to read"
             " the platform: bytes=%zu.",
             packer->bytes);
   g_ptr_array_set_size (packer->arrays, 0);
@@ -157,7 +160,7 @@
   close_array (&packer);
   if (!is_complete && is_snapshot)
     reject_oversized_snapshot (have, &packer, part);
-  /* The age is that of all that is known here, not of a piece.  */
+  /* The age applies to the newest revision, which this part doesn't reach.  */
   else if (!is_complete && last_revision < part->up_to)
     {
       part->up_to = last_revision;
@@ -168,7 +171,7 @@
   part->records = (const char *const *)g_ptr_array_free (packer.arrays, FALSE);
 }
 
-/* ---- pieces of a whole state ---- */
+/* ---- pieces of a snapshot ---- */
 
 int
 store_compare_entry (const store_entry_t *entry, const msg_cursor_t *cursor)
@@ -187,12 +190,12 @@
   return store_compare_entry (*(const store_entry_t *const *)a, &position);
 }
 
-/* The first entries of a whole state after some place.  */
+/* The first entries of a snapshot after some position.  */
 typedef struct
 {
   GPtrArray *entries;
   guint max_entries;
-  bool has_more; /* there are more */
+  bool has_more; /* entries were cut off */
 } selection_t;
 
 static void
@@ -205,8 +208,9 @@
   selection->has_more = true;
 }
 
-/* Cuts at twice as many: sorting all 18,000 entries for each piece would take
-   longer than to make it.  */
+/* Adds ENTRY unless it sorts after a full selection.  Sorts and truncates only
+   at twice MAX_ENTRIES; sorting all 18,000 entries for each piece would take
+   longer than making the piece.  */
 static void
 add_candidate (selection_t *selection, store_entry_t *entry)
 {
@@ -225,7 +229,7 @@
     sort_and_truncate (selection);
 }
 
-/* Those for a peer of ROLE.  */
+/* Selects the first entries after AFTER for a peer of ROLE.  */
 static void
 select_entries (const store_t *store, role_t role, const msg_cursor_t *after,
                 selection_t *selection)
@@ -245,8 +249,8 @@
   sort_and_truncate (selection);
 }
 
-/* Packs what SELECTION has up to PIECE_BYTES.  NEXT is the place of the last
-   that was packed when more follow.  */
+/* Packs the entries of SELECTION up to TARGET_PIECE_BYTES.  Sets NEXT to the
+   position of the last one packed if more follow.  */
 static void
 pack_piece (const selection_t *selection, packer_t *packer, msg_cursor_t *next)
 {
@@ -265,8 +269,9 @@
     *next = (msg_cursor_t){ last_entry->kind, last_entry->name };
 }
 
-/* Goes on with the state that ASK names when all of it is known here, whoever
-   began it; else begins the own one.  See store-pieces.c.  */
+/* Continues the snapshot that ASK names if this store has reached its
+   revision, whichever process began it; otherwise begins a snapshot of the own
+   revision.  See store-pieces.c.  */
 static void
 fill_piece (const store_t *store, role_t role, const msg_config_ask_t *ask,
             msg_config_part_t *part)
@@ -285,7 +290,7 @@
     part->after = ask->after;
   select_entries (store, role, &part->after, &selection);
   pack_piece (&selection, &packer, &part->next);
-  /* The age is that of all that is known here, not of an older state.  */
+  /* The age applies to the newest revision, not to an older snapshot.  */
   if (part->state < store->revision)
     part->age_ms = UINT32_MAX;
   g_ptr_array_unref (selection.entries);
@@ -302,8 +307,8 @@
   uint64_t have = ask->have;
 
   memset (part, 0, sizeof *part);
-  /* An agent that spoke for a whole state to a router would delete all of its
-     accounts, and lock every caller out.  */
+  /* An agent keeps no accounts.  Its snapshot would delete all accounts of a
+     router, which would then refuse all clients.  */
   if (!store->keeps_accounts && store_role_keeps_kind (role, REC_ACCOUNT))
     {
       make_empty_part (have, part);
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -8,7 +8,7 @@
 
 #define PART "config"
 
-/* ---- keys of accounts ---- */
+/* ---- index of the accounts' keys ---- */
 
 static guint
 hash_key_table_key (gconstpointer key)
@@ -19,16 +19,16 @@
   return value;
 }
 
-/* In constant time, so that the time of a refusal tells nothing of how near a
-   guess came.  */
+/* Compares in constant time, so that response times don't reveal how many
+   bytes of a guess match.  */
 static gboolean
 are_keys_equal (gconstpointer a, gconstpointer b)
 {
   return sodium_memcmp (a, b, sizeof (rec_key_hash_t)) == 0;
 }
 
-/* Gives the key HASH to the account with the least name of those that have
-   it, so that all processes choose the same one.  */
+/* Maps the key HASH to ENTRY.  If several accounts have the key, the one whose
+   name sorts first gets it, so that all processes choose the same one.  */
 static void
 assign_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
@@ -38,7 +38,7 @@
     {
       store->has_shared_keys = true;
       log_warn (PART,
-                "Two accounts have one key, the first by name holds it:"
+                "Two accounts have the same key, the first by name keeps it:"
                 " account=%s other=%s.",
                 entry->name, other->name);
       if (strcmp (other->name, entry->name) < 0)
@@ -68,8 +68,9 @@
     g_hash_table_remove (store->keys, hash);
 }
 
-/* ENTRY's record changed from one with the keys that were taken.  Where keys
-   were ever shared, one that was given up may belong to another account.  */
+/* Adds the keys of ENTRY's new record to the index.  If accounts ever shared a
+   key, one that this account no longer has may belong to another account, so
+   all accounts are added again.  */
 static void
 assign_keys (store_t *store, store_entry_t *entry)
 {
@@ -134,7 +135,7 @@
             is_out ? "out of service" : "back in service");
 }
 
-/* Puts RECORD, which is owned from now on, into force.  */
+/* Puts RECORD into force and takes ownership of it.  */
 static void
 apply_record (store_t *store, store_entry_t *entry, rec_t *record,
               cfd_time_t now)
@@ -157,22 +158,23 @@
     store->events->record (store->user, record, now);
 }
 
-/* Keeps the text of a record that can't be read, for peers that can, and
-   leaves the last good one in force.  */
+/* Keeps the text of a record that can't be parsed, for peers that can parse
+   it, and leaves the last valid record in force.  */
 static void
 keep_unparsed_text (store_entry_t *entry, const rec_t *record,
                     JsonObject *object, const GError *error)
 {
   log_warn (PART, "Skipped a record, %s: revision=%" G_GUINT64_FORMAT ": %s.",
-            entry->record != NULL ? "the last good one stays in force"
-                                  : "none was in force",
+            entry->record != NULL ? "the last valid one stays in force"
+                                  : "none is in force",
             record->revision, error->message);
   g_free (entry->text);
   entry->text = rec_object_to_text (object);
   entry->revision = record->revision;
 }
 
-/* Before any parsing, which is most of the work and memory.  */
+/* Whether OBJECT is an account in a process that keeps none.  Checked before
+   parsing, which takes most of the time and memory.  */
 static bool
 is_kind_skipped (const store_t *store, JsonObject *object)
 {
@@ -208,7 +210,7 @@
   return entry;
 }
 
-/* The record that says that NAME is gone as of REVISION.  */
+/* Returns a record that marks NAME as deleted at REVISION.  */
 static rec_t *
 make_tombstone (rec_kind_t kind, const char *name, uint64_t revision)
 {
@@ -317,7 +319,7 @@
   return store->platform_is_up;
 }
 
-/* ---- look-ups ---- */
+/* ---- lookups ---- */
 
 const rec_t *
 store_get (const store_t *store, rec_kind_t kind, const char *name)
@@ -366,7 +368,7 @@
   return record != NULL && record->u.zone.out;
 }
 
-/* ---- rendezvous ---- */
+/* ---- rendezvous hashing ---- */
 
 const char *
 store_find_home_router (const store_t *store, const char *account,
@@ -399,7 +401,7 @@
   return best;
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 bool
 store_role_keeps_kind (role_t role, rec_kind_t kind)
--- a/libcoltsfootdrum/config/test-follow.c
+++ b/libcoltsfootdrum/config/test-follow.c
@@ -1,4 +1,5 @@
-/* A store that follows the platform's stand-in through its faults.  */
+/* Tests of a store that is synchronised with a simulated platform, which goes
+   through faults.  */
 
 #include "base/log.h"
 #include "config/store.h"
@@ -7,14 +8,14 @@
 #define ZONE_IN "{\"schema\":1,\"out\":false}"
 #define ZONE_OUT "{\"schema\":2,\"state\":\"out\"}"
 #define ZONE_KIND "availability-zone"
-/* An agent that starts before any zone was written.  */
+/* Name of an agent that starts before any zone was written.  */
 #define FIRST_AGENT "first-agent"
 
 typedef struct
 {
   sp_test_t test;
   store_t *store;
-  unsigned list_changes; /* times that the list of instances changed */
+  unsigned list_changes; /* changes of the list of instances */
   uint64_t watches;
 } fixture_t;
 
@@ -63,8 +64,9 @@
 static void
 test_pages (fixture_t *f, gconstpointer data)
 {
-  /* The list has more than one page, and changes while it is read: what was
-     deleted after its page was read must go, what came must be there.  */
+  /* The list has several pages and changes while it is read.  Records that are
+     deleted after their page was read must be deleted here, and new ones must
+     be present.  */
   for (unsigned i = 0; i < 1200; i++)
     {
       g_autofree char *name = g_strdup_printf ("z%04u", i);
@@ -101,9 +103,9 @@
 static void
 test_agent (fixture_t *f, gconstpointer data)
 {
-  /* An agent lists all but the accounts, so that its list is at an older
-     revision than the platform; the watch brings it up, and goes on to count
-     the writes of accounts.  */
+  /* An agent lists all kinds but accounts, so that its list is at an older
+     revision than the platform.  The watch brings it up to date, and later
+     writes of accounts still advance its revision.  */
   write_accounts (f, 5);
   wait_until_caught_up (f);
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
@@ -119,9 +121,9 @@
 static void
 test_agent_short_history (fixture_t *f, gconstpointer data)
 {
-  /* Accounts alone were written, and more often than the platform remembers.
-     The watch from the agent's list on finds a gap each time; only a list of
-     all kinds leads out of it.  */
+  /* Only accounts were written, and more than the platform's history holds.
+     The watch after the agent's list always finds a gap, until the agent lists
+     all kinds.  */
   write_accounts (f, 2 * SP_TEST_HISTORY);
   wait_until_caught_up (f);
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
@@ -158,9 +160,9 @@
 static void
 test_outage_beyond_history (fixture_t *f, gconstpointer data)
 {
-  /* The platform is down while more is written than its history holds, among
-     it a deletion.  Meanwhile the last configuration stays in force; after it
-     the gap is seen and everything is listed again.  */
+  /* While the platform is down, more is written than its history holds,
+     including a deletion.  The last configuration stays in force meanwhile;
+     afterwards the gap is detected and everything is listed again.  */
   wait_until_caught_up (f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   sp_test_run (&f->test, is_down, f);
@@ -186,9 +188,9 @@
 static void
 test_stale_platform (fixture_t *f, gconstpointer data)
 {
-  /* After an outage the platform answers from a replica that lags behind what
-     is in force here.  Nothing may go back, and what comes when the replica
-     has caught up is taken.  */
+  /* After an outage the platform answers from a replica that is older than the
+     configuration in force.  Nothing may be reverted, and changes are applied
+     once the replica has caught up.  */
   sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
   wait_until_caught_up (f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
@@ -240,7 +242,7 @@
 static void
 test_home (fixture_t *f, gconstpointer data)
 {
-  /* A router goes: only the accounts that it was home of may move.  */
+  /* When a router disappears, only accounts whose home it was may move.  */
   unsigned homes[4] = { 0 };
 
   sp_instances (f->test.sp,
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -1,5 +1,5 @@
-/* The store with many accounts, what processes of each role are told of them,
-   and changes that go in pieces.  */
+/* Tests of the store with many accounts: which records processes of each role
+   get, and changes that are sent in pieces.  */
 
 #include "base/log.h"
 #include "config/test-store-help.h"
@@ -11,8 +11,8 @@
 static void
 test_many_accounts (void)
 {
-  /* The fleet of the future: 18,000 accounts, from the platform and on to a
-     peer in one frame.  */
+  /* The target size of 18,000 accounts, from the platform and on to a peer in
+     one frame.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) peer = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (10);
@@ -43,7 +43,7 @@
   sp_model_free (model);
 }
 
-/* Whether the part for a peer of ROLE has a record of KIND.  */
+/* Whether the part that FROM makes for a peer of ROLE has a record of KIND. */
 static bool
 part_has (const store_t *from, role_t role, uint64_t have, const char *kind)
 {
@@ -61,9 +61,9 @@
 static void
 test_agent_keeps_no_accounts (void)
 {
-  /* A revision changes an account alone.  The agent is sent no account, but
-     the revision counts as heard: else it would be behind for ever, and take
-     no work.  */
+  /* A revision changes only an account.  The agent gets no account, but must
+     reach the revision; otherwise it would be behind for ever and take no
+     work.  */
   g_autoptr (store_t) router = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) agent = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
@@ -89,9 +89,9 @@
 static void
 test_router_asks_agent (void)
 {
-  /* A router with old knowledge asks an agent that is ahead, and holds all
-     but the accounts.  Taken for a whole state, the answer would delete each
-     account at the router; taken as fresh, it would hide the account that
+  /* A router that is behind asks an agent that has a newer revision of all
+     kinds but accounts.  Taken for a snapshot, the answer would delete all
+     accounts of the router; taken for changes, it would hide the account that
      changed.  */
   g_autoptr (store_t) router = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) agent = store_new (NULL, NULL, NULL);
@@ -114,9 +114,10 @@
 static void
 test_pieces (void)
 {
-  /* A peer was cut off while an operator wrote 18,000 accounts and took a zone
-     out in between.  The changes come in pieces; each must leave the peer at a
-     revision whose changes it has all, and may not make it seem up to date. */
+  /* A peer was disconnected while an operator wrote 18,000 accounts and, in
+     between, took a zone out of service.  The changes come in pieces.  After
+     each, the peer must be at a revision whose changes it has completely, and
+     must not seem up to date.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) peer = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (2 * ACCOUNTS);
@@ -172,9 +173,9 @@
 static void
 test_pieces_of_one_revision (void)
 {
-  /* A list showed thousands of records as gone: their marks all have the
-     list's revision.  A piece that ended among them would leave the others in
-     force at the peer for ever.  */
+  /* A list lacked thousands of records, whose deletions all have the list's
+     revision.  A piece that ended among them would leave the others in force
+     at the peer for ever.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) peer = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (2 * ACCOUNTS);
@@ -188,7 +189,7 @@
   apply_list (store, model);
   apply_list (peer, model);
   apply_answer (store, "{\"revision\":99999,\"objects\":[]}", true);
-  store->deletions_known_from = 0; /* as if it had seen each one go */
+  store->deletions_known_from = 0; /* as if it knew each deletion */
   for (unsigned i = 0; i < 40; i++)
     apply_part (peer, store, store_get_revision (peer));
   g_assert_cmpuint (store_get_revision (peer), ==, 99999);
@@ -219,8 +220,9 @@
 static void
 test_shared_key (void)
 {
-  /* An operator gives two accounts one key and takes it back from the one that
-     held it: the other account's callers must not be locked out.  */
+  /* An operator gives two accounts the same key and removes it from the one
+     that the key was mapped to.  Clients of the other account must not be
+     refused.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
 
--- a/libcoltsfootdrum/config/test-store-help.h
+++ b/libcoltsfootdrum/config/test-store-help.h
@@ -1,5 +1,5 @@
-/* What the tests of the store share: a platform's state, and ways to hand it
-   to stores.  */
+/* Helpers shared by the tests of the store: records of a simulated platform,
+   and functions that pass them to stores.  */
 
 #ifndef CONFIG_TEST_STORE_HELP_H
 #define CONFIG_TEST_STORE_HELP_H
@@ -14,17 +14,18 @@
 
 JsonObject *parse_object (const char *text);
 
-/* Hands STORE an answer of the platform, at the time 1000.  */
+/* Applies an answer of the platform to STORE, at time 1000.  */
 void apply_answer (store_t *store, const char *text, bool is_whole);
-/* The same, a list of all that MODEL has.  */
+/* Applies a list of all records in MODEL, at time 1000.  */
 void apply_list (store_t *store, const sp_model_t *model);
-/* Hands TO the part of FROM for a peer of ROLE that has HAVE, at 2000.  */
+/* Applies to TO the part that FROM makes for a peer of ROLE which has revision
+   HAVE, at time 2000.  */
 void apply_part_as (store_t *to, role_t role, const store_t *from,
                     uint64_t have);
-/* The same for a router.  */
+/* Does the same for a router.  */
 void apply_part (store_t *to, const store_t *from, uint64_t have);
 
-/* Writes a zone record to the platform's state; SPEC NULL deletes it.  */
+/* Writes a zone record to MODEL, or deletes it if SPEC is NULL.  */
 void write_zone (sp_model_t *model, const char *name, const char *spec);
 void write_account (sp_model_t *model, const char *name, const char *key);
 
--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -1,6 +1,6 @@
-/* A whole state in pieces against the faults of store-pieces.c, as a table:
-   whatever happens on the way, the receiver comes to the sender's state, and
-   on the way loses nothing that was never deleted.  */
+/* Tests of a snapshot in pieces, with a table of the faults in store-pieces.c.
+   In each case the receiver must reach the sender's configuration, and must
+   never lose a record that was not deleted.  */
 
 #include "base/log.h"
 #include "config/test-store-help.h"
@@ -12,9 +12,9 @@
 #define STEP_MS 10
 #define WAIT_MS 5000
 
-/* The receiver has the accounts a, b, c and d.  Then b was deleted and e
-   written, which is what the older peer lists; c was written anew, bb and f
-   were added, which the sender and another peer list: three pieces.  */
+/* The receiver has listed the accounts a, b, c and d.  Then b was deleted and
+   e added; the older peer has listed this.  Then c was changed and bb and f
+   were added; the sender has listed this, which makes three pieces.  */
 typedef struct
 {
   sp_model_t *model;
@@ -23,7 +23,7 @@
   store_t *older_peer;
   cfd_time_t now;
   bool has_g;
-  bool is_d_deleted; /* it was deleted */
+  bool is_d_deleted;
   uint64_t last_revision;
   msg_config_part_t delayed;
 } scenario_t;
@@ -66,7 +66,7 @@
   sp_model_free (scenario->model);
 }
 
-/* The sender learns of what was written.  */
+/* Applies to the sender all changes made in the platform.  */
 static void
 catch_up (scenario_t *scenario)
 {
@@ -86,9 +86,9 @@
   catch_up (scenario);
 }
 
-/* What FROM sends to the receiver's ask for the state of FROM_STATE, or for
-   the one that it is at when that is 0.  As on the wire, the place outlives
-   what the receiver does next.  */
+/* Makes FROM's answer to the receiver's ask, for the snapshot FROM_STATE, or
+   for the one being received if that is 0.  As on the wire, the position in
+   the ask stays valid when the receiver goes on.  */
 static void
 make_part (const scenario_t *scenario, const store_t *from,
            uint64_t from_state, msg_config_part_t *part)
@@ -114,7 +114,7 @@
   store_part_clear (&part);
 }
 
-/* The sender's answer to an ask without a place.  */
+/* Delivers the sender's answer to an ask without a position.  */
 static void
 deliver_first_part (scenario_t *scenario, bool pieces)
 {
@@ -127,7 +127,7 @@
   store_part_clear (&part);
 }
 
-/* A piece after which the sender stands where it stood before.  */
+/* Delivers a piece whose NEXT is not after its AFTER.  */
 static void
 deliver_repeated_position (scenario_t *scenario)
 {
@@ -139,7 +139,8 @@
   store_part_clear (&part);
 }
 
-/* The receiver has g from a page of the platform's list that goes on.  */
+/* Adds g, and applies it to the receiver with a page of the platform's list
+   that is not the last one.  */
 static void
 apply_page_with_g (scenario_t *scenario)
 {
@@ -185,34 +186,34 @@
     case 'p': /* the next piece */
       deliver_piece (scenario, scenario->sender, 0, 1);
       return;
-    case 'd': /* the same, doubled */
+    case 'd': /* the next piece, duplicated */
       deliver_piece (scenario, scenario->sender, 0, 2);
       return;
-    case 'h': /* it is on its way, and comes late or never */
+    case 'h': /* the next piece is made, and arrives late or never */
       make_part (scenario, scenario->sender, 0, &scenario->delayed);
       return;
-    case 'r': /* what was held comes */
+    case 'r': /* the delayed piece arrives */
       store_apply_part (scenario->receiver, &scenario->delayed, scenario->now);
       return;
-    case 'f': /* the answer to an ask of before the first piece */
+    case 'f': /* the answer to an ask sent before the first piece */
       deliver_first_part (scenario, true);
       return;
-    case 'W': /* a sender that knows no pieces */
+    case 'W': /* the answer of a sender without support for pieces */
       deliver_first_part (scenario, false);
       return;
     case 'o':
       deliver_piece (scenario, scenario->older_peer, 0, 1);
       return;
-    case 'O': /* the older peer's piece of its own state, at the same place */
+    case 'O': /* a piece of the older peer's snapshot, at the same position */
       deliver_piece (scenario, scenario->older_peer,
                      scenario->older_peer->revision, 1);
       return;
-    case 's': /* the sender is dead, the other takes its place */
+    case 's': /* the sender dies and another one continues */
       store_free (scenario->sender);
       scenario->sender = make_listed_store (scenario->model);
       deliver_piece (scenario, scenario->sender, 0, 1);
       return;
-    case 'R': /* the sender restarted and has nothing yet */
+    case 'R': /* the sender has restarted and is still empty */
       deliver_piece (scenario, empty, 0, 1);
       return;
     case 'w':
@@ -224,18 +225,18 @@
     case 'c':
       catch_up (scenario);
       return;
-    case 'L': /* the sender lists anew, and so learns that d is gone */
+    case 'L': /* the sender gets a new list, without d */
       sp_model_write (scenario->model, "client-account", "d", NULL, 0);
       apply_list (scenario->sender, scenario->model);
       scenario->is_d_deleted = true;
       return;
-    case 'u': /* the receiver reads the platform itself */
+    case 'u': /* the receiver gets a list from the platform */
       apply_list (scenario->receiver, scenario->model);
       return;
     case 'B':
       deliver_repeated_position (scenario);
       return;
-    case 'b': /* it bears less than the state has */
+    case 'b': /* the receiver's limit is below the size of the snapshot */
       scenario->receiver->max_snapshot_records = 1;
       return;
     default:
@@ -243,7 +244,7 @@
     }
 }
 
-/* What must hold at every moment.  */
+/* Checks the invariants that hold after every step.  */
 static void
 check_invariants (scenario_t *scenario)
 {
@@ -256,7 +257,7 @@
                  || store_get (receiver, REC_ACCOUNT, "d") != NULL);
   g_assert_true (!scenario->has_g
                  || store_get (receiver, REC_ACCOUNT, "g") != NULL);
-  /* Dropped at an end alone: the revision tells that it came.  */
+  /* Deleted only at the end of a snapshot, which raises the revision.  */
   g_assert_true ((store_get (receiver, REC_ACCOUNT, "b") != NULL)
                  == (receiver->revision <= 4));
 }
@@ -287,51 +288,51 @@
 } fault_case_t;
 
 static const fault_case_t cases[] = {
-  /* Two pieces bring nothing into force as a whole; the third does.  */
+  /* The revision rises only with the last of three pieces.  */
   { "in-order", "ppp", 0 },
-  /* The next ask says the same place: nothing is sent twice.  */
+  /* The next ask names the same position, and no piece is sent twice.  */
   { "lost", "ph", 2 },
   { "doubled", "pd", 1 },
-  /* Were it taken, the pieces would begin anew for as long as such come.  */
+  /* If it were accepted, the pieces would begin anew with each such answer. */
   { "late-first", "ppf", 1 },
-  /* The last piece comes late, after the state was begun anew: what lies
-     between would be dropped.  */
+  /* The last piece arrives after the snapshot was begun anew.  If it were
+     accepted, the records of the piece in between would be deleted.  */
   { "late-last", "pphwfr", 2 },
-  /* The same when nothing is under way, the older state having ended.  */
+  /* The same when no snapshot is being received, since the older one ended. */
   { "late-alone", "pphwoppr", 3 },
-  /* The older peer's last piece has no f, which would be missing for ever.  */
+  /* The older peer's last piece lacks f, which would be missing for ever.  */
   { "older-state", "ppO", 1 },
-  /* The same when it is asked to go on with a state that it has not.  */
+  /* The same when it is asked to continue a snapshot newer than its own.  */
   { "older-asked", "ppo", 1 },
-  /* Once nothing else comes, the older state is better than none: it is ended
-     in 2 pieces, and the newer one taken in 3.  */
+  /* When no other piece comes, the older snapshot is accepted: it takes 2 more
+     pieces, and the newer one 3.  */
   { "older-alone", "pwo", 5 },
   { "replaced", "ps", 1 },
   { "restarted", "pR", 2 },
-  /* Behind the place taken: by the changes after the state.  */
+  /* Before the position: comes with the changes after the snapshot.  */
   { "deleted-behind", "pD", 3 },
   { "changed-behind", "pC", 3 },
   { "new-behind", "pN", 3 },
-  /* Before it: with its piece.  */
+  /* After the position: comes with its piece.  */
   { "deleted-before", "pE", 3 },
   { "changed-before", "pF", 3 },
-  /* A record newer than the state, which the sender doesn't have, must not be
-     dropped at the end.  */
+  /* A record that is newer than the snapshot and that the sender lacks must
+     not be deleted at the end.  */
   { "newer-here", "pGppc", 1 },
-  /* The sender doesn't know of all deletions after the state any more.  */
+  /* The sender no longer knows all deletions after the snapshot.  */
   { "listed-anew", "pL", 5 },
-  /* The receiver has read the platform, and so never heard of e, which was
-     deleted: the piece that was under way would bring it back.  */
+  /* The receiver has listed the platform and never had e, which was deleted.  A
+     delayed piece must not bring e back.  */
   { "overtaken", "pphEur", 0 },
-  /* The same with bb, and nothing under way.  */
+  /* The same with bb, while no snapshot is being received.  */
   { "overtaken-first", "hMur", 0 },
   { "old-sender", "pW", 0 },
-  /* It is given up, and the whole asked for in one frame.  */
+  /* The snapshot is abandoned, and the next ask is for one frame.  */
   { "endless", "pB", 1 },
-  /* The same for the memory of what was seen.  */
+  /* The same when the set of received records exceeds its limit.  */
   { "too-many", "bp", 1 },
-  /* What was seen before is forgotten then: the last piece, which comes late,
-     would drop it.  */
+  /* The set of received records is cleared then.  If the last piece, which
+     arrives late, were accepted, all others would be deleted.  */
   { "endless-late", "pphBr", 1 },
 };
 
@@ -365,9 +366,9 @@
 static void
 test_old_receiver (void)
 {
-  /* A program from before the pieces asks, and gets the whole in one frame.
-     Were it given a piece, for which it has no eyes, it must leave it alone:
-     all that the piece lacks would be deleted.  */
+  /* A program without support for pieces asks and gets the snapshot in one
+     frame.  It must ignore a piece, whose STATE it can't see; otherwise it
+     would delete all records that the piece lacks.  */
   scenario_t scenario;
   msg_config_part_t part;
 
@@ -389,9 +390,9 @@
 static void
 test_age (void)
 {
-  /* Only the end of the sender's own present state is as fresh as what the
-     sender knows: else a receiver that lacks the rest takes work as if it had
-     heard of all.  */
+  /* Only the last piece of the sender's newest snapshot has the sender's age.
+     Otherwise a receiver that lacks the rest would take work as if it were up
+     to date.  */
   scenario_t scenario;
 
   scenario_start (&scenario);
--- a/libcoltsfootdrum/config/test-store.c
+++ b/libcoltsfootdrum/config/test-store.c
@@ -1,5 +1,6 @@
-/* The store against what the platform and peers may say, in any order: it
-   never goes back, and all stores come to the same state.  */
+/* Tests of the store with answers of the platform and parts from peers in any
+   order: it never goes back to an older revision, and all stores converge to
+   the same configuration.  */
 
 #include "base/log.h"
 #include "config/test-store-help.h"
@@ -9,8 +10,8 @@
 static void
 test_never_reverts (void)
 {
-  /* A zone is taken out; then a lagging replica answers the list, and an old
-     watch answer comes late.  The zone must stay out.  */
+  /* A zone is taken out of service; then a lagging replica answers a list, and
+     an old watch answer arrives late.  The zone must stay out.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
   g_autofree char *old_list = NULL;
@@ -32,9 +33,9 @@
 static void
 test_no_resurrection (void)
 {
-  /* An account is deleted before this process starts, so that nothing here
-     knows of it; then a lagging replica still lists it.  Its key must not be
-     good again, nor the old answer count as fresh word.  */
+  /* A record is deleted before this process starts, so that the store never
+     had it; then a lagging replica still lists it.  The record must not come
+     back into force, nor the old answer renew the configuration's age.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
   g_autofree char *old_list = NULL;
@@ -54,8 +55,9 @@
 static void
 test_unknown_schema (void)
 {
-  /* A newer writer uses schema 9.  Here the last good record stays in force; a
-     peer that is behind still gets the new text, since it may be newer.  */
+  /* A newer writer uses schema 9.  The last valid record stays in force here;
+     a peer that is behind still gets the new text, since it may be a newer
+     program.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
   msg_config_part_t part;
@@ -82,11 +84,11 @@
 static void
 test_two_versions (void)
 {
-  /* The fleet is updated unevenly: an old program reads version 1 alone.  A
-     writer of version 2 takes the zone out; the old program goes on with what
-     it had, says so in its log, and passes the new text on, so that a new
-     program which hears of it through the old one alone is right.  Once the
-     record is written as version 1 again, all agree.  */
+  /* During an upgrade an old program can parse only version 1.  A writer of
+     version 2 takes a zone out of service.  The old program keeps its last
+     record, logs that, and passes on the new text, so that a new program which
+     gets changes only from the old one is up to date.  Once the record is
+     written as version 1 again, all agree.  */
   g_autoptr (store_t) new_store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) old_store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) behind = store_new (NULL, NULL, NULL);
@@ -115,7 +117,8 @@
 static void
 test_part_with_gap (void)
 {
-  /* A part that begins after what is known would hide what lies between.  */
+  /* A part that begins after the revision in force would hide the changes in
+     between.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   const char *record
       = "{\"kind\":\"availability-zone\",\"name\":\"a\",\"version\":\"v\","
@@ -135,9 +138,10 @@
 static void
 test_deleted_in_gap (void)
 {
-  /* A record is deleted while one store is cut off and the other has not
-     started.  The late one knows of no deletion; the cut-off one must lose the
-     record all the same, or it would stay in force there for ever.  */
+  /* A record is deleted while one store is disconnected and the other has not
+     started.  The late store doesn't know of the deletion; the disconnected
+     one must delete the record nevertheless, or it would stay in force for
+     ever.  */
   g_autoptr (store_t) cut_off = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) late = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
@@ -157,8 +161,8 @@
 static void
 test_age (void)
 {
-  /* Age goes along with a part, so that a chain of peers can't make old
-     knowledge look fresh.  */
+  /* Parts carry the age of the configuration, so that an old configuration
+     doesn't seem fresh after it passed through a chain of peers.  */
   g_autoptr (store_t) first = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) second = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
@@ -211,13 +215,13 @@
   sp_model_free (model);
 }
 
-/* ---- all together, at random ---- */
+/* ---- random sequences of events ---- */
 
 #define STORES 3
 #define STEPS 3000
 #define NAMES 6
 
-/* What the platform's state says of zone NAME.  */
+/* Checks that STORE has the newest record of zone NAME in MODEL.  */
 static void
 assert_zone_matches (const store_t *store, const sp_model_t *model,
                      const char *name)
@@ -235,7 +239,7 @@
   g_assert_cmpuint (record->revision, ==, object->revision);
 }
 
-/* One event of the world, which may bring old knowledge late.  */
+/* Performs one random event; some bring old answers late.  */
 static void
 random_step (GRand *random, sp_model_t *model, store_t **stores,
              GPtrArray *late)
@@ -259,7 +263,7 @@
       apply_part (store, other, store_get_revision (store));
       break;
     case 3:
-      /* The receiver has moved on since it asked.  */
+      /* The receiver has advanced since it asked.  */
       apply_part (store, other,
                   g_rand_int_range (random, 0,
                                     (gint32)store_get_revision (store) + 1));
