--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -321,8 +321,8 @@
   { "newer-here", "pGppc", 1 },
   /* The sender no longer knows all deletions after the snapshot.  */
   { "listed-anew", "pL", 5 },
-  /* The receiver has listed the platform and never had e, which was deleted.  A
-     delayed piece must not bring e back.  */
+  /* The receiver has listed the platform and never had e, which was deleted.
+     A delayed piece must not bring e back.  */
   { "overtaken", "pphEur", 0 },
   /* The same with bb, while no snapshot is being received.  */
   { "overtaken-first", "hMur", 0 },
