--- a/libcoltsfootdrum/agent/agent-admin.c
+++ b/libcoltsfootdrum/agent/agent-admin.c
@@ -9,7 +9,7 @@
 {
   g_autofree char *full = g_strconcat ("cfd_agent_", name, NULL);
 
-  prom_sample (text, full, type, NULL, value);
+  prom_append_sample (text, full, type, NULL, value);
 }
 
 static void
@@ -61,9 +61,10 @@
   add (text, "waiting_announced", "gauge", pick_count_waiting (agent->pick));
   add (text, "queued", "gauge", agent->queued);
   add (text, "may_grant", "gauge", agent_reason (agent, now) == GRANT_MAY);
-  prom_sample (text, "cfd_fairness_spread", "gauge", NULL,
-               pick_compute_vt_spread (agent->pick, now));
-  prom_sample (text, "cfd_utilisation", "gauge", NULL, utilisation (agent));
+  prom_append_sample (text, "cfd_fairness_spread", "gauge", NULL,
+                      pick_compute_vt_spread (agent->pick, now));
+  prom_append_sample (text, "cfd_utilisation", "gauge", NULL,
+                      utilisation (agent));
 }
 
 static void
@@ -89,19 +90,19 @@
   cfd_agent_t *agent = user;
   grant_reason_t reason = agent_reason (agent, clock_now ());
 
-  admin_text (out, "endpoint", agent->endpoint);
-  admin_text (out, "service", agent->service);
-  admin_text (out, "state", grant_reason_name (reason));
-  admin_text (out, "limit", lim_state_name (agent->lim.state));
-  admin_number (out, "in_flight", agent->running);
-  admin_number (out, "slots", agent->lim.slots);
-  admin_number (out, "waiting", pick_count_waiting (agent->pick));
+  admin_add_text (out, "endpoint", agent->endpoint);
+  admin_add_text (out, "service", agent->service);
+  admin_add_text (out, "state", grant_reason_name (reason));
+  admin_add_text (out, "limit", lim_state_name (agent->lim.state));
+  admin_add_number (out, "in_flight", agent->running);
+  admin_add_number (out, "slots", agent->lim.slots);
+  admin_add_number (out, "waiting", pick_count_waiting (agent->pick));
 }
 
 bool
 agent_admin_start (cfd_agent_t *agent, const char *address, GError **error)
 {
-  static const admin_source_t source
+  static const admin_callbacks_t source
       = { not_ready, write_metrics, write_status };
 
   const admin_node_t node
--- a/libcoltsfootdrum/agent/agent-reader.c
+++ b/libcoltsfootdrum/agent/agent-reader.c
@@ -90,8 +90,8 @@
   fetch_request_t request = {
     .method = "POST",
     .url = url,
-    .connect_ms = CANCEL_MS,
-    .total_ms = CANCEL_MS,
+    .connect_timeout_ms = CANCEL_MS,
+    .total_timeout_ms = CANCEL_MS,
     .done = on_cancelled,
     .user = run,
   };
@@ -186,7 +186,7 @@
   run_t *run = user;
 
   run->fetch = NULL;
-  if (result == FETCH_ANSWERED)
+  if (result == FETCH_COMPLETE)
     {
       run_attach_again (run);
       return;
@@ -208,8 +208,8 @@
   g_autofree char *url = g_strconcat (run->agent->url, "/v1/load", NULL);
   fetch_request_t request = { .method = "GET",
                               .url = url,
-                              .connect_ms = ALIVE_MS,
-                              .total_ms = ALIVE_MS,
+                              .connect_timeout_ms = ALIVE_MS,
+                              .total_timeout_ms = ALIVE_MS,
                               .done = on_alive,
                               .user = run };
 
--- a/libcoltsfootdrum/agent/agent-settle.c
+++ b/libcoltsfootdrum/agent/agent-settle.c
@@ -52,13 +52,13 @@
 
   agent->settle_fetch = NULL;
   agent->settle_at = now + ASK_AGAIN_MS;
-  if (result == FETCH_ANSWERED && status == 200)
+  if (result == FETCH_COMPLETE && status == 200)
     running = running_by_report (body);
   if (running == 0)
     settled (agent, "nothing runs there");
-  else if (running < 0 && result == FETCH_ANSWERED)
+  else if (running < 0 && result == FETCH_COMPLETE)
     settled (agent, "the engine gives no report");
-  else if (result == FETCH_UNREACHED)
+  else if (result == FETCH_CONNECT_FAILED)
     settled (agent, "the engine is not reached");
   agent_pump (agent, now);
 }
@@ -75,7 +75,7 @@
 settle_tick (cfd_agent_t *agent, cfd_time_t now)
 {
   g_autofree char *url = NULL;
-  fetch_request_t request = { .method = "GET", .total_ms = ANSWER_MS };
+  fetch_request_t request = { .method = "GET", .total_timeout_ms = ANSWER_MS };
 
   if (!agent->settling || !agent->has_endpoint || !agent->has_service)
     return;
--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -68,7 +68,7 @@
 static void
 update_platform_state (follow_t *follow, plat_status_t status)
 {
-  bool is_up = status == PLAT_OK || status == PLAT_GONE;
+  bool is_up = status == PLAT_OK || status == PLAT_REVISION_EXPIRED;
 
   if (is_up == follow->store->platform_is_up)
     return;
@@ -147,7 +147,7 @@
       start_timer (follow, &follow->config_timer,
                    store->revision > before ? 0 : EMPTY_WATCH_GAP_MS);
       return;
-    case PLAT_GONE:
+    case PLAT_REVISION_EXPIRED:
       log_info (PART, "Platform history is too short, listing again.");
       follow->is_history_short = true;
       reset_list (follow);
@@ -260,7 +260,7 @@
 {
   follow_t *follow = timer->data;
 
-  plat_instances (follow->plat, on_instances, follow);
+  plat_list_instances (follow->plat, on_instances, follow);
 }
 
 void
--- a/libcoltsfootdrum/once/once-job.c
+++ b/libcoltsfootdrum/once/once-job.c
@@ -138,7 +138,7 @@
     case PLAT_OK:
       job_free (job);
       break;
-    case PLAT_DOWN:
+    case PLAT_UNAVAILABLE:
       try_later (job);
       break;
     default:
--- a/libcoltsfootdrum/once/once.c
+++ b/libcoltsfootdrum/once/once.c
@@ -186,8 +186,8 @@
       claim->is_other_held = true;
       plat_get (claim->once->plat, ONCE_KIND, claim->name, on_read, claim);
       break;
-    case PLAT_UNKNOWN:
-    case PLAT_BAD:
+    case PLAT_OUTCOME_UNKNOWN:
+    case PLAT_INVALID_RESPONSE:
       claim->in_doubt = true;
       plat_get (claim->once->plat, ONCE_KIND, claim->name, on_read, claim);
       break;
--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -100,7 +100,8 @@
 static bool
 is_answered (sweep_t *sweep, plat_status_t status)
 {
-  if (status != PLAT_DOWN && status != PLAT_UNKNOWN && status != PLAT_BAD)
+  if (status != PLAT_UNAVAILABLE && status != PLAT_OUTCOME_UNKNOWN
+      && status != PLAT_INVALID_RESPONSE)
     return true;
   sweep->counters.failed++;
   return false;
@@ -293,8 +294,8 @@
       if (is_time (sweep, answer))
         {
           sweep->counters.calls++;
-          plat_page (sweep->plat, ONCE_KIND, sweep->after, PAGE_CLAIMS,
-                     on_page, sweep);
+          plat_list_limited (sweep->plat, ONCE_KIND, sweep->after, PAGE_CLAIMS,
+                             on_page, sweep);
           g_clear_pointer (&answer, json_object_unref);
           return;
         }
