--- a/libcoltsfootdrum/wire/msg-pack.c
+++ b/libcoltsfootdrum/wire/msg-pack.c
@@ -6,11 +6,11 @@
 
 /* Whole numbers below this are packed as integers: 1 to 5 bytes for the
    counters of tokens that most reals are, in place of 9.  */
-#define WHOLE_MAX 4294967296.0
+#define MAX_PACKED_INTEGER 4294967296.0
 /* Room for most frames without growing.  */
-#define FRAME_USUAL 256
+#define INITIAL_FRAME_BYTES 256
 /* Longest length before a frame.  */
-#define LENGTH_MAX 5u
+#define MAX_LENGTH_PREFIX_BYTES 5u
 
 typedef struct
 {
@@ -27,11 +27,11 @@
 }
 
 static bool
-pack_real (writer_t *writer, double value, bool finite)
+pack_double (writer_t *writer, double value, bool must_be_finite)
 {
-  if (isnan (value) || (finite && !isfinite (value)))
+  if (isnan (value) || (must_be_finite && !isfinite (value)))
     return false;
-  if (value >= 0 && value < WHOLE_MAX && value == floor (value))
+  if (value >= 0 && value < MAX_PACKED_INTEGER && value == floor (value))
     msgpack_pack_uint64 (&writer->packer, (uint64_t)value);
   else
     msgpack_pack_double (&writer->packer, value);
@@ -40,49 +40,49 @@
 
 /* An infinity takes 5 bytes as a float.  */
 static bool
-pack_tokens (writer_t *writer, double value, bool finite)
+pack_tokens (writer_t *writer, double value, bool must_be_finite)
 {
-  if (!isinf (value) || finite)
-    return pack_real (writer, round (value), finite);
+  if (!isinf (value) || must_be_finite)
+    return pack_double (writer, round (value), must_be_finite);
   msgpack_pack_float (&writer->packer, (float)value);
   return true;
 }
 
 static bool
-pack_choice (writer_t *writer, uint32_t value, size_t most)
+pack_enum (writer_t *writer, uint32_t value, size_t max_value)
 {
   msgpack_pack_uint32 (&writer->packer, value);
-  return value >= 1 && value <= most;
+  return value >= 1 && value <= max_value;
 }
 
 static bool
-pack_string (writer_t *writer, const char *text, size_t most)
+pack_string (writer_t *writer, const char *text, size_t max_length)
 {
   const char *safe = text != NULL ? text : "";
   size_t length = strlen (safe);
 
-  if (length > most)
+  if (length > max_length)
     return false;
   msgpack_pack_str_with_body (&writer->packer, safe, length);
   return true;
 }
 
 static bool
-pack_name (writer_t *writer, const char *name, size_t most)
+pack_name (writer_t *writer, const char *name, size_t max_length)
 {
   uint32_t number;
 
-  if (writer->state == NULL || name == NULL || strlen (name) > most
+  if (writer->state == NULL || name == NULL || strlen (name) > max_length
       || !msg_state_intern_name (writer->state, name, &number))
-    return pack_string (writer, name, most);
+    return pack_string (writer, name, max_length);
   msgpack_pack_uint32 (&writer->packer, number);
   return true;
 }
 
 static bool
-pack_bytes (writer_t *writer, const msg_bytes_t *bytes, size_t most)
+pack_bytes (writer_t *writer, const msg_bytes_t *bytes, size_t max_length)
 {
-  if (bytes->length > most)
+  if (bytes->length > max_length)
     return false;
   msgpack_pack_bin (&writer->packer, bytes->length);
   if (bytes->length > 0)
@@ -99,8 +99,8 @@
     msgpack_pack_false (&writer->packer);
 }
 
-static bool pack_fields (writer_t *writer, const msg_shape_t *shape,
-                         const uint8_t *from);
+static bool pack_fields (writer_t *writer, const msg_layout_t *layout,
+                         const uint8_t *base);
 
 static void
 pack_incarnation (writer_t *writer, uint64_t value)
@@ -114,7 +114,7 @@
 pack_strings (writer_t *writer, const msg_field_t *field,
               const char *const *strings, uint32_t count)
 {
-  if (count > field->count_max)
+  if (count > field->max_count)
     return false;
   msgpack_pack_array (&writer->packer, count);
   for (uint32_t i = 0; i < count; i++)
@@ -124,31 +124,32 @@
 }
 
 static bool
-pack_row (writer_t *writer, const msg_shape_t *shape, const uint8_t *from)
+pack_struct (writer_t *writer, const msg_layout_t *layout, const uint8_t *base)
 {
-  msgpack_pack_array (&writer->packer, shape->count);
-  return pack_fields (writer, shape, from);
+  msgpack_pack_array (&writer->packer, layout->count);
+  return pack_fields (writer, layout, base);
 }
 
 static bool
-pack_rows (writer_t *writer, const msg_field_t *field, const uint8_t *rows,
-           uint32_t count)
+pack_structs (writer_t *writer, const msg_field_t *field,
+              const uint8_t *structs, uint32_t count)
 {
-  if (count > field->count_max)
+  if (count > field->max_count)
     return false;
   msgpack_pack_array (&writer->packer, count);
   for (uint32_t i = 0; i < count; i++)
-    if (!pack_row (writer, field->shape, rows + i * field->shape->size))
+    if (!pack_struct (writer, field->layout,
+                      structs + i * field->layout->size))
       return false;
   return true;
 }
 
 /* False when the receiver would refuse the value.  */
 static bool
-pack_field (writer_t *writer, const msg_field_t *field, const uint8_t *from)
+pack_field (writer_t *writer, const msg_field_t *field, const uint8_t *base)
 {
-  const void *value = from + field->offset;
-  const void *count = from + field->count_offset;
+  const void *value = base + field->offset;
+  const void *count = base + field->count_offset;
 
   switch (field->type)
     {
@@ -161,17 +162,17 @@
     case FIELD_INCARNATION:
       pack_incarnation (writer, *(const uint64_t *)value);
       return true;
-    case FIELD_REAL:
-      return pack_real (writer, *(const double *)value, true);
+    case FIELD_DOUBLE:
+      return pack_double (writer, *(const double *)value, true);
     case FIELD_TOKENS:
       return pack_tokens (writer, *(const double *)value, true);
-    case FIELD_LIMIT:
+    case FIELD_TOKEN_LIMIT:
       return pack_tokens (writer, *(const double *)value, false);
     case FIELD_BOOL:
       pack_bool (writer, *(const bool *)value);
       return true;
-    case FIELD_CHOICE:
-      return pack_choice (writer, *(const uint32_t *)value, field->max);
+    case FIELD_ENUM:
+      return pack_enum (writer, *(const uint32_t *)value, field->max);
     case FIELD_NAME:
       return pack_name (writer, *(const char *const *)value, field->max);
     case FIELD_STRING:
@@ -181,27 +182,27 @@
     case FIELD_STRINGS:
       return pack_strings (writer, field, *(const char *const *const *)value,
                            *(const uint32_t *)count);
-    case FIELD_ROW:
-      return pack_row (writer, field->shape, value);
-    case FIELD_ROWS:
-      return pack_rows (writer, field, *(const uint8_t *const *)value,
-                        *(const uint32_t *)count);
+    case FIELD_STRUCT:
+      return pack_struct (writer, field->layout, value);
+    case FIELD_STRUCTS:
+      return pack_structs (writer, field, *(const uint8_t *const *)value,
+                           *(const uint32_t *)count);
     }
   return false;
 }
 
 static bool
-pack_fields (writer_t *writer, const msg_shape_t *shape, const uint8_t *from)
+pack_fields (writer_t *writer, const msg_layout_t *layout, const uint8_t *base)
 {
-  for (uint32_t i = 0; i < shape->count; i++)
-    if (!pack_field (writer, &shape->fields[i], from))
+  for (uint32_t i = 0; i < layout->count; i++)
+    if (!pack_field (writer, &layout->fields[i], base))
       return false;
   return true;
 }
 
 /* False when the stamp can't be said.  */
 static bool
-pack_start (writer_t *writer, const msg_t *message, uint32_t field_count)
+pack_prefix (writer_t *writer, const msg_t *message, uint32_t field_count)
 {
   const msg_state_t *state = writer->state;
   uint64_t stamp = message->stamp;
@@ -221,8 +222,9 @@
 static void
 prepend_length (GByteArray *frame, bool is_short)
 {
-  g_autoptr (GByteArray) length = g_byte_array_sized_new (LENGTH_MAX);
-  uint32_t whole = GUINT32_TO_BE (frame->len);
+  g_autoptr (GByteArray) length
+      = g_byte_array_sized_new (MAX_LENGTH_PREFIX_BYTES);
+  uint32_t fixed_length = GUINT32_TO_BE (frame->len);
   msgpack_packer packer;
 
   if (is_short)
@@ -232,7 +234,8 @@
     }
   else
     {
-      g_byte_array_append (length, (const guint8 *)&whole, sizeof whole);
+      g_byte_array_append (length, (const guint8 *)&fixed_length,
+                           sizeof fixed_length);
     }
   g_byte_array_prepend (frame, length->data, length->len);
 }
@@ -240,19 +243,19 @@
 GByteArray *
 msg_encode (const msg_t *message, msg_state_t *state)
 {
-  const msg_shape_t *shape = msg_shape (message->kind);
-  uint32_t next = state != NULL ? state->next : 0;
+  const msg_layout_t *layout = msg_get_layout (message->kind);
+  uint32_t next_number = state != NULL ? state->next_number : 0;
   writer_t writer = { .state = state };
   GByteArray *frame;
 
-  if (shape == NULL)
+  if (layout == NULL)
     return NULL;
   if (state != NULL)
     writer.incarnation = state->incarnation;
-  frame = g_byte_array_sized_new (FRAME_USUAL);
+  frame = g_byte_array_sized_new (INITIAL_FRAME_BYTES);
   msgpack_packer_init (&writer.packer, frame, append);
-  if (!pack_start (&writer, message, shape->count)
-      || !pack_fields (&writer, shape, (const uint8_t *)&message->u)
+  if (!pack_prefix (&writer, message, layout->count)
+      || !pack_fields (&writer, layout, (const uint8_t *)&message->u)
       || frame->len > MSG_FRAME_MAX)
     goto fail;
   prepend_length (frame, state != NULL);
@@ -266,7 +269,7 @@
 
 fail:
   if (state != NULL)
-    msg_state_reset_names (state, next);
+    msg_state_reset_names (state, next_number);
   g_byte_array_unref (frame);
   return NULL;
 }
--- a/libcoltsfootdrum/wire/msg-state.c
+++ b/libcoltsfootdrum/wire/msg-state.c
@@ -7,10 +7,10 @@
 #define COUNT_MASK 0xffffu
 #define MS_MASK (UINT64_MAX >> COUNT_BITS)
 /* Most stamps have a count below 8: the short code has three bits for it.  */
-#define SHORT_BITS 3
-#define SHORT_MASK 7u
+#define SHORT_COUNT_BITS 3
+#define SHORT_COUNT_MASK 7u
 /* Lowest bit of a code that has the whole count.  */
-#define CODE_LONG 1u
+#define CODE_HAS_FULL_COUNT 1u
 
 void
 msg_state_clear (msg_state_t *state)
@@ -23,11 +23,11 @@
 
 /* Gives NAME the next number, which a former name loses.  */
 static char *
-add (msg_state_t *state, const char *name)
+add_name (msg_state_t *state, const char *name)
 {
-  char **slot = &state->names[state->next];
+  char **slot = &state->names[state->next_number];
 
-  state->next = (state->next + 1) % MSG_NAMES_MAX;
+  state->next_number = (state->next_number + 1) % MSG_NAMES_MAX;
   g_free (*slot);
   *slot = g_strdup (name);
   return *slot;
@@ -36,41 +36,41 @@
 bool
 msg_state_intern_name (msg_state_t *state, const char *name, uint32_t *number)
 {
-  gpointer known;
-  const char *former = state->names[state->next];
+  gpointer found;
+  const char *evicted = state->names[state->next_number];
 
   if (name[0] == 0)
     return false;
   if (state->numbers == NULL)
     state->numbers = g_hash_table_new (g_str_hash, g_str_equal);
-  if (g_hash_table_lookup_extended (state->numbers, name, NULL, &known))
+  if (g_hash_table_lookup_extended (state->numbers, name, NULL, &found))
     {
-      *number = GPOINTER_TO_UINT (known);
+      *number = GPOINTER_TO_UINT (found);
       return true;
     }
-  *number = state->next;
-  if (former != NULL)
-    g_hash_table_remove (state->numbers, former);
-  g_hash_table_insert (state->numbers, add (state, name),
+  *number = state->next_number;
+  if (evicted != NULL)
+    g_hash_table_remove (state->numbers, evicted);
+  g_hash_table_insert (state->numbers, add_name (state, name),
                        GUINT_TO_POINTER (*number));
   return false;
 }
 
 void
-msg_state_reset_names (msg_state_t *state, uint32_t next)
+msg_state_reset_names (msg_state_t *state, uint32_t next_number)
 {
   if (state->numbers != NULL)
     g_hash_table_remove_all (state->numbers);
   for (uint32_t i = 0; i < MSG_NAMES_MAX; i++)
     g_clear_pointer (&state->names[i], g_free);
-  state->next = next;
+  state->next_number = next_number;
 }
 
 void
 msg_state_add_name (msg_state_t *state, const char *name)
 {
   if (name[0] != 0)
-    (void)add (state, name);
+    (void)add_name (state, name);
 }
 
 const char *
@@ -87,20 +87,20 @@
 
   if (ms > MS_MASK / 2)
     return false;
-  if (count <= SHORT_MASK)
-    *code = (ms << SHORT_BITS | count) << 1;
+  if (count <= SHORT_COUNT_MASK)
+    *code = (ms << SHORT_COUNT_BITS | count) << 1;
   else
-    *code = (ms << COUNT_BITS | count) << 1 | CODE_LONG;
+    *code = (ms << COUNT_BITS | count) << 1 | CODE_HAS_FULL_COUNT;
   return true;
 }
 
 uint64_t
 msg_stamp_decode (uint64_t last, uint64_t code)
 {
-  bool is_long = code & CODE_LONG;
-  uint64_t both = code >> 1;
-  uint64_t ms = both >> (is_long ? COUNT_BITS : SHORT_BITS);
-  uint64_t count = both & (is_long ? COUNT_MASK : SHORT_MASK);
+  bool has_full_count = code & CODE_HAS_FULL_COUNT;
+  uint64_t bits = code >> 1;
+  uint64_t ms = bits >> (has_full_count ? COUNT_BITS : SHORT_COUNT_BITS);
+  uint64_t count = bits & (has_full_count ? COUNT_MASK : SHORT_COUNT_MASK);
 
   return ((last >> COUNT_BITS) + ms) << COUNT_BITS | count;
 }
--- a/libcoltsfootdrum/wire/msg-state.h
+++ b/libcoltsfootdrum/wire/msg-state.h
@@ -25,7 +25,7 @@
   uint64_t stamp;
   uint64_t revision;
   uint64_t incarnation;       /* of the last grant or request */
-  uint32_t next;              /* number that the next name gets */
+  uint32_t next_number;       /* number that the next name gets */
   char *names[MSG_NAMES_MAX]; /* NULL before the first */
   GHashTable *numbers;        /* at the sender: name to slot; NULL before */
 } msg_state_t;
@@ -38,7 +38,7 @@
                             uint32_t *number);
 /* At the sender, when a frame was not sent after all: its names are unknown
    to the receiver.  All are sent as text again, from number NEXT on.  */
-void msg_state_reset_names (msg_state_t *state, uint32_t next);
+void msg_state_reset_names (msg_state_t *state, uint32_t next_number);
 
 /* At the receiver.  */
 void msg_state_add_name (msg_state_t *state, const char *name);
--- a/libcoltsfootdrum/wire/msg-unpack.c
+++ b/libcoltsfootdrum/wire/msg-unpack.c
@@ -13,12 +13,12 @@
 
 /* All nodes of one frame: the most rows with room for new fields.  */
 #define NODES_MAX (MSG_ENTRIES_MAX * 16u)
-#define ARENA_CHUNK 2048u
+#define ARENA_CHUNK_BYTES 2048u
 
 typedef enum
 {
   NODE_UINT,
-  NODE_REAL,
+  NODE_DOUBLE,
   NODE_BOOL,
   NODE_STRING,
   NODE_BYTES,
@@ -45,28 +45,29 @@
 } reader_t;
 
 static int
-take_uint (reader_t *reader, uint64_t value, node_t *node)
+build_uint (reader_t *reader, uint64_t value, node_t *node)
 {
   *node = (node_t){ .type = NODE_UINT, .u.number = value };
   return 0;
 }
 
 static int
-take_real (reader_t *reader, double value, node_t *node)
+build_double (reader_t *reader, double value, node_t *node)
 {
-  *node = (node_t){ .type = NODE_REAL, .u.real = value };
+  *node = (node_t){ .type = NODE_DOUBLE, .u.real = value };
   return 0;
 }
 
 static int
-take_bool (reader_t *reader, bool value, node_t *node)
+build_bool (reader_t *reader, bool value, node_t *node)
 {
   *node = (node_t){ .type = NODE_BOOL, .u.number = value };
   return 0;
 }
 
 static int
-take_bytes (node_type_t type, const char *bytes, uint32_t length, node_t *node)
+build_bytes (node_type_t type, const char *bytes, uint32_t length,
+             node_t *node)
 {
   /* The template gives no pointer with an empty string.  */
   *node = (node_t){ .type = type,
@@ -76,7 +77,7 @@
 }
 
 static int
-take_array (reader_t *reader, uint32_t count, node_t *node)
+build_array (reader_t *reader, uint32_t count, node_t *node)
 {
   if (count > reader->nodes_left)
     return -1;
@@ -89,14 +90,14 @@
 }
 
 static int
-take_item (reader_t *reader, node_t *array, node_t item)
+append_item (reader_t *reader, node_t *array, node_t item)
 {
   array->u.items[array->length++] = item;
   return 0;
 }
 
 static int
-refuse (void)
+reject (void)
 {
   return -1;
 }
@@ -107,26 +108,27 @@
 #define msgpack_unpack_object node_t
 #define msgpack_unpack_user reader_t
 #define reader_callback_root(r) ((node_t){ 0 })
-#define reader_callback_uint8 take_uint
-#define reader_callback_uint16 take_uint
-#define reader_callback_uint32 take_uint
-#define reader_callback_uint64 take_uint
-#define reader_callback_int8(r, v, n) refuse ()
-#define reader_callback_int16(r, v, n) refuse ()
-#define reader_callback_int32(r, v, n) refuse ()
-#define reader_callback_int64(r, v, n) refuse ()
-#define reader_callback_float take_real
-#define reader_callback_double take_real
-#define reader_callback_nil(r, n) refuse ()
-#define reader_callback_true(r, n) take_bool (r, true, n)
-#define reader_callback_false(r, n) take_bool (r, false, n)
-#define reader_callback_array take_array
-#define reader_callback_array_item take_item
-#define reader_callback_map(r, c, n) refuse ()
-#define reader_callback_map_item(r, m, k, v) refuse ()
-#define reader_callback_str(r, base, p, l, n) take_bytes (NODE_STRING, p, l, n)
-#define reader_callback_bin(r, base, p, l, n) take_bytes (NODE_BYTES, p, l, n)
-#define reader_callback_ext(r, base, p, l, n) refuse ()
+#define reader_callback_uint8 build_uint
+#define reader_callback_uint16 build_uint
+#define reader_callback_uint32 build_uint
+#define reader_callback_uint64 build_uint
+#define reader_callback_int8(r, v, n) reject ()
+#define reader_callback_int16(r, v, n) reject ()
+#define reader_callback_int32(r, v, n) reject ()
+#define reader_callback_int64(r, v, n) reject ()
+#define reader_callback_float build_double
+#define reader_callback_double build_double
+#define reader_callback_nil(r, n) reject ()
+#define reader_callback_true(r, n) build_bool (r, true, n)
+#define reader_callback_false(r, n) build_bool (r, false, n)
+#define reader_callback_array build_array
+#define reader_callback_array_item append_item
+#define reader_callback_map(r, c, n) reject ()
+#define reader_callback_map_item(r, m, k, v) reject ()
+#define reader_callback_str(r, base, p, l, n)                                 \
+  build_bytes (NODE_STRING, p, l, n)
+#define reader_callback_bin(r, base, p, l, n) build_bytes (NODE_BYTES, p, l, n)
+#define reader_callback_ext(r, base, p, l, n) reject ()
 #include <msgpack/unpack_template.h>
 
 /* ---- from nodes to structs ---- */
@@ -135,235 +137,240 @@
 {
   msgpack_zone *arena;
   msg_state_t *state; /* NULL for a whole frame */
-} target_t;
+} decoder_t;
 
 static bool
-bad_field (const msg_shape_t *shape, const msg_field_t *field, GError **error)
+set_field_error (const msg_layout_t *layout, const msg_field_t *field,
+                 GError **error)
 {
   g_set_error (error, CFD_ERROR, CFD_ERROR_FRAME,
                "Frame %s: field %s has a wrong type, size or value; check "
                "that both sides run compatible versions",
-               shape->name, field->name);
+               layout->name, field->name);
   return false;
 }
 
 static bool
-store_uint (const node_t *node, uint64_t least, uint64_t most, uint64_t *value)
+decode_uint (const node_t *node, uint64_t min, uint64_t limit, uint64_t *value)
 {
   *value = node->u.number;
-  return node->type == NODE_UINT && *value >= least && *value <= most;
+  return node->type == NODE_UINT && *value >= min && *value <= limit;
 }
 
 static bool
-store_u32 (const node_t *node, uint32_t least, uint32_t most, uint32_t *to)
+decode_u32 (const node_t *node, uint32_t min, uint32_t limit, uint32_t *dest)
 {
   uint64_t value;
 
-  if (!store_uint (node, least, most, &value))
+  if (!decode_uint (node, min, limit, &value))
     return false;
-  *to = (uint32_t)value;
+  *dest = (uint32_t)value;
   return true;
 }
 
 static bool
-store_incarnation (const target_t *target, const node_t *node, uint64_t *to)
+decode_incarnation (const decoder_t *decoder, const node_t *node,
+                    uint64_t *dest)
 {
-  if (!store_uint (node, 0, UINT64_MAX, to))
+  if (!decode_uint (node, 0, UINT64_MAX, dest))
     return false;
-  if (target->state != NULL)
-    target->state->incarnation = *to ^= target->state->incarnation;
+  if (decoder->state != NULL)
+    decoder->state->incarnation = *dest ^= decoder->state->incarnation;
   return true;
 }
 
 static bool
-store_real (const node_t *node, bool finite, double *to)
+decode_double (const node_t *node, bool must_be_finite, double *dest)
 {
   if (node->type == NODE_UINT)
-    *to = (double)node->u.number;
-  else if (node->type == NODE_REAL)
-    *to = node->u.real;
+    *dest = (double)node->u.number;
+  else if (node->type == NODE_DOUBLE)
+    *dest = node->u.real;
   else
     return false;
-  return !isnan (*to) && (!finite || isfinite (*to));
+  return !isnan (*dest) && (!must_be_finite || isfinite (*dest));
 }
 
 static bool
-store_bool (const node_t *node, bool *to)
+decode_bool (const node_t *node, bool *dest)
 {
-  *to = node->u.number != 0;
+  *dest = node->u.number != 0;
   return node->type == NODE_BOOL;
 }
 
 static bool
-store_string (const target_t *target, const node_t *node, size_t most,
-              const char **to)
+decode_string (const decoder_t *decoder, const node_t *node, size_t limit,
+               const char **dest)
 {
   char *copy;
 
-  if (node->type != NODE_STRING || node->length > most
+  if (node->type != NODE_STRING || node->length > limit
       || memchr (node->u.bytes, 0, node->length) != NULL)
     return false;
-  copy = msgpack_zone_malloc_no_align (target->arena, node->length + 1);
+  copy = msgpack_zone_malloc_no_align (decoder->arena, node->length + 1);
   if (copy == NULL)
     return false;
   memcpy (copy, node->u.bytes, node->length);
   copy[node->length] = 0;
-  *to = copy;
+  *dest = copy;
   return true;
 }
 
 static bool
-copy_name (const target_t *target, const char *name, const char **to)
+copy_name (const decoder_t *decoder, const char *name, const char **dest)
 {
   size_t size = strlen (name) + 1;
-  char *copy = msgpack_zone_malloc_no_align (target->arena, size);
+  char *copy = msgpack_zone_malloc_no_align (decoder->arena, size);
 
   if (copy == NULL)
     return false;
-  *to = memcpy (copy, name, size);
+  *dest = memcpy (copy, name, size);
   return true;
 }
 
 /* Copied, for a later field of the frame may give its number to another.  */
 static bool
-store_name (const target_t *target, const node_t *node, size_t most,
-            const char **to)
+decode_name (const decoder_t *decoder, const node_t *node, size_t limit,
+             const char **dest)
 {
   const char *known;
 
-  if (node->type == NODE_UINT && target->state != NULL)
+  if (node->type == NODE_UINT && decoder->state != NULL)
     {
-      known = msg_state_get_name (target->state, node->u.number);
-      return known != NULL && copy_name (target, known, to);
+      known = msg_state_get_name (decoder->state, node->u.number);
+      return known != NULL && copy_name (decoder, known, dest);
     }
-  if (!store_string (target, node, most, to))
+  if (!decode_string (decoder, node, limit, dest))
     return false;
-  if (target->state != NULL)
-    msg_state_add_name (target->state, *to);
+  if (decoder->state != NULL)
+    msg_state_add_name (decoder->state, *dest);
   return true;
 }
 
 static bool
-store_bytes (const node_t *node, size_t most, msg_bytes_t *to)
+decode_bytes (const node_t *node, size_t limit, msg_bytes_t *dest)
 {
-  to->data = (const uint8_t *)node->u.bytes;
-  to->length = node->length;
-  return node->type == NODE_BYTES && node->length <= most;
+  dest->data = (const uint8_t *)node->u.bytes;
+  dest->length = node->length;
+  return node->type == NODE_BYTES && node->length <= limit;
 }
 
 static bool
-store_strings (const target_t *target, const node_t *node,
-               const msg_field_t *field, const char ***to, uint32_t *count)
+decode_strings (const decoder_t *decoder, const node_t *node,
+                const msg_field_t *field, const char ***dest, uint32_t *count)
 {
-  if (node->type != NODE_ARRAY || node->length > field->count_max)
+  if (node->type != NODE_ARRAY || node->length > field->max_count)
     return false;
-  *to = msgpack_zone_malloc (target->arena, (node->length + 1) * sizeof **to);
-  if (*to == NULL)
+  *dest = msgpack_zone_malloc (decoder->arena,
+                               (node->length + 1) * sizeof **dest);
+  if (*dest == NULL)
     return false;
   for (uint32_t i = 0; i < node->length; i++)
-    if (!store_string (target, &node->u.items[i], field->max, &(*to)[i]))
+    if (!decode_string (decoder, &node->u.items[i], field->max, &(*dest)[i]))
       return false;
-  (*to)[node->length] = NULL;
+  (*dest)[node->length] = NULL;
   *count = node->length;
   return true;
 }
 
-static bool store_fields (const target_t *target, const msg_shape_t *shape,
-                          const node_t *nodes, uint32_t count, uint8_t *to,
-                          GError **error);
+static bool decode_fields (const decoder_t *decoder,
+                           const msg_layout_t *layout, const node_t *nodes,
+                           uint32_t count, uint8_t *dest, GError **error);
 
 static bool
-store_row (const target_t *target, const node_t *node,
-           const msg_shape_t *shape, uint8_t *to, GError **error)
+decode_struct (const decoder_t *decoder, const node_t *node,
+               const msg_layout_t *layout, uint8_t *dest, GError **error)
 {
   return node->type == NODE_ARRAY
-         && store_fields (target, shape, node->u.items, node->length, to,
-                          error);
+         && decode_fields (decoder, layout, node->u.items, node->length, dest,
+                           error);
 }
 
 static bool
-store_rows (const target_t *target, const node_t *node,
-            const msg_field_t *field, uint8_t **to, uint32_t *count,
-            GError **error)
+decode_structs (const decoder_t *decoder, const node_t *node,
+                const msg_field_t *field, uint8_t **dest, uint32_t *count,
+                GError **error)
 {
-  size_t size = field->shape->size;
+  size_t size = field->layout->size;
 
-  if (node->type != NODE_ARRAY || node->length > field->count_max)
+  if (node->type != NODE_ARRAY || node->length > field->max_count)
     return false;
-  *to = msgpack_zone_malloc (target->arena, node->length * size + 1);
-  if (*to == NULL)
+  *dest = msgpack_zone_malloc (decoder->arena, node->length * size + 1);
+  if (*dest == NULL)
     return false;
-  memset (*to, 0, node->length * size);
+  memset (*dest, 0, node->length * size);
   for (uint32_t i = 0; i < node->length; i++)
-    if (!store_row (target, &node->u.items[i], field->shape, *to + i * size,
-                    error))
+    if (!decode_struct (decoder, &node->u.items[i], field->layout,
+                        *dest + i * size, error))
       return false;
   *count = node->length;
   return true;
 }
 
 static bool
-store_field (const target_t *target, const msg_field_t *field,
-             const node_t *node, uint8_t *base, GError **error)
+decode_field (const decoder_t *decoder, const msg_field_t *field,
+              const node_t *node, uint8_t *base, GError **error)
 {
-  void *to = base + field->offset;
+  void *dest = base + field->offset;
   void *count = base + field->count_offset;
 
   switch (field->type)
     {
     case FIELD_U32:
-      return store_u32 (node, 0, UINT32_MAX, to);
+      return decode_u32 (node, 0, UINT32_MAX, dest);
     case FIELD_U64:
-      return store_uint (node, 0, UINT64_MAX, to);
+      return decode_uint (node, 0, UINT64_MAX, dest);
     case FIELD_INCARNATION:
-      return store_incarnation (target, node, to);
-    case FIELD_REAL:
+      return decode_incarnation (decoder, node, dest);
+    case FIELD_DOUBLE:
     case FIELD_TOKENS:
-      return store_real (node, true, to);
-    case FIELD_LIMIT:
-      return store_real (node, false, to);
+      return decode_double (node, true, dest);
+    case FIELD_TOKEN_LIMIT:
+      return decode_double (node, false, dest);
     case FIELD_BOOL:
-      return store_bool (node, to);
-    case FIELD_CHOICE:
-      return store_u32 (node, 1, field->max, to);
+      return decode_bool (node, dest);
+    case FIELD_ENUM:
+      return decode_u32 (node, 1, field->max, dest);
     case FIELD_NAME:
-      return store_name (target, node, field->max, to);
+      return decode_name (decoder, node, field->max, dest);
     case FIELD_STRING:
-      return store_string (target, node, field->max, to);
+      return decode_string (decoder, node, field->max, dest);
     case FIELD_BYTES:
-      return store_bytes (node, field->max, to);
+      return decode_bytes (node, field->max, dest);
     case FIELD_STRINGS:
-      return store_strings (target, node, field, to, count);
-    case FIELD_ROW:
-      return store_row (target, node, field->shape, to, error);
-    case FIELD_ROWS:
-      return store_rows (target, node, field, to, count, error);
+      return decode_strings (decoder, node, field, dest, count);
+    case FIELD_STRUCT:
+      return decode_struct (decoder, node, field->layout, dest, error);
+    case FIELD_STRUCTS:
+      return decode_structs (decoder, node, field, dest, count, error);
     }
   return false;
 }
 
 /* From the COUNT nodes that there are; the memory is zeroed.  */
 static bool
-store_fields (const target_t *target, const msg_shape_t *shape,
-              const node_t *nodes, uint32_t count, uint8_t *to, GError **error)
+decode_fields (const decoder_t *decoder, const msg_layout_t *layout,
+               const node_t *nodes, uint32_t count, uint8_t *dest,
+               GError **error)
 {
-  for (uint32_t i = 0; i < shape->count; i++)
+  for (uint32_t i = 0; i < layout->count; i++)
     {
-      const msg_field_t *field = &shape->fields[i];
+      const msg_field_t *field = &layout->fields[i];
 
-      if (i >= count && field->is_late)
+      if (i >= count && field->is_optional)
         continue;
-      if (i < count && store_field (target, field, &nodes[i], to, error))
+      if (i < count && decode_field (decoder, field, &nodes[i], dest, error))
         continue;
-      return error != NULL && *error != NULL ? false
-                                             : bad_field (shape, field, error);
+      return error != NULL && *error != NULL
+                 ? false
+                 : set_field_error (layout, field, error);
     }
   return true;
 }
 
 /* The stamp and revision of a short frame are what was added to the last.  */
 static void
-take_start (msg_state_t *state, msg_t *message)
+apply_prefix (msg_state_t *state, msg_t *message)
 {
   if (state == NULL)
     return;
@@ -374,18 +381,19 @@
 }
 
 static bool
-store_message (const target_t *target, const node_t *frame, msg_t *message,
-               GError **error)
+decode_message (const decoder_t *decoder, const node_t *frame, msg_t *message,
+                GError **error)
 {
   const node_t *nodes = frame->u.items;
-  const msg_shape_t *shape = NULL;
+  const msg_layout_t *layout = NULL;
   uint32_t kind = 0;
 
   if (frame->type == NODE_ARRAY && frame->length >= MSG_PREFIX_FIELDS
-      && store_u32 (&nodes[0], 1, MSG_KIND_COUNT - 1, &kind))
-    shape = msg_shape (kind);
-  if (shape == NULL || !store_uint (&nodes[1], 0, UINT64_MAX, &message->stamp)
-      || !store_uint (&nodes[2], 0, UINT64_MAX, &message->revision))
+      && decode_u32 (&nodes[0], 1, MSG_KIND_COUNT - 1, &kind))
+    layout = msg_get_layout (kind);
+  if (layout == NULL
+      || !decode_uint (&nodes[1], 0, UINT64_MAX, &message->stamp)
+      || !decode_uint (&nodes[2], 0, UINT64_MAX, &message->revision))
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_FRAME,
                    "Frame of kind %u is unknown or too short; check that both "
@@ -394,15 +402,15 @@
       return false;
     }
   message->kind = kind;
-  take_start (target->state, message);
-  return store_fields (target, shape, nodes + MSG_PREFIX_FIELDS,
-                       frame->length - MSG_PREFIX_FIELDS,
-                       (uint8_t *)&message->u, error);
+  apply_prefix (decoder->state, message);
+  return decode_fields (decoder, layout, nodes + MSG_PREFIX_FIELDS,
+                        frame->length - MSG_PREFIX_FIELDS,
+                        (uint8_t *)&message->u, error);
 }
 
 static bool
-read_nodes (msgpack_zone *arena, const uint8_t *payload, size_t length,
-            node_t *root)
+parse_nodes (msgpack_zone *arena, const uint8_t *payload, size_t length,
+             node_t *root)
 {
   struct reader_context context;
   size_t used = 0;
@@ -421,13 +429,13 @@
 #define UINT_32 0xce
 
 msg_length_t
-msg_parse_length (const uint8_t *bytes, size_t have, bool is_short,
+msg_parse_length (const uint8_t *bytes, size_t available, bool is_short,
                   uint32_t *length, size_t *prefix)
 {
   size_t start = 0;
 
   *prefix = sizeof *length;
-  if (is_short && have == 0)
+  if (is_short && available == 0)
     return MSG_LENGTH_INCOMPLETE;
   if (is_short && bytes[0] <= UINT_FIX_MAX)
     {
@@ -440,7 +448,7 @@
       start = 1;
       *prefix = start + (1u << (bytes[0] - UINT_8));
     }
-  if (have < *prefix)
+  if (available < *prefix)
     return MSG_LENGTH_INCOMPLETE;
   *length = 0;
   for (size_t i = start; i < *prefix; i++)
@@ -456,13 +464,13 @@
   msg_t *message;
   node_t root;
 
-  arena = msgpack_zone_new (ARENA_CHUNK);
+  arena = msgpack_zone_new (ARENA_CHUNK_BYTES);
   g_assert (arena != NULL);
   message = msgpack_zone_malloc (arena, sizeof *message);
   g_assert (message != NULL);
   memset (message, 0, sizeof *message);
   message->arena = arena;
-  if (length > MSG_FRAME_MAX || !read_nodes (arena, payload, length, &root))
+  if (length > MSG_FRAME_MAX || !parse_nodes (arena, payload, length, &root))
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_FRAME,
                    "Frame of %zu bytes is malformed or too large; check that "
@@ -470,7 +478,7 @@
                    length);
       goto fail;
     }
-  if (!store_message (&(target_t){ arena, state }, &root, message, error))
+  if (!decode_message (&(decoder_t){ arena, state }, &root, message, error))
     goto fail;
   return message;
 
--- a/libcoltsfootdrum/wire/msg.h
+++ b/libcoltsfootdrum/wire/msg.h
@@ -359,7 +359,7 @@
 
 /* Reads the length before a frame, a short one if so, from the HAVE bytes.
    PREFIX is how many bytes the length itself takes.  */
-msg_length_t msg_parse_length (const uint8_t *bytes, size_t have,
+msg_length_t msg_parse_length (const uint8_t *bytes, size_t available,
                                bool is_short, uint32_t *length,
                                size_t *prefix);
 
--- a/libcoltsfootdrum/wire/peer-auth.c
+++ b/libcoltsfootdrum/wire/peer-auth.c
@@ -18,10 +18,10 @@
 #define DIRECTION_DIALLER 'D'
 #define DIRECTION_ACCEPTOR 'A'
 
-static const char purpose[] = "coltsfootdrum peer link 1";
+static const char mac_context[] = "coltsfootdrum peer link 1";
 
 void
-auth_key (const char *secret, uint8_t key[PEER_KEY_SIZE])
+auth_derive_key (const char *secret, uint8_t key[PEER_KEY_SIZE])
 {
   crypto_generichash (key, PEER_KEY_SIZE, (const uint8_t *)secret,
                       strlen (secret), NULL, 0);
@@ -29,20 +29,22 @@
 
 /* The proof of the dialler's or the acceptor's side of LINK.  */
 static void
-make_mac (const peer_link_t *link, bool of_dialler, uint8_t mac[PEER_MAC_SIZE])
+make_mac (const peer_link_t *link, bool is_of_dialler,
+          uint8_t mac[PEER_MAC_SIZE])
 {
-  bool ours = of_dialler == link->dialled;
-  const uint8_t *dialler = link->dialled ? link->nonce : link->other_nonce;
-  const uint8_t *acceptor = link->dialled ? link->other_nonce : link->nonce;
-  uint8_t direction = of_dialler ? DIRECTION_DIALLER : DIRECTION_ACCEPTOR;
+  bool is_own = is_of_dialler == link->is_dialled;
+  const uint8_t *dialler = link->is_dialled ? link->nonce : link->peer_nonce;
+  const uint8_t *acceptor = link->is_dialled ? link->peer_nonce : link->nonce;
+  uint8_t direction = is_of_dialler ? DIRECTION_DIALLER : DIRECTION_ACCEPTOR;
   crypto_generichash_state state;
   const uint8_t *hello;
   gsize length;
 
-  hello = g_bytes_get_data (ours ? link->hello : link->other_hello, &length);
+  hello = g_bytes_get_data (is_own ? link->hello : link->peer_hello, &length);
   crypto_generichash_init (&state, link->hub->key, PEER_KEY_SIZE,
                            PEER_MAC_SIZE);
-  crypto_generichash_update (&state, (const uint8_t *)purpose, sizeof purpose);
+  crypto_generichash_update (&state, (const uint8_t *)mac_context,
+                             sizeof mac_context);
   crypto_generichash_update (&state, &direction, sizeof direction);
   crypto_generichash_update (&state, dialler, MSG_NONCE_SIZE);
   crypto_generichash_update (&state, acceptor, MSG_NONCE_SIZE);
@@ -56,13 +58,13 @@
   uint8_t mac[PEER_MAC_SIZE];
   msg_t proof = { .kind = MSG_PROOF };
 
-  make_mac (link, link->dialled, mac);
+  make_mac (link, link->is_dialled, mac);
   proof.u.proof.mac = (msg_bytes_t){ mac, sizeof mac };
   (void)link_send (link, &proof);
 }
 
 void
-auth_begin (peer_link_t *link)
+auth_send_hello (peer_link_t *link)
 {
   peer_hub_t *hub = link->hub;
   size_t prefix = sizeof (uint32_t);
@@ -82,11 +84,11 @@
     return;
   link->hello = g_bytes_new (link->out->data + start + prefix,
                              link->out->len - start - prefix);
-  link->state = LINK_HELLO;
+  link->state = LINK_AWAITING_HELLO;
 }
 
 static const char *
-hello_fault (const peer_link_t *link, const msg_hello_t *hello)
+find_hello_fault (const peer_link_t *link, const msg_hello_t *hello)
 {
   if (hello->protocol != MSG_PROTOCOL)
     return "speaks another protocol version";
@@ -98,16 +100,16 @@
     return "has no instance name";
   if (strcmp (hello->instance, link->hub->instance) == 0)
     return "has our own instance name";
-  if (link->dialled && strcmp (hello->instance, link->peer->instance) != 0)
+  if (link->is_dialled && strcmp (hello->instance, link->peer->instance) != 0)
     return "is not the instance that was dialled";
   return NULL;
 }
 
 static bool
-take_hello (peer_link_t *link, const msg_hello_t *hello,
-            const uint8_t *payload, size_t length)
+handle_hello (peer_link_t *link, const msg_hello_t *hello,
+              const uint8_t *payload, size_t length)
 {
-  const char *fault = hello_fault (link, hello);
+  const char *fault = find_hello_fault (link, hello);
 
   if (fault != NULL)
     {
@@ -115,25 +117,25 @@
                 fault);
       return false;
     }
-  memcpy (link->other_nonce, hello->nonce.data, MSG_NONCE_SIZE);
-  link->other_hello = g_bytes_new (payload, length);
+  memcpy (link->peer_nonce, hello->nonce.data, MSG_NONCE_SIZE);
+  link->peer_hello = g_bytes_new (payload, length);
   link->id.role = hello->role;
   link->id.instance = g_strdup (hello->instance);
   link->id.zone = g_strdup (hello->zone);
   link->id.incarnation = hello->incarnation;
   link->short_frames = link->hub->short_frames && hello->short_frames;
-  link->state = LINK_PROOF;
-  if (link->dialled)
+  link->state = LINK_AWAITING_PROOF;
+  if (link->is_dialled)
     send_proof (link);
   return true;
 }
 
 static bool
-take_proof (peer_link_t *link, const msg_proof_t *proof, cfd_time_t now)
+handle_proof (peer_link_t *link, const msg_proof_t *proof, cfd_time_t now)
 {
   uint8_t expected[PEER_MAC_SIZE];
 
-  make_mac (link, !link->dialled, expected);
+  make_mac (link, !link->is_dialled, expected);
   if (proof->mac.length != sizeof expected
       || sodium_memcmp (proof->mac.data, expected, sizeof expected) != 0)
     {
@@ -143,23 +145,23 @@
                 link->id.instance);
       return false;
     }
-  if (!link->dialled)
+  if (!link->is_dialled)
     send_proof (link);
-  hub_link_proved (link->hub, link, now);
+  hub_add_authenticated_link (link->hub, link, now);
   return true;
 }
 
 bool
-auth_frame (peer_link_t *link, const msg_t *message, const uint8_t *payload,
-            size_t length, cfd_time_t now)
+auth_handle_frame (peer_link_t *link, const msg_t *message,
+                   const uint8_t *payload, size_t length, cfd_time_t now)
 {
   /* Believed once the link is proved: the other side's HELLO is part of its
      proof, and before that the owner hears of nothing.  */
-  link_show_revision (link, message);
-  if (link->state == LINK_HELLO && message->kind == MSG_HELLO)
-    return take_hello (link, &message->u.hello, payload, length);
-  if (link->state == LINK_PROOF && message->kind == MSG_PROOF)
-    return take_proof (link, &message->u.proof, now);
+  link_record_revision (link, message);
+  if (link->state == LINK_AWAITING_HELLO && message->kind == MSG_HELLO)
+    return handle_hello (link, &message->u.hello, payload, length);
+  if (link->state == LINK_AWAITING_PROOF && message->kind == MSG_PROOF)
+    return handle_proof (link, &message->u.proof, now);
   log_warn ("peer", "Refused a link: fault=frame %s before the proof.",
             msg_kind_name (message->kind));
   return false;
--- a/libcoltsfootdrum/wire/peer-watch.c
+++ b/libcoltsfootdrum/wire/peer-watch.c
@@ -9,60 +9,62 @@
 #include "wire/peer-private.h"
 
 void
-watch_from (peer_link_t *link, cfd_time_t now)
+watch_reset (peer_link_t *link, cfd_time_t now)
 {
-  link->quiet_since = now;
-  link->ping_open = 0;
+  link->silent_since = now;
+  link->unanswered_ping_since = 0;
 }
 
 void
-watch_pong (peer_link_t *link)
+watch_record_pong (peer_link_t *link)
 {
-  link->ping_open = 0;
+  link->unanswered_ping_since = 0;
 }
 
 static void
-ping (peer_link_t *link, cfd_time_t now)
+send_ping (peer_link_t *link, cfd_time_t now)
 {
   msg_t message = { .kind = MSG_PING };
 
-  link->pinged = now;
-  if (link->ping_open == 0)
-    link->ping_open = now;
+  link->last_ping = now;
+  if (link->unanswered_ping_since == 0)
+    link->unanswered_ping_since = now;
   (void)link_send (link, &message);
 }
 
 static void
-watch_held (peer_link_t *link, cfd_time_t now)
+check_held_link (peer_link_t *link, cfd_time_t now)
 {
-  if (now - link->quiet_since >= PEER_SILENCE_TIMEOUT_MS
-      || (link->ping_open != 0 && now - link->ping_open >= PEER_UNANSWERED_MS))
+  if (now - link->silent_since >= PEER_SILENCE_TIMEOUT_MS
+      || (link->unanswered_ping_since != 0
+          && now - link->unanswered_ping_since >= PEER_PONG_TIMEOUT_MS))
     {
       link->hub->counters.silences++;
       link_close (link, "silent");
       return;
     }
-  if (now - link->pinged < PEER_HEARTBEAT_INTERVAL_MS)
+  if (now - link->last_ping < PEER_HEARTBEAT_INTERVAL_MS)
     return;
   /* An unanswered PING is repeated only after silence: on a live link its
      PONG is on the way behind other frames.  */
-  if (now - link->quiet_since >= PEER_HEARTBEAT_INTERVAL_MS
-      || now - link->pinged >= PEER_SILENCE_TIMEOUT_MS)
-    ping (link, now);
+  if (now - link->silent_since >= PEER_HEARTBEAT_INTERVAL_MS
+      || now - link->last_ping >= PEER_SILENCE_TIMEOUT_MS)
+    send_ping (link, now);
 }
 
 static void
-watch_link (peer_link_t *link, cfd_time_t now)
+check_link (peer_link_t *link, cfd_time_t now)
 {
-  if (link->state != LINK_PROVED)
+  if (link->state != LINK_AUTHENTICATED)
     {
-      if (now - link->born >= PEER_SILENCE_TIMEOUT_MS)
+      if (now - link->created_at >= PEER_SILENCE_TIMEOUT_MS)
         link_close (link, "not proved in time");
       return;
     }
-  if (link->peer->holds > 0 && link == peer_newest (link->peer))
-    watch_held (link, now);
-  else if (now - MAX (link->quiet_since, link->sent) >= PEER_IDLE_TIMEOUT_MS)
+  if (link->peer->hold_count > 0 && link == peer_get_newest_link (link->peer))
+    check_held_link (link, now);
+  else if (now - MAX (link->silent_since, link->last_sent)
+           >= PEER_IDLE_TIMEOUT_MS)
     link_close (link, "idle");
 }
 
@@ -70,23 +72,23 @@
    peers' frames wait unread in our sockets.  Without a fresh start all held
    links would be closed at once.  */
 static void
-forgive_silence (peer_hub_t *hub, cfd_time_t now)
+reset_silence (peer_hub_t *hub, cfd_time_t now)
 {
   list_for_each (node, &hub->links)
     {
       peer_link_t *link = list_entry (node, peer_link_t, node);
 
-      watch_from (link, now);
-      link->born = now;
+      watch_reset (link, now);
+      link->created_at = now;
     }
 }
 
 void
-watch_links (peer_hub_t *hub, cfd_time_t now)
+watch_check_links (peer_hub_t *hub, cfd_time_t now)
 {
-  if (now - hub->ticked > PEER_TICK_MS + PEER_FROZEN_MS)
-    forgive_silence (hub, now);
-  hub->ticked = now;
+  if (now - hub->last_tick > PEER_TICK_INTERVAL_MS + PEER_FREEZE_THRESHOLD_MS)
+    reset_silence (hub, now);
+  hub->last_tick = now;
   list_for_each_safe (node, &hub->links)
-    watch_link (list_entry (node, peer_link_t, node), now);
+    check_link (list_entry (node, peer_link_t, node), now);
 }
--- a/libcoltsfootdrum/wire/peer.c
+++ b/libcoltsfootdrum/wire/peer.c
@@ -12,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define ACCEPTED_AT_ONCE 64
+#define MAX_ACCEPTS_PER_WAKEUP 64
 
 /* ---- peers ---- */
 
@@ -21,16 +21,16 @@
 {
   peer_t *peer = data;
 
-  list_remove (&peer->unsettled);
+  list_remove (&peer->notify_queue);
   g_free (peer->instance);
   g_free (peer->address);
-  g_free ((char *)peer->told.instance);
-  g_free ((char *)peer->told.zone);
+  g_free ((char *)peer->reported_id.instance);
+  g_free ((char *)peer->reported_id.zone);
   g_free (peer);
 }
 
 peer_t *
-hub_peer (peer_hub_t *hub, const char *instance)
+hub_get_or_add_peer (peer_hub_t *hub, const char *instance)
 {
   peer_t *peer = g_hash_table_lookup (hub->peers, instance);
 
@@ -39,30 +39,30 @@
   peer = g_new0 (peer_t, 1);
   peer->instance = g_strdup (instance);
   list_init (&peer->links);
-  list_init (&peer->unsettled);
+  list_init (&peer->notify_queue);
   g_hash_table_insert (hub->peers, peer->instance, peer);
   return peer;
 }
 
 peer_link_t *
-peer_newest (const peer_t *peer)
+peer_get_newest_link (const peer_t *peer)
 {
   return list_is_empty (&peer->links)
              ? NULL
-             : list_entry (peer->links.next, peer_link_t, in_peer);
+             : list_entry (peer->links.next, peer_link_t, peer_node);
 }
 
 /* ---- what the owner is told ---- */
 
 void
-hub_unsettle (peer_hub_t *hub, peer_t *peer)
+hub_queue_notification (peer_hub_t *hub, peer_t *peer)
 {
-  if (!list_is_linked (&peer->unsettled))
-    list_append (&hub->unsettled, &peer->unsettled);
+  if (!list_is_linked (&peer->notify_queue))
+    list_append (&hub->notify_queue, &peer->notify_queue);
 }
 
 static void
-note (peer_hub_t *hub, tl_kind_t kind, const peer_id_t *id)
+add_timeline_event (peer_hub_t *hub, tl_kind_t kind, const peer_id_t *id)
 {
   g_autofree char *detail = NULL;
 
@@ -74,82 +74,83 @@
 }
 
 static void
-tell_down (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
+report_down (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
 {
-  peer->told_up = false;
-  note (hub, TL_PEER_DOWN, &peer->told);
+  peer->reported_up = false;
+  add_timeline_event (hub, TL_PEER_DOWN, &peer->reported_id);
   if (hub->events.down != NULL)
-    hub->events.down (hub->user, &peer->told, now);
+    hub->events.down (hub->user, &peer->reported_id, now);
 }
 
 static void
-tell_up (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
+report_up (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
 {
-  const peer_id_t *id = &peer_newest (peer)->id;
-
-  g_free ((char *)peer->told.instance);
-  g_free ((char *)peer->told.zone);
-  peer->told = *id;
-  peer->told.instance = g_strdup (id->instance);
-  peer->told.zone = g_strdup (id->zone);
-  peer->told_up = true;
-  peer->lost = false;
-  note (hub, TL_PEER_UP, &peer->told);
+  const peer_id_t *id = &peer_get_newest_link (peer)->id;
+
+  g_free ((char *)peer->reported_id.instance);
+  g_free ((char *)peer->reported_id.zone);
+  peer->reported_id = *id;
+  peer->reported_id.instance = g_strdup (id->instance);
+  peer->reported_id.zone = g_strdup (id->zone);
+  peer->reported_up = true;
+  peer->lost_since_report = false;
+  add_timeline_event (hub, TL_PEER_UP, &peer->reported_id);
   if (hub->events.up != NULL)
-    hub->events.up (hub->user, &peer->told, now);
+    hub->events.up (hub->user, &peer->reported_id, now);
 }
 
 /* The loss of the link for sending is told even when another link takes its
    place: frames may be gone with it, and the owner must start anew.  */
 static void
-settle_peer (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
+report_changes (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
 {
-  if (peer->told_up && (peer->lost || peer_newest (peer) == NULL))
-    tell_down (hub, peer, now);
-  if (!peer->told_up && peer_newest (peer) != NULL)
-    tell_up (hub, peer, now);
+  if (peer->reported_up
+      && (peer->lost_since_report || peer_get_newest_link (peer) == NULL))
+    report_down (hub, peer, now);
+  if (!peer->reported_up && peer_get_newest_link (peer) != NULL)
+    report_up (hub, peer, now);
 }
 
 void
-hub_settle (peer_hub_t *hub)
+hub_notify_owner (peer_hub_t *hub)
 {
-  while (!list_is_empty (&hub->unsettled))
+  while (!list_is_empty (&hub->notify_queue))
     {
-      peer_t *peer = list_entry (hub->unsettled.next, peer_t, unsettled);
+      peer_t *peer = list_entry (hub->notify_queue.next, peer_t, notify_queue);
 
-      list_remove (&peer->unsettled);
-      settle_peer (hub, peer, clock_now ());
+      list_remove (&peer->notify_queue);
+      report_changes (hub, peer, clock_now ());
     }
 }
 
 void
-hub_link_proved (peer_hub_t *hub, peer_link_t *link, cfd_time_t now)
+hub_add_authenticated_link (peer_hub_t *hub, peer_link_t *link, cfd_time_t now)
 {
-  peer_t *peer = hub_peer (hub, link->id.instance);
+  peer_t *peer = hub_get_or_add_peer (hub, link->id.instance);
 
   /* Links to a former incarnation lead nowhere.  A dialler has one link at a
      time: an older one that it dialled is dead on its side, and what still
      comes out of it, such as a late ASSIGN, must not be acted on.  */
   list_for_each_safe (node, &peer->links)
     {
-      peer_link_t *old = list_entry (node, peer_link_t, in_peer);
+      peer_link_t *old = list_entry (node, peer_link_t, peer_node);
 
       if (old->id.incarnation != link->id.incarnation)
         link_close (old, "former incarnation");
-      else if (old->dialled == link->dialled)
+      else if (old->is_dialled == link->is_dialled)
         link_close (old, "replaced by a newer link");
     }
-  hub->unproved--;
+  hub->unauthenticated_links--;
   hub->counters.links_up++;
-  link->state = LINK_PROVED;
-  link->proved = now;
+  link->state = LINK_AUTHENTICATED;
+  link->authenticated_at = now;
   link->peer = peer;
-  if (peer->dialling == link)
-    peer->dialling = NULL;
-  list_prepend (&peer->links, &link->in_peer);
-  watch_from (link, now);
-  hub_unsettle (hub, peer);
-  hub_settle (hub);
+  if (peer->dialling_link == link)
+    peer->dialling_link = NULL;
+  list_prepend (&peer->links, &link->peer_node);
+  watch_reset (link, now);
+  hub_queue_notification (hub, peer);
+  hub_notify_owner (hub);
 }
 
 /* ---- dialling ---- */
@@ -157,9 +158,10 @@
 static void
 schedule_dial (peer_t *peer, cfd_time_t now)
 {
-  int next = peer->backoff_ms * 2;
+  int doubled_ms = peer->backoff_ms * 2;
 
-  peer->backoff_ms = CLAMP (next, PEER_BACKOFF_LEAST_MS, PEER_BACKOFF_MOST_MS);
+  peer->backoff_ms
+      = CLAMP (doubled_ms, PEER_MIN_BACKOFF_MS, PEER_MAX_BACKOFF_MS);
   /* Half of it at random, so that a fleet doesn't dial in step.  */
   peer->next_dial = now + peer->backoff_ms / 2
                     + (int)randombytes_uniform (peer->backoff_ms / 2 + 1);
@@ -172,7 +174,7 @@
   int fd;
 
   if (hub->role == ROLE_AGENT || peer->address == NULL
-      || peer->dialling != NULL || peer_newest (peer) != NULL
+      || peer->dialling_link != NULL || peer_get_newest_link (peer) != NULL
       || now < peer->next_dial)
     return;
   /* Counted as failed until the link proves to be steady.  */
@@ -186,7 +188,7 @@
                 peer->instance, peer->address, g_strerror (errno));
       return;
     }
-  peer->dialling = link_new (hub, fd, peer, true, now);
+  peer->dialling_link = link_new (hub, fd, peer, true, now);
 }
 
 /* ---- the loop's callbacks ---- */
@@ -198,7 +200,7 @@
   int on = 1;
   int fd;
 
-  for (int i = 0; i < ACCEPTED_AT_ONCE; i++)
+  for (int i = 0; i < MAX_ACCEPTS_PER_WAKEUP; i++)
     {
       fd = accept4 (hub->listen_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0 && (errno == EAGAIN || errno == ECONNABORTED))
@@ -207,11 +209,11 @@
         {
           /* Out of descriptors, most likely: the loop would spin.  */
           log_error ("peer", "Can't accept: fault=%s.", g_strerror (errno));
-          ev_io_stop (hub->loop, &hub->listening);
-          hub->listen_paused = true;
+          ev_io_stop (hub->loop, &hub->accept_watcher);
+          hub->is_accept_paused = true;
           return;
         }
-      if (hub->unproved >= PEER_UNPROVED_MAX)
+      if (hub->unauthenticated_links >= PEER_MAX_UNAUTHENTICATED)
         {
           hub->counters.links_refused++;
           close (fd);
@@ -223,16 +225,17 @@
 }
 
 static void
-on_listening (struct ev_loop *loop, ev_io *watcher, int events)
+on_acceptable (struct ev_loop *loop, ev_io *watcher, int events)
 {
   accept_links (watcher->data);
 }
 
 static bool
-peer_is_unused (const peer_t *peer)
+is_peer_unused (const peer_t *peer)
 {
-  return peer->address == NULL && peer->holds == 0 && peer->dialling == NULL
-         && list_is_empty (&peer->links) && !list_is_linked (&peer->unsettled);
+  return peer->address == NULL && peer->hold_count == 0
+         && peer->dialling_link == NULL && list_is_empty (&peer->links)
+         && !list_is_linked (&peer->notify_queue);
 }
 
 static void
@@ -243,29 +246,29 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (hub->listen_paused)
+  if (hub->is_accept_paused)
     {
-      hub->listen_paused = false;
-      ev_io_start (loop, &hub->listening);
+      hub->is_accept_paused = false;
+      ev_io_start (loop, &hub->accept_watcher);
     }
-  watch_links (hub, now);
+  watch_check_links (hub, now);
   g_hash_table_iter_init (&iter, hub->peers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       peer_t *peer = value;
 
-      if (peer->holds > 0)
+      if (peer->hold_count > 0)
         hub_dial (hub, peer, now);
-      else if (peer_is_unused (peer))
+      else if (is_peer_unused (peer))
         g_hash_table_iter_remove (&iter);
     }
-  hub_settle (hub);
+  hub_notify_owner (hub);
 }
 
 static void
-free_dead (peer_hub_t *hub)
+free_closed_links (peer_hub_t *hub)
 {
-  list_for_each_safe (node, &hub->dead)
+  list_for_each_safe (node, &hub->closed_links)
     {
       list_remove (node);
       link_free (list_entry (node, peer_link_t, node));
@@ -280,12 +283,13 @@
 
   do
     {
-      hub_settle (hub);
-      while (!list_is_empty (&hub->dirty))
-        link_flush (list_entry (hub->dirty.next, peer_link_t, dirty));
+      hub_notify_owner (hub);
+      while (!list_is_empty (&hub->flush_queue))
+        link_flush (
+            list_entry (hub->flush_queue.next, peer_link_t, flush_queue));
     }
-  while (!list_is_empty (&hub->unsettled));
-  free_dead (hub);
+  while (!list_is_empty (&hub->notify_queue));
+  free_closed_links (hub);
 }
 
 /* ---- public ---- */
@@ -295,21 +299,22 @@
 {
   if (hub->listen_fd >= 0)
     {
-      ev_io_init (&hub->listening, on_listening, hub->listen_fd, EV_READ);
-      hub->listening.data = hub;
-      ev_io_start (hub->loop, &hub->listening);
+      ev_io_init (&hub->accept_watcher, on_acceptable, hub->listen_fd,
+                  EV_READ);
+      hub->accept_watcher.data = hub;
+      ev_io_start (hub->loop, &hub->accept_watcher);
     }
-  ev_timer_init (&hub->tick, on_tick, PEER_TICK_MS / 1000.0,
-                 PEER_TICK_MS / 1000.0);
-  hub->tick.data = hub;
-  ev_timer_start (hub->loop, &hub->tick);
-  ev_prepare_init (&hub->prepare, on_prepare);
-  hub->prepare.data = hub;
-  ev_prepare_start (hub->loop, &hub->prepare);
+  ev_timer_init (&hub->tick_timer, on_tick, PEER_TICK_INTERVAL_MS / 1000.0,
+                 PEER_TICK_INTERVAL_MS / 1000.0);
+  hub->tick_timer.data = hub;
+  ev_timer_start (hub->loop, &hub->tick_timer);
+  ev_prepare_init (&hub->prepare_watcher, on_prepare);
+  hub->prepare_watcher.data = hub;
+  ev_prepare_start (hub->loop, &hub->prepare_watcher);
 }
 
 peer_hub_t *
-peer_hub_new (struct ev_loop *loop, const peer_hub_options_t *self,
+peer_hub_new (struct ev_loop *loop, const peer_hub_options_t *options,
               tl_ring_t *ring, const peer_events_t *events, void *user,
               GError **error)
 {
@@ -323,20 +328,20 @@
                    "getrandom works here");
       return NULL;
     }
-  if (self->listen != NULL && self->listen[0] != 0)
+  if (options->listen != NULL && options->listen[0] != 0)
     {
-      fd = addr_listen (self->listen, error);
+      fd = addr_listen (options->listen, error);
       if (fd < 0)
         return NULL;
     }
   hub = g_new0 (peer_hub_t, 1);
   hub->loop = loop;
-  hub->role = self->role;
-  hub->instance = g_strdup (self->instance);
-  hub->zone = g_strdup (self->zone);
-  hub->incarnation = self->incarnation;
+  hub->role = options->role;
+  hub->instance = g_strdup (options->instance);
+  hub->zone = g_strdup (options->zone);
+  hub->incarnation = options->incarnation;
   hub->short_frames = true;
-  auth_key (self->secret, hub->key);
+  auth_derive_key (options->secret, hub->key);
   hub->ring = ring;
   hub->clock = ring != NULL ? tl_ring_get_clock (ring) : &hub->own_clock;
   hub->events = *events;
@@ -344,11 +349,11 @@
   hub->peers
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, peer_free);
   list_init (&hub->links);
-  list_init (&hub->dead);
-  list_init (&hub->dirty);
-  list_init (&hub->unsettled);
+  list_init (&hub->closed_links);
+  list_init (&hub->flush_queue);
+  list_init (&hub->notify_queue);
   hub->listen_fd = fd;
-  hub->ticked = clock_now ();
+  hub->last_tick = clock_now ();
   start_watchers (hub);
   return hub;
 }
@@ -358,16 +363,16 @@
 {
   if (hub == NULL)
     return;
-  while (!list_is_empty (&hub->dirty))
-    link_flush (list_entry (hub->dirty.next, peer_link_t, dirty));
+  while (!list_is_empty (&hub->flush_queue))
+    link_flush (list_entry (hub->flush_queue.next, peer_link_t, flush_queue));
   list_for_each_safe (node, &hub->links)
     link_close (list_entry (node, peer_link_t, node), "end of this process");
-  free_dead (hub);
-  ev_timer_stop (hub->loop, &hub->tick);
-  ev_prepare_stop (hub->loop, &hub->prepare);
+  free_closed_links (hub);
+  ev_timer_stop (hub->loop, &hub->tick_timer);
+  ev_prepare_stop (hub->loop, &hub->prepare_watcher);
   if (hub->listen_fd >= 0)
     {
-      ev_io_stop (hub->loop, &hub->listening);
+      ev_io_stop (hub->loop, &hub->accept_watcher);
       close (hub->listen_fd);
     }
   g_hash_table_unref (hub->peers);
@@ -387,16 +392,16 @@
     return;
   if (address != NULL && address[0] == 0)
     address = NULL;
-  peer = hub_peer (hub, instance);
+  peer = hub_get_or_add_peer (hub, instance);
   if (g_strcmp0 (peer->address, address) == 0)
     return;
   g_free (peer->address);
   peer->address = g_strdup (address);
-  if (peer->dialling != NULL)
-    link_close (peer->dialling, "address changed");
+  if (peer->dialling_link != NULL)
+    link_close (peer->dialling_link, "address changed");
   peer->backoff_ms = 0;
   peer->next_dial = 0;
-  if (peer->holds > 0)
+  if (peer->hold_count > 0)
     hub_dial (hub, peer, clock_now ());
 }
 
@@ -408,7 +413,7 @@
 
   if (peer == NULL)
     return false;
-  link = peer_newest (peer);
+  link = peer_get_newest_link (peer);
   if (link != NULL)
     return link_send (link, message);
   hub_dial (hub, peer, clock_now ());
@@ -423,11 +428,11 @@
 
   if (strcmp (instance, hub->instance) == 0)
     return;
-  peer = hub_peer (hub, instance);
-  if (peer->holds++ > 0)
+  peer = hub_get_or_add_peer (hub, instance);
+  if (peer->hold_count++ > 0)
     return;
-  if (peer_newest (peer) != NULL)
-    watch_from (peer_newest (peer), now);
+  if (peer_get_newest_link (peer) != NULL)
+    watch_reset (peer_get_newest_link (peer), now);
   else
     hub_dial (hub, peer, now);
 }
@@ -439,9 +444,9 @@
 
   if (peer == NULL)
     return;
-  INVARIANT ("peer-holds", peer->holds > 0, instance);
-  if (peer->holds > 0)
-    peer->holds--;
+  INVARIANT ("peer-holds", peer->hold_count > 0, instance);
+  if (peer->hold_count > 0)
+    peer->hold_count--;
 }
 
 bool
@@ -449,7 +454,7 @@
 {
   const peer_t *peer = g_hash_table_lookup (hub->peers, instance);
 
-  return peer != NULL && peer_newest (peer) != NULL;
+  return peer != NULL && peer_get_newest_link (peer) != NULL;
 }
 
 bool
@@ -457,19 +462,19 @@
                           cfd_time_t now)
 {
   const peer_t *peer = g_hash_table_lookup (hub->peers, instance);
-  const peer_link_t *link = peer != NULL ? peer_newest (peer) : NULL;
+  const peer_link_t *link = peer != NULL ? peer_get_newest_link (peer) : NULL;
 
-  return link != NULL && link->ping_open != 0
-         && now - link->quiet_since >= PEER_UNRESPONSIVE_MS;
+  return link != NULL && link->unanswered_ping_since != 0
+         && now - link->silent_since >= PEER_UNRESPONSIVE_MS;
 }
 
 size_t
 peer_hub_get_pending_bytes (const peer_hub_t *hub, const char *instance)
 {
   const peer_t *peer = g_hash_table_lookup (hub->peers, instance);
-  const peer_link_t *link = peer != NULL ? peer_newest (peer) : NULL;
+  const peer_link_t *link = peer != NULL ? peer_get_newest_link (peer) : NULL;
 
-  return link != NULL ? link_pending (link) : 0;
+  return link != NULL ? link_get_pending_bytes (link) : 0;
 }
 
 void
--- a/libcoltsfootdrum/wire/test-hubs.c
+++ b/libcoltsfootdrum/wire/test-hubs.c
@@ -4,9 +4,9 @@
 #include <string.h>
 #include <unistd.h>
 
-#define STEP_S 0.005
+#define POLL_INTERVAL_S 0.005
 /* A guard against a hang, far above what any case needs.  */
-#define GUARD_MS 20000
+#define HANG_TIMEOUT_MS 20000
 
 static void
 on_message (void *user, const peer_id_t *peer, const msg_t *message,
@@ -21,9 +21,9 @@
       node->event (node, message);
       return;
     }
-  g_string_append_printf (node->told, "%s<%s ", msg_kind_name (message->kind),
-                          peer->instance);
-  if (!node->replies || message->kind != MSG_CANCEL)
+  g_string_append_printf (node->event_log, "%s<%s ",
+                          msg_kind_name (message->kind), peer->instance);
+  if (!node->sends_ack || message->kind != MSG_CANCEL)
     return;
   /* All that an owner may do from inside a callback.  */
   peer_hub_hold (node->hub, peer->instance);
@@ -38,10 +38,10 @@
 
   g_assert_false (node->up);
   node->up = true;
-  node->session++;
+  node->session_count++;
   if (node->event != NULL)
     node->event (node, NULL);
-  g_string_append_printf (node->told, "+%s/%u ", peer->instance,
+  g_string_append_printf (node->event_log, "+%s/%u ", peer->instance,
                           (unsigned)peer->incarnation);
 }
 
@@ -58,7 +58,7 @@
       node->event (node, NULL);
       return;
     }
-  g_string_append_printf (node->told, "-%s/%u ", peer->instance,
+  g_string_append_printf (node->event_log, "-%s/%u ", peer->instance,
                           (unsigned)peer->incarnation);
   (void)peer_hub_send (node->hub, peer->instance, &message);
 }
@@ -70,17 +70,17 @@
 {
   static const peer_events_t events
       = { .message = on_message, .up = on_up, .down = on_down };
-  peer_hub_options_t self = { .role = role,
-                              .instance = instance,
-                              .zone = "zone-a",
-                              .incarnation = incarnation,
-                              .listen = address,
-                              .secret = secret };
+  peer_hub_options_t options = { .role = role,
+                                 .instance = instance,
+                                 .zone = "zone-a",
+                                 .incarnation = incarnation,
+                                 .listen = address,
+                                 .secret = secret };
   g_autoptr (GError) error = NULL;
 
-  if (node->told == NULL)
-    node->told = g_string_new (NULL);
-  node->hub = peer_hub_new (hubs->loop, &self, NULL, &events, node, &error);
+  if (node->event_log == NULL)
+    node->event_log = g_string_new (NULL);
+  node->hub = peer_hub_new (hubs->loop, &options, NULL, &events, node, &error);
   g_assert_no_error (error);
 }
 
@@ -92,24 +92,25 @@
 }
 
 static void
-hubs_step (struct ev_loop *loop, ev_timer *watcher, int events)
+on_poll (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   hubs_t *hubs = watcher->data;
 
-  if (hubs->reached == NULL)
+  if (hubs->condition == NULL)
     return;
-  if (hubs->reached (hubs))
+  if (hubs->condition (hubs))
     ev_break (loop, EVBREAK_ALL);
-  else if (clock_now () > hubs->until)
-    g_error ("not reached; a: %s| b: %s| c: %s", hubs->a.told->str,
-             hubs->b.told->str, hubs->c.told ? hubs->c.told->str : "");
+  else if (clock_now () > hubs->deadline)
+    g_error ("not reached; a: %s| b: %s| c: %s", hubs->a.event_log->str,
+             hubs->b.event_log->str,
+             hubs->c.event_log ? hubs->c.event_log->str : "");
 }
 
 void
-hubs_run_until (hubs_t *hubs, bool (*reached) (hubs_t *))
+hubs_run_until (hubs_t *hubs, bool (*condition) (hubs_t *))
 {
-  hubs->reached = reached;
-  hubs->until = clock_now () + GUARD_MS;
+  hubs->condition = condition;
+  hubs->deadline = clock_now () + HANG_TIMEOUT_MS;
   ev_run (hubs->loop, 0);
 }
 
@@ -131,12 +132,12 @@
 hubs_start (hubs_t *hubs, const char *secret_of_b)
 {
   memset (hubs, 0, sizeof *hubs);
-  hubs->raw = -1;
+  hubs->raw_fd = -1;
   choose_addresses (hubs);
   hubs->loop = ev_loop_new (EVFLAG_AUTO);
-  ev_timer_init (&hubs->step, hubs_step, STEP_S, STEP_S);
-  hubs->step.data = hubs;
-  ev_timer_start (hubs->loop, &hubs->step);
+  ev_timer_init (&hubs->poll_timer, on_poll, POLL_INTERVAL_S, POLL_INTERVAL_S);
+  hubs->poll_timer.data = hubs;
+  ev_timer_start (hubs->loop, &hubs->poll_timer);
   hubs_node_start (hubs, &hubs->a, ROLE_ROUTER, "a", hubs->address_a, 1,
                    HUBS_SECRET);
   hubs_node_start (hubs, &hubs->b, ROLE_AGENT, "b", hubs->address_b, 2,
@@ -158,50 +159,51 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (nodes); i++)
     {
       hubs_node_stop (nodes[i]);
-      if (nodes[i]->told != NULL)
-        g_string_free (nodes[i]->told, TRUE);
+      if (nodes[i]->event_log != NULL)
+        g_string_free (nodes[i]->event_log, TRUE);
     }
-  if (hubs->raw >= 0)
-    close (hubs->raw);
-  ev_timer_stop (hubs->loop, &hubs->step);
+  if (hubs->raw_fd >= 0)
+    close (hubs->raw_fd);
+  ev_timer_stop (hubs->loop, &hubs->poll_timer);
   ev_loop_destroy (hubs->loop);
 }
 
 bool
-hubs_told (const hubs_node_t *node, const char *text)
+hubs_has_event (const hubs_node_t *node, const char *text)
 {
-  return strstr (node->told->str, text) != NULL;
+  return strstr (node->event_log->str, text) != NULL;
 }
 
 bool
-hubs_both_up (hubs_t *hubs)
+hubs_are_both_up (hubs_t *hubs)
 {
-  return hubs_told (&hubs->a, "+b/2 ") && hubs_told (&hubs->b, "+a/1 ");
+  return hubs_has_event (&hubs->a, "+b/2 ")
+         && hubs_has_event (&hubs->b, "+a/1 ");
 }
 
 peer_counters_t
 hubs_counters (const hubs_node_t *node)
 {
-  peer_counters_t counted;
+  peer_counters_t counters;
 
-  peer_hub_get_counters (node->hub, &counted);
-  return counted;
+  peer_hub_get_counters (node->hub, &counters);
+  return counters;
 }
 
 peer_link_t *
 hubs_link (const hubs_node_t *node, const char *instance)
 {
-  return peer_newest (hub_peer (node->hub, instance));
+  return peer_get_newest_link (hub_get_or_add_peer (node->hub, instance));
 }
 
 static void
-note_line (void *user, const char *line)
+write_test_message (void *user, const char *line)
 {
   g_test_message ("%s", line);
 }
 
 void
-hubs_log_as_notes (void)
+hubs_log_to_test_output (void)
 {
-  log_set_sink (note_line, NULL);
+  log_set_sink (write_test_message, NULL);
 }
--- a/libcoltsfootdrum/wire/test-hubs.h
+++ b/libcoltsfootdrum/wire/test-hubs.h
@@ -13,15 +13,15 @@
 struct hubs_node
 {
   peer_hub_t *hub;
-  GString *told; /* "+PEER/INCARNATION ", "-PEER/... ", "KIND<PEER " */
-  bool replies;  /* answers a CANCEL by an ACK from inside the callback */
+  GString *event_log; /* "+PEER/INCARNATION ", "-PEER/... ", "KIND<PEER " */
+  bool sends_ack;     /* answers a CANCEL by an ACK from inside the callback */
   /* Called in place of the notes in TOLD, unless NULL; MESSAGE is NULL for
      an up and a down.  */
   void (*event) (hubs_node_t *node, const msg_t *message);
-  bool up;          /* ups and downs must alternate, frames come between */
-  unsigned session; /* ups so far */
-  uint64_t seen;    /* for the test's use */
-  uint64_t next;    /* for the test's use */
+  bool up; /* ups and downs must alternate, frames come between */
+  unsigned session_count; /* ups so far */
+  uint64_t last_received; /* for the test's use */
+  uint64_t last_sequence; /* for the test's use */
 };
 
 typedef struct hubs hubs_t;
@@ -29,14 +29,14 @@
 struct hubs
 {
   struct ev_loop *loop;
-  ev_timer step;
-  cfd_time_t until;
-  bool (*reached) (hubs_t *hubs);
+  ev_timer poll_timer;
+  cfd_time_t deadline;
+  bool (*condition) (hubs_t *hubs);
   char address_a[32];
   char address_b[32];
   char address_c[32];
   hubs_node_t a, b, c;
-  int raw; /* a socket of somebody who has no hub, or -1 */
+  int raw_fd; /* a socket of somebody who has no hub, or -1 */
 };
 
 /* Starts "a", incarnation 1, and "b", incarnation 2, unconnected.  */
@@ -52,14 +52,14 @@
 void hubs_hold_b (hubs_t *hubs);
 
 /* Runs the loop until REACHED says so; a hang ends the test.  */
-void hubs_run_until (hubs_t *hubs, bool (*reached) (hubs_t *hubs));
-bool hubs_both_up (hubs_t *hubs);
+void hubs_run_until (hubs_t *hubs, bool (*condition) (hubs_t *hubs));
+bool hubs_are_both_up (hubs_t *hubs);
 
-bool hubs_told (const hubs_node_t *node, const char *text);
+bool hubs_has_event (const hubs_node_t *node, const char *text);
 peer_counters_t hubs_counters (const hubs_node_t *node);
 peer_link_t *hubs_link (const hubs_node_t *node, const char *instance);
 
 /* Log lines become notes in the test's output.  */
-void hubs_log_as_notes (void);
+void hubs_log_to_test_output (void);
 
 #endif
--- a/libcoltsfootdrum/wire/test-msg-state.c
+++ b/libcoltsfootdrum/wire/test-msg-state.c
@@ -13,19 +13,19 @@
 {
   msg_state_t sender;
   msg_state_t receiver;
-} line_t;
+} link_states_t;
 
 static void
-line_clear (line_t *line)
+link_states_clear (link_states_t *states)
 {
-  msg_state_clear (&line->sender);
-  msg_state_clear (&line->receiver);
+  msg_state_clear (&states->sender);
+  msg_state_clear (&states->receiver);
 }
 
 static msg_t *
-pass (line_t *line, const msg_t *message, size_t *bytes)
+transfer (link_states_t *states, const msg_t *message, size_t *bytes)
 {
-  g_autoptr (GByteArray) frame = msg_encode (message, &line->sender);
+  g_autoptr (GByteArray) frame = msg_encode (message, &states->sender);
   uint32_t length;
   size_t prefix;
 
@@ -35,7 +35,7 @@
       MSG_LENGTH_COMPLETE);
   g_assert_cmpuint (prefix + length, ==, frame->len);
   *bytes = frame->len;
-  return msg_decode (frame->data + prefix, length, &line->receiver, NULL);
+  return msg_decode (frame->data + prefix, length, &states->receiver, NULL);
 }
 
 static void
@@ -46,23 +46,23 @@
                         .revision = 123456,
                         .u.grant = { 4711, INCARNATION, "draft", "branch-12",
                                      INFINITY, 1234567.4 } };
-  line_t line = { 0 };
-  size_t first;
-  size_t second;
-  g_autoptr (msg_t) one = pass (&line, &grant, &first);
-  g_autoptr (msg_t) two = pass (&line, &grant, &second);
-
-  g_assert_cmpstr (two->u.grant.account, ==, "branch-12");
-  g_assert_cmpstr (two->u.grant.service, ==, "draft");
-  g_assert_cmpuint (two->stamp, ==, grant.stamp);
-  g_assert_cmpuint (two->revision, ==, grant.revision);
-  g_assert_cmpuint (one->u.grant.incarnation, ==, INCARNATION);
-  g_assert_cmpuint (two->u.grant.incarnation, ==, INCARNATION);
-  g_assert_true (isinf (two->u.grant.limit_vt));
-  g_assert_cmpfloat (two->u.grant.floor, ==, 1234567);
-  g_assert_cmpuint (second + 20, <, first);
-  g_assert_cmpuint (second, <=, 24);
-  line_clear (&line);
+  link_states_t states = { 0 };
+  size_t first_bytes;
+  size_t second_bytes;
+  g_autoptr (msg_t) first_message = transfer (&states, &grant, &first_bytes);
+  g_autoptr (msg_t) second_message = transfer (&states, &grant, &second_bytes);
+
+  g_assert_cmpstr (second_message->u.grant.account, ==, "branch-12");
+  g_assert_cmpstr (second_message->u.grant.service, ==, "draft");
+  g_assert_cmpuint (second_message->stamp, ==, grant.stamp);
+  g_assert_cmpuint (second_message->revision, ==, grant.revision);
+  g_assert_cmpuint (first_message->u.grant.incarnation, ==, INCARNATION);
+  g_assert_cmpuint (second_message->u.grant.incarnation, ==, INCARNATION);
+  g_assert_true (isinf (second_message->u.grant.limit_vt));
+  g_assert_cmpfloat (second_message->u.grant.floor, ==, 1234567);
+  g_assert_cmpuint (second_bytes + 20, <, first_bytes);
+  g_assert_cmpuint (second_bytes, <=, 24);
+  link_states_clear (&states);
 }
 
 /* More names than numbers, messages that are refused in between: what arrives
@@ -72,7 +72,7 @@
 {
   g_autoptr (GRand) random = g_rand_new_with_seed (7);
   g_autofree char *too_long = g_strnfill (MSG_NAME_MAX + 1, 'n');
-  line_t line = { 0 };
+  link_states_t states = { 0 };
   msg_t message = { .kind = MSG_DECLINE, .stamp = 1ull << 57 };
 
   for (unsigned i = 0; i < ROUNDS; i++)
@@ -91,16 +91,16 @@
       decline->service = service;
       decline->left.account = too_long;
       if (g_rand_int_range (random, 0, 50) == 0)
-        g_assert_null (msg_encode (&message, &line.sender));
+        g_assert_null (msg_encode (&message, &states.sender));
       decline->left.account = account;
-      got = pass (&line, &message, &bytes);
+      got = transfer (&states, &message, &bytes);
       g_assert_nonnull (got);
       g_assert_cmpstr (got->u.decline.left.account, ==, account);
       g_assert_cmpstr (got->u.decline.service, ==, service);
       g_assert_cmpuint (got->stamp, ==, message.stamp);
       g_assert_cmpuint (got->revision, ==, message.revision);
     }
-  line_clear (&line);
+  link_states_clear (&states);
 }
 
 #define PAYLOAD(text) (text), sizeof (text) - 1
@@ -113,10 +113,10 @@
 {
   static const struct
   {
-    const char *why;
+    const char *name;
     const char *payload;
     size_t length;
-    bool good;
+    bool is_valid;
   } cases[] = {
     { "a name", PAYLOAD ("\x94\x0f\x01\x01\xa1z"), true },
     { "the number it got", PAYLOAD ("\x94\x0f\x01\x01\x00"), true },
@@ -142,8 +142,8 @@
       g_autofree uint8_t *copy = g_memdup2 (cases[i].payload, cases[i].length);
       g_autoptr (msg_t) got = msg_decode (copy, cases[i].length, &state, NULL);
 
-      if ((got != NULL) != cases[i].good)
-        g_error ("%s", cases[i].why);
+      if ((got != NULL) != cases[i].is_valid)
+        g_error ("%s", cases[i].name);
     }
   msg_state_clear (&state);
 }
@@ -154,8 +154,8 @@
   static const struct
   {
     const char *bytes;
-    size_t have;
-    msg_length_t what;
+    size_t length_available;
+    msg_length_t expected;
     uint32_t length;
     size_t prefix;
   } cases[] = {
@@ -177,10 +177,10 @@
       size_t prefix;
 
       g_assert_cmpint (msg_parse_length ((const uint8_t *)cases[i].bytes,
-                                         cases[i].have, true, &length,
-                                         &prefix),
-                       ==, cases[i].what);
-      if (cases[i].what != MSG_LENGTH_COMPLETE)
+                                         cases[i].length_available, true,
+                                         &length, &prefix),
+                       ==, cases[i].expected);
+      if (cases[i].expected != MSG_LENGTH_COMPLETE)
         continue;
       g_assert_cmpuint (length, ==, cases[i].length);
       g_assert_cmpuint (prefix, ==, cases[i].prefix);
--- a/libcoltsfootdrum/wire/test-msg.c
+++ b/libcoltsfootdrum/wire/test-msg.c
@@ -72,7 +72,7 @@
 };
 
 static GByteArray *
-frame_of (unsigned index)
+encode_sample (unsigned index)
 {
   msg_t message = messages[index];
 
@@ -95,16 +95,17 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (messages); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_autoptr (GByteArray) sent = frame_of (i);
-      g_autoptr (msg_t) got = decode_frame (sent, &error);
-      g_autoptr (GByteArray) again = NULL;
+      g_autoptr (GByteArray) sent = encode_sample (i);
+      g_autoptr (msg_t) decoded = decode_frame (sent, &error);
+      g_autoptr (GByteArray) encoded_again = NULL;
 
       g_assert_no_error (error);
-      again = msg_encode (got, NULL);
-      g_assert_cmpmem (sent->data, sent->len, again->data, again->len);
-      g_assert_cmpuint (got->kind, ==, messages[i].kind);
-      g_assert_cmpuint (got->revision, ==, 990);
-      kinds |= 1u << got->kind;
+      encoded_again = msg_encode (decoded, NULL);
+      g_assert_cmpmem (sent->data, sent->len, encoded_again->data,
+                       encoded_again->len);
+      g_assert_cmpuint (decoded->kind, ==, messages[i].kind);
+      g_assert_cmpuint (decoded->revision, ==, 990);
+      kinds |= 1u << decoded->kind;
     }
   g_assert_cmpuint (kinds, ==, (1u << MSG_KIND_COUNT) - 2);
 }
@@ -115,15 +116,15 @@
 test_fields (void)
 {
   g_autoptr (GByteArray) frame = NULL;
-  g_autoptr (msg_t) got = NULL;
+  g_autoptr (msg_t) decoded = NULL;
   const msg_assign_t *assign;
   unsigned index = 0;
 
   while (messages[index].kind != MSG_ASSIGN)
     index++;
-  frame = frame_of (index);
-  got = decode_frame (frame, NULL);
-  assign = &got->u.assign;
+  frame = encode_sample (index);
+  decoded = decode_frame (frame, NULL);
+  assign = &decoded->u.assign;
   g_assert_cmpuint (assign->grant, ==, 7);
   g_assert_cmpuint (assign->incarnation, ==, 8);
   g_assert_cmpstr (assign->request, ==, "req");
@@ -148,10 +149,10 @@
 {
   msg_t message = { .kind = MSG_ASSIGN };
   g_autoptr (GByteArray) frame = msg_encode (&message, NULL);
-  g_autoptr (msg_t) got = decode_frame (frame, NULL);
+  g_autoptr (msg_t) decoded = decode_frame (frame, NULL);
 
-  g_assert_cmpstr (got->u.assign.left.account, ==, "");
-  g_assert_cmpstr (got->u.assign.path, ==, "");
+  g_assert_cmpstr (decoded->u.assign.left.account, ==, "");
+  g_assert_cmpstr (decoded->u.assign.path, ==, "");
 }
 
 static void
@@ -159,7 +160,7 @@
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (messages); i++)
     {
-      g_autoptr (GByteArray) frame = frame_of (i);
+      g_autoptr (GByteArray) frame = encode_sample (i);
 
       for (size_t length = 0; length < frame->len - PREFIX; length++)
         {
@@ -202,10 +203,10 @@
 {
   static const struct
   {
-    const char *why;
+    const char *name;
     const char *payload;
     size_t length;
-    bool good;
+    bool is_valid;
   } cases[] = {
     { "empty", PAYLOAD (""), false },
     { "a ping", PAYLOAD ("\x93\x03\x01\x01"), true },
@@ -266,11 +267,12 @@
     {
       g_autofree uint8_t *copy = g_memdup2 (cases[i].payload, cases[i].length);
       g_autoptr (GError) error = NULL;
-      g_autoptr (msg_t) got = msg_decode (copy, cases[i].length, NULL, &error);
+      g_autoptr (msg_t) decoded
+          = msg_decode (copy, cases[i].length, NULL, &error);
 
-      if ((got != NULL) != cases[i].good)
-        g_error ("%s: %s", cases[i].why, error ? error->message : "accepted");
-      g_assert_true ((error == NULL) == cases[i].good);
+      if ((decoded != NULL) != cases[i].is_valid)
+        g_error ("%s: %s", cases[i].name, error ? error->message : "accepted");
+      g_assert_true ((error == NULL) == cases[i].is_valid);
     }
 }
 
@@ -283,14 +285,14 @@
   g_autofree char *name = g_strnfill (MSG_NAME_MAX + 1, 'n');
   g_autofree char *text = g_strnfill (MSG_TEXT_MAX + 1, 't');
   const char *const texts[] = { text };
-  const msg_waiting_t endless = { "a", 1, 1, 1, INFINITY };
+  const msg_waiting_t infinite = { "a", 1, 1, 1, INFINITY };
   const msg_t cases[] = {
     { .kind = MSG_CANCEL, .u.cancel = { name } },
     { .kind = MSG_NOT_STARTED, .u.not_started = { "r", text } },
     { .kind = MSG_DATA, .u.data = { "r", 0, 0, { body, sizeof body } } },
     { .kind = MSG_HEAD, .u.head = { "r", 200, 1, texts } },
     { .kind = MSG_HEAD, .u.head = { "r", 200, MSG_HEADERS_MAX + 1, many } },
-    { .kind = MSG_ANNOUNCE, .u.announce = { "s", true, 1, 1, &endless } },
+    { .kind = MSG_ANNOUNCE, .u.announce = { "s", true, 1, 1, &infinite } },
     { .kind = MSG_GRANT, .u.grant = { 1, 1, "s", "a", NAN, 1 } },
     { .kind = MSG_DECLINE, .u.decline = { 1, 0, "s", { 0 } } },
     { .kind = MSG_KIND_COUNT },
@@ -309,9 +311,9 @@
   {
     const char *start;
     size_t length;
-    uint8_t filler;
-    unsigned fillers;
-    bool good;
+    uint8_t filler_byte;
+    unsigned filler_count;
+    bool is_valid;
   } cases[] = {
     { PAYLOAD ("\x94\x0f\x01\x01\xda\x00\xff"), 'n', 255, true },
     { PAYLOAD ("\x94\x0f\x01\x01\xda\x01\x00"), 'n', 256, false },
@@ -326,14 +328,14 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GByteArray) payload = g_byte_array_new ();
-      g_autoptr (msg_t) got = NULL;
+      g_autoptr (msg_t) decoded = NULL;
 
       g_byte_array_append (payload, (const guint8 *)cases[i].start,
                            cases[i].length);
-      for (unsigned n = 0; n < cases[i].fillers; n++)
-        g_byte_array_append (payload, &cases[i].filler, 1);
-      got = msg_decode (payload->data, payload->len, NULL, NULL);
-      g_assert_true ((got != NULL) == cases[i].good);
+      for (unsigned n = 0; n < cases[i].filler_count; n++)
+        g_byte_array_append (payload, &cases[i].filler_byte, 1);
+      decoded = msg_decode (payload->data, payload->len, NULL, NULL);
+      g_assert_true ((decoded != NULL) == cases[i].is_valid);
     }
 }
 
@@ -347,18 +349,18 @@
 
   for (unsigned i = 0; i < MUTATIONS; i++)
     {
-      g_autoptr (GByteArray) frame
-          = frame_of (g_rand_int_range (random, 0, G_N_ELEMENTS (messages)));
-      g_autoptr (msg_t) got = NULL;
-      int flips = g_rand_int_range (random, 1, 5);
+      g_autoptr (GByteArray) frame = encode_sample (
+          g_rand_int_range (random, 0, G_N_ELEMENTS (messages)));
+      g_autoptr (msg_t) decoded = NULL;
+      int flip_count = g_rand_int_range (random, 1, 5);
 
-      while (flips-- > 0)
+      while (flip_count-- > 0)
         frame->data[g_rand_int_range (random, PREFIX, frame->len)]
             = (uint8_t)g_rand_int_range (random, 0, 256);
-      got = decode_frame (frame, NULL);
-      if (got == NULL)
+      decoded = decode_frame (frame, NULL);
+      if (decoded == NULL)
         continue;
-      g_byte_array_unref (msg_encode (got, NULL));
+      g_byte_array_unref (msg_encode (decoded, NULL));
       accepted++;
     }
   g_test_message ("accepted %u of %u", accepted, MUTATIONS);
--- a/libcoltsfootdrum/wire/test-peer-auth.c
+++ b/libcoltsfootdrum/wire/test-peer-auth.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 static bool
-b_refused (hubs_t *hubs)
+has_b_refused (hubs_t *hubs)
 {
   return hubs_counters (&hubs->b).links_refused > 0;
 }
@@ -20,14 +20,14 @@
 
   hubs_start (&hubs, "another secret of the size");
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, b_refused);
-  g_assert_cmpstr (hubs.a.told->str, ==, "");
-  g_assert_cmpstr (hubs.b.told->str, ==, "");
+  hubs_run_until (&hubs, has_b_refused);
+  g_assert_cmpstr (hubs.a.event_log->str, ==, "");
+  g_assert_cmpstr (hubs.b.event_log->str, ==, "");
   hubs_end (&hubs);
 }
 
 static bool
-a_refused (hubs_t *hubs)
+has_a_refused (hubs_t *hubs)
 {
   return hubs_counters (&hubs->a).links_refused > 0;
 }
@@ -44,8 +44,8 @@
                    HUBS_SECRET);
   peer_hub_set_address (hubs.a.hub, "b", hubs.address_c);
   peer_hub_hold (hubs.a.hub, "b");
-  hubs_run_until (&hubs, a_refused);
-  g_assert_cmpstr (hubs.a.told->str, ==, "");
+  hubs_run_until (&hubs, has_a_refused);
+  g_assert_cmpstr (hubs.a.event_log->str, ==, "");
   hubs_end (&hubs);
 }
 
@@ -54,7 +54,7 @@
 static void
 raw_send (hubs_t *hubs, const void *data, size_t length)
 {
-  g_assert_cmpint (send (hubs->raw, data, length, MSG_NOSIGNAL), ==,
+  g_assert_cmpint (send (hubs->raw_fd, data, length, MSG_NOSIGNAL), ==,
                    (gssize)length);
 }
 
@@ -71,10 +71,10 @@
 {
   uint32_t length;
 
-  if (recv (hubs->raw, &length, sizeof length, MSG_PEEK) != sizeof length)
+  if (recv (hubs->raw_fd, &length, sizeof length, MSG_PEEK) != sizeof length)
     return false;
-  return recv (hubs->raw, hubs->a.hub->chunk, GUINT32_FROM_BE (length) + 4,
-               MSG_PEEK)
+  return recv (hubs->raw_fd, hubs->a.hub->read_buffer,
+               GUINT32_FROM_BE (length) + 4, MSG_PEEK)
          == (gssize)GUINT32_FROM_BE (length) + 4;
 }
 
@@ -86,10 +86,10 @@
   uint32_t length;
 
   hubs_run_until (hubs, raw_has_frame);
-  g_assert_cmpint (recv (hubs->raw, &length, sizeof length, MSG_PEEK), ==,
+  g_assert_cmpint (recv (hubs->raw_fd, &length, sizeof length, MSG_PEEK), ==,
                    sizeof length);
   g_byte_array_set_size (frame, GUINT32_FROM_BE (length) + 4);
-  g_assert_cmpint (recv (hubs->raw, frame->data, frame->len, 0), ==,
+  g_assert_cmpint (recv (hubs->raw_fd, frame->data, frame->len, 0), ==,
                    frame->len);
   return frame;
 }
@@ -97,10 +97,10 @@
 static int listener;
 
 static bool
-raw_accepted (hubs_t *hubs)
+has_raw_accepted (hubs_t *hubs)
 {
-  hubs->raw = accept4 (listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  return hubs->raw >= 0;
+  hubs->raw_fd = accept4 (listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  return hubs->raw_fd >= 0;
 }
 
 /* An impostor at the address of "b" sends the dialler's own proof back to it.
@@ -120,7 +120,7 @@
   hubs_node_stop (&hubs.b);
   listener = addr_listen (hubs.address_b, NULL);
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, raw_accepted);
+  hubs_run_until (&hubs, has_raw_accepted);
   g_byte_array_unref (raw_receive (&hubs));
   raw_send_message (&hubs, &hello);
   {
@@ -128,8 +128,8 @@
 
     raw_send (&hubs, proof->data, proof->len);
   }
-  hubs_run_until (&hubs, a_refused);
-  g_assert_cmpstr (hubs.a.told->str, ==, "");
+  hubs_run_until (&hubs, has_a_refused);
+  g_assert_cmpstr (hubs.a.event_log->str, ==, "");
   close (listener);
   hubs_end (&hubs);
 }
@@ -144,25 +144,25 @@
   hubs_node_stop (&hubs.b);
   listener = addr_listen (hubs.address_b, NULL);
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, raw_accepted);
+  hubs_run_until (&hubs, has_raw_accepted);
   {
     g_autoptr (GByteArray) hello = raw_receive (&hubs);
 
     raw_send (&hubs, hello->data, hello->len);
   }
-  hubs_run_until (&hubs, a_refused);
-  g_assert_cmpstr (hubs.a.told->str, ==, "");
+  hubs_run_until (&hubs, has_a_refused);
+  g_assert_cmpstr (hubs.a.event_log->str, ==, "");
   close (listener);
   hubs_end (&hubs);
 }
 
 static bool
-b_closed_all (hubs_t *hubs)
+has_b_closed_all (hubs_t *hubs)
 {
-  peer_counters_t counted = hubs_counters (&hubs->b);
+  peer_counters_t counters = hubs_counters (&hubs->b);
 
-  return counted.frames_bad + counted.links_refused > 0
-         && hubs->b.hub->unproved == 0;
+  return counters.frames_bad + counters.links_refused > 0
+         && hubs->b.hub->unauthenticated_links == 0;
 }
 
 static void
@@ -190,11 +190,11 @@
 
       hubs_start (&hubs, HUBS_SECRET);
       g_assert_true (addr_parse (hubs.address_b, &addr, NULL));
-      hubs.raw = addr_connect (&addr);
+      hubs.raw_fd = addr_connect (&addr);
       g_byte_array_unref (raw_receive (&hubs));
       raw_send (&hubs, cases[i].bytes, cases[i].length);
-      hubs_run_until (&hubs, b_closed_all);
-      g_assert_cmpstr (hubs.b.told->str, ==, "");
+      hubs_run_until (&hubs, has_b_closed_all);
+      g_assert_cmpstr (hubs.b.event_log->str, ==, "");
       hubs_end (&hubs);
     }
 }
@@ -203,7 +203,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  hubs_log_as_notes ();
+  hubs_log_to_test_output ();
   g_test_add_func ("/peer-auth/wrong-secret", test_wrong_secret);
   g_test_add_func ("/peer-auth/other-instance", test_other_instance);
   g_test_add_func ("/peer-auth/reflected-proof", test_reflected_proof);
--- a/libcoltsfootdrum/wire/test-peer-random.c
+++ b/libcoltsfootdrum/wire/test-peer-random.c
@@ -10,47 +10,47 @@
 
 #define STEPS 4000
 #define ROUNDS 4 /* of the loop, in each step */
-#define MOST_FRAMES 4
+#define MAX_FRAMES 4
 
 /* A node's own view: the sequence it must get next, or 0 after an up, when
    any is good.  */
 static void
-check_event (hubs_node_t *node, const msg_t *message)
+check_sequence (hubs_node_t *node, const msg_t *message)
 {
   if (message == NULL)
     {
-      node->seen = 0;
+      node->last_received = 0;
       return;
     }
   g_assert_cmpint (message->kind, ==, MSG_CONFIG_ASK);
-  if (node->seen != 0)
-    g_assert_cmpuint (message->u.config_ask.have, ==, node->seen + 1);
-  node->seen = message->u.config_ask.have;
+  if (node->last_received != 0)
+    g_assert_cmpuint (message->u.config_ask.have, ==, node->last_received + 1);
+  node->last_received = message->u.config_ask.have;
 }
 
 static void
-send_some (hubs_node_t *node, const char *to, GRand *random)
+send_random_frames (hubs_node_t *node, const char *to, GRand *random)
 {
-  int count = g_rand_int_range (random, 0, MOST_FRAMES);
+  int count = g_rand_int_range (random, 0, MAX_FRAMES);
 
   for (int i = 0; i < count; i++)
     {
-      msg_t message
-          = { .kind = MSG_CONFIG_ASK, .u.config_ask = { node->next + 1 } };
+      msg_t message = { .kind = MSG_CONFIG_ASK,
+                        .u.config_ask = { node->last_sequence + 1 } };
 
       if (peer_hub_send (node->hub, to, &message))
-        node->next++;
+        node->last_sequence++;
     }
 }
 
 /* The connection goes silent for good: neither side gets an error.  */
 static void
-silence (hubs_t *hubs, peer_link_t *link)
+silence_link (hubs_t *hubs, peer_link_t *link)
 {
   ev_io_stop (hubs->loop, &link->readable);
   ev_io_stop (hubs->loop, &link->writable);
   if (peer_hub_is_up (hubs->a.hub, "b"))
-    hubs_link (&hubs->a, "b")->quiet_since -= PEER_SILENCE_TIMEOUT_MS;
+    hubs_link (&hubs->a, "b")->silent_since -= PEER_SILENCE_TIMEOUT_MS;
 }
 
 static void
@@ -59,7 +59,7 @@
   uint64_t incarnation = g_rand_int (random) | 1u;
 
   hubs_node_stop (&hubs->b);
-  hubs->b.seen = 0;
+  hubs->b.last_received = 0;
   hubs_node_start (hubs, &hubs->b, ROLE_AGENT, "b", hubs->address_b,
                    incarnation, HUBS_SECRET);
 }
@@ -75,13 +75,13 @@
   if (fault == 0)
     restart_b (hubs, random);
   if (fault == 1)
-    node->hub->ticked -= 10 * PEER_FROZEN_MS;
+    node->hub->last_tick -= 10 * PEER_FREEZE_THRESHOLD_MS;
   if (fault > 4 || !peer_hub_is_up (node->hub, other))
     return;
   if (fault == 2)
     shutdown (hubs_link (node, other)->fd, SHUT_RDWR);
   if (fault == 3)
-    silence (hubs, hubs_link (node, other));
+    silence_link (hubs, hubs_link (node, other));
   if (fault == 4)
     link_close (hubs_link (node, other), "fault");
 }
@@ -90,25 +90,27 @@
 static void
 run_rounds (hubs_t *hubs)
 {
-  hub_peer (hubs->a.hub, "b")->next_dial = 0;
-  ev_feed_event (hubs->loop, &hubs->a.hub->tick, EV_TIMER);
-  ev_feed_event (hubs->loop, &hubs->b.hub->tick, EV_TIMER);
+  hub_get_or_add_peer (hubs->a.hub, "b")->next_dial = 0;
+  ev_feed_event (hubs->loop, &hubs->a.hub->tick_timer, EV_TIMER);
+  ev_feed_event (hubs->loop, &hubs->b.hub->tick_timer, EV_TIMER);
   for (int i = 0; i < ROUNDS; i++)
     ev_run (hubs->loop, EVRUN_NOWAIT);
 }
 
 static bool
-both_saw_all (hubs_t *hubs)
+have_both_received_all (hubs_t *hubs)
 {
-  hub_peer (hubs->a.hub, "b")->next_dial = 0;
-  return hubs->a.seen != 0 && hubs->a.seen == hubs->b.next && hubs->b.seen != 0
-         && hubs->b.seen == hubs->a.next;
+  hub_get_or_add_peer (hubs->a.hub, "b")->next_dial = 0;
+  return hubs->a.last_received != 0
+         && hubs->a.last_received == hubs->b.last_sequence
+         && hubs->b.last_received != 0
+         && hubs->b.last_received == hubs->a.last_sequence;
 }
 
 static bool
-both_are_up (hubs_t *hubs)
+are_both_up (hubs_t *hubs)
 {
-  hub_peer (hubs->a.hub, "b")->next_dial = 0;
+  hub_get_or_add_peer (hubs->a.hub, "b")->next_dial = 0;
   return peer_hub_is_up (hubs->a.hub, "b")
          && peer_hub_is_up (hubs->b.hub, "a");
 }
@@ -121,31 +123,31 @@
   hubs_t hubs;
 
   hubs_start (&hubs, HUBS_SECRET);
-  hubs.a.event = check_event;
-  hubs.b.event = check_event;
+  hubs.a.event = check_sequence;
+  hubs.b.event = check_sequence;
   hubs_hold_b (&hubs);
   for (int step = 0; step < STEPS; step++)
     {
-      send_some (&hubs.a, "b", random);
-      send_some (&hubs.b, "a", random);
+      send_random_frames (&hubs.a, "b", random);
+      send_random_frames (&hubs.b, "a", random);
       inject_fault (&hubs, random);
       run_rounds (&hubs);
     }
   /* Without faults it heals, and what is sent then arrives.  */
-  hubs_run_until (&hubs, both_are_up);
+  hubs_run_until (&hubs, are_both_up);
   do
     {
-      hubs_run_until (&hubs, both_are_up);
-      message.u.config_ask.have = hubs.a.next + 1;
+      hubs_run_until (&hubs, are_both_up);
+      message.u.config_ask.have = hubs.a.last_sequence + 1;
     }
   while (!peer_hub_send (hubs.a.hub, "b", &message));
-  hubs.a.next++;
-  message.u.config_ask.have = ++hubs.b.next;
+  hubs.a.last_sequence++;
+  message.u.config_ask.have = ++hubs.b.last_sequence;
   g_assert_true (peer_hub_send (hubs.b.hub, "a", &message));
-  hubs_run_until (&hubs, both_saw_all);
-  g_test_message ("sessions of a: %u, frames of a: %u", hubs.a.session,
-                  (unsigned)hubs.a.next);
-  g_assert_cmpuint (hubs.a.session, >, 10);
+  hubs_run_until (&hubs, have_both_received_all);
+  g_test_message ("sessions of a: %u, frames of a: %u", hubs.a.session_count,
+                  (unsigned)hubs.a.last_sequence);
+  g_assert_cmpuint (hubs.a.session_count, >, 10);
   hubs_end (&hubs);
 }
 
@@ -153,7 +155,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  hubs_log_as_notes ();
+  hubs_log_to_test_output ();
   for (unsigned seed = 1; seed <= 5; seed++)
     {
       g_autofree char *path = g_strdup_printf ("/peer-random/seed-%u", seed);
--- a/libcoltsfootdrum/wire/test-peer.c
+++ b/libcoltsfootdrum/wire/test-peer.c
@@ -8,9 +8,9 @@
 #define BYTES(text) text, sizeof (text) - 1
 
 static bool
-a_got_ack (hubs_t *hubs)
+has_a_got_ack (hubs_t *hubs)
 {
-  return hubs_told (&hubs->a, "ACK<b ");
+  return hubs_has_event (&hubs->a, "ACK<b ");
 }
 
 static void
@@ -20,16 +20,16 @@
   hubs_t hubs;
 
   hubs_start (&hubs, HUBS_SECRET);
-  hubs.b.replies = true;
+  hubs.b.sends_ack = true;
   hubs_hold_b (&hubs);
   g_assert_false (peer_hub_send (hubs.a.hub, "b", &cancel));
-  hubs_run_until (&hubs, hubs_both_up);
+  hubs_run_until (&hubs, hubs_are_both_up);
   g_assert_true (peer_hub_is_up (hubs.a.hub, "b"));
   g_assert_true (peer_hub_send (hubs.a.hub, "b", &cancel));
   g_assert_cmpuint (peer_hub_get_pending_bytes (hubs.a.hub, "b"), >, 0);
-  hubs_run_until (&hubs, a_got_ack);
+  hubs_run_until (&hubs, has_a_got_ack);
   g_assert_cmpuint (peer_hub_get_pending_bytes (hubs.a.hub, "b"), ==, 0);
-  g_assert_cmpstr (hubs.b.told->str, ==, "+a/1 CANCEL<a ");
+  g_assert_cmpstr (hubs.b.event_log->str, ==, "+a/1 CANCEL<a ");
   g_assert_cmpuint (hubs_counters (&hubs.a).links_up, ==, 1);
   hubs_end (&hubs);
 }
@@ -37,10 +37,10 @@
 /* ---- proved links that go wrong ---- */
 
 static bool
-b_counted_bad (hubs_t *hubs)
+has_b_closed_bad_link (hubs_t *hubs)
 {
   return hubs_counters (&hubs->b).frames_bad > 0
-         && hubs_told (&hubs->b, "-a/1 ");
+         && hubs_has_event (&hubs->b, "-a/1 ");
 }
 
 static void
@@ -65,25 +65,25 @@
 
       hubs_start (&hubs, HUBS_SECRET);
       hubs_hold_b (&hubs);
-      hubs_run_until (&hubs, hubs_both_up);
+      hubs_run_until (&hubs, hubs_are_both_up);
       link = hubs_link (&hubs.a, "b");
       g_byte_array_append (link->out, (const guint8 *)cases[i].bytes,
                            cases[i].length);
       link_flush (link);
-      hubs_run_until (&hubs, b_counted_bad);
+      hubs_run_until (&hubs, has_b_closed_bad_link);
       hubs_end (&hubs);
     }
 }
 
 static bool
-a_up_again (hubs_t *hubs)
+is_a_up_again (hubs_t *hubs)
 {
-  return hubs_told (&hubs->a, "+b/2 -b/2 +b/2 ")
-         && hubs_told (&hubs->b, "+a/1 -a/1 +a/1 ");
+  return hubs_has_event (&hubs->a, "+b/2 -b/2 +b/2 ")
+         && hubs_has_event (&hubs->b, "+a/1 -a/1 +a/1 ");
 }
 
 static bool
-b_is_quiet (hubs_t *hubs)
+is_b_unresponsive (hubs_t *hubs)
 {
   return peer_hub_is_unresponsive (hubs->a.hub, "b", clock_now ());
 }
@@ -99,35 +99,35 @@
 
   hubs_start (&hubs, HUBS_SECRET);
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, hubs_both_up);
-  g_assert_false (b_is_quiet (&hubs));
+  hubs_run_until (&hubs, hubs_are_both_up);
+  g_assert_false (is_b_unresponsive (&hubs));
   ev_io_stop (hubs.loop, &hubs_link (&hubs.b, "a")->readable);
-  hubs_run_until (&hubs, b_is_quiet);
+  hubs_run_until (&hubs, is_b_unresponsive);
   g_assert_cmpuint (hubs_counters (&hubs.a).silences, ==, 0);
-  hubs_run_until (&hubs, a_up_again);
-  g_assert_false (b_is_quiet (&hubs));
+  hubs_run_until (&hubs, is_a_up_again);
+  g_assert_false (is_b_unresponsive (&hubs));
   g_assert_cmpuint (hubs_counters (&hubs.a).silences, ==, 1);
   g_assert_cmpuint (hubs_counters (&hubs.b).links_up, ==, 1);
   hubs_end (&hubs);
 }
 
 static bool
-b_got_two (hubs_t *hubs)
+has_b_got_two (hubs_t *hubs)
 {
-  return hubs_told (&hubs->b, "CANCEL<a CANCEL<a ");
+  return hubs_has_event (&hubs->b, "CANCEL<a CANCEL<a ");
 }
 
 static bool
-both_up_again (hubs_t *hubs)
+are_both_up_again (hubs_t *hubs)
 {
-  return hubs_told (&hubs->a, "-b/2 +b/2 ")
-         && hubs_told (&hubs->b, "-a/1 +a/1 ");
+  return hubs_has_event (&hubs->a, "-b/2 +b/2 ")
+         && hubs_has_event (&hubs->b, "-a/1 +a/1 ");
 }
 
 static bool
-b_got_one_more (hubs_t *hubs)
+has_b_got_one_more (hubs_t *hubs)
 {
-  return hubs_told (&hubs->b, "-a/1 +a/1 CANCEL<a ");
+  return hubs_has_event (&hubs->b, "-a/1 +a/1 CANCEL<a ");
 }
 
 /* A request that is cancelled after its link was replaced is cancelled, and
@@ -142,14 +142,14 @@
 
   hubs_start (&hubs, HUBS_SECRET);
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, hubs_both_up);
+  hubs_run_until (&hubs, hubs_are_both_up);
   g_assert_true (peer_hub_send (hubs.a.hub, "b", &cancel));
   g_assert_true (peer_hub_send (hubs.a.hub, "b", &cancel));
-  hubs_run_until (&hubs, b_got_two);
+  hubs_run_until (&hubs, has_b_got_two);
   link_close (hubs_link (&hubs.a, "b"), "end of the test's first link");
-  hubs_run_until (&hubs, both_up_again);
+  hubs_run_until (&hubs, are_both_up_again);
   g_assert_true (peer_hub_send (hubs.a.hub, "b", &cancel));
-  hubs_run_until (&hubs, b_got_one_more);
+  hubs_run_until (&hubs, has_b_got_one_more);
   g_assert_cmpuint (hubs_counters (&hubs.b).frames_bad, ==, 0);
   hubs_end (&hubs);
 }
@@ -165,20 +165,20 @@
 
   hubs_start (&hubs, HUBS_SECRET);
   hubs.b.hub->short_frames = false;
-  hubs.b.replies = true;
+  hubs.b.sends_ack = true;
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, hubs_both_up);
+  hubs_run_until (&hubs, hubs_are_both_up);
   g_assert_true (peer_hub_send (hubs.a.hub, "b", &cancel));
-  hubs_run_until (&hubs, a_got_ack);
+  hubs_run_until (&hubs, has_a_got_ack);
   g_assert_cmpuint (hubs_counters (&hubs.a).frames_bad, ==, 0);
   g_assert_cmpuint (hubs_counters (&hubs.b).frames_bad, ==, 0);
   hubs_end (&hubs);
 }
 
 static bool
-a_saw_restart (hubs_t *hubs)
+has_a_seen_restart (hubs_t *hubs)
 {
-  return hubs_told (&hubs->a, "+b/2 -b/2 +b/9 ");
+  return hubs_has_event (&hubs->a, "+b/2 -b/2 +b/9 ");
 }
 
 static void
@@ -188,18 +188,18 @@
 
   hubs_start (&hubs, HUBS_SECRET);
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, hubs_both_up);
+  hubs_run_until (&hubs, hubs_are_both_up);
   hubs_node_stop (&hubs.b);
   hubs_node_start (&hubs, &hubs.b, ROLE_AGENT, "b", hubs.address_b, 9,
                    HUBS_SECRET);
-  hubs_run_until (&hubs, a_saw_restart);
+  hubs_run_until (&hubs, has_a_seen_restart);
   hubs_end (&hubs);
 }
 
 static bool
-a_saw_successor (hubs_t *hubs)
+has_a_seen_successor (hubs_t *hubs)
 {
-  return hubs_told (&hubs->a, "+c/3 -c/3 +c/4 ");
+  return hubs_has_event (&hubs->a, "+c/3 -c/3 +c/4 ");
 }
 
 /* Router "c" was replaced while its old link to "a" still stands, for its old
@@ -215,7 +215,7 @@
                    HUBS_SECRET);
   peer_hub_set_address (hubs.c.hub, "a", hubs.address_a);
   peer_hub_hold (hubs.c.hub, "a");
-  while (!hubs_told (&hubs.a, "+c/3 "))
+  while (!hubs_has_event (&hubs.a, "+c/3 "))
     ev_run (hubs.loop, EVRUN_ONCE);
   peer_hub_release (hubs.c.hub, "a");
   hubs_node_stop (&hubs.b);
@@ -223,7 +223,7 @@
                    HUBS_SECRET);
   peer_hub_set_address (hubs.b.hub, "a", hubs.address_a);
   peer_hub_hold (hubs.b.hub, "a");
-  hubs_run_until (&hubs, a_saw_successor);
+  hubs_run_until (&hubs, has_a_seen_successor);
   g_assert_cmpuint (hubs_counters (&hubs.a).links_up, ==, 1);
   hubs_end (&hubs);
 }
@@ -236,17 +236,18 @@
   static uint8_t bytes[MSG_DATA_MAX];
   msg_t data
       = { .kind = MSG_DATA, .u.data = { "r", 0, 0, { bytes, sizeof bytes } } };
-  size_t most = 0;
+  size_t max_pending = 0;
   hubs_t hubs;
 
   hubs_start (&hubs, HUBS_SECRET);
   hubs_hold_b (&hubs);
-  hubs_run_until (&hubs, hubs_both_up);
+  hubs_run_until (&hubs, hubs_are_both_up);
   while (peer_hub_send (hubs.a.hub, "b", &data))
-    most = MAX (most, peer_hub_get_pending_bytes (hubs.a.hub, "b"));
-  g_assert_cmpuint (most, <=, PEER_MAX_OUTPUT_BYTES);
-  g_assert_cmpstr (hubs.a.told->str, ==, "+b/2 ");
-  hubs_run_until (&hubs, a_up_again);
+    max_pending
+        = MAX (max_pending, peer_hub_get_pending_bytes (hubs.a.hub, "b"));
+  g_assert_cmpuint (max_pending, <=, PEER_MAX_OUTPUT_BYTES);
+  g_assert_cmpstr (hubs.a.event_log->str, ==, "+b/2 ");
+  hubs_run_until (&hubs, is_a_up_again);
   hubs_end (&hubs);
 }
 
@@ -257,14 +258,14 @@
 {
   static const struct
   {
-    const char *why;
-    bool held;
-    int quiet_ms;  /* since something was heard */
-    int pinged_ms; /* since the last PING */
-    int open_ms;   /* since the oldest unanswered PING; 0: none */
-    int late_ms;   /* since the watch last ran */
-    bool closed;
-    bool pings;
+    const char *name;
+    bool is_held;
+    int silent_ms;      /* since something was heard */
+    int pinged_ms;      /* since the last PING */
+    int unanswered_ms;  /* since the oldest unanswered PING; 0: none */
+    int since_check_ms; /* since the watch last ran */
+    bool expects_close;
+    bool expects_ping;
   } cases[] = {
     { "lively", true, 100, 1000, 0, 100, false, false },
     { "quiet for a heartbeat", true, 500, 600, 0, 100, false, true },
@@ -282,26 +283,28 @@
       peer_link_t *link;
       cfd_time_t now;
       hubs_t hubs;
-      size_t before;
+      size_t pending_before;
 
       hubs_start (&hubs, HUBS_SECRET);
       hubs_hold_b (&hubs);
-      hubs_run_until (&hubs, hubs_both_up);
-      if (!cases[i].held)
+      hubs_run_until (&hubs, hubs_are_both_up);
+      if (!cases[i].is_held)
         peer_hub_release (hubs.a.hub, "b");
       link = hubs_link (&hubs.a, "b");
       now = clock_now ();
-      link->quiet_since = now - cases[i].quiet_ms;
-      link->sent = link->quiet_since;
-      link->pinged = now - cases[i].pinged_ms;
-      link->ping_open = cases[i].open_ms ? now - cases[i].open_ms : 0;
-      hubs.a.hub->ticked = now - cases[i].late_ms;
-      before = link_pending (link);
-      watch_links (hubs.a.hub, now);
-      if ((link->state == LINK_CLOSED) != cases[i].closed
-          || (!cases[i].closed
-              && (link_pending (link) > before) != cases[i].pings))
-        g_error ("%s", cases[i].why);
+      link->silent_since = now - cases[i].silent_ms;
+      link->last_sent = link->silent_since;
+      link->last_ping = now - cases[i].pinged_ms;
+      link->unanswered_ping_since
+          = cases[i].unanswered_ms ? now - cases[i].unanswered_ms : 0;
+      hubs.a.hub->last_tick = now - cases[i].since_check_ms;
+      pending_before = link_get_pending_bytes (link);
+      watch_check_links (hubs.a.hub, now);
+      if ((link->state == LINK_CLOSED) != cases[i].expects_close
+          || (!cases[i].expects_close
+              && (link_get_pending_bytes (link) > pending_before)
+                     != cases[i].expects_ping))
+        g_error ("%s", cases[i].name);
       hubs_end (&hubs);
     }
 }
@@ -310,7 +313,7 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  hubs_log_as_notes ();
+  hubs_log_to_test_output ();
   g_test_add_func ("/peer/messages", test_messages);
   g_test_add_func ("/peer/bad-frames-of-a-peer", test_bad_frames_of_a_peer);
   g_test_add_func ("/peer/silent-link", test_silent_link);
