--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -74,9 +74,9 @@
     return;
   follow->store->platform_is_up = is_up;
   if (is_up)
-    log_info (PART, "Platform is reachable.");
+    log_info (PART, "The platform answers.");
   else
-    log_warn (PART, "Platform is unreachable: status=%s.",
+    log_warn (PART, "The platform does not answer: status=%s.",
               plat_status_name (status));
 }
 
--- a/libcoltsfootdrum/config/store-send.c
+++ b/libcoltsfootdrum/config/store-send.c
@@ -137,7 +137,7 @@
                            msg_config_part_t *part)
 {
   log_warn (PART,
-            "Configuration is too large to send to a peer, which has to read"
+            "The configuration is too large for a peer, which has to read"
             " the platform: bytes=%zu.",
             packer->bytes);
   g_ptr_array_set_size (packer->arrays, 0);
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -38,7 +38,7 @@
     {
       store->has_shared_keys = true;
       log_warn (PART,
-                "Two accounts have the same key, the first by name keeps it:"
+                "Two accounts have one key, the first by name holds it:"
                 " account=%s other=%s.",
                 entry->name, other->name);
       if (strcmp (other->name, entry->name) < 0)
