--- a/libcoltsfootdrum/wire/msg-fields.h
+++ b/libcoltsfootdrum/wire/msg-fields.h
@@ -1,5 +1,5 @@
-/* The layout of each message kind as a table.  One table drives encoding,
-   decoding and their checks, so that the three can't drift apart.  */
+/* Layouts of the message kinds, as tables.  One table drives encoding,
+   decoding and their checks, so that the three always agree.  */
 
 #ifndef WIRE_MSG_FIELDS_H
 #define WIRE_MSG_FIELDS_H
@@ -8,34 +8,36 @@
 
 /* Longest path, header line or detail.  */
 #define MSG_TEXT_MAX (64u * 1024)
-/* Most records in one part of the configuration: all of a large fleet.  */
+/* Most texts in one part of the configuration, enough for all records of a
+   large fleet.  */
 #define MSG_RECORDS_MAX 32768u
-/* Longest JSON text of one configuration record: a platform object.  */
+/* Longest JSON text in a part, enough for the largest platform object.  */
 #define MSG_RECORD_MAX (1024u * 1024 + 4096)
 
 typedef enum
 {
   FIELD_U32,
   FIELD_U64,
-  FIELD_INCARNATION, /* a 64-bit number, mostly that of the last frame */
+  FIELD_INCARNATION, /* 64 bits, mostly the same as in the last frame */
   FIELD_DOUBLE,      /* a finite double */
-  FIELD_TOKENS,      /* the same, told in whole tokens */
-  FIELD_TOKEN_LIMIT, /* tokens that may be infinite */
+  FIELD_TOKENS,      /* a finite double, rounded to whole tokens */
+  FIELD_TOKEN_LIMIT, /* like FIELD_TOKENS, but may be infinite */
   FIELD_BOOL,
   FIELD_ENUM,    /* an enumeration of 1 to MAX */
-  FIELD_NAME,    /* at most MSG_NAME_MAX bytes; by number in short frames */
+  FIELD_NAME,    /* at most MAX bytes; sent as a number in short frames */
   FIELD_STRING,  /* at most MAX bytes, none of them zero */
   FIELD_BYTES,   /* at most MAX bytes */
-  FIELD_STRINGS, /* at most COUNT_MAX strings of at most MAX bytes */
-  FIELD_STRUCT,  /* a nested struct of SHAPE */
-  FIELD_STRUCTS  /* at most COUNT_MAX structs of SHAPE */
+  FIELD_STRINGS, /* at most MAX_COUNT strings of at most MAX bytes */
+  FIELD_STRUCT,  /* a nested struct of LAYOUT */
+  FIELD_STRUCTS  /* at most MAX_COUNT structs of LAYOUT */
 } msg_field_type_t;
 
-/* A field that is added to an existing layout must be no FIELD_NAME: an older
-   receiver would skip it, and the two ends would number names differently.
+/* A field that is added to an existing layout must not be a FIELD_NAME,
+   because an older receiver would skip it and the two ends would then number
+   names differently.
 
-   Tokens are rounded, which takes 1 to 5 bytes in place of 9.  Counters are
-   absolute and each is rounded by itself, so half a token never adds up.  */
+   Tokens are rounded to take 1 to 5 bytes instead of 9.  Rounding errors don't
+   accumulate, because counters are totals and each is rounded by itself.  */
 
 typedef struct msg_layout msg_layout_t;
 
@@ -43,12 +45,13 @@
 {
   const char *name;
   msg_field_type_t type;
-  size_t offset;       /* in the struct of the layout */
-  size_t max;          /* see the types */
-  size_t count_offset; /* of the uint32_t that counts strings or rows */
+  size_t offset; /* in the struct of the layout */
+  size_t max;    /* see the types */
+  size_t
+      count_offset; /* of the uint32_t with the number of strings or structs */
   uint32_t max_count;
   const msg_layout_t *layout;
-  bool is_optional; /* older senders don't have it: then it reads as zero */
+  bool is_optional; /* missing from older senders, and zero then */
 } msg_field_t;
 
 struct msg_layout
@@ -59,7 +62,7 @@
   const msg_field_t *fields;
 };
 
-/* NULL for a kind that does not exist.  */
+/* Returns NULL for a kind that does not exist.  */
 const msg_layout_t *msg_get_layout (unsigned kind);
 
 /* Kind, stamp and revision come before the fields of the layout.  */
--- a/libcoltsfootdrum/wire/msg-pack.c
+++ b/libcoltsfootdrum/wire/msg-pack.c
@@ -4,19 +4,19 @@
 #include <msgpack/pack.h>
 #include <string.h>
 
-/* Whole numbers below this are packed as integers: 1 to 5 bytes for the
-   counters of tokens that most reals are, in place of 9.  */
+/* Whole numbers below this are packed as integers.  Most doubles are counters
+   of tokens, which then take 1 to 5 bytes instead of 9.  */
 #define MAX_PACKED_INTEGER 4294967296.0
-/* Room for most frames without growing.  */
+/* Enough for most frames.  */
 #define INITIAL_FRAME_BYTES 256
-/* Longest length before a frame.  */
+/* Size of the longest length before a frame.  */
 #define MAX_LENGTH_PREFIX_BYTES 5u
 
 typedef struct
 {
   msgpack_packer packer;
   msg_state_t *state;   /* NULL for a whole frame */
-  uint64_t incarnation; /* the last; 0 in a whole frame */
+  uint64_t incarnation; /* of the last frame; 0 in a whole frame */
 } writer_t;
 
 static int
@@ -38,7 +38,7 @@
   return true;
 }
 
-/* An infinity takes 5 bytes as a float.  */
+/* An infinity is packed as a float of 5 bytes.  */
 static bool
 pack_tokens (writer_t *writer, double value, bool must_be_finite)
 {
@@ -144,7 +144,7 @@
   return true;
 }
 
-/* False when the receiver would refuse the value.  */
+/* Returns false if the receiver would reject the value.  */
 static bool
 pack_field (writer_t *writer, const msg_field_t *field, const uint8_t *base)
 {
@@ -200,7 +200,8 @@
   return true;
 }
 
-/* False when the stamp can't be said.  */
+/* Packs kind, stamp and revision.  Returns false if the stamp can't be
+   encoded.  */
 static bool
 pack_prefix (writer_t *writer, const msg_t *message, uint32_t field_count)
 {
--- a/libcoltsfootdrum/wire/msg-state.c
+++ b/libcoltsfootdrum/wire/msg-state.c
@@ -2,14 +2,15 @@
 
 #include <string.h>
 
-/* A stamp is milliseconds above a count of events within one.  */
+/* A stamp has milliseconds in its upper bits and a count of events within the
+   millisecond in its lower bits.  */
 #define COUNT_BITS 16
 #define COUNT_MASK 0xffffu
 #define MS_MASK (UINT64_MAX >> COUNT_BITS)
-/* Most stamps have a count below 8: the short code has three bits for it.  */
+/* Most counts are below 8, so the short code has three bits for them.  */
 #define SHORT_COUNT_BITS 3
 #define SHORT_COUNT_MASK 7u
-/* Lowest bit of a code that has the whole count.  */
+/* Set in a code with a full count.  */
 #define CODE_HAS_FULL_COUNT 1u
 
 void
@@ -21,7 +22,7 @@
   memset (state, 0, sizeof *state);
 }
 
-/* Gives NAME the next number, which a former name loses.  */
+/* Assigns the next number to NAME in place of the name that had it.  */
 static char *
 add_name (msg_state_t *state, const char *name)
 {
--- a/libcoltsfootdrum/wire/msg-state.h
+++ b/libcoltsfootdrum/wire/msg-state.h
@@ -1,13 +1,13 @@
-/* What one end of a link remembers of the frames that went in one direction,
-   so that later frames say less: names by number, the stamp and the revision
-   by what was added since, an incarnation by its exclusive or with the last.
-   TCP keeps the order, so the sender's and the receiver's state agree frame by
-   frame; both start empty with each link.
+/* Compression state of one direction of a link, which makes frames short.
+   Names are sent as numbers, the stamp and the revision as differences from
+   the last frame, and an incarnation as its exclusive or with the last one.
+   TCP keeps the order of frames, so the states of sender and receiver agree
+   after each frame; both start empty with each link.
 
-   A name goes as text the first time, which gives it the next of
+   A name is sent as text the first time, which assigns it the next of
    MSG_NAMES_MAX numbers at both ends, and as that number afterwards.  Numbers
-   are given out in turn, so that an old name loses its number to a new one and
-   neither end keeps more.  The empty string gets none.  */
+   are assigned in turn; a new name takes the number of the oldest one, which
+   bounds the memory of both ends.  The empty string gets no number.  */
 
 #ifndef WIRE_MSG_STATE_H
 #define WIRE_MSG_STATE_H
@@ -16,7 +16,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Covers the accounts and running requests of one link; a number takes one
+/* Enough for the accounts and running requests of one link; a number takes one
    byte.  */
 #define MSG_NAMES_MAX 64u
 
@@ -25,28 +25,31 @@
   uint64_t stamp;
   uint64_t revision;
   uint64_t incarnation;       /* of the last grant or request */
-  uint32_t next_number;       /* number that the next name gets */
-  char *names[MSG_NAMES_MAX]; /* NULL before the first */
-  GHashTable *numbers;        /* at the sender: name to slot; NULL before */
+  uint32_t next_number;       /* number of the next new name */
+  char *names[MSG_NAMES_MAX]; /* by number; NULL if unassigned */
+  GHashTable *numbers;        /* name to number; NULL at the receiver */
 } msg_state_t;
 
-/* A state starts as all zeros.  */
+/* Frees the names of STATE and sets it to all zeros, its initial value.  */
 void msg_state_clear (msg_state_t *state);
 
-/* At the sender: whether NAME has a number; if not it gets the next one.  */
+/* Sender only: whether NAME has a number, which is stored in NUMBER.  If not,
+   it is assigned the next number.  */
 bool msg_state_intern_name (msg_state_t *state, const char *name,
                             uint32_t *number);
-/* At the sender, when a frame was not sent after all: its names are unknown
-   to the receiver.  All are sent as text again, from number NEXT on.  */
+/* Sender only: clears all names after a frame could not be encoded, since the
+   receiver will not get the names in it.  Names are then sent as text again,
+   and numbered from NEXT_NUMBER on.  */
 void msg_state_reset_names (msg_state_t *state, uint32_t next_number);
 
-/* At the receiver.  */
+/* Receiver only: assigns the next number to NAME, which came as text.  */
 void msg_state_add_name (msg_state_t *state, const char *name);
-/* The name of a number, NULL when the sender never gave it out.  */
+/* Returns the name of NUMBER, or NULL if it is unassigned.  */
 const char *msg_state_get_name (const msg_state_t *state, uint64_t number);
 
-/* The stamp as what was added since LAST: mostly 1 to 3 bytes.  False when it
-   can't be said: no clock of ours steps back or by millennia.  */
+/* Encodes STAMP as its difference from LAST, which mostly takes 1 to 3 bytes.
+   Returns false if STAMP is earlier than LAST or millennia later, which the
+   clocks of the fleet exclude.  */
 bool msg_stamp_encode (uint64_t last, uint64_t stamp, uint64_t *code);
 uint64_t msg_stamp_decode (uint64_t last, uint64_t code);
 
--- a/libcoltsfootdrum/wire/msg-unpack.c
+++ b/libcoltsfootdrum/wire/msg-unpack.c
@@ -1,7 +1,8 @@
-/* Decoding of frames.  msgpack-c's own tree reader allocates as many objects
-   as an array's header claims, before it has seen them: five hostile bytes
-   ask for 64 GB.  Its reader template is used instead with callbacks that
-   build nodes only within a budget, and refuse types that no field has.  */
+/* Decoding of frames.  The tree parser of msgpack-c allocates the number of
+   objects in an array's header before it has seen them, so that five hostile
+   bytes make it ask for 64 GB.  Its parser template is used instead, with
+   callbacks that build a limited number of nodes and reject types that no
+   field has.  */
 
 #include "wire/msg-fields.h"
 
@@ -11,7 +12,7 @@
 #include <msgpack/zone.h>
 #include <string.h>
 
-/* All nodes of one frame: the most rows with room for new fields.  */
+/* Limit of all nodes of one frame: the most structs, with spare fields.  */
 #define NODES_MAX (MSG_ENTRIES_MAX * 16u)
 #define ARENA_CHUNK_BYTES 2048u
 
@@ -69,7 +70,7 @@
 build_bytes (node_type_t type, const char *bytes, uint32_t length,
              node_t *node)
 {
-  /* The template gives no pointer with an empty string.  */
+  /* The template passes no pointer for an empty string.  */
   *node = (node_t){ .type = type,
                     .length = length,
                     .u.bytes = length > 0 ? bytes : "" };
@@ -228,7 +229,8 @@
   return true;
 }
 
-/* Copied, for a later field of the frame may give its number to another.  */
+/* The name is copied, because a later field of the frame may assign its number
+   to another name.  */
 static bool
 decode_name (const decoder_t *decoder, const node_t *node, size_t limit,
              const char **dest)
@@ -347,7 +349,7 @@
   return false;
 }
 
-/* From the COUNT nodes that there are; the memory is zeroed.  */
+/* Decodes the fields of LAYOUT from COUNT nodes into DEST, which is zeroed. */
 static bool
 decode_fields (const decoder_t *decoder, const msg_layout_t *layout,
                const node_t *nodes, uint32_t count, uint8_t *dest,
@@ -368,7 +370,8 @@
   return true;
 }
 
-/* The stamp and revision of a short frame are what was added to the last.  */
+/* Restores the stamp and revision of a short frame, which are differences from
+   the last frame.  */
 static void
 apply_prefix (msg_state_t *state, msg_t *message)
 {
@@ -423,7 +426,7 @@
   return status > 0 && used == length;
 }
 
-/* Leading bytes of msgpack's unsigned integers.  */
+/* First bytes of msgpack's unsigned integers.  */
 #define UINT_FIX_MAX 0x7f
 #define UINT_8 0xcc
 #define UINT_32 0xce
--- a/libcoltsfootdrum/wire/msg.h
+++ b/libcoltsfootdrum/wire/msg.h
@@ -1,16 +1,17 @@
-/* Messages between the system's own processes, as one tagged union.
+/* Messages between the processes of the fleet, as a tagged union.
 
-   On the wire a message is a frame: a length, then one msgpack array [kind,
+   On the wire a message is a frame: a length, then a msgpack array [kind,
    stamp, revision, fields...].  The fields of a kind are in the order of its
-   struct here.  Decoding checks each type and length, and ignores extra
-   trailing fields, so that a newer sender can add some (but no names: see
+   struct below.  Decoding checks each type and length, and ignores extra
+   trailing fields, so that a newer sender can add fields (but no names: see
    msg-fields.h).
 
-   The proof of a link has whole frames, which stand alone, behind a 32-bit
-   big-endian length.  All later frames are short ones, which say only what
-   the other end can't know from former frames (msg-state.h), behind a length
-   that is a msgpack unsigned integer; but whole ones when one end doesn't
-   know the short, so that a fleet can be upgraded one process at a time.  */
+   There are two kinds of frames.  A whole frame can be decoded by itself and
+   follows a 32-bit big-endian length.  A short frame omits what the receiver
+   knows from earlier frames of the link (msg-state.h) and follows a length
+   that is a msgpack unsigned integer.  The frames that authenticate a link are
+   whole, and all later ones short.  If one end doesn't support short frames,
+   all are whole, so that a fleet can be upgraded one process at a time.  */
 
 #ifndef WIRE_MSG_H
 #define WIRE_MSG_H
@@ -67,8 +68,9 @@
   size_t length;
 } msg_bytes_t;
 
-/* First frame of both sides of a link.  INCARNATION is random for each start
-   of a process: a restarted peer on the old address is another peer.  */
+/* First frame of both sides of a link.  INCARNATION is chosen at random when a
+   process starts, so that a restarted peer at the old address is told apart.
+   SHORT_FRAMES (optional) says that the sender supports short frames.  */
 typedef struct
 {
   uint32_t protocol;
@@ -77,27 +79,28 @@
   const char *zone;
   uint64_t incarnation;
   msg_bytes_t nonce;
-  bool short_frames; /* known here; late */
+  bool short_frames;
 } msg_hello_t;
 
-/* Keyed hash over both nonces and the sender's hello.  */
+/* Keyed hash over both nonces and the sender's HELLO.  */
 typedef struct
 {
   msg_bytes_t mac;
 } msg_proof_t;
 
-/* Work that waits for one account at one router.  */
+/* Requests of one account that wait at one router.  */
 typedef struct
 {
   const char *account;
   uint32_t count;      /* waiting requests; 0 withdraws the entry */
-  uint32_t class_rank; /* best class that waits; lower goes first */
-  uint32_t oldest_ms;  /* age of the oldest that waits */
-  double virtual_time; /* weighted tokens served in the fleet */
+  uint32_t class_rank; /* lowest rank that waits; lower ranks go first */
+  uint32_t oldest_ms;  /* age of the oldest waiting request */
+  double virtual_time; /* weighted tokens served by the fleet */
 } msg_waiting_t;
 
-/* Router to agent.  Replaces the entries named; when FULL, all others of this
-   router and service are withdrawn.  Lives LIFE_MS from its arrival.  */
+/* Router to agent: the router's waiting requests of a service.  Replaces the
+   entries of the accounts listed; with FULL, all others of this router and
+   service are withdrawn.  Expires LIFE_MS after its arrival.  */
 typedef struct
 {
   const char *service;
@@ -107,10 +110,10 @@
   const msg_waiting_t *entries;
 } msg_announce_t;
 
-/* Agent to router: a free slot for one request of ACCOUNT.  The router
-   declines when the account's virtual time has passed LIMIT_VT, the second
-   best choice of the agent: its knowledge was stale.  FLOOR is the least
-   virtual time announced to the agent.  */
+/* Agent to router: a free slot for one request of ACCOUNT.  LIMIT_VT is the
+   virtual time of the agent's second choice; the router declines when the
+   account's virtual time has passed it, because the agent's data was stale.
+   FLOOR is the lowest virtual time announced to the agent.  */
 typedef struct
 {
   uint64_t grant;
@@ -122,8 +125,8 @@
 } msg_grant_t;
 
 /* Router to agent: the request that takes the slot of a grant.  HEADERS are
-   "Name: value".  GRANT is 0 under the baseline policy, which pushes.  After
-   the request come the router's remaining work for the account.  */
+   "Name: value".  GRANT is 0 under the baseline policy, where routers push
+   requests.  LEFT is what still waits at the router for the account.  */
 typedef struct
 {
   uint64_t grant;
@@ -143,10 +146,10 @@
 
 typedef enum
 {
-  DECLINE_NO_WORK = 1, /* placed elsewhere meanwhile, or expired */
+  DECLINE_NO_WORK = 1, /* the request was placed elsewhere or has expired */
   DECLINE_STALE,       /* the virtual time has passed limit_vt */
-  DECLINE_ZONE,        /* the router knows the agent's zone as out */
-  DECLINE_DRAINING     /* the router is going away */
+  DECLINE_ZONE,        /* the agent's zone is out of service */
+  DECLINE_DRAINING     /* the router is shutting down */
 } decline_reason_t;
 
 typedef struct
@@ -157,7 +160,7 @@
   msg_waiting_t left;
 } msg_decline_t;
 
-/* Agent's word that it did not start the request and never will.  */
+/* Agent to router: the agent did not start the request and never will.  */
 typedef struct
 {
   const char *request;
@@ -172,8 +175,8 @@
   const char *const *headers;
 } msg_head_t;
 
-/* A piece of the answer's body from OFFSET.  TOKENS counts output tokens
-   since the start of the answer.  */
+/* Agent to router: bytes of the response body at OFFSET.  TOKENS counts output
+   tokens since the start of the response.  */
 typedef struct
 {
   const char *request;
@@ -184,11 +187,11 @@
 
 typedef enum
 {
-  OUTCOME_COMPLETE = 1, /* the whole answer of LENGTH bytes was sent */
-  OUTCOME_BROKEN,       /* the endpoint broke off; the request may have run */
-  OUTCOME_UNREACHED,    /* the endpoint was never reached; not run */
-  OUTCOME_CANCELLED,    /* the router asked for it */
-  OUTCOME_UNKNOWN       /* the agent knows no such request */
+  OUTCOME_COMPLETE = 1, /* the whole response of LENGTH bytes was sent */
+  OUTCOME_BROKEN,    /* the response ended early; the request may have run */
+  OUTCOME_UNREACHED, /* the endpoint was not reached; it did not run */
+  OUTCOME_CANCELLED, /* cancelled by the router */
+  OUTCOME_UNKNOWN    /* the agent has no such request */
 } outcome_t;
 
 typedef struct
@@ -201,8 +204,8 @@
   const char *detail;
 } msg_end_t;
 
-/* Router to agent: body bytes up to OFFSET have left for the caller, and with
-   DONE the end was seen: the agent forgets the request.  */
+/* Router to agent: body bytes up to OFFSET were sent to the client.  DONE
+   acknowledges the END, after which the agent drops the request.  */
 typedef struct
 {
   const char *request;
@@ -210,8 +213,8 @@
   bool done;
 } msg_ack_t;
 
-/* After a lost link: send again the head, if HEAD is set, the body from
-   OFFSET and the end.  */
+/* Router to agent after a lost link: asks to send again the HEAD if HEAD is
+   set, the body from OFFSET, and the END.  */
 typedef struct
 {
   const char *request;
@@ -224,10 +227,10 @@
   const char *request;
 } msg_cancel_t;
 
-/* Router to the account's home router: absolute service of this router's
+/* Router to the account's home router: total charge of this router's
    incarnation for one account and service, in weighted tokens.  ACKED and
-   LAST_VT are the charge and virtual time of the newest share heard, by which
-   a new home is rebuilt.  */
+   LAST_VT are the charge and virtual time of the newest SHARE received, from
+   which a new home restores its state.  */
 typedef struct
 {
   const char *account;
@@ -246,7 +249,7 @@
   const msg_report_entry_t *entries;
 } msg_report_t;
 
-/* Home to router: the account's fleet-wide virtual time, with the newest
+/* Home router to router: the account's fleet-wide virtual time, and the newest
    SEQUENCE and CHARGED of the receiver that it includes.  */
 typedef struct
 {
@@ -263,17 +266,19 @@
   const msg_share_entry_t *entries;
 } msg_share_t;
 
-/* A place in a whole state, in the order of kind and name: that of the last
-   object before it.  KIND is a rec_kind_t; 0 is the start, and the end.  */
+/* A position in a snapshot of the configuration, which is ordered by kind and
+   name: that of the last object before it.  KIND is a rec_kind_t, or 0 for the
+   start or the end.  */
 typedef struct
 {
   uint32_t kind;
   const char *name;
 } msg_cursor_t;
 
-/* The receiver sends what changed after revision HAVE.  When that takes a
-   whole state, a sender that knows PIECES gets it so: those of revision STATE
-   after AFTER, or from the start when STATE is 0.  All but HAVE is late.  */
+/* Asks the receiver for the changes after revision HAVE.  If that takes a
+   snapshot, a sender that supports PIECES gets it in pieces: the next one of
+   the snapshot of revision STATE after AFTER, or the first one when STATE is
+   0.  All fields but HAVE are optional.  */
 typedef struct
 {
   uint64_t have;
@@ -282,15 +287,17 @@
   msg_cursor_t after;
 } msg_config_ask_t;
 
-/* Records changed in (FROM, UP_TO], as JSON texts: each a platform object or
-   an array of them, so that 18,000 fit into one frame; FROM 0 is the whole
-   configuration.  AGE_MS tells how long ago the sender or those it learned
-   from heard the platform.
-
-   Where STATE isn't 0 (all from there on is late), this is a piece of the
-   whole state of that revision: the records after AFTER, up to NEXT.  Its FROM
-   is beyond every revision, so that a program that doesn't know pieces leaves
-   it alone: taken for the whole, it would delete all that it lacks.  */
+/* Records that changed in (FROM, UP_TO], as JSON texts.  Each text is a
+   platform object or an array of objects, so that 18,000 records fit into one
+   frame.  With FROM 0 it is a snapshot of the whole configuration.  AGE_MS is
+   the time since the sender, or the peer that its configuration came from,
+   last got an answer from the platform.
+
+   If STATE isn't 0, this is a piece of the snapshot of that revision: the
+   records after AFTER up to NEXT.  STATE and the fields after it are optional.
+   The FROM of a piece is higher than any revision, so that a program without
+   support for pieces ignores it; taken for a whole snapshot, it would delete
+   all records that it lacks.  */
 typedef struct
 {
   uint64_t from;
@@ -305,7 +312,7 @@
 
 #define MSG_FROM_SNAPSHOT_PIECE UINT64_MAX
 
-/* Agent to routers under the baseline policy, each 100 ms.  */
+/* Agent to routers under the baseline policy, every 100 ms.  */
 typedef struct
 {
   const char *service;
@@ -343,11 +350,12 @@
   void *arena; /* memory of a decoded message; NULL for one made locally */
 } msg_t;
 
-/* The frame of MESSAGE with its length: a short one with STATE, the sender's
-   of the link, or a whole one with NULL.  A NULL string is sent as the empty
-   string.  NULL when a field is over its limit, or a number that must be
-   finite is not: the receiver would close the link, and with it end the work
-   of others.  STATE is then as if the message had never been.  */
+/* Returns the frame of MESSAGE with its length: a short one if STATE, the
+   link's state at the sender, is given, or a whole one if it is NULL.  A NULL
+   string is sent as the empty string.  Returns NULL if a field exceeds its
+   limit or a number that must be finite is not, because the receiver would
+   close the link, which other requests use as well.  STATE then stays usable,
+   as if the message had not been encoded.  */
 GByteArray *msg_encode (const msg_t *message, msg_state_t *state);
 
 typedef enum
@@ -357,17 +365,17 @@
   MSG_LENGTH_INVALID
 } msg_length_t;
 
-/* Reads the length before a frame, a short one if so, from the HAVE bytes.
-   PREFIX is how many bytes the length itself takes.  */
+/* Parses the length before a frame from the AVAILABLE bytes; IS_SHORT tells
+   the kind of frame.  PREFIX is set to the size of the length itself.  */
 msg_length_t msg_parse_length (const uint8_t *bytes, size_t available,
                                bool is_short, uint32_t *length,
                                size_t *prefix);
 
-/* Decodes the payload of one frame (without its length): a short one with
-   STATE, the receiver's of the link, or a whole one with NULL.  Strings are
-   copied and never NULL; byte fields point into PAYLOAD, which must outlive
-   the message.  NULL with CFD_ERROR_FRAME when malformed: STATE is of no use
-   then, and the link has to end.  */
+/* Decodes the payload of one frame, without its length: a short one if STATE,
+   the link's state at the receiver, is given, or a whole one if it is NULL.
+   Strings are copied and never NULL; byte fields point into PAYLOAD, which
+   must outlive the message.  Returns NULL and sets CFD_ERROR_FRAME if the
+   frame is malformed; STATE is invalid then, and the link has to be closed. */
 msg_t *msg_decode (const uint8_t *payload, size_t length, msg_state_t *state,
                    GError **error);
 void msg_free (msg_t *message);
@@ -375,7 +383,7 @@
 
 const char *msg_kind_name (msg_kind_t kind);
 
-/* All kinds but those that carry requests and answers.  */
+/* Whether KIND carries no part of a request or response.  */
 bool msg_is_control (msg_kind_t kind);
 
 #endif
--- a/libcoltsfootdrum/wire/test-msg-state.c
+++ b/libcoltsfootdrum/wire/test-msg-state.c
@@ -1,5 +1,5 @@
-/* Short frames: both ends of a link number names alike, whatever was sent, and
-   a sender that doesn't is refused.  */
+/* Tests of short frames: both ends of a link assign the same numbers to names,
+   whatever is sent, and invalid numbers are rejected.  */
 
 #include "wire/msg.h"
 
@@ -65,8 +65,8 @@
   link_states_clear (&states);
 }
 
-/* More names than numbers, messages that are refused in between: what arrives
-   is what was sent.  */
+/* With more names than numbers, and messages that fail to encode in between,
+   all messages arrive as they were sent.  */
 static void
 test_random (void)
 {
@@ -105,8 +105,8 @@
 
 #define PAYLOAD(text) (text), sizeof (text) - 1
 
-/* A sender at fault, or one that is not ours, speaks of numbers that it never
-   gave out.  The frame is refused and the link ends: a guess would give one
+/* A faulty or hostile sender uses numbers that it has not assigned.  The frame
+   must be rejected, which closes the link; accepting it could give one
    account's slot to another.  */
 static void
 test_hostile (void)
--- a/libcoltsfootdrum/wire/test-msg.c
+++ b/libcoltsfootdrum/wire/test-msg.c
@@ -1,5 +1,5 @@
-/* Frames: every kind survives the wire; truncated, hostile and mutated ones
-   are refused without harm.  */
+/* Tests of frames: every kind is decoded as it was encoded, and truncated,
+   hostile and mutated frames are rejected.  */
 
 #include "wire/msg-fields.h"
 
@@ -110,8 +110,8 @@
   g_assert_cmpuint (kinds, ==, (1u << MSG_KIND_COUNT) - 2);
 }
 
-/* The same table packs and unpacks, so a swapped offset would go unseen by
-   the round trip: look at the fields of the largest kind themselves.  */
+/* The same table drives encoding and decoding, so the round trip would not
+   detect a swapped offset.  Checks the fields of the largest kind.  */
 static void
 test_fields (void)
 {
@@ -139,11 +139,11 @@
   g_assert_cmpfloat (assign->cost_hint, ==, 0.1);
   g_assert_true (assign->idempotent);
   g_assert_cmpuint (assign->left.oldest_ms, ==, 3);
-  /* 4.5, told in whole tokens.  */
+  /* 4.5, rounded to whole tokens.  */
   g_assert_cmpfloat (assign->left.virtual_time, ==, 5);
 }
 
-/* A local message may leave strings NULL; the receiver never sees NULL.  */
+/* Strings may be NULL in a message to encode, but never in a decoded one.  */
 static void
 test_null_strings (void)
 {
@@ -165,7 +165,8 @@
       for (size_t length = 0; length < frame->len - PREFIX; length++)
         {
           g_autoptr (GError) error = NULL;
-          /* A copy of just this size, so that a read past it is seen.  */
+          /* A copy of exactly this size, so that sanitizers detect a read past
+             its end.  */
           g_autofree uint8_t *cut = g_memdup2 (frame->data + PREFIX, length);
 
           g_assert_null (msg_decode (cut, length, NULL, &error));
@@ -174,7 +175,7 @@
     }
 }
 
-/* What a program from before the late fields sends is understood.  */
+/* Frames of an older program, without the optional fields, are accepted.  */
 static void
 test_late (void)
 {
@@ -210,7 +211,7 @@
   } cases[] = {
     { "empty", PAYLOAD (""), false },
     { "a ping", PAYLOAD ("\x93\x03\x01\x01"), true },
-    { "a field more than we know", PAYLOAD ("\x94\x03\x01\x01\xa1z"), true },
+    { "an additional field", PAYLOAD ("\x94\x03\x01\x01\xa1z"), true },
     { "a byte after the frame", PAYLOAD ("\x93\x03\x01\x01\x01"), false },
     { "no array", PAYLOAD ("\x03"), false },
     { "too few fields", PAYLOAD ("\x92\x03\x01"), false },
@@ -276,7 +277,7 @@
     }
 }
 
-/* A sender refuses what the receiver would close the link for.  */
+/* The sender rejects messages for which the receiver would close the link.  */
 static void
 test_limits (void)
 {
@@ -303,7 +304,7 @@
     g_assert_null (msg_encode (&cases[i], NULL));
 }
 
-/* The same limits at the receiver, for a sender that checks less.  */
+/* The receiver checks the same limits, in case a sender does not.  */
 static void
 test_too_long (void)
 {
@@ -339,8 +340,8 @@
     }
 }
 
-/* Whatever a mutated frame decodes to must be whole: encoding it again reads
-   every field, so that the sanitizers see a pointer gone wrong.  */
+/* A mutated frame that is accepted must decode to a valid message.  Encoding
+   it again reads every field, so that sanitizers detect an invalid pointer. */
 static void
 test_mutated (void)
 {
