--- a/libcoltsfootdrum/wire/peer-auth.c
+++ b/libcoltsfootdrum/wire/peer-auth.c
@@ -1,13 +1,13 @@
-/* Mutual proof of a shared secret.
+/* Mutual authentication of a link by a shared secret.
 
      both      HELLO (nonce)
      dialler   PROOF = keyed hash (direction, both nonces, its HELLO)
      acceptor  checks it, then answers with its own PROOF
 
-   Both nonces are in each hash, so an old proof is worth nothing on a new
-   link.  The direction is in it, so a proof sent back to its maker is refused.
-   The acceptor answers last, so whoever doesn't know the secret gets no hash
-   to guess it from.  */
+   Both nonces are in each hash, so a PROOF can't be replayed on another link.
+   The direction is in it, so a PROOF can't be reflected to its sender.  The
+   acceptor answers last, so a dialler that doesn't know the secret gets no
+   hash for guessing it offline.  */
 
 #include "wire/peer-private.h"
 
@@ -27,7 +27,7 @@
                       strlen (secret), NULL, 0);
 }
 
-/* The proof of the dialler's or the acceptor's side of LINK.  */
+/* Computes the PROOF of the dialler's or the acceptor's side of LINK.  */
 static void
 make_mac (const peer_link_t *link, bool is_of_dialler,
           uint8_t mac[PEER_MAC_SIZE])
@@ -155,8 +155,8 @@
 auth_handle_frame (peer_link_t *link, const msg_t *message,
                    const uint8_t *payload, size_t length, cfd_time_t now)
 {
-  /* Believed once the link is proved: the other side's HELLO is part of its
-     proof, and before that the owner hears of nothing.  */
+  /* The owner gets no event, and so no revision, before the link is
+     authenticated; the peer's HELLO is covered by its PROOF.  */
   link_record_revision (link, message);
   if (link->state == LINK_AWAITING_HELLO && message->kind == MSG_HELLO)
     return handle_hello (link, &message->u.hello, payload, length);
--- a/libcoltsfootdrum/wire/peer-link.c
+++ b/libcoltsfootdrum/wire/peer-link.c
@@ -1,4 +1,4 @@
-/* One link: its socket, its buffers, and frames to and from them.  */
+/* One link: its socket and buffers, and sending and receiving of frames.  */
 
 #include "wire/peer-private.h"
 
@@ -8,12 +8,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Larger buffers are given back once they are empty.  */
+/* Larger buffers are freed once they are empty.  */
 #define MAX_IDLE_BUFFER_BYTES (256u * 1024)
-/* Bytes read in one callback, so that one link can't starve the others.  */
+/* Limit of bytes read in one callback, so that one link can't starve others.
+ */
 #define MAX_READ_BYTES_PER_WAKEUP (256u * 1024)
-/* A stamp this far ahead of our wall clock is not taken in: one bad sender
-   would push all stamps of the fleet to the end of the scale.  */
+/* Stamps that are further ahead of the wall clock are ignored; otherwise one
+   bad sender could advance the clocks of the whole fleet to their limit.  */
 #define MAX_STAMP_AHEAD_MS (24 * 3600 * 1000)
 
 static void on_readable (struct ev_loop *loop, ev_io *watcher, int events);
@@ -129,8 +130,9 @@
   traffic->bytes += bytes;
 }
 
-/* What a frame of KIND to the other side is coded by: the proof is by whole
-   frames, for each side still has to learn what the other knows.  */
+/* Returns the state to encode a frame of KIND with, or NULL for a whole frame.
+   Authentication uses whole frames, because neither side knows yet whether the
+   other one supports short frames.  */
 static msg_state_t *
 choose_out_state (peer_link_t *link, msg_kind_t kind)
 {
@@ -155,8 +157,8 @@
                  msg_kind_name (message->kind));
       return false;
     }
-  /* A link that takes nothing is closed, not skipped: then both sides know
-     that frames were lost, and start anew.  */
+  /* A link whose output is full is closed instead of dropping the frame, so
+     that both sides know that frames were lost and start again.  */
   if (link_get_pending_bytes (link) + frame->len > PEER_MAX_OUTPUT_BYTES)
     {
       link_close (link, "output full");
@@ -305,8 +307,8 @@
               size_t prefix)
 {
   peer_hub_t *hub = link->hub;
-  /* Read afresh for each frame: the process may have been frozen since the
-     one before, and a grant may have lapsed meanwhile.  */
+  /* The clock is read for each frame, because the process may have been frozen
+     since the last one, and a grant may have expired meanwhile.  */
   cfd_time_t now = clock_now ();
   g_autoptr (GError) error = NULL;
   bool is_authenticated = link->state == LINK_AUTHENTICATED;
@@ -355,7 +357,7 @@
   link_close (link, "frame too large or of no length");
 }
 
-/* Takes whole frames from the input; returns how many bytes they had.  */
+/* Handles the complete frames in the input and returns their size in bytes. */
 static size_t
 handle_frames (peer_link_t *link)
 {
@@ -440,7 +442,7 @@
 {
   peer_link_t *link = watcher->data;
 
-  /* The owner hears of lost links before it gets frames of others.  */
+  /* The owner is notified of lost links before it gets frames of others.  */
   hub_notify_owner (link->hub);
   read_input (link);
   hub_notify_owner (link->hub);
--- a/libcoltsfootdrum/wire/peer-watch.c
+++ b/libcoltsfootdrum/wire/peer-watch.c
@@ -1,10 +1,10 @@
-/* Heartbeats of held links, and the end of silent and idle ones.
+/* Supervision of links: heartbeats, and closing of silent and idle links.
 
-   A held link is sent a PING when nothing was heard for a heartbeat: traffic
-   that flows costs no heartbeats.  Two faults close it.  Silence, because a
-   connection can go silent for good while new ones work; and a PING that is
-   never answered although something is heard, because then only one direction
-   works.  */
+   A PING is sent over a held link only after a heartbeat interval without
+   receiving anything, so that busy links need no heartbeats.  Two faults close
+   a held link: silence, because a connection can hang for good while new ones
+   work; and an unanswered PING although frames arrive, because then only one
+   direction works.  */
 
 #include "wire/peer-private.h"
 
@@ -45,8 +45,8 @@
     }
   if (now - link->last_ping < PEER_HEARTBEAT_INTERVAL_MS)
     return;
-  /* An unanswered PING is repeated only after silence: on a live link its
-     PONG is on the way behind other frames.  */
+  /* An unanswered PING is repeated only after silence; on a link that receives
+     frames, its PONG may be queued behind them.  */
   if (now - link->silent_since >= PEER_HEARTBEAT_INTERVAL_MS
       || now - link->last_ping >= PEER_SILENCE_TIMEOUT_MS)
     send_ping (link, now);
@@ -68,9 +68,9 @@
     link_close (link, "idle");
 }
 
-/* After a freeze of our own process everybody seems to have been silent: the
-   peers' frames wait unread in our sockets.  Without a fresh start all held
-   links would be closed at once.  */
+/* After the own process was frozen, all peers seem to have been silent,
+   because their frames are still unread in the sockets.  Without a reset all
+   held links would be closed at once.  */
 static void
 reset_silence (peer_hub_t *hub, cfd_time_t now)
 {
--- a/libcoltsfootdrum/wire/peer.c
+++ b/libcoltsfootdrum/wire/peer.c
@@ -1,4 +1,5 @@
-/* The hub: which peers there are, who is dialled, what the owner is told.  */
+/* The hub: the table of peers, dialling and accepting links, and the events
+   for the owner.  */
 
 #include "wire/peer-private.h"
 
@@ -52,7 +53,7 @@
              : list_entry (peer->links.next, peer_link_t, peer_node);
 }
 
-/* ---- what the owner is told ---- */
+/* ---- events for the owner ---- */
 
 void
 hub_queue_notification (peer_hub_t *hub, peer_t *peer)
@@ -99,8 +100,8 @@
     hub->events.up (hub->user, &peer->reported_id, now);
 }
 
-/* The loss of the link for sending is told even when another link takes its
-   place: frames may be gone with it, and the owner must start anew.  */
+/* The loss of the newest link is reported even if another link replaces it,
+   because frames may be lost and the owner has to send its state again.  */
 static void
 report_changes (peer_hub_t *hub, peer_t *peer, cfd_time_t now)
 {
@@ -128,9 +129,9 @@
 {
   peer_t *peer = hub_get_or_add_peer (hub, link->id.instance);
 
-  /* Links to a former incarnation lead nowhere.  A dialler has one link at a
-     time: an older one that it dialled is dead on its side, and what still
-     comes out of it, such as a late ASSIGN, must not be acted on.  */
+  /* Links to an earlier incarnation are useless.  A dialling process has only
+     one link at a time: it has closed an older one that it dialled, and frames
+     that still arrive there, such as a late ASSIGN, must be ignored.  */
   list_for_each_safe (node, &peer->links)
     {
       peer_link_t *old = list_entry (node, peer_link_t, peer_node);
@@ -162,7 +163,7 @@
 
   peer->backoff_ms
       = CLAMP (doubled_ms, PEER_MIN_BACKOFF_MS, PEER_MAX_BACKOFF_MS);
-  /* Half of it at random, so that a fleet doesn't dial in step.  */
+  /* Half of it is random, so that a fleet doesn't dial at the same time.  */
   peer->next_dial = now + peer->backoff_ms / 2
                     + (int)randombytes_uniform (peer->backoff_ms / 2 + 1);
 }
@@ -177,7 +178,7 @@
       || peer->dialling_link != NULL || peer_get_newest_link (peer) != NULL
       || now < peer->next_dial)
     return;
-  /* Counted as failed until the link proves to be steady.  */
+  /* Counts as a failure until the link has been up for PEER_STABLE_LINK_MS. */
   schedule_dial (peer, now);
   if (!addr_parse (peer->address, &addr, NULL))
     return;
@@ -191,7 +192,7 @@
   peer->dialling_link = link_new (hub, fd, peer, true, now);
 }
 
-/* ---- the loop's callbacks ---- */
+/* ---- event loop callbacks ---- */
 
 static void
 accept_links (peer_hub_t *hub)
@@ -207,7 +208,8 @@
         return;
       if (fd < 0)
         {
-          /* Out of descriptors, most likely: the loop would spin.  */
+          /* Most likely no descriptors are left.  Pausing until the next tick
+             avoids a busy loop.  */
           log_error ("peer", "Can't accept: fault=%s.", g_strerror (errno));
           ev_io_stop (hub->loop, &hub->accept_watcher);
           hub->is_accept_paused = true;
@@ -275,7 +277,8 @@
     }
 }
 
-/* Before the loop blocks: all frames of this round go out together.  */
+/* Runs before the loop blocks, so that all frames of one iteration are sent
+   together.  */
 static void
 on_prepare (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
@@ -292,7 +295,7 @@
   free_closed_links (hub);
 }
 
-/* ---- public ---- */
+/* ---- public functions ---- */
 
 static void
 start_watchers (peer_hub_t *hub)
@@ -324,7 +327,7 @@
   if (sodium_init () < 0)
     {
       g_set_error (error, CFD_ERROR, CFD_ERROR_UNAVAILABLE,
-                   "No randomness for the proofs of links; check that "
+                   "No randomness to authenticate peer links; check that "
                    "getrandom works here");
       return NULL;
     }
--- a/libcoltsfootdrum/wire/test-hubs.c
+++ b/libcoltsfootdrum/wire/test-hubs.c
@@ -5,7 +5,7 @@
 #include <unistd.h>
 
 #define POLL_INTERVAL_S 0.005
-/* A guard against a hang, far above what any case needs.  */
+/* Fails a test that hangs; far longer than any case takes.  */
 #define HANG_TIMEOUT_MS 20000
 
 static void
@@ -25,7 +25,7 @@
                           msg_kind_name (message->kind), peer->instance);
   if (!node->sends_ack || message->kind != MSG_CANCEL)
     return;
-  /* All that an owner may do from inside a callback.  */
+  /* Everything that an owner may call from an event handler.  */
   peer_hub_hold (node->hub, peer->instance);
   g_assert_true (peer_hub_send (node->hub, peer->instance, &ack));
   peer_hub_release (node->hub, peer->instance);
@@ -114,8 +114,8 @@
   ev_run (hubs->loop, 0);
 }
 
-/* The loopback address comes from the process id, so that runs of the tests
-   side by side don't meet.  */
+/* Derives the loopback address from the process id, so that test runs in
+   parallel don't interfere.  */
 static void
 choose_addresses (hubs_t *hubs)
 {
--- a/libcoltsfootdrum/wire/test-peer-auth.c
+++ b/libcoltsfootdrum/wire/test-peer-auth.c
@@ -1,5 +1,6 @@
-/* Who is let in: only who proves the secret, as the instance that was
-   dialled, in its own direction.  */
+/* Tests of authentication: a link is accepted only if the other side knows the
+   secret, is the instance that was dialled, and sends a PROOF made for its own
+   direction.  */
 
 #include "wire/test-hubs.h"
 
@@ -32,8 +33,8 @@
   return hubs_counters (&hubs->a).links_refused > 0;
 }
 
-/* The platform's list lags: at the address of "b" there is by now another
-   process of the fleet.  What is meant for "b" must not go to it.  */
+/* The platform's list is out of date, and another process of the fleet now has
+   the address of "b".  Messages for "b" must not be sent to it.  */
 static void
 test_other_instance (void)
 {
@@ -49,7 +50,7 @@
   hubs_end (&hubs);
 }
 
-/* ---- somebody without the secret ---- */
+/* ---- other side without the secret ---- */
 
 static void
 raw_send (hubs_t *hubs, const void *data, size_t length)
@@ -78,7 +79,7 @@
          == (gssize)GUINT32_FROM_BE (length) + 4;
 }
 
-/* The next frame with its prefix.  */
+/* Receives the next frame with its length.  */
 static GByteArray *
 raw_receive (hubs_t *hubs)
 {
@@ -103,8 +104,8 @@
   return hubs->raw_fd >= 0;
 }
 
-/* An impostor at the address of "b" sends the dialler's own proof back to it.
-   The directions differ, so it is no proof of the acceptor.  */
+/* An attacker at the address of "b" sends the dialler's own PROOF back to it.
+   It must be rejected because of its direction.  */
 static void
 test_reflected_proof (void)
 {
@@ -134,7 +135,8 @@
   hubs_end (&hubs);
 }
 
-/* The dialler's own HELLO comes back to it: a mirror is not a peer.  */
+/* An attacker sends the dialler's own HELLO back to it, which must be
+   rejected.  */
 static void
 test_reflected_hello (void)
 {
--- a/libcoltsfootdrum/wire/test-peer-random.c
+++ b/libcoltsfootdrum/wire/test-peer-random.c
@@ -1,19 +1,19 @@
-/* Random faults on one held link between a router and an agent: broken
-   connections, connections that go silent, restarts, a frozen process.  What
-   must hold on both sides, whatever happens: ups and downs alternate; between
-   an up and the next down the frames of the other side come whole, in order
-   and once.  So an owner that starts anew after each down misses nothing.  */
+/* Random faults on a held link between a router and an agent: broken and
+   hanging connections, restarts, a frozen process.  On both sides up and down
+   events must alternate, and between an up and the next down the frames of the
+   other side must arrive completely, in order and once.  An owner that sends
+   its state again after each down event then misses nothing.  */
 
 #include "wire/test-hubs.h"
 
 #include <sys/socket.h>
 
 #define STEPS 4000
-#define ROUNDS 4 /* of the loop, in each step */
+#define ROUNDS 4 /* iterations of the event loop in each step */
 #define MAX_FRAMES 4
 
-/* A node's own view: the sequence it must get next, or 0 after an up, when
-   any is good.  */
+/* Checks that NODE gets consecutive sequence numbers; after an up or down
+   event, which resets LAST_RECEIVED to 0, any number is valid.  */
 static void
 check_sequence (hubs_node_t *node, const msg_t *message)
 {
@@ -43,7 +43,7 @@
     }
 }
 
-/* The connection goes silent for good: neither side gets an error.  */
+/* Makes the connection hang for good, without an error on either side.  */
 static void
 silence_link (hubs_t *hubs, peer_link_t *link)
 {
@@ -86,7 +86,7 @@
     link_close (hubs_link (node, other), "fault");
 }
 
-/* Time without waiting: the next tick comes now, and dials at once.  */
+/* Runs the next tick, and dials, without waiting.  */
 static void
 run_rounds (hubs_t *hubs)
 {
@@ -133,7 +133,7 @@
       inject_fault (&hubs, random);
       run_rounds (&hubs);
     }
-  /* Without faults it heals, and what is sent then arrives.  */
+  /* Without further faults the link recovers, and messages arrive.  */
   hubs_run_until (&hubs, are_both_up);
   do
     {
--- a/libcoltsfootdrum/wire/test-peer.c
+++ b/libcoltsfootdrum/wire/test-peer.c
@@ -1,5 +1,5 @@
-/* Links between processes: what is delivered, and what the owner is told when
-   links and processes come and go.  */
+/* Tests of peer links: delivery of messages, and events for the owner when
+   links and processes fail and return.  */
 
 #include "wire/test-hubs.h"
 
@@ -34,7 +34,7 @@
   hubs_end (&hubs);
 }
 
-/* ---- proved links that go wrong ---- */
+/* ---- faults on authenticated links ---- */
 
 static bool
 has_b_closed_bad_link (hubs_t *hubs)
@@ -88,10 +88,10 @@
   return peer_hub_is_unresponsive (hubs->a.hub, "b", clock_now ());
 }
 
-/* The caller sees nothing: the router's held link to an agent goes silent for
-   good, neither side gets an error.  The router finds it quiet while it is
-   still up, closes it after the silence, dials anew, and both owners are told
-   down and up, because frames in the old link are lost.  */
+/* The router's held link to an agent hangs for good, without an error on
+   either side.  The router must find it unresponsive while it is still up,
+   close it after the silence timeout and dial again; both owners must get a
+   down and an up event, because frames in the old link are lost.  */
 static void
 test_silent_link (void)
 {
@@ -130,10 +130,10 @@
   return hubs_has_event (&hubs->b, "-a/1 +a/1 CANCEL<a ");
 }
 
-/* A request that is cancelled after its link was replaced is cancelled, and
-   the new link stays: a name's number is of one link, so on the new one the
-   name goes as text again.  Taken over from the old link, it would mean
-   nothing to the agent, or another request.  */
+/* A request is cancelled after its link was replaced.  The number of a name is
+   valid for one link, so the name must be sent as text again on the new one.
+   With the number from the old link, the agent would close the new link or
+   cancel another request.  */
 static void
 test_names_of_a_new_link (void)
 {
@@ -154,9 +154,10 @@
   hubs_end (&hubs);
 }
 
-/* During an upgrade a process meets one that knows no short frames.  Both must
-   speak in whole ones then, or each would close the link at the first word and
-   the fleet would be cut in two until all are upgraded.  */
+/* During an upgrade a process connects to one without support for short
+   frames.  Both must use whole frames; otherwise they would close the link at
+   the first frame, and the fleet would be partitioned until all are upgraded.
+ */
 static void
 test_older_peer (void)
 {
@@ -202,9 +203,9 @@
   return hubs_has_event (&hubs->a, "+c/3 -c/3 +c/4 ");
 }
 
-/* Router "c" was replaced while its old link to "a" still stands, for its old
-   host is only cut off.  The new incarnation dials "a": the old link must
-   end then, and its loss be told before the new one.  */
+/* Router "c" was replaced while its old link to "a" is still up, because its
+   old host is only disconnected.  When the new incarnation dials "a", the old
+   link must be closed, and its down event come before the new up event.  */
 static void
 test_replaced_router (void)
 {
@@ -228,8 +229,9 @@
   hubs_end (&hubs);
 }
 
-/* An owner that sends without looking at what is pending: the link is given
-   up, nothing is dropped from a link that goes on.  */
+/* An owner sends without checking the pending bytes.  The link must be closed
+   when its output is full; no frame may be dropped from a link that stays up.
+ */
 static void
 test_output_is_bounded (void)
 {
@@ -251,7 +253,7 @@
   hubs_end (&hubs);
 }
 
-/* ---- the watch's decisions ---- */
+/* ---- supervision of links ---- */
 
 static void
 test_watch (void)
@@ -260,22 +262,23 @@
   {
     const char *name;
     bool is_held;
-    int silent_ms;      /* since something was heard */
+    int silent_ms;      /* since the last receipt */
     int pinged_ms;      /* since the last PING */
-    int unanswered_ms;  /* since the oldest unanswered PING; 0: none */
-    int since_check_ms; /* since the watch last ran */
+    int unanswered_ms;  /* since the oldest unanswered PING, or 0 */
+    int since_check_ms; /* since the last check */
     bool expects_close;
     bool expects_ping;
   } cases[] = {
     { "lively", true, 100, 1000, 0, 100, false, false },
-    { "quiet for a heartbeat", true, 500, 600, 0, 100, false, true },
+    { "silent for a heartbeat", true, 500, 600, 0, 100, false, true },
     { "just pinged", true, 600, 400, 400, 100, false, false },
     { "silent", true, 2000, 500, 1900, 100, true, false },
     { "silent, not held", false, 2000, 5000, 0, 100, false, false },
     { "idle", false, 30000, 40000, 0, 100, true, false },
     { "idle but held", true, 400, 2000, 0, 100, false, true },
-    { "deaf: heard, never answered", true, 10, 500, 10000, 100, true, false },
-    { "we were frozen", true, 9000, 9000, 9000, 9000, false, true },
+    { "receiving, but PING unanswered", true, 10, 500, 10000, 100, true,
+      false },
+    { "own process was frozen", true, 9000, 9000, 9000, 9000, false, true },
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
