--- a/libcoltsfootdrum/config/spread.h
+++ b/libcoltsfootdrum/config/spread.h
@@ -20,7 +20,8 @@
 
 #define SPREAD_SMALL_FLEET_INSTANCES 32
 #define SPREAD_WATCHERS_PER_ROLE 5
-/* A process whose configuration is older than this asks a peer each second. */
+/* A process whose configuration is older than this asks a peer every second.
+ */
 #define SPREAD_ASK_PEER_AFTER_MS 4000
 /* One whose configuration is older than this reads the platform, at most once
    in SPREAD_MIN_READ_INTERVAL_MS.  */
@@ -31,7 +32,7 @@
 #define SPREAD_MAX_BEHIND_MS 2000
 /* Limits for the whole fleet: reads per second of the list of instances, and
    of the configuration by processes that get no update from peers.  In a fleet
-   of 930 the latter allows one read per process each 9.3 s, so that a change
+   of 930 the latter allows one read per process every 9.3 s, so that a change
    is in force within 12 s even if no peer sends it.  */
 #define SPREAD_MAX_FLEET_POLLS_PER_S 60
 #define SPREAD_MAX_FLEET_READS_PER_S 100
--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -1,7 +1,7 @@
 /* Synchronisation with the platform.  Lists the configuration once, then
    watches it by long polling; lists again when the platform's history no
    longer reaches back to the revision in force; and polls the list of
-   instances.  A process that is no watcher (spread.h) checks each second
+   instances.  A process that is no watcher (spread.h) checks every second
    whether it is up to date through its peers.  */
 
 #include "config/spread.h"
@@ -39,8 +39,8 @@
   char *cursor;           /* of the current list's next page */
   GHashTable *present;
   uint64_t list_revision;
-  unsigned failures; /* consecutive */
-  unsigned instances_failures;
+  unsigned config_failures;    /* consecutive */
+  unsigned instances_failures; /* consecutive */
   cfd_time_t last_read;
 };
 
@@ -70,9 +70,9 @@
 {
   bool is_up = status == PLAT_OK || status == PLAT_REVISION_EXPIRED;
 
-  if (is_up == follow->store->platform_is_up)
+  if (is_up == follow->store->is_platform_up)
     return;
-  follow->store->platform_is_up = is_up;
+  follow->store->is_platform_up = is_up;
   if (is_up)
     log_info (PART, "The platform answers.");
   else
@@ -113,7 +113,7 @@
       && store_apply_page (follow->store, answer, &follow->present,
                            &follow->list_revision, &next, clock_now ()))
     {
-      follow->failures = 0;
+      follow->config_failures = 0;
       g_free (follow->cursor);
       follow->cursor = g_strdup (next);
       follow->is_listed = next == NULL;
@@ -124,7 +124,7 @@
     {
       reset_list (follow);
       start_timer (follow, &follow->config_timer,
-                   backoff_ms (follow, follow->failures++));
+                   backoff_ms (follow, follow->config_failures++));
     }
   g_clear_pointer (&answer, json_object_unref);
 }
@@ -140,7 +140,7 @@
   switch (status)
     {
     case PLAT_OK:
-      follow->failures = 0;
+      follow->config_failures = 0;
       follow->is_catching_up = false;
       store_apply_objects (store, answer, clock_now ());
       json_object_unref (answer);
@@ -156,18 +156,18 @@
       break;
     }
   start_timer (follow, &follow->config_timer,
-               backoff_ms (follow, follow->failures++));
+               backoff_ms (follow, follow->config_failures++));
 }
 
 /* Returns the kinds to list.  An agent's first list leaves out the accounts,
    so that it takes 2 pages instead of 38 at each start.  The list's revision
    is that of the last write to the other kinds; the watch from there on covers
-   all kinds and reaches the newest revision.  If the platform's history is too
-   short for that watch, and for later lists, which must reach the revision in
-   force, all kinds are listed and accounts skipped.  Otherwise a platform that
-   has no records of the other kinds would be listed and watched in turns
-   without end.
- */
+   all kinds and reaches the newest revision.
+
+   If the platform's history is too short for that watch, and for later lists,
+   which must reach the revision in force, all kinds are listed and accounts
+   skipped.  Otherwise a platform without records of the other kinds would be
+   listed and watched in turns without end.  */
 static const char *
 choose_list_kinds (const follow_t *follow)
 {
@@ -299,7 +299,7 @@
   spread_position_t position;
 
   get_position (store, &position);
-  if (spread_is_watcher (&position) && store->platform_is_up)
+  if (spread_is_watcher (&position) && store->is_platform_up)
     return false;
   if (store_get_behind_ms (store, now) > 0)
     return true;
--- a/libcoltsfootdrum/config/store-impl.h
+++ b/libcoltsfootdrum/config/store-impl.h
@@ -9,8 +9,8 @@
 
 #include "config/store.h"
 
-#define STORE_KINDS (REC_ENDPOINT + 1)
-#define STORE_ROLES (ROLE_CTL + 1)
+#define STORE_KIND_COUNT (REC_ENDPOINT + 1)
+#define STORE_ROLE_COUNT (ROLE_CTL + 1)
 
 typedef struct follow follow_t;
 typedef struct pieces pieces_t;
@@ -37,7 +37,7 @@
   tl_ring_t *ring;
   const store_events_t *events;
   void *user;
-  GHashTable *entries[STORE_KINDS]; /* of store_entry_t by name */
+  GHashTable *entries[STORE_KIND_COUNT]; /* of store_entry_t by name */
   GHashTable *keys;     /* of store_entry_t by the hash of an account's key */
   bool has_shared_keys; /* two accounts have had the same key at some time */
   uint64_t revision;
@@ -47,8 +47,8 @@
   cfd_time_t last_contact;
   uint64_t peer_revision;  /* newest revision of any peer */
   cfd_time_t behind_since; /* when PEER_REVISION first was newer */
-  bool platform_is_up;
-  GPtrArray *instances[STORE_ROLES]; /* of store_instance_t */
+  bool is_platform_up;
+  GPtrArray *instances[STORE_ROLE_COUNT]; /* of store_instance_t */
   char *instances_text;   /* the JSON list that INSTANCES was parsed from */
   unsigned newest_schema; /* that can be parsed; lower in tests */
   unsigned max_piece_records;    /* lower in tests */
@@ -61,7 +61,7 @@
 };
 
 /* Returns the newest text of ENTRY; free with g_free.  */
-char *store_entry_text (const store_entry_t *entry);
+char *store_entry_get_text (const store_entry_t *entry);
 
 /* Whether processes of ROLE keep records of KIND.  */
 bool store_role_keeps_kind (role_t role, rec_kind_t kind);
--- a/libcoltsfootdrum/config/store-instances.c
+++ b/libcoltsfootdrum/config/store-instances.c
@@ -69,7 +69,7 @@
 static void
 replace_instances (store_t *store, JsonArray *list)
 {
-  for (int role = 0; role < STORE_ROLES; role++)
+  for (int role = 0; role < STORE_ROLE_COUNT; role++)
     {
       g_ptr_array_unref (store->instances[role]);
       store->instances[role] = g_ptr_array_new_with_free_func (instance_free);
--- a/libcoltsfootdrum/config/store-pieces.c
+++ b/libcoltsfootdrum/config/store-pieces.c
@@ -28,7 +28,7 @@
      fault                         handling
      piece or ask lost             the next ask names the same position; one is
                                    sent for each frame with a newer revision,
-                                   and one each second
+                                   and one every second
      piece duplicated, or two      the second piece doesn't continue at the
      peers asked at once           position reached, and is ignored
      piece of another snapshot     ignored: its sender may lack records of
--- a/libcoltsfootdrum/config/store-send.c
+++ b/libcoltsfootdrum/config/store-send.c
@@ -57,7 +57,7 @@
 static void
 pack_entry (packer_t *packer, const store_entry_t *entry)
 {
-  g_autofree char *text = store_entry_text (entry);
+  g_autofree char *text = store_entry_get_text (entry);
 
   append_text (packer, text);
 }
@@ -75,11 +75,11 @@
 /* Returns the entries for a peer of ROLE that changed after FROM, oldest
    first.  */
 static GPtrArray *
-changes_after (const store_t *store, role_t role, uint64_t from)
+list_changes_after (const store_t *store, role_t role, uint64_t from)
 {
   GPtrArray *changes = g_ptr_array_new ();
 
-  for (int kind = REC_ACCOUNT; kind < STORE_KINDS; kind++)
+  for (int kind = REC_ACCOUNT; kind < STORE_KIND_COUNT; kind++)
     {
       GHashTableIter iter;
       gpointer entry;
@@ -151,7 +151,7 @@
   packer_t packer = { .arrays = g_ptr_array_new_with_free_func (g_free),
                       .open_array = g_string_new (NULL) };
   bool is_snapshot = part->from == 0;
-  g_autoptr (GPtrArray) changes = changes_after (store, role, part->from);
+  g_autoptr (GPtrArray) changes = list_changes_after (store, role, part->from);
   uint64_t last_revision = part->up_to;
   bool is_complete = pack_changes (
       changes, is_snapshot ? MAX_SNAPSHOT_FRAME_BYTES : TARGET_PIECE_BYTES,
@@ -234,7 +234,7 @@
 select_entries (const store_t *store, role_t role, const msg_cursor_t *after,
                 selection_t *selection)
 {
-  for (int kind = REC_ACCOUNT; kind < STORE_KINDS; kind++)
+  for (int kind = REC_ACCOUNT; kind < STORE_KIND_COUNT; kind++)
     {
       GHashTableIter iter;
       gpointer entry;
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -11,7 +11,7 @@
 /* ---- index of the accounts' keys ---- */
 
 static guint
-hash_key_table_key (gconstpointer key)
+key_index_hash (gconstpointer key)
 {
   guint value;
 
@@ -22,7 +22,7 @@
 /* Compares in constant time, so that response times don't reveal how many
    bytes of a guess match.  */
 static gboolean
-are_keys_equal (gconstpointer a, gconstpointer b)
+key_index_equal (gconstpointer a, gconstpointer b)
 {
   return sodium_memcmp (a, b, sizeof (rec_key_hash_t)) == 0;
 }
@@ -30,7 +30,7 @@
 /* Maps the key HASH to ENTRY.  If several accounts have the key, the one whose
    name sorts first gets it, so that all processes choose the same one.  */
 static void
-assign_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
+key_index_add (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
   const store_entry_t *other = g_hash_table_lookup (store->keys, hash);
 
@@ -62,7 +62,7 @@
 }
 
 static void
-release_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
+key_index_remove (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
   if (g_hash_table_lookup (store->keys, hash) == entry)
     g_hash_table_remove (store->keys, hash);
@@ -72,17 +72,17 @@
    key, one that this account no longer has may belong to another account, so
    all accounts are added again.  */
 static void
-assign_keys (store_t *store, store_entry_t *entry)
+key_index_add_all (store_t *store, store_entry_t *entry)
 {
   GHashTableIter iter;
   gpointer other;
 
-  foreach_key (store, entry, assign_key);
+  foreach_key (store, entry, key_index_add);
   if (!store->has_shared_keys || entry->kind != REC_ACCOUNT)
     return;
   g_hash_table_iter_init (&iter, store->entries[REC_ACCOUNT]);
   while (g_hash_table_iter_next (&iter, NULL, &other))
-    foreach_key (store, other, assign_key);
+    foreach_key (store, other, key_index_add);
 }
 
 /* ---- entries ---- */
@@ -114,16 +114,17 @@
 }
 
 char *
-store_entry_text (const store_entry_t *entry)
+store_entry_get_text (const store_entry_t *entry)
 {
   return entry->text != NULL ? g_strdup (entry->text)
                              : rec_to_text (entry->record);
 }
 
 static void
-log_zone_change (store_t *store, const rec_t *before, const rec_t *record)
+log_zone_change (store_t *store, const rec_t *previous, const rec_t *record)
 {
-  bool was_out = before != NULL && !before->deleted && before->u.zone.out;
+  bool was_out
+      = previous != NULL && !previous->deleted && previous->u.zone.out;
   bool is_out = !record->deleted && record->u.zone.out;
 
   if (was_out == is_out)
@@ -140,18 +141,18 @@
 apply_record (store_t *store, store_entry_t *entry, rec_t *record,
               cfd_time_t now)
 {
-  g_autoptr (rec_t) before = entry->record;
-  bool was_present = before != NULL && !before->deleted;
+  g_autoptr (rec_t) previous = entry->record;
+  bool was_present = previous != NULL && !previous->deleted;
 
   INVARIANT ("record-monotonic", record->revision >= entry->revision,
              "a record in force went back to an older revision");
-  foreach_key (store, entry, release_key);
+  foreach_key (store, entry, key_index_remove);
   g_clear_pointer (&entry->text, g_free);
   entry->record = record;
   entry->revision = record->revision;
-  assign_keys (store, entry);
+  key_index_add_all (store, entry);
   if (record->kind == REC_ZONE)
-    log_zone_change (store, before, record);
+    log_zone_change (store, previous, record);
   if (record->deleted && !was_present)
     return;
   if (store->events != NULL && store->events->record != NULL)
@@ -176,7 +177,7 @@
 /* Whether OBJECT is an account in a process that keeps none.  Checked before
    parsing, which takes most of the time and memory.  */
 static bool
-is_kind_skipped (const store_t *store, JsonObject *object)
+is_skipped_account (const store_t *store, JsonObject *object)
 {
   const char *kind
       = json_object_get_string_member_with_default (object, "kind", "");
@@ -192,7 +193,7 @@
   g_autoptr (rec_t) record = NULL;
   store_entry_t *entry;
 
-  if (is_kind_skipped (store, object))
+  if (is_skipped_account (store, object))
     return NULL;
   record = rec_parse_envelope (object, &error);
   if (record == NULL)
@@ -234,7 +235,7 @@
 store_delete_absent (store_t *store, GHashTable *present, uint64_t revision,
                      cfd_time_t now)
 {
-  for (int kind = REC_ACCOUNT; kind < STORE_KINDS; kind++)
+  for (int kind = REC_ACCOUNT; kind < STORE_KIND_COUNT; kind++)
     {
       GHashTableIter iter;
       gpointer value;
@@ -316,7 +317,7 @@
 bool
 store_is_platform_up (const store_t *store)
 {
-  return store->platform_is_up;
+  return store->is_platform_up;
 }
 
 /* ---- lookups ---- */
@@ -373,7 +374,7 @@
 const char *
 store_find_home_router (const store_t *store, const char *account,
                         const char *service,
-                        bool (*usable) (void *user, const char *router),
+                        bool (*is_usable) (void *user, const char *router),
                         void *user)
 {
   const GPtrArray *routers = store_get_instances (store, ROLE_ROUTER);
@@ -387,7 +388,8 @@
       const store_instance_t *router = g_ptr_array_index (routers, i);
       uint64_t weight;
 
-      if (router->leaving || (usable != NULL && !usable (user, router->name)))
+      if (router->leaving
+          || (is_usable != NULL && !is_usable (user, router->name)))
         continue;
       weight
           = XXH3_64bits_withSeed (router->name, strlen (router->name), seed);
@@ -431,11 +433,11 @@
   store->newest_schema = REC_SCHEMA_NEWEST;
   store->max_piece_records = STORE_MAX_PIECE_RECORDS;
   store->max_snapshot_records = STORE_MAX_SNAPSHOT_RECORDS;
-  for (int kind = 0; kind < STORE_KINDS; kind++)
+  for (int kind = 0; kind < STORE_KIND_COUNT; kind++)
     store->entries[kind]
         = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
-  store->keys = g_hash_table_new (hash_key_table_key, are_keys_equal);
-  for (int role = 0; role < STORE_ROLES; role++)
+  store->keys = g_hash_table_new (key_index_hash, key_index_equal);
+  for (int role = 0; role < STORE_ROLE_COUNT; role++)
     store->instances[role] = g_ptr_array_new ();
   return store;
 }
@@ -448,9 +450,9 @@
   store_follow_free (store->follow);
   store_pieces_free (store->pieces);
   g_hash_table_unref (store->keys);
-  for (int kind = 0; kind < STORE_KINDS; kind++)
+  for (int kind = 0; kind < STORE_KIND_COUNT; kind++)
     g_hash_table_unref (store->entries[kind]);
-  for (int role = 0; role < STORE_ROLES; role++)
+  for (int role = 0; role < STORE_ROLE_COUNT; role++)
     g_ptr_array_unref (store->instances[role]);
   g_free (store->instances_text);
   g_free (store->self);
--- a/libcoltsfootdrum/config/store.h
+++ b/libcoltsfootdrum/config/store.h
@@ -48,7 +48,7 @@
    tell whether it is behind a peer.  */
 void store_set_self (store_t *store, role_t role, const char *instance);
 /* Whether to send a CONFIG_ASK to a peer now, because no update came for a
-   while or a peer is known to have a newer revision.  Call it each second.
+   while or a peer is known to have a newer revision.  Call it every second.
    False while the process watches the platform.  */
 bool store_should_ask_peer (const store_t *store, cfd_time_t now);
 /* Whether the fleet is so large that most processes get changes only from
@@ -111,6 +111,6 @@
    same list chooses the same router.  */
 const char *store_find_home_router (
     const store_t *store, const char *account, const char *service,
-    bool (*usable) (void *user, const char *router), void *user);
+    bool (*is_usable) (void *user, const char *router), void *user);
 
 #endif
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -45,7 +45,8 @@
 
 /* Whether the part that FROM makes for a peer of ROLE has a record of KIND. */
 static bool
-part_has (const store_t *from, role_t role, uint64_t have, const char *kind)
+part_has_kind (const store_t *from, role_t role, uint64_t have,
+               const char *kind)
 {
   const msg_config_ask_t ask = { .have = have };
   msg_config_part_t part;
@@ -78,8 +79,8 @@
   g_assert_cmpuint (store_get_revision (agent), ==, 2);
   write_account (model, "acc", "new");
   apply_list (router, model);
-  g_assert_true (part_has (router, ROLE_ROUTER, 2, "client-account"));
-  g_assert_false (part_has (router, ROLE_AGENT, 2, "client-account"));
+  g_assert_true (part_has_kind (router, ROLE_ROUTER, 2, "client-account"));
+  g_assert_false (part_has_kind (router, ROLE_AGENT, 2, "client-account"));
   apply_part_as (agent, ROLE_AGENT, router, 2);
   g_assert_cmpuint (store_get_revision (agent), ==, 3);
   g_assert_cmpuint (store_get_age_ms (agent, 2000), ==, 1000);
--- a/libcoltsfootdrum/wire/msg.h
+++ b/libcoltsfootdrum/wire/msg.h
@@ -69,7 +69,7 @@
 } msg_bytes_t;
 
 /* First frame of both sides of a link.  INCARNATION is chosen at random when a
-   process starts, so that a restarted peer at the old address is told apart.
+   process starts, so that a restarted peer at the old address counts as new.
    SHORT_FRAMES (optional) says that the sender supports short frames.  */
 typedef struct
 {
@@ -126,7 +126,8 @@
 
 /* Router to agent: the request that takes the slot of a grant.  HEADERS are
    "Name: value".  GRANT is 0 under the baseline policy, where routers push
-   requests.  LEFT is what still waits at the router for the account.  */
+   requests.  LEFT tells which requests of the account still wait at the
+   router.  */
 typedef struct
 {
   uint64_t grant;
@@ -189,7 +190,7 @@
 {
   OUTCOME_COMPLETE = 1, /* the whole response of LENGTH bytes was sent */
   OUTCOME_BROKEN,    /* the response ended early; the request may have run */
-  OUTCOME_UNREACHED, /* the endpoint was not reached; it did not run */
+  OUTCOME_UNREACHED, /* no connection to the endpoint; it did not run */
   OUTCOME_CANCELLED, /* cancelled by the router */
   OUTCOME_UNKNOWN    /* the agent has no such request */
 } outcome_t;
@@ -213,8 +214,8 @@
   bool done;
 } msg_ack_t;
 
-/* Router to agent after a lost link: asks to send again the HEAD if HEAD is
-   set, the body from OFFSET, and the END.  */
+/* Router to agent after a lost link: asks for the HEAD message if HEAD is set,
+   the body from OFFSET, and the END once more.  */
 typedef struct
 {
   const char *request;
