--- a/libcoltsfootdrum/wire/peer-link.c
+++ b/libcoltsfootdrum/wire/peer-link.c
@@ -37,7 +37,7 @@
   link->out = g_byte_array_new ();
   list_append (&hub->links, &link->node);
   list_init (&link->peer_node);
-  list_init (&link->flush_queue);
+  list_init (&link->flush_node);
   hub->unauthenticated_links++;
   ev_io_init (&link->readable, on_readable, fd, EV_READ);
   ev_io_init (&link->writable, on_writable, fd, EV_WRITE);
@@ -110,7 +110,7 @@
   link->fd = -1;
   link->state = LINK_CLOSED;
   detach_from_peer (link);
-  list_remove (&link->flush_queue);
+  list_remove (&link->flush_node);
   list_remove (&link->node);
   list_append (&hub->closed_links, &link->node);
 }
@@ -166,8 +166,8 @@
     }
   count_frame (&hub->counters.out[message->kind], frame->len);
   g_byte_array_append (link->out, frame->data, frame->len);
-  if (!list_is_linked (&link->flush_queue))
-    list_append (&hub->flush_queue, &link->flush_queue);
+  if (!list_is_linked (&link->flush_node))
+    list_append (&hub->flush_queue, &link->flush_node);
   return true;
 }
 
@@ -197,7 +197,7 @@
 {
   ssize_t sent_bytes = 0;
 
-  list_remove (&link->flush_queue);
+  list_remove (&link->flush_node);
   if (link->state == LINK_CONNECTING || link->state == LINK_CLOSED)
     return;
   while (link_get_pending_bytes (link) > 0)
--- a/libcoltsfootdrum/wire/peer-private.h
+++ b/libcoltsfootdrum/wire/peer-private.h
@@ -42,9 +42,9 @@
 
 struct peer_link
 {
-  list_node_t node;        /* in the hub's links or closed_links */
-  list_node_t peer_node;   /* in the peer's links */
-  list_node_t flush_queue; /* in the hub's flush_queue */
+  list_node_t node;       /* in the hub's links or closed_links */
+  list_node_t peer_node;  /* in the peer's links */
+  list_node_t flush_node; /* in the hub's flush_queue */
   peer_hub_t *hub;
   peer_t *peer; /* NULL for an accepted link until it is authenticated */
   link_state_t state;
@@ -76,8 +76,8 @@
   char *instance;
   char *address; /* NULL when unknown */
   unsigned hold_count;
-  list_node_t links;        /* authenticated, newest first */
-  list_node_t notify_queue; /* in the hub's notify_queue */
+  list_node_t links;       /* authenticated, newest first */
+  list_node_t notify_node; /* in the hub's notify_queue */
   peer_link_t *dialling_link;
   cfd_time_t next_dial;
   int backoff_ms;
--- a/libcoltsfootdrum/wire/peer.c
+++ b/libcoltsfootdrum/wire/peer.c
@@ -22,7 +22,7 @@
 {
   peer_t *peer = data;
 
-  list_remove (&peer->notify_queue);
+  list_remove (&peer->notify_node);
   g_free (peer->instance);
   g_free (peer->address);
   g_free ((char *)peer->reported_id.instance);
@@ -40,7 +40,7 @@
   peer = g_new0 (peer_t, 1);
   peer->instance = g_strdup (instance);
   list_init (&peer->links);
-  list_init (&peer->notify_queue);
+  list_init (&peer->notify_node);
   g_hash_table_insert (hub->peers, peer->instance, peer);
   return peer;
 }
@@ -58,8 +58,8 @@
 void
 hub_queue_notification (peer_hub_t *hub, peer_t *peer)
 {
-  if (!list_is_linked (&peer->notify_queue))
-    list_append (&hub->notify_queue, &peer->notify_queue);
+  if (!list_is_linked (&peer->notify_node))
+    list_append (&hub->notify_queue, &peer->notify_node);
 }
 
 static void
@@ -117,9 +117,9 @@
 {
   while (!list_is_empty (&hub->notify_queue))
     {
-      peer_t *peer = list_entry (hub->notify_queue.next, peer_t, notify_queue);
+      peer_t *peer = list_entry (hub->notify_queue.next, peer_t, notify_node);
 
-      list_remove (&peer->notify_queue);
+      list_remove (&peer->notify_node);
       report_changes (hub, peer, clock_now ());
     }
 }
@@ -237,7 +237,7 @@
 {
   return peer->address == NULL && peer->hold_count == 0
          && peer->dialling_link == NULL && list_is_empty (&peer->links)
-         && !list_is_linked (&peer->notify_queue);
+         && !list_is_linked (&peer->notify_node);
 }
 
 static void
@@ -289,7 +289,7 @@
       hub_notify_owner (hub);
       while (!list_is_empty (&hub->flush_queue))
         link_flush (
-            list_entry (hub->flush_queue.next, peer_link_t, flush_queue));
+            list_entry (hub->flush_queue.next, peer_link_t, flush_node));
     }
   while (!list_is_empty (&hub->notify_queue));
   free_closed_links (hub);
@@ -367,7 +367,7 @@
   if (hub == NULL)
     return;
   while (!list_is_empty (&hub->flush_queue))
-    link_flush (list_entry (hub->flush_queue.next, peer_link_t, flush_queue));
+    link_flush (list_entry (hub->flush_queue.next, peer_link_t, flush_node));
   list_for_each_safe (node, &hub->links)
     link_close (list_entry (node, peer_link_t, node), "end of this process");
   free_closed_links (hub);
