--- a/libcoltsfootdrum/config/store-impl.h
+++ b/libcoltsfootdrum/config/store-impl.h
@@ -42,8 +42,8 @@
   bool has_shared_keys; /* two accounts have had the same key at some time */
   uint64_t revision;
   uint64_t deletions_known_from; /* all later deletions are known */
-  /* When the configuration in force was last the platform's, as heard here or
-     by a peer; CFD_TIME_NEVER before the first answer.  */
+  /* When the platform last confirmed the configuration in force, to this
+     process or to a peer; CFD_TIME_NEVER before the first answer.  */
   cfd_time_t last_contact;
   uint64_t peer_revision;  /* newest revision of any peer */
   cfd_time_t behind_since; /* when PEER_REVISION first was newer */
--- a/libcoltsfootdrum/wire/test-msg-state.c
+++ b/libcoltsfootdrum/wire/test-msg-state.c
@@ -120,10 +120,9 @@
   } cases[] = {
     { "a name", PAYLOAD ("\x94\x0f\x01\x01\xa1z"), true },
     { "the number it got", PAYLOAD ("\x94\x0f\x01\x01\x00"), true },
-    { "a number not given out", PAYLOAD ("\x94\x0f\x01\x01\x01"), false },
+    { "an unassigned number", PAYLOAD ("\x94\x0f\x01\x01\x01"), false },
     { "the empty name gets none", PAYLOAD ("\x94\x0f\x01\x01\xa0"), true },
-    { "so this is still not given out", PAYLOAD ("\x94\x0f\x01\x01\x01"),
-      false },
+    { "so this is still unassigned", PAYLOAD ("\x94\x0f\x01\x01\x01"), false },
     { "number past the table", PAYLOAD ("\x94\x0f\x01\x01\x40"), false },
     { "a number of 32 bits", PAYLOAD ("\x94\x0f\x01\x01\xce\xff\xff\xff\xff"),
       false },
