--- a/libcoltsfootdrum/agent/test-scene.c
+++ b/libcoltsfootdrum/agent/test-scene.c
@@ -62,7 +62,7 @@
 static bool
 is_behind (const scene_t *scene, const web_request_t *request)
 {
-  const char *after = web_query (request, "after");
+  const char *after = web_get_query (request, "after");
 
   return g_ascii_strtoull (after, NULL, 10) < scene->revision;
 }
@@ -71,7 +71,7 @@
 on_platform (void *user, web_request_t *request)
 {
   scene_t *scene = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (scene->platform_is_down)
     web_respond (request, 503, "text/plain", NULL, "", 0);
@@ -135,7 +135,7 @@
   g_autofree char *big = NULL;
 
   scene->starts++;
-  g_assert_null (web_header (request, "Authorization"));
+  g_assert_null (web_get_header (request, "Authorization"));
   if (scene->engine == ENGINE_MUTE || scene->engine == ENGINE_FROZEN)
     return;
   web_stream_begin (request, 200, NULL, nothing_drained, scene);
@@ -155,7 +155,7 @@
       return;
     case ENGINE_HANGS:
       scene->hanging = request;
-      web_on_closed (request, hanging_closed, scene);
+      web_set_on_closed (request, hanging_closed, scene);
       return;
     case ENGINE_BIG:
       big = g_strnfill (BIG_BYTES, '\n');
@@ -170,7 +170,7 @@
 on_resume (scene_t *scene, web_request_t *request)
 {
   static const char whole[] = SCENE_TOKEN SCENE_LAST;
-  const char *offset = web_query (request, "offset");
+  const char *offset = web_get_query (request, "offset");
   size_t from = (size_t)g_ascii_strtoull (offset, NULL, 10);
 
   scene->resumes++;
@@ -185,7 +185,7 @@
 on_endpoint (void *user, web_request_t *request)
 {
   scene_t *scene = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (scene->engine == ENGINE_FROZEN && scene->starts > 0)
     return;
--- a/libcoltsfootdrum/once/keeper.c
+++ b/libcoltsfootdrum/once/keeper.c
@@ -25,7 +25,7 @@
 static void
 run_after (keeper_t *keeper, unsigned least_ms)
 {
-  struct ev_loop *loop = plat_loop (keeper->plat);
+  struct ev_loop *loop = plat_get_loop (keeper->plat);
   gint32 most_ms = (gint32)(least_ms + least_ms / 4 + 1);
   int wait_ms = g_random_int_range ((gint32)least_ms, most_ms + 1);
 
@@ -155,7 +155,7 @@
 {
   if (keeper == NULL)
     return;
-  ev_timer_stop (plat_loop (keeper->plat), &keeper->timer);
+  ev_timer_stop (plat_get_loop (keeper->plat), &keeper->timer);
   plat_cancel (keeper->plat, keeper);
   marks_free (keeper->marks);
   g_free (keeper->version);
--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -56,7 +56,7 @@
 static void
 run_after (sweep_t *sweep, unsigned least_ms)
 {
-  struct ev_loop *loop = plat_loop (sweep->plat);
+  struct ev_loop *loop = plat_get_loop (sweep->plat);
   gint32 most_ms = (gint32)(least_ms + least_ms / 4 + 1);
   int wait_ms = g_random_int_range ((gint32)least_ms, most_ms + 1);
 
@@ -344,7 +344,7 @@
 {
   if (sweep == NULL)
     return;
-  ev_timer_stop (plat_loop (sweep->plat), &sweep->timer);
+  ev_timer_stop (plat_get_loop (sweep->plat), &sweep->timer);
   plat_cancel (sweep->plat, sweep);
   keeper_free (sweep->keeper);
   g_queue_clear_full (&sweep->due, due_free);
