--- a/libcoltsfootdrum/config/test-rec.c
+++ b/libcoltsfootdrum/config/test-rec.c
@@ -1,4 +1,5 @@
-/* Records of both schema versions side by side, and bad ones.  */
+/* Tests of the parser with records of both schema versions and invalid
+   records.  */
 
 #include "config/rec.h"
 
@@ -34,7 +35,7 @@
   return record;
 }
 
-/* Each byte of the account's key number INDEX is BYTE.  */
+/* Checks that each byte of the key hash at INDEX is BYTE.  */
 static void
 assert_key (const rec_t *record, unsigned index, unsigned char byte)
 {
@@ -63,23 +64,24 @@
   g_assert_cmpuint (v2->u.account.key_count, ==, 2);
   assert_key (v2, 0, 0xaa);
   assert_key (v2, 1, 0xbb);
-  /* A member of a newer writer is passed on unchanged.  */
+  /* An unknown member from a newer writer is passed on unchanged.  */
   text = rec_to_text (v2);
   g_assert_nonnull (strstr (text, "\"later\":[1]"));
 }
 
-static const char *const texts[] = {
-  /* Members in another order, and unknown ones with the values left out.  */
+static const char *const round_trip_texts[] = {
+  /* Members in another order, and unknown ones whose values are equal to those
+     that placeholders stand for.  */
   "{\"revision\":7,\"x\":7,\"y\":[7,17,77],\"spec\":{\"key_hash\":\"" HASH_A
   "\",\"again\":\"" HASH_A "\",\"weight\":0.1,\"schema\":1},\"version\":\"7\","
   "\"name\":\"7\",\"kind\":\"client-account\"}",
-  /* A name that is a member's too, and one that is written with escapes.  */
+  /* A name that is also a member's name, and one with escape sequences.  */
   "{\"kind\":\"client-account\",\"name\":\"weight\",\"version\":\"weight\","
   "\"revision\":1,\"spec\":{\"schema\":2,\"weight\":1e3,\"keys\":[]}}",
   "{\"kind\":\"client-account\",\"name\":\"a\\\"\\u0001\\\\\",\"version\":"
   "\"\","
   "\"revision\":12,\"spec\":{\"schema\":2,\"weight\":1,\"keys\":[]}}",
-  /* More keys than there are marks, one of them twice.  */
+  /* More keys than placeholders, with duplicates.  */
   "{\"kind\":\"client-account\",\"name\":\"n\",\"revision\":1,\"spec\":{"
   "\"schema\":2,\"weight\":1,\"keys\":[{\"hash\":\"" HASH_A
   "\"},{\"hash\":\"" HASH_B "\",\"note\":\"" HASH_B "\"},{\"hash\":\"" HASH_A
@@ -90,12 +92,12 @@
 static void
 test_text (void)
 {
-  /* A record goes through a process that keeps only its parsed form and a
-     shape.  Peers must get what the platform would have told them, to the
-     byte, or a newer process behind this one reads another record.  */
-  for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
+  /* A process keeps only a record's parsed form and a template.  Peers must
+     get the same bytes as from the platform; otherwise a newer process that
+     gets the record from this one would parse a different record.  */
+  for (guint i = 0; i < G_N_ELEMENTS (round_trip_texts); i++)
     {
-      g_autoptr (JsonNode) root = json_from_string (texts[i], NULL);
+      g_autoptr (JsonNode) root = json_from_string (round_trip_texts[i], NULL);
       g_autofree char *before = json_to_string (root, FALSE);
       g_autoptr (rec_t) record = rec_parse (json_node_get_object (root), NULL);
       g_autofree char *after = NULL;
@@ -109,7 +111,8 @@
 static void
 test_shared_shape (void)
 {
-  /* What makes 18,000 accounts small: they differ in marks alone.  */
+  /* 18,000 accounts take little memory because those that differ only in the
+     values of placeholders share a template.  */
   g_autoptr (rec_t) first
       = parse_good ("client-account",
                     "{\"schema\":1,\"weight\":2,\"key_hash\":\"" HASH_A "\"}");
@@ -117,7 +120,7 @@
       = parse_good ("client-account",
                     "{\"schema\":1,\"weight\":2,\"key_hash\":\"" HASH_B "\"}");
 
-  g_assert_true (first->shape == second->shape);
+  g_assert_true (first->text_template == second->text_template);
 }
 
 static void
@@ -168,7 +171,7 @@
   const char *method;
   const char *path;
   bool idempotent;
-} calls[] = {
+} idempotent_calls[] = {
   { V1_PLAIN, "GET", "/past/1", true },
   { V1_PLAIN, "GET", "/past/?to=/invoices", true },
   { V1_PLAIN, "POST", "/past/1", false },
@@ -186,14 +189,17 @@
 static void
 test_idempotent (void)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (calls); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (idempotent_calls); i++)
     {
-      g_autoptr (rec_t) record = parse_good ("service", calls[i].spec);
+      g_autoptr (rec_t) record
+          = parse_good ("service", idempotent_calls[i].spec);
 
-      g_test_message ("%s %s", calls[i].method, calls[i].path);
+      g_test_message ("%s %s", idempotent_calls[i].method,
+                      idempotent_calls[i].path);
       g_assert_true (rec_service_is_idempotent (&record->u.service,
-                                                calls[i].method, calls[i].path)
-                     == calls[i].idempotent);
+                                                idempotent_calls[i].method,
+                                                idempotent_calls[i].path)
+                     == idempotent_calls[i].idempotent);
     }
 }
 
@@ -210,13 +216,13 @@
   g_assert_cmpuint (rec_service_get_class_rank (&v2->u.service, "x"), ==, 2);
 }
 
-/* Each is refused by an error that holds the text.  */
+/* Each is rejected with an error message that contains EXPECTED_TEXT.  */
 static const struct
 {
   const char *kind;
   const char *spec;
-  const char *says;
-} bad[] = {
+  const char *expected_text;
+} invalid_records[] = {
   { "client-account", "{}", "\"schema\"" },
   { "client-account", "{\"schema\":\"1\"}", "\"schema\"" },
   { "client-account", "{\"schema\":3}", "update the program" },
@@ -266,14 +272,16 @@
 static void
 test_bad (void)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (invalid_records); i++)
     {
       g_autoptr (GError) error = NULL;
 
-      g_assert_null (parse (bad[i].kind, bad[i].spec, &error));
+      g_assert_null (
+          parse (invalid_records[i].kind, invalid_records[i].spec, &error));
       g_assert_error (error, CFD_ERROR, CFD_ERROR_RECORD);
       g_test_message ("%s", error->message);
-      g_assert_nonnull (strstr (error->message, bad[i].says));
+      g_assert_nonnull (
+          strstr (error->message, invalid_records[i].expected_text));
     }
 }
 
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -1,5 +1,5 @@
-/* The store with many accounts, what processes of each role are told of them,
-   and changes that go in pieces.  */
+/* Tests of the store with many accounts: which records processes of each role
+   get, and changes that are sent in pieces.  */
 
 #include "base/log.h"
 #include "config/test-store-help.h"
@@ -11,8 +11,8 @@
 static void
 test_many_accounts (void)
 {
-  /* The fleet of the future: 18,000 accounts, from the platform and on to a
-     peer in one frame.  */
+  /* The target size of 18,000 accounts, from the platform and on to a peer in
+     one frame.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) peer = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (10);
@@ -25,7 +25,7 @@
 
       write_account (model, name, key);
     }
-  take_list (store, model);
+  apply_list (store, model);
   store_make_part (store, ROLE_ROUTER, &(msg_config_ask_t){ 0 }, 0, &part);
   g_assert_cmpuint (part.count, >, 0);
   g_assert_cmpuint (part.count, <=, MSG_ENTRIES_MAX);
@@ -43,9 +43,10 @@
   sp_model_free (model);
 }
 
-/* Whether the part for a peer of ROLE has a record of KIND.  */
+/* Whether the part that FROM makes for a peer of ROLE has a record of KIND. */
 static bool
-part_has (const store_t *from, role_t role, uint64_t have, const char *kind)
+part_has_kind (const store_t *from, role_t role, uint64_t have,
+               const char *kind)
 {
   const msg_config_ask_t ask = { .have = have };
   msg_config_part_t part;
@@ -61,26 +62,26 @@
 static void
 test_agent_keeps_no_accounts (void)
 {
-  /* A revision changes an account alone.  The agent is sent no account, but
-     the revision counts as heard: else it would be behind for ever, and take
-     no work.  */
+  /* A revision changes only an account.  The agent gets no account, but must
+     reach the revision; otherwise it would be behind for ever and take no
+     work.  */
   g_autoptr (store_t) router = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) agent = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
 
   store_set_self (router, ROLE_ROUTER, "r");
   store_set_self (agent, ROLE_AGENT, "a");
-  write_zone (model, "a", IN);
+  write_zone (model, "a", ZONE_IN);
   write_account (model, "acc", "key");
-  take_list (router, model);
-  take_list (agent, model);
+  apply_list (router, model);
+  apply_list (agent, model);
   g_assert_null (store_get (agent, REC_ACCOUNT, "acc"));
   g_assert_cmpuint (store_get_revision (agent), ==, 2);
   write_account (model, "acc", "new");
-  take_list (router, model);
-  g_assert_true (part_has (router, ROLE_ROUTER, 2, "client-account"));
-  g_assert_false (part_has (router, ROLE_AGENT, 2, "client-account"));
-  take_part_as (agent, ROLE_AGENT, router, 2);
+  apply_list (router, model);
+  g_assert_true (part_has_kind (router, ROLE_ROUTER, 2, "client-account"));
+  g_assert_false (part_has_kind (router, ROLE_AGENT, 2, "client-account"));
+  apply_part_as (agent, ROLE_AGENT, router, 2);
   g_assert_cmpuint (store_get_revision (agent), ==, 3);
   g_assert_cmpuint (store_get_age_ms (agent, 2000), ==, 1000);
   sp_model_free (model);
@@ -89,9 +90,9 @@
 static void
 test_router_asks_agent (void)
 {
-  /* A router with old knowledge asks an agent that is ahead, and holds all
-     but the accounts.  Taken for a whole state, the answer would delete each
-     account at the router; taken as fresh, it would hide the account that
+  /* A router that is behind asks an agent that has a newer revision of all
+     kinds but accounts.  Taken for a snapshot, the answer would delete all
+     accounts of the router; taken for changes, it would hide the account that
      changed.  */
   g_autoptr (store_t) router = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) agent = store_new (NULL, NULL, NULL);
@@ -100,11 +101,11 @@
   store_set_self (router, ROLE_ROUTER, "r");
   store_set_self (agent, ROLE_AGENT, "a");
   write_account (model, "acc", "key");
-  take_list (router, model); /* at 1000 */
+  apply_list (router, model); /* at 1000 */
   write_account (model, "acc", "new");
-  write_zone (model, "a", OUT);
-  take_list (agent, model);
-  take_part (router, agent, store_get_revision (router));
+  write_zone (model, "a", ZONE_OUT);
+  apply_list (agent, model);
+  apply_part (router, agent, store_get_revision (router));
   g_assert_nonnull (store_get (router, REC_ACCOUNT, "acc"));
   g_assert_cmpuint (store_get_revision (router), ==, 1);
   g_assert_cmpuint (store_get_age_ms (router, 9000), ==, 8000);
@@ -114,28 +115,29 @@
 static void
 test_pieces (void)
 {
-  /* A peer was cut off while an operator wrote 18,000 accounts and took a zone
-     out in between.  The changes come in pieces; each must leave the peer at a
-     revision whose changes it has all, and may not make it seem up to date. */
+  /* A peer was disconnected while an operator wrote 18,000 accounts and, in
+     between, took a zone out of service.  The changes come in pieces.  After
+     each, the peer must be at a revision whose changes it has completely, and
+     must not seem up to date.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) peer = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (2 * ACCOUNTS);
   g_autofree char *changes = NULL;
   unsigned pieces = 0;
 
-  write_zone (model, "a", IN);
-  take_list (store, model); /* at 1000 */
-  take_list (peer, model);
+  write_zone (model, "a", ZONE_IN);
+  apply_list (store, model); /* at 1000 */
+  apply_list (peer, model);
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
 
       write_account (model, name, name);
       if (i == ACCOUNTS / 2)
-        write_zone (model, "a", OUT);
+        write_zone (model, "a", ZONE_OUT);
     }
-  changes = sp_model_changes (model, store_get_revision (store), KINDS);
-  take (store, changes, false);
+  changes = sp_model_changes (model, store_get_revision (store), ALL_KINDS);
+  apply_answer (store, changes, false);
   while (store_get_revision (peer) < store_get_revision (store))
     {
       uint64_t before = store_get_revision (peer);
@@ -172,9 +174,9 @@
 static void
 test_pieces_of_one_revision (void)
 {
-  /* A list showed thousands of records as gone: their marks all have the
-     list's revision.  A piece that ended among them would leave the others in
-     force at the peer for ever.  */
+  /* A list lacked thousands of records, whose deletions all have the list's
+     revision.  A piece that ended among them would leave the others in force
+     at the peer for ever.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   g_autoptr (store_t) peer = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (2 * ACCOUNTS);
@@ -185,12 +187,12 @@
 
       write_account (model, name, name);
     }
-  take_list (store, model);
-  take_list (peer, model);
-  take (store, "{\"revision\":99999,\"objects\":[]}", true);
-  store->deletions_known_from = 0; /* as if it had seen each one go */
+  apply_list (store, model);
+  apply_list (peer, model);
+  apply_answer (store, "{\"revision\":99999,\"objects\":[]}", true);
+  store->deletions_known_from = 0; /* as if it knew each deletion */
   for (unsigned i = 0; i < 40; i++)
-    take_part (peer, store, store_get_revision (peer));
+    apply_part (peer, store, store_get_revision (peer));
   g_assert_cmpuint (store_get_revision (peer), ==, 99999);
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
@@ -208,9 +210,9 @@
   sp_model_t *model = sp_model_new (100);
 
   write_account (model, "a", "old");
-  take_list (store, model);
+  apply_list (store, model);
   write_account (model, "a", "new");
-  take_list (store, model);
+  apply_list (store, model);
   g_assert_null (store_find_account_by_key (store, "old"));
   g_assert_cmpstr (store_find_account_by_key (store, "new")->name, ==, "a");
   sp_model_free (model);
@@ -219,18 +221,19 @@
 static void
 test_shared_key (void)
 {
-  /* An operator gives two accounts one key and takes it back from the one that
-     held it: the other account's callers must not be locked out.  */
+  /* An operator gives two accounts the same key and removes it from the one
+     that the key was mapped to.  Clients of the other account must not be
+     refused.  */
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
 
   write_account (model, "b", "same");
-  take_list (store, model);
+  apply_list (store, model);
   write_account (model, "a", "same");
-  take_list (store, model);
+  apply_list (store, model);
   g_assert_cmpstr (store_find_account_by_key (store, "same")->name, ==, "a");
   sp_model_write (model, "client-account", "a", NULL, 0);
-  take_list (store, model);
+  apply_list (store, model);
   g_assert_cmpstr (store_find_account_by_key (store, "same")->name, ==, "b");
   sp_model_free (model);
 }
--- a/libcoltsfootdrum/config/test-witness.c
+++ b/libcoltsfootdrum/config/test-witness.c
@@ -1,4 +1,5 @@
-/* Who is a witness for whom: some in each zone, and none that leaves.  */
+/* Tests of the selection of witnesses: some in each zone, and none that is
+   leaving.  */
 
 #include "config/store.h"
 #include "config/witness.h"
@@ -7,7 +8,7 @@
 #define AGENTS 200u
 
 static GPtrArray *
-make (unsigned routers)
+make_routers (unsigned routers)
 {
   GPtrArray *list = g_ptr_array_new_with_free_func (g_free);
   static const char *const zones[ZONES] = { "a", "b", "c" };
@@ -24,20 +25,21 @@
 }
 
 static void
-drop (GPtrArray *list)
+free_routers (GPtrArray *list)
 {
   for (guint i = 0; i < list->len; i++)
     g_free (((store_instance_t *)list->pdata[i])->name);
   g_ptr_array_unref (list);
 }
 
-/* Each agent has its witnesses in each zone, and no router has many agents. */
+/* Each agent has witnesses in each zone, and no router is the witness of many
+   agents.  */
 static void
 test_spread (void)
 {
-  GPtrArray *list = make (30);
-  unsigned most = 0;
-  unsigned all = 0;
+  GPtrArray *list = make_routers (30);
+  unsigned max_agents = 0;
+  unsigned total = 0;
 
   ((store_instance_t *)list->pdata[0])->leaving = true;
   for (guint i = 0; i < list->len; i++)
@@ -52,27 +54,27 @@
           count += witness_is_selected (list, router->name, agent);
         }
       g_assert_true ((count == 0) == router->leaving);
-      most = MAX (most, count);
-      all += count;
+      max_agents = MAX (max_agents, count);
+      total += count;
     }
-  g_assert_cmpuint (all, ==, AGENTS * ZONES * WITNESS_PER_ZONE);
-  /* 40 on the mean.  */
-  g_assert_cmpuint (most, <, 70);
+  g_assert_cmpuint (total, ==, AGENTS * ZONES * WITNESS_PER_ZONE);
+  /* The mean is 40.  */
+  g_assert_cmpuint (max_agents, <, 70);
   g_assert_false (witness_is_selected (list, "not-listed", "agent-0"));
-  drop (list);
+  free_routers (list);
 }
 
 static void
 test_zones (void)
 {
-  GPtrArray *list = make (4);
+  GPtrArray *list = make_routers (4);
 
   g_assert_cmpuint (witness_count_zones (list), ==, 3);
   ((store_instance_t *)list->pdata[1])->leaving = true;
   g_assert_cmpuint (witness_count_zones (list), ==, 2);
   ((store_instance_t *)list->pdata[0])->leaving = true;
   g_assert_cmpuint (witness_count_zones (list), ==, 2);
-  drop (list);
+  free_routers (list);
 }
 
 int
