--- a/libcoltsfootdrum/config/test-follow.c
+++ b/libcoltsfootdrum/config/test-follow.c
@@ -30,12 +30,12 @@
 {
   static const store_events_t events = { .instances = on_instances };
 
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->store = store_new (NULL, &events, f);
   if (data != NULL)
     store_set_self (f->store, ROLE_AGENT, data);
   if (g_strcmp0 (data, FIRST_AGENT) != 0)
-    sp_test_write (&f->test, ZONE_KIND, "a", ZONE_IN);
+    sp_test_write_object (&f->test, ZONE_KIND, "a", ZONE_IN);
   store_follow (f->store, f->test.loop, f->test.plat);
 }
 
@@ -43,7 +43,7 @@
 tear_down (fixture_t *f, gconstpointer data)
 {
   store_free (f->store);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static bool
@@ -52,13 +52,13 @@
   fixture_t *f = user;
 
   return store_get_revision (f->store)
-         == sp_model_revision (sp_state (f->test.sp), NULL);
+         == sp_model_get_revision (sp_get_model (f->test.sp), NULL);
 }
 
 static void
 wait_until_caught_up (fixture_t *f)
 {
-  sp_test_run (&f->test, has_caught_up, f);
+  sp_test_run_until (&f->test, has_caught_up, f);
 }
 
 static void
@@ -71,16 +71,16 @@
     {
       g_autofree char *name = g_strdup_printf ("z%04u", i);
 
-      sp_test_write (&f->test, ZONE_KIND, name, ZONE_IN);
+      sp_test_write_object (&f->test, ZONE_KIND, name, ZONE_IN);
     }
-  while (sp_calls (f->test.sp, "list") < 2)
+  while (sp_count_calls (f->test.sp, "list") < 2)
     ev_run (f->test.loop, EVRUN_ONCE);
-  sp_test_write (&f->test, ZONE_KIND, "z0001", NULL);
-  sp_test_write (&f->test, ZONE_KIND, "z0002", ZONE_OUT);
-  sp_test_write (&f->test, ZONE_KIND, "z1199", NULL);
-  sp_test_write (&f->test, ZONE_KIND, "zz", ZONE_OUT);
+  sp_test_write_object (&f->test, ZONE_KIND, "z0001", NULL);
+  sp_test_write_object (&f->test, ZONE_KIND, "z0002", ZONE_OUT);
+  sp_test_write_object (&f->test, ZONE_KIND, "z1199", NULL);
+  sp_test_write_object (&f->test, ZONE_KIND, "zz", ZONE_OUT);
   wait_until_caught_up (f);
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 3);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 3);
   g_assert_null (store_get (f->store, REC_ZONE, "z0001"));
   g_assert_null (store_get (f->store, REC_ZONE, "z1199"));
   g_assert_true (store_is_zone_out (f->store, "z0002"));
@@ -95,8 +95,8 @@
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
 
-      sp_test_write (&f->test, "client-account", name,
-                     "{\"schema\":2,\"weight\":1,\"keys\":[]}");
+      sp_test_write_object (&f->test, "client-account", name,
+                            "{\"schema\":2,\"weight\":1,\"keys\":[]}");
     }
 }
 
@@ -108,12 +108,12 @@
      writes of accounts still advance its revision.  */
   write_accounts (f, 5);
   wait_until_caught_up (f);
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 1);
   g_assert_null (store_get (f->store, REC_ACCOUNT, "account-0"));
   g_assert_nonnull (store_get (f->store, REC_ZONE, "a"));
   write_accounts (f, 1);
   wait_until_caught_up (f);
-  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
+  sp_test_write_object (&f->test, ZONE_KIND, "a", ZONE_OUT);
   wait_until_caught_up (f);
   g_assert_true (store_is_zone_out (f->store, "a"));
 }
@@ -126,7 +126,7 @@
      all kinds.  */
   write_accounts (f, 2 * SP_TEST_HISTORY);
   wait_until_caught_up (f);
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 2);
   g_assert_null (store_get (f->store, REC_ACCOUNT, "account-0"));
 }
 
@@ -148,13 +148,13 @@
   wait_until_caught_up (f);
   g_assert_true (store_is_platform_up (f->store));
   g_assert_false (store_is_zone_out (f->store, "a"));
-  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
+  sp_test_write_object (&f->test, ZONE_KIND, "a", ZONE_OUT);
   wait_until_caught_up (f);
   g_assert_true (store_is_zone_out (f->store, "a"));
-  sp_test_write (&f->test, ZONE_KIND, "a", NULL);
+  sp_test_write_object (&f->test, ZONE_KIND, "a", NULL);
   wait_until_caught_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 1);
 }
 
 static void
@@ -164,17 +164,18 @@
      including a deletion.  The last configuration stays in force meanwhile;
      afterwards the gap is detected and everything is listed again.  */
   wait_until_caught_up (f);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, is_down, f);
-  sp_test_write (&f->test, ZONE_KIND, "a", NULL);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_test_run_until (&f->test, is_down, f);
+  sp_test_write_object (&f->test, ZONE_KIND, "a", NULL);
   for (unsigned i = 0; i <= SP_TEST_HISTORY; i++)
-    sp_test_write (&f->test, ZONE_KIND, "b", i % 2 == 0 ? ZONE_OUT : ZONE_IN);
+    sp_test_write_object (&f->test, ZONE_KIND, "b",
+                          i % 2 == 0 ? ZONE_OUT : ZONE_IN);
   g_assert_nonnull (store_get (f->store, REC_ZONE, "a"));
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   wait_until_caught_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
   g_assert_true (store_is_zone_out (f->store, "b"));
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 2);
 }
 
 static bool
@@ -182,7 +183,7 @@
 {
   fixture_t *f = user;
 
-  return sp_calls (f->test.sp, "watch") > f->watches;
+  return sp_count_calls (f->test.sp, "watch") > f->watches;
 }
 
 static void
@@ -191,17 +192,17 @@
   /* After an outage the platform answers from a replica that is older than the
      configuration in force.  Nothing may be reverted, and changes are applied
      once the replica has caught up.  */
-  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_OUT);
+  sp_test_write_object (&f->test, ZONE_KIND, "a", ZONE_OUT);
   wait_until_caught_up (f);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, is_down, f);
-  f->watches = sp_calls (f->test.sp, "watch");
-  sp_fault (f->test.sp, SP_STALE, 0, 100000000);
-  sp_test_run (&f->test, is_up, f);
-  sp_test_run (&f->test, has_watched_again, f);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_test_run_until (&f->test, is_down, f);
+  f->watches = sp_count_calls (f->test.sp, "watch");
+  sp_set_fault (f->test.sp, SP_STALE_READS, 0, 100000000);
+  sp_test_run_until (&f->test, is_up, f);
+  sp_test_run_until (&f->test, has_watched_again, f);
   g_assert_true (store_is_zone_out (f->store, "a"));
-  sp_fault (f->test.sp, SP_UP, 0, 0);
-  sp_test_write (&f->test, ZONE_KIND, "a", ZONE_IN);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
+  sp_test_write_object (&f->test, ZONE_KIND, "a", ZONE_IN);
   wait_until_caught_up (f);
   g_assert_false (store_is_zone_out (f->store, "a"));
 }
@@ -217,13 +218,13 @@
 {
   const store_instance_t *agent;
 
-  sp_instances (f->test.sp,
-                "[{\"name\":\"r1\",\"role\":\"router\",\"zone\":\"a\","
-                "\"address\":\"127.0.0.1:1\",\"state\":\"live\"},"
-                "{\"name\":\"a1\",\"role\":\"agent\",\"zone\":\"b\","
-                "\"address\":\"127.0.0.2:1\",\"state\":\"leaving\"},"
-                "{\"name\":\"x\",\"role\":\"database\"}]");
-  sp_test_run (&f->test, has_list, f);
+  sp_set_instances (f->test.sp,
+                    "[{\"name\":\"r1\",\"role\":\"router\",\"zone\":\"a\","
+                    "\"address\":\"127.0.0.1:1\",\"state\":\"live\"},"
+                    "{\"name\":\"a1\",\"role\":\"agent\",\"zone\":\"b\","
+                    "\"address\":\"127.0.0.2:1\",\"state\":\"leaving\"},"
+                    "{\"name\":\"x\",\"role\":\"database\"}]");
+  sp_test_run_until (&f->test, has_list, f);
   g_assert_cmpuint (store_get_instances (f->store, ROLE_ROUTER)->len, ==, 1);
   g_assert_cmpuint (store_get_instances (f->store, ROLE_AGENT)->len, ==, 1);
   agent = g_ptr_array_index (store_get_instances (f->store, ROLE_AGENT), 0);
@@ -245,12 +246,12 @@
   /* When a router disappears, only accounts whose home it was may move.  */
   unsigned homes[4] = { 0 };
 
-  sp_instances (f->test.sp,
-                "[{\"name\":\"r0\",\"role\":\"router\",\"address\":\"x\"},"
-                "{\"name\":\"r1\",\"role\":\"router\",\"address\":\"x\"},"
-                "{\"name\":\"r2\",\"role\":\"router\",\"address\":\"x\"},"
-                "{\"name\":\"r3\",\"role\":\"router\",\"address\":\"x\"}]");
-  sp_test_run (&f->test, has_list, f);
+  sp_set_instances (
+      f->test.sp, "[{\"name\":\"r0\",\"role\":\"router\",\"address\":\"x\"},"
+                  "{\"name\":\"r1\",\"role\":\"router\",\"address\":\"x\"},"
+                  "{\"name\":\"r2\",\"role\":\"router\",\"address\":\"x\"},"
+                  "{\"name\":\"r3\",\"role\":\"router\",\"address\":\"x\"}]");
+  sp_test_run_until (&f->test, has_list, f);
   for (unsigned i = 0; i < 400; i++)
     {
       g_autofree char *account = g_strdup_printf ("account-%u", i);
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -136,7 +136,8 @@
       if (i == ACCOUNTS / 2)
         write_zone (model, "a", ZONE_OUT);
     }
-  changes = sp_model_changes (model, store_get_revision (store), ALL_KINDS);
+  changes
+      = sp_model_list_changes (model, store_get_revision (store), ALL_KINDS);
   apply_answer (store, changes, false);
   while (store_get_revision (peer) < store_get_revision (store))
     {
--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -70,7 +70,7 @@
 static void
 catch_up (scenario_t *scenario)
 {
-  g_autofree char *changes = sp_model_changes (
+  g_autofree char *changes = sp_model_list_changes (
       scenario->model, scenario->sender->revision, ALL_KINDS);
 
   apply_answer (scenario->sender, changes, false);
@@ -151,8 +151,8 @@
   uint64_t revision = 0;
 
   write_account (scenario->model, "g", "g");
-  text = sp_model_changes (scenario->model, scenario->sender->revision,
-                           ALL_KINDS);
+  text = sp_model_list_changes (scenario->model, scenario->sender->revision,
+                                ALL_KINDS);
   page = parse_object (text);
   json_object_set_string_member (page, "next", "client-account/g");
   g_assert_true (store_apply_page (scenario->receiver, page, &present,
--- a/libcoltsfootdrum/config/test-store.c
+++ b/libcoltsfootdrum/config/test-store.c
@@ -19,7 +19,7 @@
 
   write_zone (model, "a", ZONE_IN);
   old_list = sp_model_list (model, ALL_KINDS);
-  old_watch = sp_model_changes (model, 0, ALL_KINDS);
+  old_watch = sp_model_list_changes (model, 0, ALL_KINDS);
   write_zone (model, "a", ZONE_OUT);
   apply_list (store, model);
   g_assert_true (store_is_zone_out (store, "a"));
@@ -227,7 +227,7 @@
                      const char *name)
 {
   const sp_object_t *object
-      = sp_model_newest (model, "availability-zone", name);
+      = sp_model_get_latest (model, "availability-zone", name);
   const rec_t *record = store_get (store, REC_ZONE, name);
 
   if (object == NULL || strstr (object->text, "\"schema\":9") != NULL)
@@ -278,8 +278,8 @@
       break;
     default:
       {
-        g_autofree char *changes
-            = sp_model_changes (model, store_get_revision (store), ALL_KINDS);
+        g_autofree char *changes = sp_model_list_changes (
+            model, store_get_revision (store), ALL_KINDS);
 
         if (changes != NULL)
           apply_answer (store, changes, false);
@@ -307,7 +307,7 @@
           g_assert_cmpuint (store_get_revision (stores[i]), >=, before[i]);
           before[i] = store_get_revision (stores[i]);
           for (char name[2] = "a"; name[0] < 'a' + NAMES; name[0]++)
-            if (before[i] == sp_model_revision (model, NULL))
+            if (before[i] == sp_model_get_revision (model, NULL))
               assert_zone_matches (stores[i], model, name);
         }
     }
--- a/libcoltsfootdrum/platform/test-plat.c
+++ b/libcoltsfootdrum/platform/test-plat.c
@@ -35,7 +35,7 @@
 static plat_status_t
 wait_for_result (sp_test_t *test, result_t *result)
 {
-  sp_test_run (test, is_done, result);
+  sp_test_run_until (test, is_done, result);
   return result->status;
 }
 
@@ -49,7 +49,8 @@
 static const char *
 get_current_version (sp_test_t *test)
 {
-  const sp_object_t *object = sp_model_newest (sp_state (test->sp), KIND, "x");
+  const sp_object_t *object
+      = sp_model_get_latest (sp_get_model (test->sp), KIND, "x");
 
   return object == NULL ? NULL : object->version;
 }
@@ -108,8 +109,8 @@
       plat_list (plat, 0, on_done, result);
       break;
     case WATCH:
-      plat_watch (plat, sp_model_revision (sp_state (test->sp), NULL), 0,
-                  on_done, result);
+      plat_watch (plat, sp_model_get_revision (sp_get_model (test->sp), NULL),
+                  0, on_done, result);
       break;
     case INSTANCES:
       plat_list_instances (plat, on_done, result);
@@ -120,7 +121,8 @@
 static state_t
 get_current_state (sp_test_t *test)
 {
-  const sp_object_t *object = sp_model_newest (sp_state (test->sp), KIND, "x");
+  const sp_object_t *object
+      = sp_model_get_latest (sp_get_model (test->sp), KIND, "x");
 
   if (object == NULL)
     return ABSENT;
@@ -151,11 +153,11 @@
   { SP_SLOW, CREATE, ABSENT, PLAT_OK, WRITTEN },
   { SP_SLOW, GET, ORIGINAL, PLAT_OK, ORIGINAL },
   { SP_SLOW, LIST, ORIGINAL, PLAT_OK, ORIGINAL },
-  { SP_LOSE_ANSWER, CREATE, ABSENT, PLAT_OUTCOME_UNKNOWN, WRITTEN },
-  { SP_LOSE_ANSWER, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
-  { SP_LOSE_ANSWER, UPDATE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, WRITTEN },
-  { SP_LOSE_ANSWER, DELETE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ABSENT },
-  { SP_LOSE_ANSWER, GET, ORIGINAL, PLAT_OK, ORIGINAL },
+  { SP_DROP_RESPONSE, CREATE, ABSENT, PLAT_OUTCOME_UNKNOWN, WRITTEN },
+  { SP_DROP_RESPONSE, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_DROP_RESPONSE, UPDATE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, WRITTEN },
+  { SP_DROP_RESPONSE, DELETE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ABSENT },
+  { SP_DROP_RESPONSE, GET, ORIGINAL, PLAT_OK, ORIGINAL },
   { SP_DOWN, CREATE, ABSENT, PLAT_OUTCOME_UNKNOWN, ABSENT },
   { SP_DOWN, UPDATE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ORIGINAL },
   { SP_DOWN, DELETE, ORIGINAL, PLAT_OUTCOME_UNKNOWN, ORIGINAL },
@@ -163,9 +165,9 @@
   { SP_DOWN, LIST, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
   { SP_DOWN, WATCH, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
   { SP_DOWN, INSTANCES, ORIGINAL, PLAT_UNAVAILABLE, ORIGINAL },
-  { SP_STALE, GET, ORIGINAL, PLAT_NOT_FOUND, ORIGINAL },
-  { SP_STALE, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
-  { SP_STALE, UPDATE, ORIGINAL, PLAT_OK, WRITTEN },
+  { SP_STALE_READS, GET, ORIGINAL, PLAT_NOT_FOUND, ORIGINAL },
+  { SP_STALE_READS, CREATE, ORIGINAL, PLAT_CONFLICT, ORIGINAL },
+  { SP_STALE_READS, UPDATE, ORIGINAL, PLAT_OK, WRITTEN },
 };
 
 static void
@@ -173,16 +175,17 @@
 {
   sp_test_t test;
 
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   for (guint i = 0; i < G_N_ELEMENTS (contract); i++)
     {
       result_t result = { false };
 
-      /* In the stale state that SP_STALE serves, the object is absent.  */
-      sp_test_write (&test, KIND, "x", NULL);
-      sp_fault (test.sp, contract[i].mode, 20, 0);
+      /* In the stale state that SP_STALE_READS serves, the object is absent.
+       */
+      sp_test_write_object (&test, KIND, "x", NULL);
+      sp_set_fault (test.sp, contract[i].mode, 20, 0);
       if (contract[i].before == ORIGINAL)
-        sp_test_write (&test, KIND, "x", SPEC);
+        sp_test_write_object (&test, KIND, "x", SPEC);
       start_call (&test, contract[i].op, &result);
       g_test_message ("row %u", i);
       g_assert_cmpstr (plat_status_name (wait_for_result (&test, &result)), ==,
@@ -192,7 +195,7 @@
                      == (contract[i].status == PLAT_OK));
       reset_result (&result);
     }
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -203,11 +206,11 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_test_stop (&test);
+  sp_test_setup (&test);
+  sp_test_stop_platform (&test);
   plat_delete (test.plat, KIND, "x", "0", on_done, &result);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_UNAVAILABLE);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -218,12 +221,12 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_fault (test.sp, SP_SLOW, 60000, 0);
+  sp_test_setup (&test);
+  sp_set_fault (test.sp, SP_SLOW, 60000, 0);
   start_call (&test, CREATE, &result);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OUTCOME_UNKNOWN);
   g_assert_cmpint (get_current_state (&test), ==, WRITTEN);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static gint64
@@ -245,14 +248,14 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_test_write (&test, KIND, "x", SPEC);
+  sp_test_setup (&test);
+  sp_test_write_object (&test, KIND, "x", SPEC);
   plat_watch (test.plat, 1, 20000, on_done, &result);
-  while (sp_calls (test.sp, "watch") == 0)
+  while (sp_count_calls (test.sp, "watch") == 0)
     ev_run (test.loop, EVRUN_ONCE);
   /* A claim isn't configuration and must not end the watch.  */
-  sp_test_write (&test, "claim", "c", SPEC);
-  sp_test_write (&test, KIND, "x", NULL);
+  sp_test_write_object (&test, "claim", "c", SPEC);
+  sp_test_write_object (&test, KIND, "x", NULL);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
   g_assert_cmpint (get_revision (&result), ==, 3);
   g_assert_cmpuint (count_objects (&result), ==, 1);
@@ -261,7 +264,7 @@
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
   g_assert_cmpuint (count_objects (&result), ==, 0);
   reset_result (&result);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -272,9 +275,9 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   for (unsigned i = 0; i < SP_TEST_HISTORY + 2; i++)
-    sp_test_write (&test, KIND, "x", i % 2 ? NULL : SPEC);
+    sp_test_write_object (&test, KIND, "x", i % 2 ? NULL : SPEC);
   plat_watch (test.plat, 1, 0, on_done, &result);
   g_assert_cmpint (wait_for_result (&test, &result), ==,
                    PLAT_REVISION_EXPIRED);
@@ -282,7 +285,7 @@
   plat_watch (test.plat, 2, 0, on_done, &result);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_OK);
   reset_result (&result);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -293,12 +296,12 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_test_write (&test, KIND, "x", SPEC);
-  sp_fault (test.sp, SP_STALE, 0, 100000000);
+  sp_test_setup (&test);
+  sp_test_write_object (&test, KIND, "x", SPEC);
+  sp_set_fault (test.sp, SP_STALE_READS, 0, 100000000);
   plat_list (test.plat, 1, on_done, &result);
   g_assert_cmpint (wait_for_result (&test, &result), ==, PLAT_UNAVAILABLE);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -309,7 +312,7 @@
   result_t cancelled_call = { false };
   result_t result = { false };
 
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   plat_list_instances (test.plat, on_done, &cancelled_call);
   plat_list_instances (test.plat, on_done, &result);
   plat_cancel (test.plat, &cancelled_call);
@@ -317,7 +320,7 @@
   g_assert_false (cancelled_call.done);
   g_assert_cmpuint (plat_count_calls (test.plat), ==, 2);
   reset_result (&result);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 int
