--- a/libcoltsfootdrum/once/once-job.c
+++ b/libcoltsfootdrum/once/once-job.c
@@ -96,7 +96,8 @@
 }
 
 /* The claim as it is; the job goes on only with its own, unfinished one.  One
-   that was settled as unknown meanwhile is its own still: this job knows.  */
+   that was marked_unknown as unknown meanwhile is its own still: this job
+   knows.  */
 static void
 is_there (once_job_t *job, JsonObject *object)
 {
--- a/libcoltsfootdrum/once/once-job.h
+++ b/libcoltsfootdrum/once/once-job.h
@@ -10,7 +10,7 @@
 #define ONCE_KIND "claim"
 #define ONCE_STATE_RUNNING "running"
 #define ONCE_STATE_FINISHED "finished"
-/* Its router went away while it ran: settled so by once/sweep.c.  */
+/* Its router went away while it ran: marked_unknown so by once/sweep.c.  */
 #define ONCE_STATE_UNKNOWN "unknown"
 
 typedef struct
--- a/libcoltsfootdrum/once/once.c
+++ b/libcoltsfootdrum/once/once.c
@@ -15,7 +15,7 @@
   plat_t *plat;
   char *owner;
   uint64_t attempts;
-  int kept_s;
+  int retention_s;
   GHashTable *held;   /* of held_t by name of the claim */
   list_node_t asking; /* of claim_t */
   once_jobs_t jobs;
@@ -40,7 +40,7 @@
   unsigned tries;
   bool in_doubt;      /* a write may have taken effect */
   bool is_other_held; /* a write met a claim that was there */
-  void (*done) (void *user, const once_answer_t *answer);
+  void (*done) (void *user, const once_claim_result_t *answer);
   void *user;
 } claim_t;
 
@@ -80,23 +80,23 @@
   g_free (claim);
 }
 
-/* ---- the verdict ---- */
+/* ---- the claim_status ---- */
 
 static void
-conclude (claim_t *claim, const once_answer_t *answer)
+conclude (claim_t *claim, const once_claim_result_t *answer)
 {
   once_t *once = claim->once;
 
-  if (answer->verdict != ONCE_MINE && claim->in_doubt)
+  if (answer->claim_status != ONCE_CLAIMED && claim->in_doubt)
     once_jobs_add (&once->jobs, claim->name, claim->attempt, NULL, NULL);
   claim->done (claim->user, answer);
   claim_free (claim);
 }
 
 static void
-conclude_plain (claim_t *claim, once_verdict_t verdict)
+conclude_plain (claim_t *claim, once_claim_status_t claim_status)
 {
-  once_answer_t answer = { .verdict = verdict };
+  once_claim_result_t answer = { .claim_status = claim_status };
 
   conclude (claim, &answer);
 }
@@ -110,13 +110,13 @@
   held->version = g_strdup (once_text (object, "version"));
   held->spec = json_object_ref (claim->spec);
   g_hash_table_replace (claim->once->held, g_strdup (claim->name), held);
-  conclude_plain (claim, ONCE_MINE);
+  conclude_plain (claim, ONCE_CLAIMED);
 }
 
 static void
 is_finished (claim_t *claim, JsonObject *spec)
 {
-  once_answer_t answer = { .verdict = ONCE_FINISHED };
+  once_claim_result_t answer = { .claim_status = ONCE_FINISHED };
 
   answer.status = (unsigned)json_object_get_int_member_with_default (
       spec, "status", 200);
@@ -139,11 +139,11 @@
   else if (strcmp (once_text (spec, "digest"),
                    once_text (claim->spec, "digest"))
            != 0)
-    conclude_plain (claim, ONCE_MISMATCH);
+    conclude_plain (claim, ONCE_KEY_REUSED);
   else if (strcmp (once_text (spec, "state"), ONCE_STATE_FINISHED) == 0)
     is_finished (claim, spec);
   else if (strcmp (once_text (spec, "state"), ONCE_STATE_UNKNOWN) == 0)
-    conclude_plain (claim, ONCE_UNKNOWN);
+    conclude_plain (claim, ONCE_OUTCOME_UNKNOWN);
   else
     conclude_plain (claim, ONCE_RUNNING);
 }
@@ -153,7 +153,8 @@
 static void
 give_up (claim_t *claim)
 {
-  conclude_plain (claim, claim->is_other_held ? ONCE_RUNNING : ONCE_DOWN);
+  conclude_plain (claim,
+                  claim->is_other_held ? ONCE_RUNNING : ONCE_PLATFORM_DOWN);
 }
 
 /* ---- the calls ---- */
@@ -210,7 +211,8 @@
 void
 once_claim (once_t *once, const char *account, const char *key,
             const char *digest,
-            void (*done) (void *user, const once_answer_t *answer), void *user)
+            void (*done) (void *user, const once_claim_result_t *answer),
+            void *user)
 {
   claim_t *claim = g_new0 (claim_t, 1);
 
@@ -226,8 +228,8 @@
   json_object_set_string_member (claim->spec, "attempt", claim->attempt);
   json_object_set_string_member (claim->spec, "digest", digest);
   json_object_set_string_member (claim->spec, "state", ONCE_STATE_RUNNING);
-  if (once->kept_s > 0)
-    json_object_set_int_member (claim->spec, "kept_s", once->kept_s);
+  if (once->retention_s > 0)
+    json_object_set_int_member (claim->spec, "kept_s", once->retention_s);
   list_append (&once->asking, &claim->node);
   try_claim (claim);
 }
@@ -249,7 +251,7 @@
 static bool
 can_keep (const char *body)
 {
-  return body != NULL && strlen (body) <= ONCE_ANSWER_MAX
+  return body != NULL && strlen (body) <= ONCE_MAX_ANSWER_BYTES
          && g_utf8_validate (body, -1, NULL);
 }
 
@@ -284,19 +286,19 @@
 }
 
 void
-once_set_kept (once_t *once, int kept_s)
+once_set_retention_s (once_t *once, int retention_s)
 {
-  once->kept_s = kept_s;
+  once->retention_s = retention_s;
 }
 
 bool
-once_holds (const once_t *once, const char *name)
+once_has_running_claim (const once_t *once, const char *name)
 {
   return g_hash_table_contains (once->held, name);
 }
 
 unsigned
-once_pending (const once_t *once)
+once_count_pending_writes (const once_t *once)
 {
   return once->jobs.count;
 }
--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -30,7 +30,7 @@
 struct sweep
 {
   plat_t *plat;
-  sweep_setup_t setup;
+  sweep_options_t setup;
   keeper_t *keeper;
   ev_timer timer;
   char *cursor_version; /* of the newest read; NULL: it is not there */
@@ -69,15 +69,15 @@
 static unsigned
 gap_ms (const sweep_t *sweep)
 {
-  unsigned routers = sweep->setup.routers (sweep->setup.user);
+  unsigned routers = sweep->setup.count_routers (sweep->setup.user);
 
-  return MAX (1u, MAX (routers, 1u) * 1000u / sweep->setup.calls);
+  return MAX (1u, MAX (routers, 1u) * 1000u / sweep->setup.max_calls_per_s);
 }
 
 static unsigned
 part_of_kept (const sweep_t *sweep, unsigned parts, unsigned most_ms)
 {
-  int64_t part_ms = (int64_t)sweep->setup.kept_s * 1000 / parts;
+  int64_t part_ms = (int64_t)sweep->setup.retention_s * 1000 / parts;
 
   return (unsigned)CLAMP (part_ms, LEAST_MS, most_ms);
 }
@@ -119,9 +119,9 @@
   if (status == PLAT_OK && due->spec == NULL)
     sweep->counters.removed++;
   else if (status == PLAT_OK)
-    sweep->counters.settled++;
+    sweep->counters.marked_unknown++;
   else if (status == PLAT_CONFLICT || status == PLAT_NOT_FOUND)
-    sweep->counters.spared++;
+    sweep->counters.skipped_changed++;
   due_free (due);
   go_on (sweep);
 }
@@ -150,23 +150,23 @@
   g_autoptr (JsonNode) node = json_node_new (JSON_NODE_OBJECT);
   g_autoptr (JsonNode) copy = NULL;
   g_autofree char *text = NULL;
-  JsonObject *settled;
+  JsonObject *marked_unknown;
 
   json_node_set_object (node, spec);
   text = json_to_string (node, FALSE);
   copy = json_from_string (text, NULL);
-  settled = json_node_dup_object (copy);
-  json_object_set_string_member (settled, "state", ONCE_STATE_UNKNOWN);
-  return settled;
+  marked_unknown = json_node_dup_object (copy);
+  json_object_set_string_member (marked_unknown, "state", ONCE_STATE_UNKNOWN);
+  return marked_unknown;
 }
 
 static int64_t
 kept_ms (const sweep_t *sweep, JsonObject *spec)
 {
   gint64 told_s = json_object_get_int_member_with_default (
-      spec, "kept_s", sweep->setup.kept_s);
+      spec, "kept_s", sweep->setup.retention_s);
 
-  return MAX (told_s, (gint64)sweep->setup.kept_s) * 1000;
+  return MAX (told_s, (gint64)sweep->setup.retention_s) * 1000;
 }
 
 static void
@@ -184,7 +184,7 @@
              < kept_ms (sweep, spec))
     return;
   is_running = strcmp (once_text (spec, "state"), ONCE_STATE_RUNNING) == 0;
-  if (is_running && sweep->setup.is_held (sweep->setup.user, name))
+  if (is_running && sweep->setup.is_claim_running (sweep->setup.user, name))
     return;
   due = g_new0 (due_t, 1);
   due->name = g_strdup (name);
@@ -256,7 +256,7 @@
 is_time (const sweep_t *sweep, JsonObject *cursor)
 {
   const marks_t *marks = keeper_marks (sweep->keeper);
-  int64_t kept = (int64_t)sweep->setup.kept_s * 1000;
+  int64_t kept = (int64_t)sweep->setup.retention_s * 1000;
   uint64_t revision;
 
   /* Nothing can be so old yet.  */
@@ -320,7 +320,7 @@
 /* ---- life ---- */
 
 sweep_t *
-sweep_new (plat_t *plat, const sweep_setup_t *setup)
+sweep_new (plat_t *plat, const sweep_options_t *setup)
 {
   sweep_t *sweep = g_new0 (sweep_t, 1);
 
@@ -331,7 +331,7 @@
   sweep->keeper
       = keeper_new (plat, part_of_kept (sweep, BEATS_KEPT, BEAT_MOST_MS),
                     part_of_kept (sweep, RESTS_KEPT, REST_MOST_MS),
-                    setup->keeps_ages, setup->user);
+                    setup->is_age_writer, setup->user);
   ev_init (&sweep->timer, on_timer);
   sweep->timer.data = sweep;
   rest (sweep);
@@ -354,7 +354,7 @@
 }
 
 sweep_counters_t
-sweep_counters (const sweep_t *sweep)
+sweep_get_counters (const sweep_t *sweep)
 {
   sweep_counters_t counters = { 0 };
 
--- a/libcoltsfootdrum/once/sweep.h
+++ b/libcoltsfootdrum/once/sweep.h
@@ -12,8 +12,8 @@
    - A claim's age is what the platform's own order of writes proves
      (once/marks.h); no wall clock is read.
    - Each write names the version that was listed: a claim that was finished,
-     settled, given back or made anew since is left alone, however long the
-     sweeper slept over its list.
+     marked_unknown, given back or made anew since is left alone, however long
+   the sweeper slept over its list.
    - The claim carries the time that it was promised; a router that was told a
      shorter one still keeps it so long.
 
@@ -30,31 +30,32 @@
 
 typedef struct
 {
-  int kept_s;     /* for claims that do not say it; above 0 */
-  unsigned calls; /* most calls a second of the fleet's sweepers */
-  unsigned (*routers) (void *user); /* that share those calls; at least 1 */
+  int retention_s;          /* for claims that do not say it; above 0 */
+  unsigned max_calls_per_s; /* most calls a second of the fleet's sweepers */
+  unsigned (*count_routers) (
+      void *user); /* that share those calls; at least 1 */
   /* Whether this router is to write the ages (once/keeper.h).  */
-  bool (*keeps_ages) (void *user);
+  bool (*is_age_writer) (void *user);
   /* Whether the claim is of a request that still runs here.  */
-  bool (*is_held) (void *user, const char *claim);
+  bool (*is_claim_running) (void *user, const char *claim);
   void *user;
-} sweep_setup_t;
+} sweep_options_t;
 
 typedef struct
 {
-  uint64_t calls;   /* to the platform */
-  uint64_t failed;  /* of those, without a word of the platform */
-  uint64_t removed; /* claims */
-  uint64_t settled; /* claims written as unknown */
-  uint64_t spared;  /* claims that changed after they were listed */
+  uint64_t calls;           /* to the platform */
+  uint64_t failed;          /* of those, without a word of the platform */
+  uint64_t removed;         /* claims */
+  uint64_t marked_unknown;  /* claims written as unknown */
+  uint64_t skipped_changed; /* claims that changed after they were listed */
 } sweep_counters_t;
 
 /* PLAT must outlive it.  */
-sweep_t *sweep_new (plat_t *plat, const sweep_setup_t *setup);
+sweep_t *sweep_new (plat_t *plat, const sweep_options_t *setup);
 void sweep_free (sweep_t *sweep);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (sweep_t, sweep_free)
 
 /* NULL gives zeros.  */
-sweep_counters_t sweep_counters (const sweep_t *sweep);
+sweep_counters_t sweep_get_counters (const sweep_t *sweep);
 
 #endif
--- a/libcoltsfootdrum/once/test-once-random.c
+++ b/libcoltsfootdrum/once/test-once-random.c
@@ -52,15 +52,15 @@
 }
 
 static void
-on_answer (void *user, const once_answer_t *answer)
+on_answer (void *user, const once_claim_result_t *answer)
 {
   ask_t *ask = user;
   claim_key_t *key = ask->key;
 
   ask->world->answered++;
-  switch (answer->verdict)
+  switch (answer->claim_status)
     {
-    case ONCE_MINE:
+    case ONCE_CLAIMED:
       hold (ask);
       break;
     case ONCE_FINISHED:
@@ -68,13 +68,13 @@
       g_assert_cmpstr (answer->body, ==, key->answer);
       ask->world->finished++;
       break;
-    case ONCE_DOWN:
+    case ONCE_PLATFORM_DOWN:
       g_assert_false (ask->world->is_over);
       break;
     case ONCE_RUNNING:
       break;
-    case ONCE_UNKNOWN:
-    case ONCE_MISMATCH:
+    case ONCE_OUTCOME_UNKNOWN:
+    case ONCE_KEY_REUSED:
       g_assert_not_reached ();
     }
   g_free (ask);
@@ -138,7 +138,7 @@
   const world_t *world = user;
 
   for (int i = 0; i < ROUTERS; i++)
-    if (once_pending (world->routers[i]) > 0)
+    if (once_count_pending_writes (world->routers[i]) > 0)
       return false;
   return world->asked == world->answered;
 }
--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   unsigned done;
-  once_verdict_t verdict;
+  once_claim_status_t claim_status;
   unsigned status;
   char *type;
   char *body;
@@ -51,12 +51,12 @@
 }
 
 static void
-on_claim (void *user, const once_answer_t *answer)
+on_claim (void *user, const once_claim_result_t *answer)
 {
   result_t *result = user;
 
   result->done++;
-  result->verdict = answer->verdict;
+  result->claim_status = answer->claim_status;
   result->status = answer->status;
   result->type = g_strdup (answer->type);
   result->body = g_strdup (answer->body);
@@ -68,17 +68,17 @@
   return ((result_t *)user)->done > 0;
 }
 
-static once_verdict_t
+static once_claim_status_t
 claim_key (fixture_t *f, once_t *once, const char *key, const char *digest)
 {
   clear (&f->result);
   once_claim (once, "mill", key, digest, on_claim, &f->result);
   g_assert_cmpuint (f->result.done, ==, 0);
   sp_test_run (&f->test, is_done, &f->result);
-  return f->result.verdict;
+  return f->result.claim_status;
 }
 
-static once_verdict_t
+static once_claim_status_t
 claim (fixture_t *f, once_t *once, const char *digest)
 {
   return claim_key (f, once, "key", digest);
@@ -89,7 +89,8 @@
 {
   fixture_t *f = user;
 
-  return once_pending (f->router) == 0 && once_pending (f->other) == 0;
+  return once_count_pending_writes (f->router) == 0
+         && once_count_pending_writes (f->other) == 0;
 }
 
 static void
@@ -110,24 +111,24 @@
 {
   /* A filing is posted; the caller loses the answer and asks again through
      another router: it gets the first answer, and the filing is not run.  */
-  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_MINE);
+  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_RUNNING);
-  g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_MISMATCH);
+  g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_KEY_REUSED);
   finish (f, "case 7");
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_FINISHED);
   g_assert_cmpuint (f->result.status, ==, 201);
   g_assert_cmpstr (f->result.type, ==, "text/plain");
   g_assert_cmpstr (f->result.body, ==, "case 7");
-  g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_MISMATCH);
+  g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_KEY_REUSED);
 }
 
 static void
 test_released (fixture_t *f, gconstpointer data)
 {
-  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_MINE);
+  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
   once_release (f->router, "mill", "key");
   settle (f);
-  g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_MINE);
+  g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_CLAIMED);
   /* Not its own any more: a late word changes nothing.  */
   once_release (f->router, "mill", "key");
   once_finish (f->router, "mill", "key", 200, "", "late");
@@ -139,13 +140,14 @@
 test_not_kept (fixture_t *f, gconstpointer data)
 {
   /* A part of an answer must never be given for the whole.  */
-  g_autofree char *large = g_strnfill (ONCE_ANSWER_MAX + 1, 'x');
+  g_autofree char *large = g_strnfill (ONCE_MAX_ANSWER_BYTES + 1, 'x');
   const char *bodies[] = { large, "\xff\xfe" };
   const char *keys[] = { "1", "2" };
 
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++)
     {
-      g_assert_cmpint (claim_key (f, f->router, keys[i], "d"), ==, ONCE_MINE);
+      g_assert_cmpint (claim_key (f, f->router, keys[i], "d"), ==,
+                       ONCE_CLAIMED);
       once_finish (f->router, "mill", keys[i], 200, "", bodies[i]);
       settle (f);
       g_assert_cmpint (claim_key (f, f->other, keys[i], "d"), ==,
@@ -165,31 +167,31 @@
   once_claim (f->other, "mill", "key", "d", on_claim, &f->other_result);
   sp_test_run (&f->test, is_done, &f->result);
   sp_test_run (&f->test, is_done, &f->other_result);
-  mine = (f->result.verdict == ONCE_MINE)
-         + (f->other_result.verdict == ONCE_MINE);
+  mine = (f->result.claim_status == ONCE_CLAIMED)
+         + (f->other_result.claim_status == ONCE_CLAIMED);
   g_assert_cmpuint (mine, ==, 1);
-  g_assert_true (f->result.verdict == ONCE_RUNNING
-                 || f->other_result.verdict == ONCE_RUNNING);
+  g_assert_true (f->result.claim_status == ONCE_RUNNING
+                 || f->other_result.claim_status == ONCE_RUNNING);
 }
 
-/* The verdict of a claim under a fault, and of another router's claim after
-   the fault is over and all is settled.  */
+/* The claim_status of a claim under a fault, and of another router's claim
+   after the fault is over and all is marked_unknown.  */
 static const struct
 {
   const char *name;
   sp_mode_t mode;
   bool held; /* the other router holds the claim */
-  once_verdict_t verdict;
-  once_verdict_t after;
+  once_claim_status_t claim_status;
+  once_claim_status_t after;
 } faults[] = {
   /* The write took effect and its answer was lost: the read tells whose.  */
-  { "lost answer", SP_LOSE_ANSWER, false, ONCE_MINE, ONCE_RUNNING },
+  { "lost answer", SP_LOSE_ANSWER, false, ONCE_CLAIMED, ONCE_RUNNING },
   { "lost answer, held", SP_LOSE_ANSWER, true, ONCE_RUNNING, ONCE_RUNNING },
-  { "down", SP_DOWN, false, ONCE_DOWN, ONCE_MINE },
-  { "down, held", SP_DOWN, true, ONCE_DOWN, ONCE_RUNNING },
-  { "slow", SP_SLOW, false, ONCE_MINE, ONCE_RUNNING },
+  { "down", SP_DOWN, false, ONCE_PLATFORM_DOWN, ONCE_CLAIMED },
+  { "down, held", SP_DOWN, true, ONCE_PLATFORM_DOWN, ONCE_RUNNING },
+  { "slow", SP_SLOW, false, ONCE_CLAIMED, ONCE_RUNNING },
   { "slow, held", SP_SLOW, true, ONCE_RUNNING, ONCE_RUNNING },
-  { "stale", SP_STALE, false, ONCE_MINE, ONCE_RUNNING },
+  { "stale", SP_STALE, false, ONCE_CLAIMED, ONCE_RUNNING },
   /* The read does not show the claim that the write met.  */
   { "stale, held", SP_STALE, true, ONCE_RUNNING, ONCE_RUNNING },
 };
@@ -205,10 +207,10 @@
   if (faults[i].mode == SP_STALE)
     sp_fault (f.test.sp, SP_STALE, 0, 0);
   if (faults[i].held)
-    g_assert_cmpint (claim (&f, f.other, "d"), ==, ONCE_MINE);
+    g_assert_cmpint (claim (&f, f.other, "d"), ==, ONCE_CLAIMED);
   if (faults[i].mode != SP_STALE)
     sp_fault (f.test.sp, faults[i].mode, 20, 0);
-  g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].verdict);
+  g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].claim_status);
   sp_fault (f.test.sp, SP_UP, 0, 0);
   settle (&f);
   g_assert_cmpint (claim (&f, f.other, "d"), ==, faults[i].after);
@@ -232,11 +234,11 @@
   sp_test_run (&f->test, has_put, f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   sp_test_run (&f->test, is_done, &f->result);
-  g_assert_cmpint (f->result.verdict, ==, ONCE_DOWN);
-  g_assert_cmpuint (once_pending (f->router), ==, 1);
+  g_assert_cmpint (f->result.claim_status, ==, ONCE_PLATFORM_DOWN);
+  g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
   sp_fault (f->test.sp, SP_UP, 0, 0);
   settle (f);
-  g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_MINE);
+  g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_CLAIMED);
 }
 
 static void
@@ -244,11 +246,11 @@
 {
   /* The filing ran; the platform is down, then loses answers, while the answer
      is written.  It must be kept in the end, and as it was.  */
-  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_MINE);
+  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   once_finish (f->router, "mill", "key", 201, "text/plain", "case 7");
   ev_run (f->test.loop, EVRUN_ONCE);
-  g_assert_cmpuint (once_pending (f->router), ==, 1);
+  g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
   sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
   settle (f);
   sp_fault (f->test.sp, SP_UP, 0, 0);
@@ -260,8 +262,8 @@
 test_refused_connection (fixture_t *f, gconstpointer data)
 {
   sp_test_stop (&f->test);
-  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_DOWN);
-  g_assert_cmpuint (once_pending (f->router), ==, 0);
+  g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_PLATFORM_DOWN);
+  g_assert_cmpuint (once_count_pending_writes (f->router), ==, 0);
 }
 
 static void
--- a/libcoltsfootdrum/once/test-sweep.c
+++ b/libcoltsfootdrum/once/test-sweep.c
@@ -22,9 +22,9 @@
   sp_test_t test;
   once_t *router;
   sweep_t *sweeps[SWEEPERS];
-  bool keeps_ages[SWEEPERS];
+  bool is_age_writer[SWEEPERS];
   unsigned answered;
-  once_verdict_t verdict;
+  once_claim_status_t claim_status;
 } fixture_t;
 
 static unsigned
@@ -34,7 +34,7 @@
 }
 
 static bool
-keeps_ages (void *user)
+is_age_writer (void *user)
 {
   return *(bool *)user;
 }
@@ -48,12 +48,12 @@
 static void
 begin_sweep (fixture_t *f, int i, unsigned calls)
 {
-  const sweep_setup_t setup = { .kept_s = KEPT_S,
-                                .calls = calls,
-                                .routers = two_routers,
-                                .keeps_ages = keeps_ages,
-                                .is_held = holds_none,
-                                .user = &f->keeps_ages[i] };
+  const sweep_options_t setup = { .retention_s = KEPT_S,
+                                  .max_calls_per_s = calls,
+                                  .count_routers = two_routers,
+                                  .is_age_writer = is_age_writer,
+                                  .is_claim_running = holds_none,
+                                  .user = &f->is_age_writer[i] };
 
   f->sweeps[i] = sweep_new (f->test.plat, &setup);
 }
@@ -63,8 +63,8 @@
 {
   sp_test_begin (&f->test);
   f->router = once_new (f->test.plat, "router-1");
-  once_set_kept (f->router, KEPT_S);
-  f->keeps_ages[0] = true;
+  once_set_retention_s (f->router, KEPT_S);
+  f->is_age_writer[0] = true;
 }
 
 static void
@@ -77,12 +77,12 @@
 }
 
 static void
-on_claim (void *user, const once_answer_t *answer)
+on_claim (void *user, const once_claim_result_t *answer)
 {
   fixture_t *f = user;
 
   f->answered++;
-  f->verdict = answer->verdict;
+  f->claim_status = answer->claim_status;
 }
 
 static bool
@@ -90,24 +90,24 @@
 {
   fixture_t *f = user;
 
-  return f->answered > 0 && once_pending (f->router) == 0;
+  return f->answered > 0 && once_count_pending_writes (f->router) == 0;
 }
 
-static once_verdict_t
+static once_claim_status_t
 claim (fixture_t *f, const char *key)
 {
   f->answered = 0;
   once_claim (f->router, "mill", key, "d", on_claim, f);
   sp_test_run (&f->test, is_settled, f);
-  return f->verdict;
+  return f->claim_status;
 }
 
 static void
-expect_claim (fixture_t *f, const char *key, once_verdict_t verdict)
+expect_claim (fixture_t *f, const char *key, once_claim_status_t claim_status)
 {
-  once_verdict_t got = claim (f, key);
+  once_claim_status_t got = claim (f, key);
 
-  g_assert_cmpint (got, ==, verdict);
+  g_assert_cmpint (got, ==, claim_status);
 }
 
 static void
@@ -132,7 +132,7 @@
     {
       g_autofree char *key = g_strdup_printf ("key-%u", i);
 
-      expect_claim (f, key, ONCE_MINE);
+      expect_claim (f, key, ONCE_CLAIMED);
       finish (f, key);
     }
 }
@@ -155,8 +155,8 @@
 static uint64_t
 removed (const fixture_t *f)
 {
-  return sweep_counters (f->sweeps[0]).removed
-         + sweep_counters (f->sweeps[1]).removed;
+  return sweep_get_counters (f->sweeps[0]).removed
+         + sweep_get_counters (f->sweeps[1]).removed;
 }
 
 static void
@@ -199,14 +199,14 @@
      claim goes once, none before its time, and all go.  */
   cfd_time_t begun = clock_now ();
 
-  f->keeps_ages[1] = true;
+  f->is_age_writer[1] = true;
   begin_sweep (f, 0, FAST);
   begin_sweep (f, 1, FAST);
   fill (f, CLAIMS);
   sp_test_run (&f->test, is_empty, f);
   g_assert_cmpint (clock_now () - begun, >=, KEPT_S * 1000);
   g_assert_cmpuint (removed (f), <=, CLAIMS);
-  expect_claim (f, "key-0", ONCE_MINE);
+  expect_claim (f, "key-0", ONCE_CLAIMED);
 }
 
 static bool
@@ -222,9 +222,10 @@
 static bool
 has_deleted (void *user)
 {
-  sweep_counters_t counters = sweep_counters (((fixture_t *)user)->sweeps[0]);
+  sweep_counters_t counters
+      = sweep_get_counters (((fixture_t *)user)->sweeps[0]);
 
-  return counters.spared + counters.removed > 0;
+  return counters.skipped_changed + counters.removed > 0;
 }
 
 static void
@@ -239,7 +240,7 @@
   fill (f, 1);
   sp_test_run (&f->test, has_due, f);
   sp_test_write (&f->test, "claim", name, NULL);
-  expect_claim (f, "key-0", ONCE_MINE);
+  expect_claim (f, "key-0", ONCE_CLAIMED);
   sp_test_run (&f->test, has_deleted, f);
   g_assert_nonnull (stored (f, "key-0"));
   expect_claim (f, "key-0", ONCE_RUNNING);
@@ -248,7 +249,7 @@
 static bool
 has_failed (void *user)
 {
-  return sweep_counters (((fixture_t *)user)->sweeps[0]).failed >= 2;
+  return sweep_get_counters (((fixture_t *)user)->sweeps[0]).failed >= 2;
 }
 
 static void
@@ -300,12 +301,12 @@
 {
   /* A router dies in mid-call.  Its claim says "running" until its time is
      over, then "unknown", which the caller is told, and goes at last.  */
-  expect_claim (f, "key-0", ONCE_MINE);
+  expect_claim (f, "key-0", ONCE_CLAIMED);
   begin_sweep (f, 0, FAST);
   sp_test_run (&f->test, is_unknown, f);
-  expect_claim (f, "key-0", ONCE_UNKNOWN);
+  expect_claim (f, "key-0", ONCE_OUTCOME_UNKNOWN);
   sp_test_run (&f->test, is_removed, f);
-  g_assert_cmpuint (sweep_counters (f->sweeps[0]).settled, ==, 1);
+  g_assert_cmpuint (sweep_get_counters (f->sweeps[0]).marked_unknown, ==, 1);
 }
 
 static void
@@ -313,7 +314,7 @@
 {
   /* The router was only cut off: the call ends after all, and what it wrote
      goes before "unknown".  */
-  expect_claim (f, "key-0", ONCE_MINE);
+  expect_claim (f, "key-0", ONCE_CLAIMED);
   begin_sweep (f, 0, FAST);
   sp_test_run (&f->test, is_unknown, f);
   finish (f, "key-0");
@@ -347,7 +348,7 @@
   cfd_time_t finished[KEYS] = { 0 };
   unsigned runs = 0;
 
-  f->keeps_ages[1] = true;
+  f->is_age_writer[1] = true;
   begin_sweep (f, 0, FAST);
   begin_sweep (f, 1, FAST);
   for (unsigned i = 0; i < ROUNDS || runs < 2 * KEYS; i++)
@@ -357,7 +358,7 @@
 
       if (i % 40 == 0)
         sp_fault (f->test.sp, i % 80 == 0 ? SP_UP : SP_SLOW, 5, 0);
-      if (claim (f, key) != ONCE_MINE)
+      if (claim (f, key) != ONCE_CLAIMED)
         continue;
       g_assert_true (finished[n] == 0
                      || clock_now () - finished[n] >= KEPT_S * 1000);
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -70,11 +70,11 @@
 static void
 put_claims (const cfd_router_t *router, GString *out)
 {
-  const sweep_counters_t c = sweep_counters (router->sweep);
+  const sweep_counters_t c = sweep_get_counters (router->sweep);
   const counter_t counters[] = {
     { "cfd_router_claims_removed_total", NULL, c.removed },
-    { "cfd_router_claims_settled_total", NULL, c.settled },
-    { "cfd_router_claims_spared_total", NULL, c.spared },
+    { "cfd_router_claims_settled_total", NULL, c.marked_unknown },
+    { "cfd_router_claims_spared_total", NULL, c.skipped_changed },
     { "cfd_router_claim_sweep_calls_total", NULL, c.calls },
     { "cfd_router_claim_sweep_failures_total", NULL, c.failed },
   };
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -115,7 +115,7 @@
 {
   if (request->kept == NULL || !request->kept_whole)
     return;
-  request->kept_whole = request->kept->len + length <= ONCE_ANSWER_MAX;
+  request->kept_whole = request->kept->len + length <= ONCE_MAX_ANSWER_BYTES;
   if (request->kept_whole)
     g_byte_array_append (request->kept, bytes, length);
 }
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -61,7 +61,7 @@
 /* ---- the beginning ---- */
 
 static void
-answer_replay (request_t *request, const once_answer_t *answer)
+answer_replay (request_t *request, const once_claim_result_t *answer)
 {
   static const char *const headers[] = { "Idempotent-Replayed: true", NULL };
 
@@ -80,9 +80,9 @@
 }
 
 static void
-claim_refused (request_t *request, const once_answer_t *answer)
+claim_refused (request_t *request, const once_claim_result_t *answer)
 {
-  switch (answer->verdict)
+  switch (answer->claim_status)
     {
     case ONCE_FINISHED:
       answer_replay (request, answer);
@@ -94,14 +94,14 @@
           "known; ask again with the same key.",
           RUN_UNKNOWN, RETRY_CLAIM_S);
       return;
-    case ONCE_UNKNOWN:
+    case ONCE_OUTCOME_UNKNOWN:
       request_refuse (
           request, REFUSED_CLAIM, 409, "Outcome unknown",
           "A request with this key was given to a router that went away; "
           "find out whether it ran before you send it with another key.",
           RUN_UNKNOWN, -1);
       return;
-    case ONCE_MISMATCH:
+    case ONCE_KEY_REUSED:
       request_refuse (
           request, REFUSED_CLAIM, 422, "Key used before",
           "This Idempotency-Key belongs to another request; choose a new "
@@ -119,7 +119,7 @@
 }
 
 static void
-on_claim (void *user, const once_answer_t *answer)
+on_claim (void *user, const once_claim_result_t *answer)
 {
   request_t *request = user;
 
@@ -130,8 +130,8 @@
       return;
     }
   router_note (request->router, TL_CLAIM, request,
-               answer->verdict == ONCE_MINE ? "made" : "not ours");
-  if (answer->verdict == ONCE_MINE)
+               answer->claim_status == ONCE_CLAIMED ? "made" : "not ours");
+  if (answer->claim_status == ONCE_CLAIMED)
     {
       request->claimed = true;
       request->kept = g_byte_array_new ();
@@ -224,20 +224,21 @@
 {
   const cfd_router_t *router = user;
 
-  return once_holds (router->once, claim);
+  return once_has_running_claim (router->once, claim);
 }
 
 void
 claim_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_setup_t setup = { .kept_s = settings->claims_kept_s,
-                                .calls = (unsigned)settings->claim_calls,
-                                .routers = sweep_routers,
-                                .keeps_ages = sweep_keeps_ages,
-                                .is_held = sweep_is_held,
-                                .user = router };
-
-  once_set_kept (router->once, settings->claims_kept_s);
+  const sweep_options_t setup
+      = { .retention_s = settings->claims_kept_s,
+          .max_calls_per_s = (unsigned)settings->claim_calls,
+          .count_routers = sweep_routers,
+          .is_age_writer = sweep_keeps_ages,
+          .is_claim_running = sweep_is_held,
+          .user = router };
+
+  once_set_retention_s (router->once, settings->claims_kept_s);
   if (settings->claims_kept_s > 0)
     router->sweep = sweep_new (router->plat, &setup);
 }
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -163,7 +163,7 @@
   bool asked_again; /* for a missing piece, at ASKED_OFFSET */
   uint64_t asked_offset;
   unsigned early_ends;
-  GByteArray *kept; /* copy for the claim, up to ONCE_ANSWER_MAX */
+  GByteArray *kept; /* copy for the claim, up to ONCE_MAX_ANSWER_BYTES */
   bool kept_whole;
 } request_t;
 
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -92,7 +92,7 @@
 has_work (const cfd_router_t *router)
 {
   return !list_is_empty (&router->all) || web_server_active (router->web) > 0
-         || once_pending (router->once) > 0;
+         || once_count_pending_writes (router->once) > 0;
 }
 
 static void
--- a/tests/bench-claims.c
+++ b/tests/bench-claims.c
@@ -53,7 +53,7 @@
   uint64_t sum = 0;
 
   for (unsigned i = 0; i < fleet->routers; i++)
-    sum += sweep_counters (fleet->sweeps[i]).removed;
+    sum += sweep_get_counters (fleet->sweeps[i]).removed;
   return sum;
 }
 
@@ -103,7 +103,7 @@
   }
   for (unsigned i = 0; i < fleet.routers; i++)
     {
-      const sweep_setup_t setup
+      const sweep_options_t setup
           = { KEPT_S, calls, routers, keeps_ages, is_held, &places[i] };
 
       places[i] = (place_t){ &fleet, i };
