--- a/libcoltsfootdrum/once/once-job.c
+++ b/libcoltsfootdrum/once/once-job.c
@@ -4,11 +4,12 @@
 #include <string.h>
 
 #define PART "once"
-#define BACKOFF_LEAST_MS 250
-#define BACKOFF_MOST_MS 5000
-/* A write in doubt may still land after a read did not find it: so many reads,
-   with backoff between them, before it is taken as never written.  */
-#define ABSENT_READS 4
+#define MIN_BACKOFF_MS 250
+#define MAX_BACKOFF_MS 5000
+/* A write whose reply was lost may still take effect after a read that did not
+   find it.  The claim is taken as never written only after this number of
+   reads, with backoff between them.  */
+#define MAX_ABSENT_READS 4
 
 typedef struct
 {
@@ -16,18 +17,18 @@
   once_jobs_t *jobs;
   char *name;
   char *attempt;
-  char *version; /* NULL: read it first */
+  char *version; /* NULL: read the claim first */
   JsonObject *spec;
-  bool in_doubt;
-  unsigned absent;
+  bool is_write_uncertain;
+  unsigned absent_reads;
   unsigned tries;
   ev_timer timer;
 } once_job_t;
 
-static void try_job (once_job_t *job);
+static void run_job (once_job_t *job);
 
 const char *
-once_text (JsonObject *object, const char *member)
+once_get_text (JsonObject *object, const char *member)
 {
   JsonNode *node = json_object_get_member (object, member);
 
@@ -38,7 +39,7 @@
 }
 
 JsonObject *
-once_spec (JsonObject *object)
+once_get_spec (JsonObject *object)
 {
   JsonNode *node = json_object_get_member (object, "spec");
 
@@ -61,12 +62,12 @@
 }
 
 static void
-try_later (once_job_t *job)
+retry_later (once_job_t *job)
 {
   struct ev_loop *loop = plat_loop (job->jobs->plat);
   unsigned doublings = MIN (job->tries, 10u);
-  unsigned most = MIN (BACKOFF_LEAST_MS << doublings, BACKOFF_MOST_MS);
-  int delay_ms = g_random_int_range ((gint32)most / 2, (gint32)most + 1);
+  unsigned max_ms = MIN (MIN_BACKOFF_MS << doublings, MAX_BACKOFF_MS);
+  int delay_ms = g_random_int_range ((gint32)max_ms / 2, (gint32)max_ms + 1);
 
   job->tries++;
   ev_now_update (loop);
@@ -77,16 +78,16 @@
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  try_job (timer->data);
+  run_job (timer->data);
 }
 
-/* The claim is not there.  */
+/* Handles a claim that does not exist.  */
 static void
-is_absent (once_job_t *job)
+handle_absent (once_job_t *job)
 {
-  if (job->in_doubt && ++job->absent < ABSENT_READS)
+  if (job->is_write_uncertain && ++job->absent_reads < MAX_ABSENT_READS)
     {
-      try_later (job);
+      retry_later (job);
       return;
     }
   if (job->spec != NULL)
@@ -95,23 +96,24 @@
   job_free (job);
 }
 
-/* The claim as it is; the job goes on only with its own, unfinished one.  One
-   that was marked_unknown as unknown meanwhile is its own still: this job
-   knows.  */
+/* Handles the claim that was read: the job goes on only if the claim is of its
+   own attempt and unfinished.  A claim that was marked unknown meanwhile still
+   belongs to this job, which knows its outcome.  */
 static void
-is_there (once_job_t *job, JsonObject *object)
+handle_found (once_job_t *job, JsonObject *object)
 {
-  JsonObject *spec = once_spec (object);
+  JsonObject *spec = once_get_spec (object);
 
-  if (spec == NULL || strcmp (once_text (spec, "attempt"), job->attempt) != 0
-      || strcmp (once_text (spec, "state"), ONCE_STATE_FINISHED) == 0)
+  if (spec == NULL
+      || strcmp (once_get_text (spec, "attempt"), job->attempt) != 0
+      || strcmp (once_get_text (spec, "state"), ONCE_STATE_FINISHED) == 0)
     {
       job_free (job);
       return;
     }
   g_free (job->version);
-  job->version = g_strdup (once_text (object, "version"));
-  try_job (job);
+  job->version = g_strdup (once_get_text (object, "version"));
+  run_job (job);
 }
 
 static void
@@ -120,11 +122,11 @@
   once_job_t *job = user;
 
   if (status == PLAT_OK)
-    is_there (job, answer);
+    handle_found (job, answer);
   else if (status == PLAT_NOT_FOUND)
-    is_absent (job);
+    handle_absent (job);
   else
-    try_later (job);
+    retry_later (job);
   g_clear_pointer (&answer, json_object_unref);
 }
 
@@ -140,18 +142,19 @@
       job_free (job);
       break;
     case PLAT_DOWN:
-      try_later (job);
+      retry_later (job);
       break;
     default:
-      /* The version may be our own lost write's: look.  */
+      /* The version may be that of this job's own write whose reply was lost:
+         read the claim again.  */
       g_clear_pointer (&job->version, g_free);
-      try_later (job);
+      retry_later (job);
       break;
     }
 }
 
 static void
-try_job (once_job_t *job)
+run_job (once_job_t *job)
 {
   plat_t *plat = job->jobs->plat;
 
@@ -195,10 +198,10 @@
   job->attempt = g_strdup (attempt);
   job->version = g_strdup (version);
   job->spec = spec == NULL ? NULL : json_object_ref (spec);
-  job->in_doubt = version == NULL;
+  job->is_write_uncertain = version == NULL;
   ev_init (&job->timer, on_timer);
   job->timer.data = job;
   list_append (&jobs->jobs, &job->node);
   jobs->count++;
-  try_job (job);
+  run_job (job);
 }
--- a/libcoltsfootdrum/once/once.c
+++ b/libcoltsfootdrum/once/once.c
@@ -6,30 +6,31 @@
 #include <string.h>
 
 #define PART "once"
-#define NAME_BYTES 16
-/* Writes and reads for one claim before its caller is refused.  */
-#define CLAIM_TRIES 3
+#define CLAIM_NAME_BYTES 16
+/* Attempts to create one claim, each with a read after a failure, before the
+   caller is refused.  */
+#define MAX_CLAIM_TRIES 3
 
 struct once
 {
   plat_t *plat;
   char *owner;
-  uint64_t attempts;
+  uint64_t attempt_count;
   int retention_s;
-  GHashTable *held;   /* of held_t by name of the claim */
-  list_node_t asking; /* of claim_t */
+  GHashTable *running; /* claim name -> running_claim_t */
+  list_node_t pending; /* of pending_claim_t */
   once_jobs_t jobs;
 };
 
-/* A claim of a request of ours.  */
+/* The claim of a request that runs here.  */
 typedef struct
 {
   char *attempt;
   char *version;
   JsonObject *spec;
-} held_t;
+} running_claim_t;
 
-/* A claim being made.  */
+/* A claim that is being created.  */
 typedef struct
 {
   list_node_t node;
@@ -38,20 +39,20 @@
   char *attempt;
   JsonObject *spec;
   unsigned tries;
-  bool in_doubt;      /* a write may have taken effect */
-  bool is_other_held; /* a write met a claim that was there */
+  bool may_be_written;  /* a write may have taken effect */
+  bool met_other_claim; /* a write found another attempt's claim */
   void (*done) (void *user, const once_claim_result_t *answer);
   void *user;
-} claim_t;
+} pending_claim_t;
 
-static void try_claim (claim_t *claim);
+static void create_claim (pending_claim_t *claim);
 
 char *
-once_claim_name (const char *account, const char *key)
+once_make_claim_name (const char *account, const char *key)
 {
   g_autofree char *text = g_strconcat (account, "\n", key, NULL);
-  unsigned char hash[NAME_BYTES];
-  char hex[NAME_BYTES * 2 + 1];
+  unsigned char hash[CLAIM_NAME_BYTES];
+  char hex[CLAIM_NAME_BYTES * 2 + 1];
 
   crypto_generichash (hash, sizeof hash, (const unsigned char *)text,
                       strlen (text), NULL, 0);
@@ -60,18 +61,18 @@
 }
 
 static void
-held_free (gpointer pointer)
+running_claim_free (gpointer pointer)
 {
-  held_t *held = pointer;
+  running_claim_t *running = pointer;
 
-  g_free (held->attempt);
-  g_free (held->version);
-  json_object_unref (held->spec);
-  g_free (held);
+  g_free (running->attempt);
+  g_free (running->version);
+  json_object_unref (running->spec);
+  g_free (running);
 }
 
 static void
-claim_free (claim_t *claim)
+pending_claim_free (pending_claim_t *claim)
 {
   list_remove (&claim->node);
   json_object_unref (claim->spec);
@@ -83,129 +84,131 @@
 /* ---- the claim_status ---- */
 
 static void
-conclude (claim_t *claim, const once_claim_result_t *answer)
+finish_claim (pending_claim_t *claim, const once_claim_result_t *answer)
 {
   once_t *once = claim->once;
 
-  if (answer->claim_status != ONCE_CLAIMED && claim->in_doubt)
+  if (answer->claim_status != ONCE_CLAIMED && claim->may_be_written)
     once_jobs_add (&once->jobs, claim->name, claim->attempt, NULL, NULL);
   claim->done (claim->user, answer);
-  claim_free (claim);
+  pending_claim_free (claim);
 }
 
 static void
-conclude_plain (claim_t *claim, once_claim_status_t claim_status)
+finish_with_status (pending_claim_t *claim, once_claim_status_t claim_status)
 {
   once_claim_result_t answer = { .claim_status = claim_status };
 
-  conclude (claim, &answer);
+  finish_claim (claim, &answer);
 }
 
 static void
-is_mine (claim_t *claim, JsonObject *object)
+accept_claim (pending_claim_t *claim, JsonObject *object)
 {
-  held_t *held = g_new0 (held_t, 1);
+  running_claim_t *running = g_new0 (running_claim_t, 1);
 
-  held->attempt = g_strdup (claim->attempt);
-  held->version = g_strdup (once_text (object, "version"));
-  held->spec = json_object_ref (claim->spec);
-  g_hash_table_replace (claim->once->held, g_strdup (claim->name), held);
-  conclude_plain (claim, ONCE_CLAIMED);
+  running->attempt = g_strdup (claim->attempt);
+  running->version = g_strdup (once_get_text (object, "version"));
+  running->spec = json_object_ref (claim->spec);
+  g_hash_table_replace (claim->once->running, g_strdup (claim->name), running);
+  finish_with_status (claim, ONCE_CLAIMED);
 }
 
 static void
-is_finished (claim_t *claim, JsonObject *spec)
+report_finished (pending_claim_t *claim, JsonObject *spec)
 {
   once_claim_result_t answer = { .claim_status = ONCE_FINISHED };
 
   answer.status = (unsigned)json_object_get_int_member_with_default (
       spec, "status", 200);
-  answer.type = once_text (spec, "type");
+  answer.type = once_get_text (spec, "type");
   if (json_object_has_member (spec, "body"))
-    answer.body = once_text (spec, "body");
-  conclude (claim, &answer);
+    answer.body = once_get_text (spec, "body");
+  finish_claim (claim, &answer);
 }
 
-/* Judges the claim that is there.  */
+/* Decides the result by the claim that exists already.  */
 static void
-judge (claim_t *claim, JsonObject *object)
+evaluate_existing (pending_claim_t *claim, JsonObject *object)
 {
-  JsonObject *spec = once_spec (object);
+  JsonObject *spec = once_get_spec (object);
 
   if (spec == NULL)
-    conclude_plain (claim, ONCE_RUNNING);
-  else if (strcmp (once_text (spec, "attempt"), claim->attempt) == 0)
-    is_mine (claim, object);
-  else if (strcmp (once_text (spec, "digest"),
-                   once_text (claim->spec, "digest"))
+    finish_with_status (claim, ONCE_RUNNING);
+  else if (strcmp (once_get_text (spec, "attempt"), claim->attempt) == 0)
+    accept_claim (claim, object);
+  else if (strcmp (once_get_text (spec, "digest"),
+                   once_get_text (claim->spec, "digest"))
            != 0)
-    conclude_plain (claim, ONCE_KEY_REUSED);
-  else if (strcmp (once_text (spec, "state"), ONCE_STATE_FINISHED) == 0)
-    is_finished (claim, spec);
-  else if (strcmp (once_text (spec, "state"), ONCE_STATE_UNKNOWN) == 0)
-    conclude_plain (claim, ONCE_OUTCOME_UNKNOWN);
+    finish_with_status (claim, ONCE_KEY_REUSED);
+  else if (strcmp (once_get_text (spec, "state"), ONCE_STATE_FINISHED) == 0)
+    report_finished (claim, spec);
+  else if (strcmp (once_get_text (spec, "state"), ONCE_STATE_UNKNOWN) == 0)
+    finish_with_status (claim, ONCE_OUTCOME_UNKNOWN);
   else
-    conclude_plain (claim, ONCE_RUNNING);
+    finish_with_status (claim, ONCE_RUNNING);
 }
 
-/* The platform gave no word that settles the claim.  When a write met another
-   claim, the request may be running there.  */
+/* Ends the claim without a definite reply of the platform.  If a write found
+   another claim, its request may be running.  */
 static void
-give_up (claim_t *claim)
+fail_claim (pending_claim_t *claim)
 {
-  conclude_plain (claim,
-                  claim->is_other_held ? ONCE_RUNNING : ONCE_PLATFORM_DOWN);
+  finish_with_status (claim, claim->met_other_claim ? ONCE_RUNNING
+                                                    : ONCE_PLATFORM_DOWN);
 }
 
-/* ---- the calls ---- */
+/* ---- calls to the platform ---- */
 
 static void
-on_read (void *user, plat_status_t status, JsonObject *answer)
+on_claim_read (void *user, plat_status_t status, JsonObject *answer)
 {
-  claim_t *claim = user;
+  pending_claim_t *claim = user;
 
   if (status == PLAT_OK)
-    judge (claim, answer);
-  else if (status == PLAT_NOT_FOUND && claim->tries < CLAIM_TRIES)
-    try_claim (claim); /* given back meanwhile, or never written */
+    evaluate_existing (claim, answer);
+  else if (status == PLAT_NOT_FOUND && claim->tries < MAX_CLAIM_TRIES)
+    create_claim (claim); /* released meanwhile, or never written */
   else
-    give_up (claim);
+    fail_claim (claim);
   g_clear_pointer (&answer, json_object_unref);
 }
 
 static void
-on_created (void *user, plat_status_t status, JsonObject *answer)
+on_claim_created (void *user, plat_status_t status, JsonObject *answer)
 {
-  claim_t *claim = user;
+  pending_claim_t *claim = user;
 
   switch (status)
     {
     case PLAT_OK:
-      is_mine (claim, answer);
+      accept_claim (claim, answer);
       break;
     case PLAT_CONFLICT:
-      claim->is_other_held = true;
-      plat_get (claim->once->plat, ONCE_KIND, claim->name, on_read, claim);
+      claim->met_other_claim = true;
+      plat_get (claim->once->plat, ONCE_KIND, claim->name, on_claim_read,
+                claim);
       break;
     case PLAT_UNKNOWN:
     case PLAT_BAD:
-      claim->in_doubt = true;
-      plat_get (claim->once->plat, ONCE_KIND, claim->name, on_read, claim);
+      claim->may_be_written = true;
+      plat_get (claim->once->plat, ONCE_KIND, claim->name, on_claim_read,
+                claim);
       break;
     default:
-      give_up (claim);
+      fail_claim (claim);
       break;
     }
   g_clear_pointer (&answer, json_object_unref);
 }
 
 static void
-try_claim (claim_t *claim)
+create_claim (pending_claim_t *claim)
 {
   claim->tries++;
-  claim->is_other_held = false;
+  claim->met_other_claim = false;
   plat_put (claim->once->plat, ONCE_KIND, claim->name, NULL, claim->spec,
-            on_created, claim);
+            on_claim_created, claim);
 }
 
 void
@@ -214,12 +217,12 @@
             void (*done) (void *user, const once_claim_result_t *answer),
             void *user)
 {
-  claim_t *claim = g_new0 (claim_t, 1);
+  pending_claim_t *claim = g_new0 (pending_claim_t, 1);
 
   claim->once = once;
-  claim->name = once_claim_name (account, key);
+  claim->name = once_make_claim_name (account, key);
   claim->attempt = g_strdup_printf ("%s/%" G_GUINT64_FORMAT, once->owner,
-                                    ++once->attempts);
+                                    ++once->attempt_count);
   claim->done = done;
   claim->user = user;
   claim->spec = json_object_new ();
@@ -230,26 +233,26 @@
   json_object_set_string_member (claim->spec, "state", ONCE_STATE_RUNNING);
   if (once->retention_s > 0)
     json_object_set_int_member (claim->spec, "kept_s", once->retention_s);
-  list_append (&once->asking, &claim->node);
-  try_claim (claim);
+  list_append (&once->pending, &claim->node);
+  create_claim (claim);
 }
 
-/* ---- the end of a request ---- */
+/* ---- end of a request ---- */
 
-/* Takes the claim out of those held, or NULL when it is not.  */
-static held_t *
-take_held (once_t *once, const char *name)
+/* Removes and returns the running claim NAME; NULL when there is none.  */
+static running_claim_t *
+take_running (once_t *once, const char *name)
 {
   gpointer key = NULL;
-  gpointer held = NULL;
+  gpointer running = NULL;
 
-  g_hash_table_steal_extended (once->held, name, &key, &held);
+  g_hash_table_steal_extended (once->running, name, &key, &running);
   g_free (key);
-  return held;
+  return running;
 }
 
 static bool
-can_keep (const char *body)
+is_storable (const char *body)
 {
   return body != NULL && strlen (body) <= ONCE_MAX_ANSWER_BYTES
          && g_utf8_validate (body, -1, NULL);
@@ -259,30 +262,32 @@
 once_finish (once_t *once, const char *account, const char *key,
              unsigned status, const char *type, const char *body)
 {
-  g_autofree char *name = once_claim_name (account, key);
-  held_t *held = take_held (once, name);
+  g_autofree char *name = once_make_claim_name (account, key);
+  running_claim_t *running = take_running (once, name);
 
-  if (held == NULL)
+  if (running == NULL)
     return;
-  json_object_set_string_member (held->spec, "state", ONCE_STATE_FINISHED);
-  json_object_set_int_member (held->spec, "status", status);
-  json_object_set_string_member (held->spec, "type", type == NULL ? "" : type);
-  if (can_keep (body))
-    json_object_set_string_member (held->spec, "body", body);
-  once_jobs_add (&once->jobs, name, held->attempt, held->version, held->spec);
-  held_free (held);
+  json_object_set_string_member (running->spec, "state", ONCE_STATE_FINISHED);
+  json_object_set_int_member (running->spec, "status", status);
+  json_object_set_string_member (running->spec, "type",
+                                 type == NULL ? "" : type);
+  if (is_storable (body))
+    json_object_set_string_member (running->spec, "body", body);
+  once_jobs_add (&once->jobs, name, running->attempt, running->version,
+                 running->spec);
+  running_claim_free (running);
 }
 
 void
 once_release (once_t *once, const char *account, const char *key)
 {
-  g_autofree char *name = once_claim_name (account, key);
-  held_t *held = take_held (once, name);
+  g_autofree char *name = once_make_claim_name (account, key);
+  running_claim_t *running = take_running (once, name);
 
-  if (held == NULL)
+  if (running == NULL)
     return;
-  once_jobs_add (&once->jobs, name, held->attempt, held->version, NULL);
-  held_free (held);
+  once_jobs_add (&once->jobs, name, running->attempt, running->version, NULL);
+  running_claim_free (running);
 }
 
 void
@@ -294,7 +299,7 @@
 bool
 once_has_running_claim (const once_t *once, const char *name)
 {
-  return g_hash_table_contains (once->held, name);
+  return g_hash_table_contains (once->running, name);
 }
 
 unsigned
@@ -310,9 +315,9 @@
 
   once->plat = plat;
   once->owner = g_strdup (owner);
-  once->held
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, held_free);
-  list_init (&once->asking);
+  once->running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                         running_claim_free);
+  list_init (&once->pending);
   once_jobs_init (&once->jobs, plat);
   return once;
 }
@@ -322,15 +327,15 @@
 {
   if (once == NULL)
     return;
-  list_for_each_safe (node, &once->asking)
+  list_for_each_safe (node, &once->pending)
     {
-      claim_t *claim = list_entry (node, claim_t, node);
+      pending_claim_t *claim = list_entry (node, pending_claim_t, node);
 
       plat_cancel (once->plat, claim);
-      claim_free (claim);
+      pending_claim_free (claim);
     }
   once_jobs_clear (&once->jobs);
-  g_hash_table_unref (once->held);
+  g_hash_table_unref (once->running);
   g_free (once->owner);
   g_free (once);
 }
--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -1,104 +1,107 @@
 #include "once/sweep.h"
 
 #include "base/log.h"
-#include "once/keeper.h"
+#include "once/age-sync.h"
 #include "once/once-job.h"
 
 #include <string.h>
 
 #define PART "once"
-#define NAME "cursor"
+#define CURSOR_NAME "cursor"
 #define SCHEMA 1
-/* Of claims with their answers, up to 64 KiB each.  */
-#define PAGE_CLAIMS 50
-/* The ages are written, and a pass begins, so many times in a claim's time. */
-#define BEATS_KEPT 64
-#define RESTS_KEPT 16
-#define PASSES_KEPT 4
-#define BEAT_MOST_MS 60000u
-#define REST_MOST_MS 300000u
-#define LEAST_MS 50u
-
-/* A claim whose time is over.  */
+/* Claims listed in one call; each may hold an answer of up to 64 KiB.  */
+#define MAX_PAGE_CLAIMS 50
+/* How many times the ages are written, the cursor is read and a pass begins,
+   within one retention time.  */
+#define AGE_WRITES_PER_RETENTION 64
+#define POLLS_PER_RETENTION 16
+#define PASSES_PER_RETENTION 4
+#define MAX_AGE_WRITE_INTERVAL_MS 60000u
+#define MAX_POLL_INTERVAL_MS 300000u
+#define MIN_INTERVAL_MS 50u
+
+/* A write that removes an expired claim or marks it unknown.  */
 typedef struct
 {
   char *name;
   char *version;
-  JsonObject *spec; /* to be written; NULL: delete */
-} due_t;
+  JsonObject *spec; /* new content; NULL: delete the claim */
+} removal_t;
 
 struct sweep
 {
   plat_t *plat;
-  sweep_options_t setup;
-  keeper_t *keeper;
+  sweep_options_t options;
+  age_sync_t *sync;
   ev_timer timer;
-  char *cursor_version; /* of the newest read; NULL: it is not there */
+  char *cursor_version; /* as last read; NULL: the object does not exist */
   char *after;
-  GQueue due;    /* of due_t, of the page that this router took */
-  GQueue listed; /* the same, of a page that it has not taken yet */
+  GQueue removals; /* of removal_t; of the page reserved for this router */
+  GQueue page_removals; /* of removal_t; of a listed page not yet reserved */
   sweep_counters_t counters;
 };
 
 static void
-due_free (gpointer pointer)
+removal_free (gpointer pointer)
 {
-  due_t *due = pointer;
+  removal_t *removal = pointer;
 
-  g_free (due->name);
-  g_free (due->version);
-  g_clear_pointer (&due->spec, json_object_unref);
-  g_free (due);
+  g_free (removal->name);
+  g_free (removal->version);
+  g_clear_pointer (&removal->spec, json_object_unref);
+  g_free (removal);
 }
 
-/* ---- pace ---- */
+/* ---- timing ---- */
 
 static void
-run_after (sweep_t *sweep, unsigned least_ms)
+schedule_after (sweep_t *sweep, unsigned min_ms)
 {
   struct ev_loop *loop = plat_loop (sweep->plat);
-  gint32 most_ms = (gint32)(least_ms + least_ms / 4 + 1);
-  int wait_ms = g_random_int_range ((gint32)least_ms, most_ms + 1);
+  gint32 max_ms = (gint32)(min_ms + min_ms / 4 + 1);
+  int wait_ms = g_random_int_range ((gint32)min_ms, max_ms + 1);
 
   ev_now_update (loop);
   ev_timer_set (&sweep->timer, wait_ms / 1000.0, 0.0);
   ev_timer_start (loop, &sweep->timer);
 }
 
-/* Between two calls: the fleet's routers share its rate.  */
+/* Minimum time between two calls; the routers of the fleet share the rate.  */
 static unsigned
-gap_ms (const sweep_t *sweep)
+call_interval_ms (const sweep_t *sweep)
 {
-  unsigned routers = sweep->setup.count_routers (sweep->setup.user);
+  unsigned routers = sweep->options.count_routers (sweep->options.user);
 
-  return MAX (1u, MAX (routers, 1u) * 1000u / sweep->setup.max_calls_per_s);
+  return MAX (1u, MAX (routers, 1u) * 1000u / sweep->options.max_calls_per_s);
 }
 
 static unsigned
-part_of_kept (const sweep_t *sweep, unsigned parts, unsigned most_ms)
+divide_retention (const sweep_t *sweep, unsigned parts, unsigned max_ms)
 {
-  int64_t part_ms = (int64_t)sweep->setup.retention_s * 1000 / parts;
+  int64_t part_ms = (int64_t)sweep->options.retention_s * 1000 / parts;
 
-  return (unsigned)CLAMP (part_ms, LEAST_MS, most_ms);
+  return (unsigned)CLAMP (part_ms, MIN_INTERVAL_MS, max_ms);
 }
 
 static void
-rest (sweep_t *sweep)
+schedule_poll (sweep_t *sweep)
 {
-  unsigned rest_ms = part_of_kept (sweep, RESTS_KEPT, REST_MOST_MS);
+  unsigned poll_ms
+      = divide_retention (sweep, POLLS_PER_RETENTION, MAX_POLL_INTERVAL_MS);
 
-  run_after (sweep, MAX (rest_ms, gap_ms (sweep)));
+  schedule_after (sweep, MAX (poll_ms, call_interval_ms (sweep)));
 }
 
 static void
-go_on (sweep_t *sweep)
+schedule_next_call (sweep_t *sweep)
 {
-  run_after (sweep, gap_ms (sweep));
+  schedule_after (sweep, call_interval_ms (sweep));
 }
 
-/* Counts the end of a call.  */
+/* Counts a failed call; returns whether the platform gave a definite
+   answer.  */
 static bool
-is_answered (sweep_t *sweep, plat_status_t status)
+record_status (sweep_t *sweep, plat_status_t status)
 {
   if (status != PLAT_DOWN && status != PLAT_UNKNOWN && status != PLAT_BAD)
     return true;
@@ -106,46 +109,46 @@
   return false;
 }
 
-/* ---- a claim whose time is over ---- */
+/* ---- removal ---- */
 
 static void
 on_removed (void *user, plat_status_t status, JsonObject *answer)
 {
   sweep_t *sweep = user;
-  due_t *due = g_queue_pop_head (&sweep->due);
+  removal_t *removal = g_queue_pop_head (&sweep->removals);
 
   g_clear_pointer (&answer, json_object_unref);
-  (void)is_answered (sweep, status);
-  if (status == PLAT_OK && due->spec == NULL)
+  (void)record_status (sweep, status);
+  if (status == PLAT_OK && removal->spec == NULL)
     sweep->counters.removed++;
   else if (status == PLAT_OK)
     sweep->counters.marked_unknown++;
   else if (status == PLAT_CONFLICT || status == PLAT_NOT_FOUND)
     sweep->counters.skipped_changed++;
-  due_free (due);
-  go_on (sweep);
+  removal_free (removal);
+  schedule_next_call (sweep);
 }
 
 static void
 remove_next (sweep_t *sweep)
 {
-  const due_t *due = g_queue_peek_head (&sweep->due);
+  const removal_t *removal = g_queue_peek_head (&sweep->removals);
 
   sweep->counters.calls++;
-  if (due->spec != NULL)
-    plat_put (sweep->plat, ONCE_KIND, due->name, due->version, due->spec,
-              on_removed, sweep);
+  if (removal->spec != NULL)
+    plat_put (sweep->plat, ONCE_KIND, removal->name, removal->version,
+              removal->spec, on_removed, sweep);
   else
-    plat_delete (sweep->plat, ONCE_KIND, due->name, due->version, on_removed,
-                 sweep);
+    plat_delete (sweep->plat, ONCE_KIND, removal->name, removal->version,
+                 on_removed, sweep);
 }
 
-/* ---- a page ---- */
+/* ---- page of claims ---- */
 
-/* The claim as unknown; its other members stay, those of newer programs
-   too.  */
+/* A copy of SPEC with the state unknown.  It keeps all other members,
+   including those written by newer versions of the program.  */
 static JsonObject *
-settled_spec (JsonObject *spec)
+make_unknown_spec (JsonObject *spec)
 {
   g_autoptr (JsonNode) node = json_node_new (JSON_NODE_OBJECT);
   g_autoptr (JsonNode) copy = NULL;
@@ -161,54 +164,56 @@
 }
 
 static int64_t
-kept_ms (const sweep_t *sweep, JsonObject *spec)
+claim_retention_ms (const sweep_t *sweep, JsonObject *spec)
 {
-  gint64 told_s = json_object_get_int_member_with_default (
-      spec, "kept_s", sweep->setup.retention_s);
+  gint64 promised_s = json_object_get_int_member_with_default (
+      spec, "kept_s", sweep->options.retention_s);
 
-  return MAX (told_s, (gint64)sweep->setup.retention_s) * 1000;
+  return MAX (promised_s, (gint64)sweep->options.retention_s) * 1000;
 }
 
 static void
-judge (sweep_t *sweep, JsonObject *object)
+queue_if_expired (sweep_t *sweep, JsonObject *object)
 {
-  JsonObject *spec = once_spec (object);
-  const char *name = once_text (object, "name");
+  JsonObject *spec = once_get_spec (object);
+  const char *name = once_get_text (object, "name");
   uint64_t revision = (uint64_t)json_object_get_int_member_with_default (
       object, "revision", 0);
   bool is_running;
-  due_t *due;
+  removal_t *removal;
 
   if (spec == NULL || revision == 0
-      || marks_age (keeper_marks (sweep->keeper), revision)
-             < kept_ms (sweep, spec))
+      || write_ages_get_age_ms (age_sync_get_ages (sweep->sync), revision)
+             < claim_retention_ms (sweep, spec))
     return;
-  is_running = strcmp (once_text (spec, "state"), ONCE_STATE_RUNNING) == 0;
-  if (is_running && sweep->setup.is_claim_running (sweep->setup.user, name))
+  is_running = strcmp (once_get_text (spec, "state"), ONCE_STATE_RUNNING) == 0;
+  if (is_running
+      && sweep->options.is_claim_running (sweep->options.user, name))
     return;
-  due = g_new0 (due_t, 1);
-  due->name = g_strdup (name);
-  due->version = g_strdup (once_text (object, "version"));
-  due->spec = is_running ? settled_spec (spec) : NULL;
-  g_queue_push_tail (&sweep->listed, due);
+  removal = g_new0 (removal_t, 1);
+  removal->name = g_strdup (name);
+  removal->version = g_strdup (once_get_text (object, "version"));
+  removal->spec = is_running ? make_unknown_spec (spec) : NULL;
+  g_queue_push_tail (&sweep->page_removals, removal);
 }
 
-/* The cursor was moved on, or not: then the page is another's.  */
+/* If the cursor could not be advanced, the page belongs to another router and
+   its removals are dropped.  */
 static void
-on_moved (void *user, plat_status_t status, JsonObject *answer)
+on_cursor_moved (void *user, plat_status_t status, JsonObject *answer)
 {
   sweep_t *sweep = user;
 
   g_clear_pointer (&answer, json_object_unref);
-  if (!is_answered (sweep, status) || status != PLAT_OK)
+  if (!record_status (sweep, status) || status != PLAT_OK)
     {
-      g_queue_clear_full (&sweep->listed, due_free);
-      go_on (sweep);
+      g_queue_clear_full (&sweep->page_removals, removal_free);
+      schedule_next_call (sweep);
       return;
     }
-  sweep->due = sweep->listed;
-  g_queue_init (&sweep->listed);
-  go_on (sweep);
+  sweep->removals = sweep->page_removals;
+  g_queue_init (&sweep->page_removals);
+  schedule_next_call (sweep);
 }
 
 static void
@@ -219,8 +224,8 @@
   json_object_set_int_member (spec, "schema", SCHEMA);
   json_object_set_string_member (spec, "after", next);
   sweep->counters.calls++;
-  plat_put (sweep->plat, KEEPER_KIND, NAME, sweep->cursor_version, spec,
-            on_moved, sweep);
+  plat_put (sweep->plat, CLAIM_SWEEP_KIND, CURSOR_NAME, sweep->cursor_version,
+            spec, on_cursor_moved, sweep);
   json_object_unref (spec);
 }
 
@@ -231,10 +236,10 @@
   JsonNode *node;
   JsonArray *objects;
 
-  if (!is_answered (sweep, status) || status != PLAT_OK)
+  if (!record_status (sweep, status) || status != PLAT_OK)
     {
       g_clear_pointer (&answer, json_object_unref);
-      rest (sweep);
+      schedule_poll (sweep);
       return;
     }
   node = json_object_get_member (answer, "objects");
@@ -244,63 +249,64 @@
   for (guint i = 0; objects != NULL && i < json_array_get_length (objects);
        i++)
     if (JSON_NODE_HOLDS_OBJECT (json_array_get_element (objects, i)))
-      judge (sweep, json_array_get_object_element (objects, i));
-  move_cursor (sweep, once_text (answer, "next"));
+      queue_if_expired (sweep, json_array_get_object_element (objects, i));
+  move_cursor (sweep, once_get_text (answer, "next"));
   json_object_unref (answer);
 }
 
-/* ---- a turn ---- */
+/* ---- cursor ---- */
 
-/* Whether a pass is under way, or the last is long enough ago.  */
+/* Whether a pass is under way, or the last one ended long enough ago.  */
 static bool
-is_time (const sweep_t *sweep, JsonObject *cursor)
+is_pass_due (const sweep_t *sweep, JsonObject *cursor)
 {
-  const marks_t *marks = keeper_marks (sweep->keeper);
-  int64_t kept = (int64_t)sweep->setup.retention_s * 1000;
+  const write_ages_t *ages = age_sync_get_ages (sweep->sync);
+  int64_t retention_ms = (int64_t)sweep->options.retention_s * 1000;
   uint64_t revision;
 
-  /* Nothing can be so old yet.  */
-  if (marks_oldest (marks) < kept)
+  /* No claim can be old enough yet.  */
+  if (write_ages_get_oldest_ms (ages) < retention_ms)
     return false;
   if (cursor == NULL || sweep->after[0] != '\0')
     return true;
   revision = (uint64_t)json_object_get_int_member_with_default (cursor,
                                                                 "revision", 0);
-  return marks_age (marks, revision) >= kept / PASSES_KEPT;
+  return write_ages_get_age_ms (ages, revision)
+         >= retention_ms / PASSES_PER_RETENTION;
 }
 
 static void
-take_cursor (sweep_t *sweep, JsonObject *cursor)
+accept_cursor (sweep_t *sweep, JsonObject *cursor)
 {
-  JsonObject *spec = cursor == NULL ? NULL : once_spec (cursor);
+  JsonObject *spec = cursor == NULL ? NULL : once_get_spec (cursor);
 
   g_free (sweep->cursor_version);
   g_free (sweep->after);
   sweep->cursor_version
-      = cursor == NULL ? NULL : g_strdup (once_text (cursor, "version"));
-  sweep->after = g_strdup (spec == NULL ? "" : once_text (spec, "after"));
+      = cursor == NULL ? NULL : g_strdup (once_get_text (cursor, "version"));
+  sweep->after = g_strdup (spec == NULL ? "" : once_get_text (spec, "after"));
 }
 
 static void
 on_cursor (void *user, plat_status_t status, JsonObject *answer)
 {
   sweep_t *sweep = user;
-  bool is_known = is_answered (sweep, status);
+  bool is_known = record_status (sweep, status);
 
   if (is_known && (status == PLAT_OK || status == PLAT_NOT_FOUND))
     {
-      take_cursor (sweep, answer);
-      if (is_time (sweep, answer))
+      accept_cursor (sweep, answer);
+      if (is_pass_due (sweep, answer))
         {
           sweep->counters.calls++;
-          plat_page (sweep->plat, ONCE_KIND, sweep->after, PAGE_CLAIMS,
+          plat_page (sweep->plat, ONCE_KIND, sweep->after, MAX_PAGE_CLAIMS,
                      on_page, sweep);
           g_clear_pointer (&answer, json_object_unref);
           return;
         }
     }
   g_clear_pointer (&answer, json_object_unref);
-  rest (sweep);
+  schedule_poll (sweep);
 }
 
 static void
@@ -308,33 +314,35 @@
 {
   sweep_t *sweep = timer->data;
 
-  if (!g_queue_is_empty (&sweep->due))
+  if (!g_queue_is_empty (&sweep->removals))
     {
       remove_next (sweep);
       return;
     }
   sweep->counters.calls++;
-  plat_get (sweep->plat, KEEPER_KIND, NAME, on_cursor, sweep);
+  plat_get (sweep->plat, CLAIM_SWEEP_KIND, CURSOR_NAME, on_cursor, sweep);
 }
 
-/* ---- life ---- */
+/* ---- construction ---- */
 
 sweep_t *
-sweep_new (plat_t *plat, const sweep_options_t *setup)
+sweep_new (plat_t *plat, const sweep_options_t *options)
 {
   sweep_t *sweep = g_new0 (sweep_t, 1);
 
   sweep->plat = plat;
-  sweep->setup = *setup;
-  g_queue_init (&sweep->due);
-  g_queue_init (&sweep->listed);
-  sweep->keeper
-      = keeper_new (plat, part_of_kept (sweep, BEATS_KEPT, BEAT_MOST_MS),
-                    part_of_kept (sweep, RESTS_KEPT, REST_MOST_MS),
-                    setup->is_age_writer, setup->user);
+  sweep->options = *options;
+  g_queue_init (&sweep->removals);
+  g_queue_init (&sweep->page_removals);
+  sweep->sync = age_sync_new (
+      plat,
+      divide_retention (sweep, AGE_WRITES_PER_RETENTION,
+                        MAX_AGE_WRITE_INTERVAL_MS),
+      divide_retention (sweep, POLLS_PER_RETENTION, MAX_POLL_INTERVAL_MS),
+      options->is_age_writer, options->user);
   ev_init (&sweep->timer, on_timer);
   sweep->timer.data = sweep;
-  rest (sweep);
+  schedule_poll (sweep);
   return sweep;
 }
 
@@ -345,9 +353,9 @@
     return;
   ev_timer_stop (plat_loop (sweep->plat), &sweep->timer);
   plat_cancel (sweep->plat, sweep);
-  keeper_free (sweep->keeper);
-  g_queue_clear_full (&sweep->due, due_free);
-  g_queue_clear_full (&sweep->listed, due_free);
+  age_sync_free (sweep->sync);
+  g_queue_clear_full (&sweep->removals, removal_free);
+  g_queue_clear_full (&sweep->page_removals, removal_free);
   g_free (sweep->cursor_version);
   g_free (sweep->after);
   g_free (sweep);
@@ -361,6 +369,6 @@
   if (sweep == NULL)
     return counters;
   counters = sweep->counters;
-  counters.calls += keeper_calls (sweep->keeper);
+  counters.calls += age_sync_get_calls (sweep->sync);
   return counters;
 }
--- a/libcoltsfootdrum/once/test-once-random.c
+++ b/libcoltsfootdrum/once/test-once-random.c
@@ -1,6 +1,6 @@
-/* Claims at random: three routers, few keys, and a platform whose faults
-   change all the time.  Whatever happens, a key is held by one at a time, runs
-   at most once, and who asks afterwards gets that answer.  */
+/* Random claims by three routers for a few keys, at a platform whose faults
+   change all the time.  A key is claimed by one router at a time, its request
+   runs at most once, and later callers get the stored answer.  */
 
 #include "base/log.h"
 #include "once/once.h"
@@ -11,13 +11,12 @@
 #define ROUTERS 3
 #define KEYS 12
 #define CLAIMS 400
-/* Claims under way at once.  */
-#define ASKING 6
+#define MAX_PENDING_CLAIMS 6
 
 typedef struct
 {
   char name[8];
-  once_t *holder; /* of whom a request with this key runs */
+  once_t *holder; /* router where a request with this key runs */
   bool ran;
   char answer[32];
 } claim_key_t;
@@ -28,48 +27,48 @@
   GRand *random;
   once_t *routers[ROUTERS];
   claim_key_t keys[KEYS];
-  unsigned asked;
-  unsigned answered;
-  unsigned mine;
+  unsigned claim_count;
+  unsigned result_count;
+  unsigned claimed;
   unsigned finished;
-  bool is_over; /* the faults are */
-} world_t;
+  bool are_faults_over;
+} simulation_t;
 
 typedef struct
 {
-  world_t *world;
+  simulation_t *sim;
   claim_key_t *key;
   once_t *router;
-} ask_t;
+} caller_t;
 
 static void
-hold (ask_t *ask)
+start_request (caller_t *caller)
 {
-  g_assert_null (ask->key->holder);
-  g_assert_false (ask->key->ran);
-  ask->key->holder = ask->router;
-  ask->world->mine++;
+  g_assert_null (caller->key->holder);
+  g_assert_false (caller->key->ran);
+  caller->key->holder = caller->router;
+  caller->sim->claimed++;
 }
 
 static void
 on_answer (void *user, const once_claim_result_t *answer)
 {
-  ask_t *ask = user;
-  claim_key_t *key = ask->key;
+  caller_t *caller = user;
+  claim_key_t *key = caller->key;
 
-  ask->world->answered++;
+  caller->sim->result_count++;
   switch (answer->claim_status)
     {
     case ONCE_CLAIMED:
-      hold (ask);
+      start_request (caller);
       break;
     case ONCE_FINISHED:
       g_assert_true (key->ran);
       g_assert_cmpstr (answer->body, ==, key->answer);
-      ask->world->finished++;
+      caller->sim->finished++;
       break;
     case ONCE_PLATFORM_DOWN:
-      g_assert_false (ask->world->is_over);
+      g_assert_false (caller->sim->are_faults_over);
       break;
     case ONCE_RUNNING:
       break;
@@ -77,116 +76,117 @@
     case ONCE_KEY_REUSED:
       g_assert_not_reached ();
     }
-  g_free (ask);
+  g_free (caller);
 }
 
 static void
-ask_for (world_t *world, claim_key_t *key)
+claim_key (simulation_t *sim, claim_key_t *key)
 {
-  ask_t *ask = g_new0 (ask_t, 1);
+  caller_t *caller = g_new0 (caller_t, 1);
 
-  ask->world = world;
-  ask->key = key;
-  ask->router = world->routers[g_rand_int_range (world->random, 0, ROUTERS)];
-  world->asked++;
-  once_claim (ask->router, "mill", key->name, "d", on_answer, ask);
+  caller->sim = sim;
+  caller->key = key;
+  caller->router = sim->routers[g_rand_int_range (sim->random, 0, ROUTERS)];
+  sim->claim_count++;
+  once_claim (caller->router, "mill", key->name, "d", on_answer, caller);
 }
 
-/* The held request ends: it ran, or it did not and never will.  */
+/* Ends the running request: either it ran, or it did not and never will.  */
 static void
-end_request (world_t *world, claim_key_t *key)
+end_request (simulation_t *sim, claim_key_t *key)
 {
   once_t *holder = key->holder;
 
   key->holder = NULL;
-  if (g_rand_boolean (world->random))
+  if (g_rand_boolean (sim->random))
     {
       once_release (holder, "mill", key->name);
       return;
     }
   key->ran = true;
-  g_snprintf (key->answer, sizeof key->answer, "case %u", world->asked);
+  g_snprintf (key->answer, sizeof key->answer, "case %u", sim->claim_count);
   once_finish (holder, "mill", key->name, 200, "text/plain", key->answer);
 }
 
 static void
-change_fault (world_t *world)
+change_fault (simulation_t *sim)
 {
   sp_mode_t mode
-      = (sp_mode_t)g_rand_int_range (world->random, SP_UP, SP_STALE + 1);
+      = (sp_mode_t)g_rand_int_range (sim->random, SP_UP, SP_STALE + 1);
 
-  sp_fault (world->test.sp, mode, 2, 0);
+  sp_fault (sim->test.sp, mode, 2, 0);
 }
 
 static void
-step (world_t *world)
+step (simulation_t *sim)
 {
-  claim_key_t *key = &world->keys[g_rand_int_range (world->random, 0, KEYS)];
-
-  if (g_rand_int_range (world->random, 0, 8) == 0)
-    change_fault (world);
-  if (key->holder != NULL && g_rand_int_range (world->random, 0, 3) == 0)
-    end_request (world, key);
-  else if (world->asked - world->answered < ASKING)
-    ask_for (world, key);
-  ev_run (world->test.loop, EVRUN_ONCE);
+  claim_key_t *key = &sim->keys[g_rand_int_range (sim->random, 0, KEYS)];
+
+  if (g_rand_int_range (sim->random, 0, 8) == 0)
+    change_fault (sim);
+  if (key->holder != NULL && g_rand_int_range (sim->random, 0, 3) == 0)
+    end_request (sim, key);
+  else if (sim->claim_count - sim->result_count < MAX_PENDING_CLAIMS)
+    claim_key (sim, key);
+  ev_run (sim->test.loop, EVRUN_ONCE);
 }
 
 static bool
-is_quiet (void *user)
+is_idle (void *user)
 {
-  const world_t *world = user;
+  const simulation_t *sim = user;
 
   for (int i = 0; i < ROUTERS; i++)
-    if (once_count_pending_writes (world->routers[i]) > 0)
+    if (once_count_pending_writes (sim->routers[i]) > 0)
       return false;
-  return world->asked == world->answered;
+  return sim->claim_count == sim->result_count;
 }
 
-/* With the faults over, each key answers as what happened to it.  */
+/* Without faults, claiming a key returns what happened to its request.  */
 static void
-check_end (world_t *world)
+check_final_claims (simulation_t *sim)
 {
-  sp_fault (world->test.sp, SP_UP, 0, 0);
-  sp_test_run (&world->test, is_quiet, world);
-  world->is_over = true;
+  sp_fault (sim->test.sp, SP_UP, 0, 0);
+  sp_test_run (&sim->test, is_idle, sim);
+  sim->are_faults_over = true;
   for (int i = 0; i < KEYS; i++)
     {
-      claim_key_t *key = &world->keys[i];
-      unsigned mine = world->mine;
-      unsigned finished = world->finished;
+      claim_key_t *key = &sim->keys[i];
+      unsigned claimed = sim->claimed;
+      unsigned finished = sim->finished;
       bool was_held = key->holder != NULL;
 
-      ask_for (world, key);
-      sp_test_run (&world->test, is_quiet, world);
-      g_assert_cmpuint (world->finished - finished, ==, key->ran ? 1 : 0);
-      g_assert_cmpuint (world->mine - mine, ==, key->ran || was_held ? 0 : 1);
+      claim_key (sim, key);
+      sp_test_run (&sim->test, is_idle, sim);
+      g_assert_cmpuint (sim->finished - finished, ==, key->ran ? 1 : 0);
+      g_assert_cmpuint (sim->claimed - claimed, ==,
+                        key->ran || was_held ? 0 : 1);
     }
 }
 
 static void
 run (guint32 seed)
 {
-  world_t world = { .random = g_rand_new_with_seed (seed) };
+  simulation_t sim = { .random = g_rand_new_with_seed (seed) };
 
-  sp_test_begin (&world.test);
+  sp_test_begin (&sim.test);
   for (int i = 0; i < ROUTERS; i++)
     {
       g_autofree char *owner = g_strdup_printf ("router-%d", i);
 
-      world.routers[i] = once_new (world.test.plat, owner);
+      sim.routers[i] = once_new (sim.test.plat, owner);
     }
   for (int i = 0; i < KEYS; i++)
-    g_snprintf (world.keys[i].name, sizeof world.keys[i].name, "key-%d", i);
-  while (world.asked < CLAIMS)
-    step (&world);
-  check_end (&world);
-  g_test_message ("seed %u: mine %u, finished %u of %u", seed, world.mine,
-                  world.finished, world.asked);
+    g_snprintf (sim.keys[i].name, sizeof sim.keys[i].name, "key-%d", i);
+  while (sim.claim_count < CLAIMS)
+    step (&sim);
+  check_final_claims (&sim);
+  g_test_message ("seed %u: mine %u, finished %u of %u", seed, sim.claimed,
+                  sim.finished, sim.claim_count);
   for (int i = 0; i < ROUTERS; i++)
-    once_free (world.routers[i]);
-  sp_test_end (&world.test);
-  g_rand_free (world.random);
+    once_free (sim.routers[i]);
+  sp_test_end (&sim.test);
+  g_rand_free (sim.random);
 }
 
 static void
--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -1,4 +1,5 @@
-/* At most once, against the platform's stand-in with its faults.  */
+/* Tests of at-most-once execution, against the platform's test double and its
+   faults.  */
 
 #include "base/log.h"
 #include "once/once.h"
@@ -33,7 +34,7 @@
 }
 
 static void
-clear (result_t *result)
+clear_result (result_t *result)
 {
   g_clear_pointer (&result->type, g_free);
   g_clear_pointer (&result->body, g_free);
@@ -43,8 +44,8 @@
 static void
 tear_down (fixture_t *f, gconstpointer data)
 {
-  clear (&f->result);
-  clear (&f->other_result);
+  clear_result (&f->result);
+  clear_result (&f->other_result);
   once_free (f->router);
   once_free (f->other);
   sp_test_end (&f->test);
@@ -63,7 +64,7 @@
 }
 
 static bool
-is_done (void *user)
+has_result (void *user)
 {
   return ((result_t *)user)->done > 0;
 }
@@ -71,10 +72,10 @@
 static once_claim_status_t
 claim_key (fixture_t *f, once_t *once, const char *key, const char *digest)
 {
-  clear (&f->result);
+  clear_result (&f->result);
   once_claim (once, "mill", key, digest, on_claim, &f->result);
   g_assert_cmpuint (f->result.done, ==, 0);
-  sp_test_run (&f->test, is_done, &f->result);
+  sp_test_run (&f->test, has_result, &f->result);
   return f->result.claim_status;
 }
 
@@ -85,7 +86,7 @@
 }
 
 static bool
-is_settled (void *user)
+has_no_pending_writes (void *user)
 {
   fixture_t *f = user;
 
@@ -94,23 +95,24 @@
 }
 
 static void
-settle (fixture_t *f)
+wait_for_writes (fixture_t *f)
 {
-  sp_test_run (&f->test, is_settled, f);
+  sp_test_run (&f->test, has_no_pending_writes, f);
 }
 
 static void
 finish (fixture_t *f, const char *body)
 {
   once_finish (f->router, "mill", "key", 201, "text/plain", body);
-  settle (f);
+  wait_for_writes (f);
 }
 
 static void
 test_finished (fixture_t *f, gconstpointer data)
 {
-  /* A filing is posted; the caller loses the answer and asks again through
-     another router: it gets the first answer, and the filing is not run.  */
+  /* The caller of a request loses the answer and repeats the request through
+     another router: it gets the first answer, and the request is not run
+     again.  */
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_RUNNING);
   g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_KEY_REUSED);
@@ -127,19 +129,20 @@
 {
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
   once_release (f->router, "mill", "key");
-  settle (f);
+  wait_for_writes (f);
   g_assert_cmpint (claim (f, f->other, "e"), ==, ONCE_CLAIMED);
-  /* Not its own any more: a late word changes nothing.  */
+  /* Late calls for a released claim change nothing.  */
   once_release (f->router, "mill", "key");
   once_finish (f->router, "mill", "key", 200, "", "late");
-  settle (f);
+  wait_for_writes (f);
   g_assert_cmpint (claim (f, f->router, "e"), ==, ONCE_RUNNING);
 }
 
 static void
-test_not_kept (fixture_t *f, gconstpointer data)
+test_answer_not_stored (fixture_t *f, gconstpointer data)
 {
-  /* A part of an answer must never be given for the whole.  */
+  /* An answer that is too large or not text is not stored: a part of it must
+     never be returned as the whole.  */
   g_autofree char *large = g_strnfill (ONCE_MAX_ANSWER_BYTES + 1, 'x');
   const char *bodies[] = { large, "\xff\xfe" };
   const char *keys[] = { "1", "2" };
@@ -149,7 +152,7 @@
       g_assert_cmpint (claim_key (f, f->router, keys[i], "d"), ==,
                        ONCE_CLAIMED);
       once_finish (f->router, "mill", keys[i], 200, "", bodies[i]);
-      settle (f);
+      wait_for_writes (f);
       g_assert_cmpint (claim_key (f, f->other, keys[i], "d"), ==,
                        ONCE_FINISHED);
       g_assert_null (f->result.body);
@@ -159,14 +162,14 @@
 static void
 test_race (fixture_t *f, gconstpointer data)
 {
-  /* The caller's two tries arrive at two routers at the same time: exactly
-     one may run.  */
+  /* The caller's two tries arrive at two routers at the same time: exactly one
+     may run.  */
   unsigned mine;
 
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
   once_claim (f->other, "mill", "key", "d", on_claim, &f->other_result);
-  sp_test_run (&f->test, is_done, &f->result);
-  sp_test_run (&f->test, is_done, &f->other_result);
+  sp_test_run (&f->test, has_result, &f->result);
+  sp_test_run (&f->test, has_result, &f->other_result);
   mine = (f->result.claim_status == ONCE_CLAIMED)
          + (f->other_result.claim_status == ONCE_CLAIMED);
   g_assert_cmpuint (mine, ==, 1);
@@ -174,17 +177,18 @@
                  || f->other_result.claim_status == ONCE_RUNNING);
 }
 
-/* The claim_status of a claim under a fault, and of another router's claim
-   after the fault is over and all is marked_unknown.  */
+/* The result of a claim during a fault, and of another router's claim after
+   the fault is over and all writes are done.  */
 static const struct
 {
   const char *name;
   sp_mode_t mode;
-  bool held; /* the other router holds the claim */
+  bool is_claimed_by_other; /* the other router made the claim before */
   once_claim_status_t claim_status;
-  once_claim_status_t after;
+  once_claim_status_t later_claim_status;
 } faults[] = {
-  /* The write took effect and its answer was lost: the read tells whose.  */
+  /* The write took effect and its reply was lost: reading the claim back tells
+     whose it is.  */
   { "lost answer", SP_LOSE_ANSWER, false, ONCE_CLAIMED, ONCE_RUNNING },
   { "lost answer, held", SP_LOSE_ANSWER, true, ONCE_RUNNING, ONCE_RUNNING },
   { "down", SP_DOWN, false, ONCE_PLATFORM_DOWN, ONCE_CLAIMED },
@@ -192,7 +196,7 @@
   { "slow", SP_SLOW, false, ONCE_CLAIMED, ONCE_RUNNING },
   { "slow, held", SP_SLOW, true, ONCE_RUNNING, ONCE_RUNNING },
   { "stale", SP_STALE, false, ONCE_CLAIMED, ONCE_RUNNING },
-  /* The read does not show the claim that the write met.  */
+  /* The read does not return the claim that the write conflicted with.  */
   { "stale, held", SP_STALE, true, ONCE_RUNNING, ONCE_RUNNING },
 };
 
@@ -203,17 +207,17 @@
   fixture_t f = { 0 };
 
   set_up (&f, NULL);
-  /* The stale state is that from before the other router's claim.  */
+  /* The stale state is the one before the other router's claim.  */
   if (faults[i].mode == SP_STALE)
     sp_fault (f.test.sp, SP_STALE, 0, 0);
-  if (faults[i].held)
+  if (faults[i].is_claimed_by_other)
     g_assert_cmpint (claim (&f, f.other, "d"), ==, ONCE_CLAIMED);
   if (faults[i].mode != SP_STALE)
     sp_fault (f.test.sp, faults[i].mode, 20, 0);
   g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].claim_status);
   sp_fault (f.test.sp, SP_UP, 0, 0);
-  settle (&f);
-  g_assert_cmpint (claim (&f, f.other, "d"), ==, faults[i].after);
+  wait_for_writes (&f);
+  g_assert_cmpint (claim (&f, f.other, "d"), ==, faults[i].later_claim_status);
   tear_down (&f, NULL);
 }
 
@@ -224,35 +228,36 @@
 }
 
 static void
-test_doubt_is_taken_back (fixture_t *f, gconstpointer data)
+test_uncertain_claim_deleted (fixture_t *f, gconstpointer data)
 {
-  /* The claim is written, its answer is lost, and the platform goes down
-     before it can be read back.  The caller is refused "not run"; so when the
-     platform is back the claim must go, or the caller could never succeed.  */
+  /* The claim is written, its reply is lost, and the platform goes down before
+     the claim can be read back.  The caller is refused as "not run", so the
+     claim must be deleted when the platform is back; otherwise the caller
+     could never succeed.  */
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
   sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
   sp_test_run (&f->test, has_put, f);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, is_done, &f->result);
+  sp_test_run (&f->test, has_result, &f->result);
   g_assert_cmpint (f->result.claim_status, ==, ONCE_PLATFORM_DOWN);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
   sp_fault (f->test.sp, SP_UP, 0, 0);
-  settle (f);
+  wait_for_writes (f);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_CLAIMED);
 }
 
 static void
 test_finish_under_faults (fixture_t *f, gconstpointer data)
 {
-  /* The filing ran; the platform is down, then loses answers, while the answer
-     is written.  It must be kept in the end, and as it was.  */
+  /* The request ran; while its answer is written, the platform is down and
+     then loses replies.  The complete answer must be stored in the end.  */
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
   once_finish (f->router, "mill", "key", 201, "text/plain", "case 7");
   ev_run (f->test.loop, EVRUN_ONCE);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
   sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
-  settle (f);
+  wait_for_writes (f);
   sp_fault (f->test.sp, SP_UP, 0, 0);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_FINISHED);
   g_assert_cmpstr (f->result.body, ==, "case 7");
@@ -279,7 +284,7 @@
   log_setup ("test", LOG_ERROR, false);
   add ("/once/finished", test_finished);
   add ("/once/released", test_released);
-  add ("/once/not-kept", test_not_kept);
+  add ("/once/answer-not-stored", test_answer_not_stored);
   add ("/once/race", test_race);
   for (guint i = 0; i < G_N_ELEMENTS (faults); i++)
     {
@@ -288,7 +293,7 @@
 
       g_test_add_data_func (path, GUINT_TO_POINTER (i), run_fault);
     }
-  add ("/once/doubt-is-taken-back", test_doubt_is_taken_back);
+  add ("/once/uncertain-claim-deleted", test_uncertain_claim_deleted);
   add ("/once/finish-under-faults", test_finish_under_faults);
   add ("/once/refused-connection", test_refused_connection);
   return g_test_run ();
--- a/libcoltsfootdrum/once/test-sweep.c
+++ b/libcoltsfootdrum/once/test-sweep.c
@@ -1,8 +1,9 @@
-/* Removal of claims whose time is over, against the platform's stand-in.  */
+/* Tests of the removal of expired claims, against the platform's test
+   double.  */
 
 #include "base/log.h"
-#include "once/keeper.h"
-#include "once/marks.h"
+#include "once/age-sync.h"
+#include "once/write-ages.h"
 #include "once/once.h"
 #include "once/sweep.h"
 #include "sp-test.h"
@@ -10,11 +11,11 @@
 #include <string.h>
 
 #define SWEEPERS 2
-#define KEPT_S 1
-#define FAST 1000 /* calls a second */
+#define RETENTION_S 1
+#define FAST_CALLS_PER_S 1000
 #define CLAIMS 30
-/* Callers who ask again at random in the last test.  */
-#define ROUNDS 400
+/* Claims made, and the number of keys, in the last test.  */
+#define RANDOM_CLAIMS 400
 #define KEYS 6
 
 typedef struct
@@ -23,7 +24,7 @@
   once_t *router;
   sweep_t *sweeps[SWEEPERS];
   bool is_age_writer[SWEEPERS];
-  unsigned answered;
+  unsigned result_count;
   once_claim_status_t claim_status;
 } fixture_t;
 
@@ -46,16 +47,16 @@
 }
 
 static void
-begin_sweep (fixture_t *f, int i, unsigned calls)
+start_sweep (fixture_t *f, int i, unsigned calls)
 {
-  const sweep_options_t setup = { .retention_s = KEPT_S,
-                                  .max_calls_per_s = calls,
-                                  .count_routers = two_routers,
-                                  .is_age_writer = is_age_writer,
-                                  .is_claim_running = holds_none,
-                                  .user = &f->is_age_writer[i] };
-
-  f->sweeps[i] = sweep_new (f->test.plat, &setup);
+  const sweep_options_t options = { .retention_s = RETENTION_S,
+                                    .max_calls_per_s = calls,
+                                    .count_routers = two_routers,
+                                    .is_age_writer = is_age_writer,
+                                    .is_claim_running = holds_none,
+                                    .user = &f->is_age_writer[i] };
+
+  f->sweeps[i] = sweep_new (f->test.plat, &options);
 }
 
 static void
@@ -63,7 +64,7 @@
 {
   sp_test_begin (&f->test);
   f->router = once_new (f->test.plat, "router-1");
-  once_set_retention_s (f->router, KEPT_S);
+  once_set_retention_s (f->router, RETENTION_S);
   f->is_age_writer[0] = true;
 }
 
@@ -81,24 +82,24 @@
 {
   fixture_t *f = user;
 
-  f->answered++;
+  f->result_count++;
   f->claim_status = answer->claim_status;
 }
 
 static bool
-is_settled (void *user)
+has_result (void *user)
 {
   fixture_t *f = user;
 
-  return f->answered > 0 && once_count_pending_writes (f->router) == 0;
+  return f->result_count > 0 && once_count_pending_writes (f->router) == 0;
 }
 
 static once_claim_status_t
 claim (fixture_t *f, const char *key)
 {
-  f->answered = 0;
+  f->result_count = 0;
   once_claim (f->router, "mill", key, "d", on_claim, f);
-  sp_test_run (&f->test, is_settled, f);
+  sp_test_run (&f->test, has_result, f);
   return f->claim_status;
 }
 
@@ -114,13 +115,13 @@
 finish (fixture_t *f, const char *key)
 {
   once_finish (f->router, "mill", key, 201, "text/plain", "case 7");
-  sp_test_run (&f->test, is_settled, f);
+  sp_test_run (&f->test, has_result, f);
 }
 
 static const sp_object_t *
-stored (fixture_t *f, const char *key)
+get_stored (fixture_t *f, const char *key)
 {
-  g_autofree char *name = once_claim_name ("mill", key);
+  g_autofree char *name = once_make_claim_name ("mill", key);
 
   return sp_model_newest (sp_state (f->test.sp), "claim", name);
 }
@@ -138,7 +139,7 @@
 }
 
 static bool
-is_empty (void *user)
+are_all_removed (void *user)
 {
   fixture_t *f = user;
 
@@ -146,81 +147,88 @@
     {
       g_autofree char *key = g_strdup_printf ("key-%u", i);
 
-      if (stored (f, key) != NULL)
+      if (get_stored (f, key) != NULL)
         return false;
     }
   return true;
 }
 
 static uint64_t
-removed (const fixture_t *f)
+count_removed (const fixture_t *f)
 {
   return sweep_get_counters (f->sweeps[0]).removed
          + sweep_get_counters (f->sweeps[1]).removed;
 }
 
 static void
-test_marks (void)
+test_write_ages (void)
 {
-  /* Ages never exceed the time that went by; a write after the newest mark has
-     none.  They stay few, and come back as they were from the platform.  */
-  g_autoptr (marks_t) marks = marks_new ();
-  g_autoptr (marks_t) read = NULL;
+  /* An age never exceeds the time that has passed, and a write after the
+     newest bound has age 0.  The number of bounds stays small, and they
+     survive a round trip through the platform.  */
+  g_autoptr (write_ages_t) ages = write_ages_new ();
+  g_autoptr (write_ages_t) read = NULL;
   JsonObject *spec;
 
-  g_assert_cmpint (marks_age (marks, 1), ==, 0);
+  g_assert_cmpint (write_ages_get_age_ms (ages, 1), ==, 0);
   for (uint64_t i = 1; i <= 5000; i++)
-    marks_grow (marks, i * 10, 1000);
+    write_ages_advance (ages, i * 10, 1000);
   for (uint64_t i = 1; i <= 5000; i++)
     {
       int64_t most = (int64_t)(5001 - i) * 1000;
 
-      g_assert_cmpint (marks_age (marks, i * 10), <=, most);
-      g_assert_cmpint (marks_age (marks, i * 10), >=, most * 7 / 8 - 1000);
+      g_assert_cmpint (write_ages_get_age_ms (ages, i * 10), <=, most);
+      g_assert_cmpint (write_ages_get_age_ms (ages, i * 10), >=,
+                       most * 7 / 8 - 1000);
     }
-  g_assert_cmpint (marks_age (marks, 50001), ==, 0);
-  g_assert_cmpuint (marks_count (marks), <, 150);
-  spec = marks_spec (marks);
-  read = marks_parse (spec);
-  g_assert_cmpint (marks_age (read, 777), ==, marks_age (marks, 777));
+  g_assert_cmpint (write_ages_get_age_ms (ages, 50001), ==, 0);
+  g_assert_cmpuint (write_ages_count (ages), <, 150);
+  spec = write_ages_to_spec (ages);
+  read = write_ages_parse (spec);
+  g_assert_cmpint (write_ages_get_age_ms (read, 777), ==,
+                   write_ages_get_age_ms (ages, 777));
   json_object_set_int_member (spec, "schema", 2);
-  g_assert_null (marks_parse (spec));
+  g_assert_null (write_ages_parse (spec));
   json_object_unref (spec);
-  /* The platform was restored from an old copy: what it writes is new.  */
-  marks_grow (marks, 100, 1000);
-  g_assert_cmpint (marks_age (marks, 101), ==, 0);
-  g_assert_cmpint (marks_age (marks, 100), ==, 1000);
+  /* The platform was restored from a backup: what it writes is new.  */
+  write_ages_advance (ages, 100, 1000);
+  g_assert_cmpint (write_ages_get_age_ms (ages, 101), ==, 0);
+  g_assert_cmpint (write_ages_get_age_ms (ages, 100), ==, 1000);
 }
 
 static void
 test_race (fixture_t *f, gconstpointer data)
 {
-  /* Two routers sweep at once, each sure that the ages are its to keep.  Each
-     claim goes once, none before its time, and all go.  */
-  cfd_time_t begun = clock_now ();
+  /* Two routers sweep at once, and both act as the writer of the ages.  Each
+     claim is removed once, none before its retention time, and all in the
+     end.  */
+  cfd_time_t start_time = clock_now ();
 
   f->is_age_writer[1] = true;
-  begin_sweep (f, 0, FAST);
-  begin_sweep (f, 1, FAST);
+  start_sweep (f, 0, FAST_CALLS_PER_S);
+  start_sweep (f, 1, FAST_CALLS_PER_S);
   fill (f, CLAIMS);
-  sp_test_run (&f->test, is_empty, f);
-  g_assert_cmpint (clock_now () - begun, >=, KEPT_S * 1000);
-  g_assert_cmpuint (removed (f), <=, CLAIMS);
+  sp_test_run (&f->test, are_all_removed, f);
+  g_assert_cmpint (clock_now () - start_time, >=, RETENTION_S * 1000);
+  g_assert_cmpuint (count_removed (f), <=, CLAIMS);
   expect_claim (f, "key-0", ONCE_CLAIMED);
 }
 
 static bool
-has_due (void *user)
+has_reserved_page (void *user)
 {
-  /* One call a second: a page was taken, no claim of it deleted yet.  */
+  /* Two routers sweep at once, and both act as the writer of the ages.  Each
+     claim is removed once, none before its retention time, and all in the
+     end.  */
   fixture_t *f = user;
 
   return sp_calls (f->test.sp, "list") == 1
-         && sp_model_newest (sp_state (f->test.sp), KEEPER_KIND, "cursor");
+         && sp_model_newest (sp_state (f->test.sp), CLAIM_SWEEP_KIND,
+                             "cursor");
 }
 
 static bool
-has_deleted (void *user)
+has_tried_removal (void *user)
 {
   sweep_counters_t counters
       = sweep_get_counters (((fixture_t *)user)->sweeps[0]);
@@ -229,20 +237,20 @@
 }
 
 static void
-test_frozen (fixture_t *f, gconstpointer data)
+test_stopped_router (fixture_t *f, gconstpointer data)
 {
-  /* A router lists old claims and is stopped.  Meanwhile the claim is removed
-     by another, its caller asks again, and the call runs anew.  The router
-     wakes and goes on with its list: the new claim must stay, or a third try
-     would run beside it.  */
-  g_autofree char *name = once_claim_name ("mill", "key-0");
-  begin_sweep (f, 0, SWEEPERS);
+  /* A router lists expired claims and is stopped.  Meanwhile the claim is
+     removed by another router, its caller repeats the request, and it runs
+     again.  When the first router resumes, it must not remove the new claim,
+     or a third request could run beside the second.  */
+  g_autofree char *name = once_make_claim_name ("mill", "key-0");
+  start_sweep (f, 0, SWEEPERS);
   fill (f, 1);
-  sp_test_run (&f->test, has_due, f);
+  sp_test_run (&f->test, has_reserved_page, f);
   sp_test_write (&f->test, "claim", name, NULL);
   expect_claim (f, "key-0", ONCE_CLAIMED);
-  sp_test_run (&f->test, has_deleted, f);
-  g_assert_nonnull (stored (f, "key-0"));
+  sp_test_run (&f->test, has_tried_removal, f);
+  g_assert_nonnull (get_stored (f, "key-0"));
   expect_claim (f, "key-0", ONCE_RUNNING);
 }
 
@@ -255,15 +263,16 @@
 static void
 test_faults (fixture_t *f, gconstpointer data)
 {
-  /* The platform loses the answers of writes, shows an old state, is down and
-     comes back.  Claims go in the end, and not before their time: the ages
-     never count a span twice when it is not known whose write took effect.  */
+  /* The platform loses the replies of writes, returns an old state, is down
+     and comes back.  Claims are removed in the end and not before their time:
+     the ages never count a span twice when it is unknown whose write took
+     effect.  */
   static const sp_mode_t modes[] = { SP_LOSE_ANSWER, SP_DOWN };
-  cfd_time_t begun = clock_now ();
+  cfd_time_t start_time = clock_now ();
 
   fill (f, CLAIMS);
-  begin_sweep (f, 0, FAST);
-  begin_sweep (f, 1, FAST);
+  start_sweep (f, 0, FAST_CALLS_PER_S);
+  start_sweep (f, 1, FAST_CALLS_PER_S);
   for (guint i = 0; i < G_N_ELEMENTS (modes); i++)
     {
       uint64_t calls = sp_calls (f->test.sp, "total");
@@ -278,14 +287,14 @@
        sp_calls (f->test.sp, "total") < calls;)
     ev_run (f->test.loop, EVRUN_ONCE);
   sp_fault (f->test.sp, SP_UP, 0, 0);
-  sp_test_run (&f->test, is_empty, f);
-  g_assert_cmpint (clock_now () - begun, >=, KEPT_S * 1000);
+  sp_test_run (&f->test, are_all_removed, f);
+  g_assert_cmpint (clock_now () - start_time, >=, RETENTION_S * 1000);
 }
 
 static bool
 is_unknown (void *user)
 {
-  const sp_object_t *object = stored (user, "key-0");
+  const sp_object_t *object = get_stored (user, "key-0");
 
   return object != NULL && strstr (object->text, "\"unknown\"") != NULL;
 }
@@ -293,16 +302,17 @@
 static bool
 is_removed (void *user)
 {
-  return stored (user, "key-0") == NULL;
+  return get_stored (user, "key-0") == NULL;
 }
 
 static void
 test_dead_router (fixture_t *f, gconstpointer data)
 {
-  /* A router dies in mid-call.  Its claim says "running" until its time is
-     over, then "unknown", which the caller is told, and goes at last.  */
+  /* A router dies during a call.  Its claim stays "running" until its
+     retention time has passed, then becomes "unknown", which callers are told,
+     and is removed at last.  */
   expect_claim (f, "key-0", ONCE_CLAIMED);
-  begin_sweep (f, 0, FAST);
+  start_sweep (f, 0, FAST_CALLS_PER_S);
   sp_test_run (&f->test, is_unknown, f);
   expect_claim (f, "key-0", ONCE_OUTCOME_UNKNOWN);
   sp_test_run (&f->test, is_removed, f);
@@ -312,46 +322,47 @@
 static void
 test_slow_router (fixture_t *f, gconstpointer data)
 {
-  /* The router was only cut off: the call ends after all, and what it wrote
-     goes before "unknown".  */
+  /* The router was only disconnected: the call ends after all, and its answer
+     replaces "unknown".  */
   expect_claim (f, "key-0", ONCE_CLAIMED);
-  begin_sweep (f, 0, FAST);
+  start_sweep (f, 0, FAST_CALLS_PER_S);
   sp_test_run (&f->test, is_unknown, f);
   finish (f, "key-0");
   expect_claim (f, "key-0", ONCE_FINISHED);
 }
 
 static void
-test_keeper_dies (fixture_t *f, gconstpointer data)
+test_age_writer_replaced (fixture_t *f, gconstpointer data)
 {
-  /* The router that keeps the ages is replaced again and again, each time
-     before a claim's time is over.  What it counted goes on with the next.  */
+  /* The writer of the ages is replaced repeatedly, each time before a claim's
+     retention time has passed.  The next writer continues from the stored
+     ages.  */
   fill (f, CLAIMS);
-  begin_sweep (f, 0, FAST);
-  for (int lives = 0; !is_empty (f); lives++)
+  start_sweep (f, 0, FAST_CALLS_PER_S);
+  for (int lives = 0; !are_all_removed (f); lives++)
     {
-      cfd_time_t until = clock_now () + KEPT_S * 600;
+      cfd_time_t until = clock_now () + RETENTION_S * 600;
 
       g_assert_cmpint (lives, <, 30);
-      while (clock_now () < until && !is_empty (f))
+      while (clock_now () < until && !are_all_removed (f))
         ev_run (f->test.loop, EVRUN_ONCE);
       sweep_free (f->sweeps[0]);
-      begin_sweep (f, 0, FAST);
+      start_sweep (f, 0, FAST_CALLS_PER_S);
     }
 }
 
 static void
-test_asked_again (fixture_t *f, gconstpointer data)
+test_repeated_claims (fixture_t *f, gconstpointer data)
 {
-  /* Callers ask again and again while their claims are removed under them:
-     none runs a second time within the time that its claim is kept.  */
+  /* Callers repeat their requests while the claims are removed: none runs a
+     second time within its retention time.  */
   cfd_time_t finished[KEYS] = { 0 };
   unsigned runs = 0;
 
   f->is_age_writer[1] = true;
-  begin_sweep (f, 0, FAST);
-  begin_sweep (f, 1, FAST);
-  for (unsigned i = 0; i < ROUNDS || runs < 2 * KEYS; i++)
+  start_sweep (f, 0, FAST_CALLS_PER_S);
+  start_sweep (f, 1, FAST_CALLS_PER_S);
+  for (unsigned i = 0; i < RANDOM_CLAIMS || runs < 2 * KEYS; i++)
     {
       unsigned n = i % KEYS;
       g_autofree char *key = g_strdup_printf ("key-%u", n);
@@ -361,7 +372,7 @@
       if (claim (f, key) != ONCE_CLAIMED)
         continue;
       g_assert_true (finished[n] == 0
-                     || clock_now () - finished[n] >= KEPT_S * 1000);
+                     || clock_now () - finished[n] >= RETENTION_S * 1000);
       runs++;
       finished[n] = clock_now ();
       finish (f, key);
@@ -379,13 +390,13 @@
 {
   g_test_init (&argc, &argv, NULL);
   log_setup ("test", LOG_ERROR, false);
-  g_test_add_func ("/sweep/marks", test_marks);
+  g_test_add_func ("/sweep/write-ages", test_write_ages);
   add ("/sweep/race", test_race);
-  add ("/sweep/frozen", test_frozen);
+  add ("/sweep/stopped-router", test_stopped_router);
   add ("/sweep/faults", test_faults);
   add ("/sweep/dead-router", test_dead_router);
   add ("/sweep/slow-router", test_slow_router);
-  add ("/sweep/keeper-dies", test_keeper_dies);
-  add ("/sweep/asked-again", test_asked_again);
+  add ("/sweep/age-writer-replaced", test_age_writer_replaced);
+  add ("/sweep/repeated-claims", test_repeated_claims);
   return g_test_run ();
 }
