--- a/libcoltsfootdrum/agent/agent-admin.c
+++ b/libcoltsfootdrum/agent/agent-admin.c
@@ -5,7 +5,7 @@
 #include "base/log.h"
 
 static void
-add (GString *text, const char *name, const char *type, double value)
+add_metric (GString *text, const char *name, const char *type, double value)
 {
   g_autofree char *full = g_strconcat ("cfd_agent_", name, NULL);
 
@@ -15,55 +15,65 @@
 static void
 add_work (GString *text, const agent_counters_t *c)
 {
-  add (text, "grants_total", "counter", (double)c->granted);
-  add (text, "assigned_total", "counter", (double)c->assigned);
-  add (text, "declined_stale_total", "counter", (double)c->declined_stale);
-  add (text, "declined_other_total", "counter", (double)c->declined_other);
-  add (text, "not_started_total", "counter", (double)c->refused);
-  add (text, "started_total", "counter", (double)c->started);
-  add (text, "completed_total", "counter", (double)c->completed);
-  add (text, "broken_total", "counter", (double)c->broken);
-  add (text, "unreached_total", "counter", (double)c->unreached);
-  add (text, "cancelled_total", "counter", (double)c->cancelled);
-  add (text, "link_resumes_total", "counter", (double)c->resumed_links);
-  add (text, "engine_resumes_total", "counter", (double)c->resumed_engine);
-  add (text, "engine_resumes_failed_total", "counter",
-       (double)c->engine_resume_failed);
-  add (text, "prompt_tokens_total", "counter", (double)c->prompt_tokens);
-  add (text, "output_tokens_total", "counter", (double)c->output_tokens);
-  add (text, "woken_total", "counter", (double)c->woken);
-  add (text, "needed_busy_slot_seconds_total", "counter",
-       (double)c->needed_busy_ms / 1000);
-  add (text, "needed_slot_seconds_total", "counter",
-       (double)c->needed_slot_ms / 1000);
-  add (text, "busy_slot_seconds_total", "counter", (double)c->busy_ms / 1000);
-  add (text, "slot_seconds_total", "counter", (double)c->slot_ms / 1000);
+  add_metric (text, "grants_total", "counter", (double)c->granted);
+  add_metric (text, "assigned_total", "counter", (double)c->assigned);
+  add_metric (text, "declined_stale_total", "counter",
+              (double)c->declined_stale);
+  add_metric (text, "declined_other_total", "counter",
+              (double)c->declined_other);
+  add_metric (text, "not_started_total", "counter", (double)c->refused);
+  add_metric (text, "started_total", "counter", (double)c->started);
+  add_metric (text, "completed_total", "counter", (double)c->completed);
+  add_metric (text, "broken_total", "counter", (double)c->broken);
+  add_metric (text, "unreached_total", "counter", (double)c->unreached);
+  add_metric (text, "cancelled_total", "counter", (double)c->cancelled);
+  add_metric (text, "link_resumes_total", "counter", (double)c->resumed_links);
+  add_metric (text, "engine_resumes_total", "counter",
+              (double)c->resumed_engine);
+  add_metric (text, "engine_resumes_failed_total", "counter",
+              (double)c->engine_resume_failed);
+  add_metric (text, "prompt_tokens_total", "counter",
+              (double)c->prompt_tokens);
+  add_metric (text, "output_tokens_total", "counter",
+              (double)c->output_tokens);
+  add_metric (text, "woken_total", "counter", (double)c->suspensions);
+  add_metric (text, "needed_busy_slot_seconds_total", "counter",
+              (double)c->loaded_busy_slot_ms / 1000);
+  add_metric (text, "needed_slot_seconds_total", "counter",
+              (double)c->loaded_slot_ms / 1000);
+  add_metric (text, "busy_slot_seconds_total", "counter",
+              (double)c->busy_slot_ms / 1000);
+  add_metric (text, "slot_seconds_total", "counter",
+              (double)c->slot_ms / 1000);
 }
 
 /* Slots in use by slots allowed while work waits; 1 when none does, as then
    no slot is idle in vain.  */
 static double
-utilisation (const cfd_agent_t *agent)
+compute_utilisation (const cfd_agent_t *agent)
 {
   unsigned slots = agent->lim.slots;
 
   if (slots == 0 || (!pick_has_waiting (agent->pick) && agent->queued == 0))
     return 1;
-  return (double)MIN (agent->running, slots) / slots;
+  return (double)MIN (agent->busy_slots, slots) / slots;
 }
 
 static void
 add_state (GString *text, cfd_agent_t *agent, cfd_time_t now)
 {
-  add (text, "running", "gauge", agent->running);
-  add (text, "slots", "gauge", agent->lim.slots);
-  add (text, "limit_state", "gauge", agent->lim.state);
-  add (text, "waiting_announced", "gauge", pick_count_waiting (agent->pick));
-  add (text, "queued", "gauge", agent->queued);
-  add (text, "may_grant", "gauge", agent_reason (agent, now) == GRANT_MAY);
+  add_metric (text, "running", "gauge", agent->busy_slots);
+  add_metric (text, "slots", "gauge", agent->lim.slots);
+  add_metric (text, "limit_state", "gauge", agent->lim.state);
+  add_metric (text, "waiting_announced", "gauge",
+              pick_count_waiting (agent->pick));
+  add_metric (text, "queued", "gauge", agent->queued);
+  add_metric (text, "may_grant", "gauge",
+              agent_update_grant_reason (agent, now) == GRANT_ALLOWED);
   prom_sample (text, "cfd_fairness_spread", "gauge", NULL,
                pick_compute_vt_spread (agent->pick, now));
-  prom_sample (text, "cfd_utilisation", "gauge", NULL, utilisation (agent));
+  prom_sample (text, "cfd_utilisation", "gauge", NULL,
+               compute_utilisation (agent));
 }
 
 static void
@@ -76,24 +86,24 @@
 }
 
 static const char *
-not_ready (void *user)
+get_not_ready_reason (void *user)
 {
-  grant_reason_t reason = agent_reason (user, clock_now ());
+  grant_reason_t reason = agent_update_grant_reason (user, clock_now ());
 
-  return reason == GRANT_MAY ? NULL : grant_reason_name (reason);
+  return reason == GRANT_ALLOWED ? NULL : grant_reason_name (reason);
 }
 
 static void
 write_status (void *user, JsonBuilder *out)
 {
   cfd_agent_t *agent = user;
-  grant_reason_t reason = agent_reason (agent, clock_now ());
+  grant_reason_t reason = agent_update_grant_reason (agent, clock_now ());
 
   admin_text (out, "endpoint", agent->endpoint);
   admin_text (out, "service", agent->service);
   admin_text (out, "state", grant_reason_name (reason));
   admin_text (out, "limit", lim_state_name (agent->lim.state));
-  admin_number (out, "in_flight", agent->running);
+  admin_number (out, "in_flight", agent->busy_slots);
   admin_number (out, "slots", agent->lim.slots);
   admin_number (out, "waiting", pick_count_waiting (agent->pick));
 }
@@ -102,7 +112,7 @@
 agent_admin_start (cfd_agent_t *agent, const char *address, GError **error)
 {
   static const admin_source_t source
-      = { not_ready, write_metrics, write_status };
+      = { get_not_ready_reason, write_metrics, write_status };
 
   const admin_node_t node
       = { agent->instance, "agent",     agent->zone, agent->ring,
--- a/libcoltsfootdrum/agent/agent-answer.c
+++ b/libcoltsfootdrum/agent/agent-answer.c
@@ -23,11 +23,11 @@
   msg_t message = { .kind = MSG_DATA };
 
   message.u.data.request = run->request;
-  while (stream_next (&run->stream, &message.u.data))
+  while (stream_get_next (&run->stream, &message.u.data))
     {
       if (!agent_send (run->agent, run->router, &message))
         return false;
-      stream_sent (&run->stream, message.u.data.bytes.length);
+      stream_mark_sent (&run->stream, message.u.data.bytes.length);
     }
   return true;
 }
@@ -41,7 +41,7 @@
   message.u.end = (msg_end_t){
     .request = run->request,
     .outcome = stream->outcome,
-    .length = stream_total (stream),
+    .length = stream_get_length (stream),
     .prompt_tokens = stream->prompt_tokens,
     .output_tokens = stream->output_tokens,
     .detail = stream->detail,
@@ -54,19 +54,19 @@
 {
   stream_t *stream = &run->stream;
 
-  if (stream->has_head && !stream->head_sent)
+  if (stream->has_head && !stream->is_head_sent)
     {
       if (!send_head (run))
         return false;
-      stream->head_sent = true;
+      stream->is_head_sent = true;
     }
   if (!send_body (run))
     return false;
-  if (stream->ended && !stream->end_sent)
+  if (stream->has_ended && !stream->is_end_sent)
     {
       if (!send_end (run))
         return false;
-      stream->end_sent = true;
+      stream->is_end_sent = true;
     }
   return true;
 }
@@ -74,13 +74,13 @@
 void
 answer_flush (run_t *run, cfd_time_t now)
 {
-  if (run->attached && !send_all (run))
+  if (run->is_attached && !send_all (run))
     run_detach (run, now);
 }
 
 void
-answer_unknown (cfd_agent_t *agent, const char *router, const char *request,
-                const char *detail)
+answer_send_unknown (cfd_agent_t *agent, const char *router,
+                     const char *request, const char *detail)
 {
   msg_t message = { .kind = MSG_END };
 
--- a/libcoltsfootdrum/agent/agent-config.c
+++ b/libcoltsfootdrum/agent/agent-config.c
@@ -6,22 +6,22 @@
 
 /* Whatever was read within this time after a stop may have waited in a socket
    since before it, and confirms nothing.  */
-#define STALE_READ_MS 250
-#define ASK_MS 200
-#define LOOK_MS 1000
+#define MAX_BUFFERED_MS 250
+#define CONFIG_ASK_INTERVAL_MS 200
+#define UPDATE_CHECK_INTERVAL_MS 1000
 /* What 95 of 100 callers are to see; slower is overload.  */
-#define FIRST_TOKEN_MS 1400.0
-#define TOKEN_INTERVAL_MS 32.0
+#define TARGET_FIRST_TOKEN_MS 1400.0
+#define TARGET_TOKEN_INTERVAL_MS 32.0
 
 /* ---- whether it may grant ---- */
 
 static void
 confirm_by_platform (cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard = now - store_age (agent->store, now);
+  cfd_time_t heard_at = now - store_age (agent->store, now);
 
-  if (heard > agent->woken_at + STALE_READ_MS)
-    agent->unconfirmed = false;
+  if (heard_at > agent->suspension_ended_at + MAX_BUFFERED_MS)
+    agent->is_config_unconfirmed = false;
 }
 
 /* Whether the platform is in reach.  Its list of instances may answer before
@@ -30,18 +30,18 @@
 static bool
 platform_is_up (const cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard = now - store_age (agent->store, now);
+  cfd_time_t heard_at = now - store_age (agent->store, now);
 
-  return store_platform_is_up (agent->store) && heard >= agent->cut_off_at;
+  return store_platform_is_up (agent->store) && heard_at >= agent->cut_off_at;
 }
 
 static void
-note_reason (cfd_agent_t *agent, grant_reason_t reason, cfd_time_t now)
+record_reason (cfd_agent_t *agent, grant_reason_t reason, cfd_time_t now)
 {
-  if (reason == agent->reason)
+  if (reason == agent->grant_reason)
     return;
   log_info ("agent", "Taking work: state=%s.", grant_reason_name (reason));
-  agent->reason = reason;
+  agent->grant_reason = reason;
   if (reason == GRANT_CUT_OFF)
     agent->cut_off_at = now;
 }
@@ -49,44 +49,46 @@
 static void
 count_zones (const cfd_agent_t *agent, grant_state_t *state, cfd_time_t now)
 {
-  state->age_ms = store_age (agent->store, now);
+  state->platform_age_ms = store_age (agent->store, now);
   state->zones_known
       = witness_zones (store_instances (agent->store, ROLE_ROUTER));
-  state->zones_heard = links_zones (agent->links);
+  state->zones_connected = links_count_zones (agent->links);
 }
 
 grant_reason_t
-agent_reason (cfd_agent_t *agent, cfd_time_t now)
+agent_update_grant_reason (cfd_agent_t *agent, cfd_time_t now)
 {
   grant_state_t state = {
-    .draining = agent->draining,
+    .is_draining = agent->is_draining,
     .has_endpoint = agent->has_endpoint,
     .has_service = agent->has_service,
-    .leaving = agent->leaving,
-    .zone_out = store_zone_is_out (agent->store, agent->zone)
-                || (agent->record_zone != NULL
-                    && store_zone_is_out (agent->store, agent->record_zone)),
-    .settling = agent->settling,
-    .behind = agent->peer_revision > store_revision (agent->store),
-    .platform_up = platform_is_up (agent, now),
-    .ejected
+    .is_leaving = agent->is_leaving,
+    .is_zone_out
+    = store_zone_is_out (agent->store, agent->zone)
+      || (agent->record_zone != NULL
+          && store_zone_is_out (agent->store, agent->record_zone)),
+    .is_settling = agent->is_settling,
+    .is_behind = agent->newest_peer_revision > store_revision (agent->store),
+    .is_platform_up = platform_is_up (agent, now),
+    .is_ejected
     = agent->lim.state == LIM_EJECTED && now < agent->lim.ejected_until,
   };
   grant_reason_t reason;
 
-  if (agent->unconfirmed)
+  if (agent->is_config_unconfirmed)
     confirm_by_platform (agent, now);
-  state.unconfirmed = agent->unconfirmed;
-  links_count (agent->links, &state.routers_known, &state.routers_heard);
-  if (!state.platform_up)
+  state.is_config_unconfirmed = agent->is_config_unconfirmed;
+  links_get_counts (agent->links, &state.routers_known,
+                    &state.routers_connected);
+  if (!state.is_platform_up)
     count_zones (agent, &state, now);
-  reason = agent_may_grant (&state);
-  note_reason (agent, reason, now);
+  reason = agent_evaluate_grant (&state);
+  record_reason (agent, reason, now);
   return reason;
 }
 
 bool
-config_is_withdrawn (const cfd_agent_t *agent)
+config_is_out_of_service (const cfd_agent_t *agent)
 {
   const rec_t *record
       = store_get (agent->store, REC_ENDPOINT, agent->endpoint);
@@ -107,35 +109,35 @@
 
   store_make_ask (agent->store, &message.u.config_ask);
   if (agent_send (agent, router, &message))
-    agent->asked_since_woken = true;
+    agent->asked_since_suspension = true;
 }
 
 /* In a large fleet most agents learn from peers alone.  */
 static void
-ask_for_word (cfd_agent_t *agent, cfd_time_t now)
+ask_for_update (cfd_agent_t *agent, cfd_time_t now)
 {
   const char *router;
 
-  if (now - agent->looked_at < LOOK_MS)
+  if (now - agent->update_checked_at < UPDATE_CHECK_INTERVAL_MS)
     return;
-  agent->looked_at = now;
+  agent->update_checked_at = now;
   if (!store_wants_word (agent->store, now))
     return;
-  router = links_nth_up (agent->links, agent->looks++);
+  router = links_get_nth_up (agent->links, agent->next_peer++);
   if (router != NULL)
     ask_config (agent, router);
 }
 
 void
-config_hear (cfd_agent_t *agent, const char *router, uint64_t revision,
-             cfd_time_t now)
+config_observe_revision (cfd_agent_t *agent, const char *router,
+                         uint64_t revision, cfd_time_t now)
 {
   store_heard_of (agent->store, revision, now);
-  if (revision > agent->peer_revision)
+  if (revision > agent->newest_peer_revision)
     {
-      agent->peer_revision = revision;
-      g_free (agent->ahead);
-      agent->ahead = g_strdup (router);
+      agent->newest_peer_revision = revision;
+      g_free (agent->newest_peer);
+      agent->newest_peer = g_strdup (router);
     }
   config_catch_up (agent, now);
 }
@@ -144,13 +146,13 @@
    that one may be dead by now.  Asking all, each 200 ms, would cost a busy
    agent more than its heartbeats.  */
 static void
-ask_for_newest (cfd_agent_t *agent)
+ask_newest_peer (cfd_agent_t *agent)
 {
-  const char *other = links_nth_up (agent->links, agent->looks++);
+  const char *other = links_get_nth_up (agent->links, agent->next_peer++);
 
-  if (agent->ahead != NULL)
-    ask_config (agent, agent->ahead);
-  if (other != NULL && g_strcmp0 (other, agent->ahead) != 0)
+  if (agent->newest_peer != NULL)
+    ask_config (agent, agent->newest_peer);
+  if (other != NULL && g_strcmp0 (other, agent->newest_peer) != 0)
     ask_config (agent, other);
 }
 
@@ -158,37 +160,37 @@
 void
 config_catch_up (cfd_agent_t *agent, cfd_time_t now)
 {
-  bool behind = agent->peer_revision > store_revision (agent->store);
+  bool is_behind = agent->newest_peer_revision > store_revision (agent->store);
 
-  ask_for_word (agent, now);
-  if (!agent->unconfirmed && !behind)
+  ask_for_update (agent, now);
+  if (!agent->is_config_unconfirmed && !is_behind)
     return;
-  if (now - agent->asked_at < ASK_MS)
+  if (now - agent->config_asked_at < CONFIG_ASK_INTERVAL_MS)
     return;
-  agent->asked_at = now;
-  if (agent->unconfirmed)
-    links_each_up (agent->links, ask_config, agent);
+  agent->config_asked_at = now;
+  if (agent->is_config_unconfirmed)
+    links_for_each_up (agent->links, ask_config, agent);
   else
-    ask_for_newest (agent);
+    ask_newest_peer (agent);
 }
 
 void
-config_take_part (cfd_agent_t *agent, const char *router,
-                  const msg_config_part_t *part, cfd_time_t now)
+config_apply_part (cfd_agent_t *agent, const char *router,
+                   const msg_config_part_t *part, cfd_time_t now)
 {
-  bool is_news = store_take_part (agent->store, part, now);
+  bool is_newer = store_take_part (agent->store, part, now);
 
   /* A piece: the next one now, not at the next tick.  */
-  if (is_news && store_revision (agent->store) < agent->peer_revision)
+  if (is_newer && store_revision (agent->store) < agent->newest_peer_revision)
     ask_config (agent, (char *)router);
-  if (agent->asked_since_woken)
-    agent->unconfirmed = false;
-  agent_pump (agent, now);
+  if (agent->asked_since_suspension)
+    agent->is_config_unconfirmed = false;
+  agent_fill_slots (agent, now);
 }
 
 void
-config_answer (cfd_agent_t *agent, const char *router,
-               const msg_config_ask_t *ask, cfd_time_t now)
+config_send_part (cfd_agent_t *agent, const char *router,
+                  const msg_config_ask_t *ask, cfd_time_t now)
 {
   msg_t message = { .kind = MSG_CONFIG_PART };
 
@@ -199,7 +201,7 @@
 }
 
 static void
-take_service (cfd_agent_t *agent)
+update_service (cfd_agent_t *agent)
 {
   const rec_t *record
       = agent->service != NULL
@@ -211,29 +213,29 @@
 }
 
 static void
-set_limit (cfd_agent_t *agent, cfd_time_t now)
+update_limit (cfd_agent_t *agent, cfd_time_t now)
 {
   lim_settings_t settings = {
     .max = agent->slots_max,
     .cold = agent->slots_cold,
-    .first_token_ms = agent->is_model ? FIRST_TOKEN_MS : 0,
-    .token_interval_ms = agent->is_model ? TOKEN_INTERVAL_MS : 0,
+    .first_token_ms = agent->is_model ? TARGET_FIRST_TOKEN_MS : 0,
+    .token_interval_ms = agent->is_model ? TARGET_TOKEN_INTERVAL_MS : 0,
   };
 
   lim_apply_settings (&agent->lim, &settings, now);
 }
 
 static void
-take_endpoint (cfd_agent_t *agent, const rec_t *record, cfd_time_t now)
+update_endpoint (cfd_agent_t *agent, const rec_t *record, cfd_time_t now)
 {
   const rec_endpoint_t *endpoint = &record->u.endpoint;
-  bool moved = g_strcmp0 (agent->url, endpoint->url) != 0;
-  bool changed = g_strcmp0 (agent->service, endpoint->service) != 0;
+  bool has_moved = g_strcmp0 (agent->url, endpoint->url) != 0;
+  bool has_new_service = g_strcmp0 (agent->service, endpoint->service) != 0;
 
   agent->has_endpoint = !record->deleted;
   if (record->deleted)
     return;
-  agent->leaving = endpoint->leaving;
+  agent->is_leaving = endpoint->leaving;
   g_free (agent->url);
   g_free (agent->service);
   g_free (agent->record_zone);
@@ -242,9 +244,9 @@
   agent->record_zone = g_strdup (endpoint->zone);
   agent->slots_max = endpoint->slots_max;
   agent->slots_cold = endpoint->slots_cold;
-  if (moved)
+  if (has_moved)
     lim_reset_to_cold (&agent->lim, now);
-  if (changed)
+  if (has_new_service)
     {
       pick_free (agent->pick);
       agent->pick = pick_new ();
@@ -261,19 +263,19 @@
     case REC_ENDPOINT:
       if (g_strcmp0 (record->name, agent->endpoint) != 0)
         return;
-      take_endpoint (agent, record, now);
-      take_service (agent);
-      set_limit (agent, now);
+      update_endpoint (agent, record, now);
+      update_service (agent);
+      update_limit (agent, now);
       break;
     case REC_SERVICE:
-      take_service (agent);
-      set_limit (agent, now);
+      update_service (agent);
+      update_limit (agent, now);
       break;
     case REC_ZONE:
     case REC_ACCOUNT:
       break;
     }
-  (void)agent_reason (agent, now);
+  (void)agent_update_grant_reason (agent, now);
 }
 
 const store_events_t agent_store_events = { on_record, NULL, NULL };
--- a/libcoltsfootdrum/agent/agent-grant.c
+++ b/libcoltsfootdrum/agent/agent-grant.c
@@ -10,37 +10,37 @@
 static bool
 is_cut_off (const grant_state_t *state)
 {
-  if (state->platform_up)
+  if (state->is_platform_up)
     return false;
-  if (state->routers_heard == 0
-      || state->routers_heard * 2 < state->routers_known)
+  if (state->routers_connected == 0
+      || state->routers_connected * 2 < state->routers_known)
     return true;
-  return state->age_ms >= AGENT_OLD_WORD_MS
-         && state->zones_heard * 2 < state->zones_known;
+  return state->platform_age_ms >= AGENT_STALE_PLATFORM_MS
+         && state->zones_connected * 2 < state->zones_known;
 }
 
 grant_reason_t
-agent_may_grant (const grant_state_t *state)
+agent_evaluate_grant (const grant_state_t *state)
 {
-  if (state->draining)
+  if (state->is_draining)
     return GRANT_DRAINING;
   if (!state->has_endpoint || !state->has_service)
     return GRANT_NO_RECORD;
-  if (state->leaving)
+  if (state->is_leaving)
     return GRANT_LEAVING;
-  if (state->zone_out)
+  if (state->is_zone_out)
     return GRANT_ZONE_OUT;
-  if (state->settling)
+  if (state->is_settling)
     return GRANT_SETTLING;
-  if (state->unconfirmed)
+  if (state->is_config_unconfirmed)
     return GRANT_JUST_WOKEN;
-  if (state->behind)
+  if (state->is_behind)
     return GRANT_BEHIND;
   if (is_cut_off (state))
     return GRANT_CUT_OFF;
-  if (state->ejected)
+  if (state->is_ejected)
     return GRANT_EJECTED;
-  return GRANT_MAY;
+  return GRANT_ALLOWED;
 }
 
 const char *
@@ -48,7 +48,7 @@
 {
   switch (reason)
     {
-    case GRANT_MAY:
+    case GRANT_ALLOWED:
       return "may";
     case GRANT_DRAINING:
       return "draining";
--- a/libcoltsfootdrum/agent/agent-grant.h
+++ b/libcoltsfootdrum/agent/agent-grant.h
@@ -12,16 +12,16 @@
    forward by the round trip it is good enough as a rule, but not after a
    sudden change of pace.  A small number costs fairness: it lets stale
    choices through in ordinary load.  */
-#define AGENT_STALE_ROW_MAX 16u
+#define AGENT_MAX_STALE_DECLINES 16u
 
 /* Word of the platform so old that nobody in hearing can have it: an agent
    asks for younger word after 4 s (SPREAD_ASK_MS), and the witnesses of other
    zones (config/witness.h) have called by then.  */
-#define AGENT_OLD_WORD_MS 5000u
+#define AGENT_STALE_PLATFORM_MS 5000u
 
 typedef enum
 {
-  GRANT_MAY,
+  GRANT_ALLOWED,
   GRANT_DRAINING,   /* this agent is shutting down */
   GRANT_NO_RECORD,  /* no record of the endpoint or its service */
   GRANT_LEAVING,    /* the endpoint is leaving */
@@ -35,24 +35,24 @@
 
 typedef struct
 {
-  bool draining;
+  bool is_draining;
   bool has_endpoint;
   bool has_service;
-  bool leaving;
-  bool zone_out;
-  bool settling;
-  bool unconfirmed;
-  bool behind;
-  bool platform_up;
+  bool is_leaving;
+  bool is_zone_out;
+  bool is_settling;
+  bool is_config_unconfirmed;
+  bool is_behind;
+  bool is_platform_up;
   unsigned routers_known;
-  unsigned routers_heard; /* of those known, in the last few seconds */
-  uint32_t age_ms;        /* since anyone in hearing heard the platform */
-  unsigned zones_known;   /* with a router, by the platform's last list */
-  unsigned zones_heard;   /* of the routers heard */
-  bool ejected;           /* and its backoff is not over */
+  unsigned routers_connected; /* of those known, in the last few seconds */
+  uint32_t platform_age_ms;   /* since anyone in hearing heard the platform */
+  unsigned zones_known;       /* with a router, by the platform's last list */
+  unsigned zones_connected;   /* of the routers heard */
+  bool is_ejected;            /* and its backoff is not over */
 } grant_state_t;
 
-grant_reason_t agent_may_grant (const grant_state_t *state);
+grant_reason_t agent_evaluate_grant (const grant_state_t *state);
 const char *grant_reason_name (grant_reason_t reason);
 
 #endif
--- a/libcoltsfootdrum/agent/agent-ids.c
+++ b/libcoltsfootdrum/agent/agent-ids.c
@@ -4,11 +4,11 @@
 
 typedef struct
 {
-  list_node_t node; /* least recently touched first */
+  list_node_t node; /* least recently updated_at first */
   char *request;
-  ids_mark_t mark;
-  cfd_time_t touched;
-} mark_t;
+  ids_state_t state;
+  cfd_time_t updated_at;
+} id_entry_t;
 
 struct ids
 {
@@ -17,13 +17,13 @@
 };
 
 static void
-id_free (gpointer data)
+entry_free (gpointer data)
 {
-  mark_t *id = data;
+  id_entry_t *entry = data;
 
-  list_remove (&id->node);
-  g_free (id->request);
-  g_free (id);
+  list_remove (&entry->node);
+  g_free (entry->request);
+  g_free (entry);
 }
 
 ids_t *
@@ -33,7 +33,7 @@
 
   list_init (&ids->order);
   ids->by_request
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, id_free);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, entry_free);
   return ids;
 }
 
@@ -46,44 +46,45 @@
   g_free (ids);
 }
 
-ids_mark_t
-ids_get (const ids_t *ids, const char *request)
+ids_state_t
+ids_get_state (const ids_t *ids, const char *request)
 {
-  const mark_t *id = g_hash_table_lookup (ids->by_request, request);
+  const id_entry_t *entry = g_hash_table_lookup (ids->by_request, request);
 
-  return id != NULL ? id->mark : IDS_NEW;
+  return entry != NULL ? entry->state : IDS_NEW;
 }
 
 static void
-drop_oldest (ids_t *ids)
+remove_oldest (ids_t *ids)
 {
-  const mark_t *oldest = list_entry (ids->order.next, mark_t, node);
+  const id_entry_t *oldest = list_entry (ids->order.next, id_entry_t, node);
 
   g_hash_table_remove (ids->by_request, oldest->request);
 }
 
 void
-ids_set (ids_t *ids, const char *request, ids_mark_t mark, cfd_time_t now)
+ids_set_state (ids_t *ids, const char *request, ids_state_t state,
+               cfd_time_t now)
 {
-  mark_t *id = g_hash_table_lookup (ids->by_request, request);
+  id_entry_t *entry = g_hash_table_lookup (ids->by_request, request);
 
-  if (id == NULL)
+  if (entry == NULL)
     {
-      id = g_new0 (mark_t, 1);
-      list_init (&id->node);
-      id->request = g_strdup (request);
-      g_hash_table_insert (ids->by_request, id->request, id);
+      entry = g_new0 (id_entry_t, 1);
+      list_init (&entry->node);
+      entry->request = g_strdup (request);
+      g_hash_table_insert (ids->by_request, entry->request, entry);
     }
-  id->mark = mark;
-  id->touched = now;
-  list_remove (&id->node);
-  list_append (&ids->order, &id->node);
-  if (g_hash_table_size (ids->by_request) > IDS_MAX)
-    drop_oldest (ids);
+  entry->state = state;
+  entry->updated_at = now;
+  list_remove (&entry->node);
+  list_append (&ids->order, &entry->node);
+  if (g_hash_table_size (ids->by_request) > IDS_MAX_COUNT)
+    remove_oldest (ids);
 }
 
 void
-ids_forget (ids_t *ids, const char *request)
+ids_remove (ids_t *ids, const char *request)
 {
   g_hash_table_remove (ids->by_request, request);
 }
@@ -93,10 +94,11 @@
 {
   while (!list_is_empty (&ids->order))
     {
-      const mark_t *oldest = list_entry (ids->order.next, mark_t, node);
+      const id_entry_t *oldest
+          = list_entry (ids->order.next, id_entry_t, node);
 
-      if (now - oldest->touched < IDS_LIFE_MS)
+      if (now - oldest->updated_at < IDS_RETENTION_MS)
         return;
-      drop_oldest (ids);
+      remove_oldest (ids);
     }
 }
--- a/libcoltsfootdrum/agent/agent-ids.h
+++ b/libcoltsfootdrum/agent/agent-ids.h
@@ -1,8 +1,8 @@
 /* The requests this agent started or refused, so that none is started twice
    and none after the agent's word that it will not be.  Pure.  Bounded: ids
-   are forgotten IDS_LIFE_MS after they were last touched, and the oldest when
-   there are more than IDS_MAX; a grant's life and a router's resume window
-   are far shorter.  */
+   are forgotten IDS_RETENTION_MS after they were last touched, and the oldest
+   when there are more than IDS_MAX_COUNT; a grant's life and a router's resume
+   window are far shorter.  */
 
 #ifndef AGENT_AGENT_IDS_H
 #define AGENT_AGENT_IDS_H
@@ -10,15 +10,15 @@
 #include "base/clock.h"
 #include <glib.h>
 
-#define IDS_LIFE_MS (10 * 60 * 1000)
-#define IDS_MAX 65536u
+#define IDS_RETENTION_MS (10 * 60 * 1000)
+#define IDS_MAX_COUNT 65536u
 
 typedef enum
 {
   IDS_NEW,
   IDS_STARTED,
   IDS_REFUSED /* never started, and never will be */
-} ids_mark_t;
+} ids_state_t;
 
 typedef struct ids ids_t;
 
@@ -26,10 +26,10 @@
 void ids_free (ids_t *ids);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (ids_t, ids_free)
 
-ids_mark_t ids_get (const ids_t *ids, const char *request);
-void ids_set (ids_t *ids, const char *request, ids_mark_t mark,
-              cfd_time_t now);
-void ids_forget (ids_t *ids, const char *request);
+ids_state_t ids_get_state (const ids_t *ids, const char *request);
+void ids_set_state (ids_t *ids, const char *request, ids_state_t state,
+                    cfd_time_t now);
+void ids_remove (ids_t *ids, const char *request);
 void ids_expire (ids_t *ids, cfd_time_t now);
 
 #endif
--- a/libcoltsfootdrum/agent/agent-links.c
+++ b/libcoltsfootdrum/agent/agent-links.c
@@ -4,7 +4,7 @@
 {
   char *name;
   char *zone;
-  cfd_time_t lost;
+  cfd_time_t lost_at;
   bool up;
 } link_t;
 
@@ -43,7 +43,7 @@
 }
 
 void
-links_up (links_t *links, const char *router, const char *zone)
+links_set_up (links_t *links, const char *router, const char *zone)
 {
   link_t *link = g_hash_table_lookup (links->by_name, router);
 
@@ -59,51 +59,53 @@
 }
 
 void
-links_down (links_t *links, const char *router, bool silent, cfd_time_t now)
+links_set_down (links_t *links, const char *router, bool has_timed_out,
+                cfd_time_t now)
 {
   link_t *link = g_hash_table_lookup (links->by_name, router);
 
   if (link == NULL)
     return;
   link->up = false;
-  link->lost = now;
-  if (!silent)
+  link->lost_at = now;
+  if (!has_timed_out)
     g_hash_table_remove (links->by_name, router);
 }
 
 void
-links_expire (links_t *links, bool platform_up, cfd_time_t now)
+links_expire (links_t *links, bool is_platform_up, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
 
-  if (!platform_up)
+  if (!is_platform_up)
     return;
   g_hash_table_iter_init (&iter, links->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const link_t *link = value;
 
-      if (!link->up && now - link->lost > LINKS_LOST_MS)
+      if (!link->up && now - link->lost_at > LINKS_LOST_RETENTION_MS)
         g_hash_table_iter_remove (&iter);
     }
 }
 
 void
-links_count (const links_t *links, unsigned *known, unsigned *heard)
+links_get_counts (const links_t *links, unsigned *known_count,
+                  unsigned *up_count)
 {
   GHashTableIter iter;
   gpointer value;
 
-  *known = g_hash_table_size (links->by_name);
-  *heard = 0;
+  *known_count = g_hash_table_size (links->by_name);
+  *up_count = 0;
   g_hash_table_iter_init (&iter, links->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    *heard += ((const link_t *)value)->up;
+    *up_count += ((const link_t *)value)->up;
 }
 
 unsigned
-links_zones (const links_t *links)
+links_count_zones (const links_t *links)
 {
   g_autoptr (GHashTable) zones = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTableIter iter;
@@ -117,8 +119,8 @@
 }
 
 void
-links_each_up (const links_t *links,
-               void (*visit) (void *user, const char *router), void *user)
+links_for_each_up (const links_t *links,
+                   void (*visit) (void *user, const char *router), void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -134,17 +136,17 @@
 }
 
 const char *
-links_nth_up (const links_t *links, unsigned nth)
+links_get_nth_up (const links_t *links, unsigned nth)
 {
-  unsigned known;
-  unsigned heard;
+  unsigned known_count;
+  unsigned up_count;
   GHashTableIter iter;
   gpointer value;
 
-  links_count (links, &known, &heard);
-  if (heard == 0)
+  links_get_counts (links, &known_count, &up_count);
+  if (up_count == 0)
     return NULL;
-  nth %= heard;
+  nth %= up_count;
   g_hash_table_iter_init (&iter, links->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((link_t *)value)->up && nth-- == 0)
--- a/libcoltsfootdrum/agent/agent-peers.c
+++ b/libcoltsfootdrum/agent/agent-peers.c
@@ -12,51 +12,51 @@
 /* ---- messages ---- */
 
 static void
-take_announce (cfd_agent_t *agent, const char *router,
-               const msg_announce_t *announce, cfd_time_t now)
+handle_announce (cfd_agent_t *agent, const char *router,
+                 const msg_announce_t *announce, cfd_time_t now)
 {
   if (g_strcmp0 (announce->service, agent->service) != 0)
     return;
   pick_apply_announcement (agent->pick, router, announce, now);
-  agent_pump (agent, now);
+  agent_fill_slots (agent, now);
 }
 
 static void
-take_ack (cfd_agent_t *agent, const msg_ack_t *ack, cfd_time_t now)
+handle_ack (cfd_agent_t *agent, const msg_ack_t *ack, cfd_time_t now)
 {
   run_t *run = g_hash_table_lookup (agent->runs, ack->request);
 
   if (run == NULL)
     return;
-  run_ack (run, ack, now);
-  if (!ack->done || !run->stream.ended)
+  run_acknowledge (run, ack, now);
+  if (!ack->done || !run->stream.has_ended)
     return;
   /* It never ran, so that it may be assigned anew.  */
   if (run->stream.outcome == OUTCOME_UNREACHED)
-    ids_forget (agent->ids, ack->request);
+    ids_remove (agent->ids, ack->request);
   else
-    ids_set (agent->ids, ack->request, IDS_STARTED, now);
+    ids_set_state (agent->ids, ack->request, IDS_STARTED, now);
   g_hash_table_remove (agent->runs, ack->request);
 }
 
 static void
-take_resume (cfd_agent_t *agent, const peer_id_t *peer,
-             const msg_resume_t *resume, cfd_time_t now)
+handle_resume (cfd_agent_t *agent, const peer_id_t *peer,
+               const msg_resume_t *resume, cfd_time_t now)
 {
   run_t *run = g_hash_table_lookup (agent->runs, resume->request);
 
   if (run != NULL)
     run_resume (run, peer, resume, now);
-  else if (ids_get (agent->ids, resume->request) == IDS_REFUSED)
-    agent_not_started (agent, peer->instance, resume->request,
-                       "it was refused before", now);
+  else if (ids_get_state (agent->ids, resume->request) == IDS_REFUSED)
+    agent_send_not_started (agent, peer->instance, resume->request,
+                            "it was refused before", now);
   else
-    answer_unknown (agent, peer->instance, resume->request,
-                    "this agent knows no such request");
+    answer_send_unknown (agent, peer->instance, resume->request,
+                         "this agent knows no such request");
 }
 
 static void
-take_cancel (cfd_agent_t *agent, const msg_cancel_t *cancel, cfd_time_t now)
+handle_cancel (cfd_agent_t *agent, const msg_cancel_t *cancel, cfd_time_t now)
 {
   run_t *run = g_hash_table_lookup (agent->runs, cancel->request);
 
@@ -69,35 +69,35 @@
             cfd_time_t received)
 {
   cfd_agent_t *agent = user;
-  cfd_time_t now = agent_now (agent);
+  cfd_time_t now = agent_read_clock (agent);
   const char *router = peer->instance;
 
-  config_hear (agent, router, message->revision, now);
+  config_observe_revision (agent, router, message->revision, now);
   switch (message->kind)
     {
     case MSG_ANNOUNCE:
-      take_announce (agent, router, &message->u.announce, now);
+      handle_announce (agent, router, &message->u.announce, now);
       return;
     case MSG_ASSIGN:
-      agent_assign (agent, peer, &message->u.assign);
+      agent_handle_assign (agent, peer, &message->u.assign);
       return;
     case MSG_DECLINE:
-      agent_decline (agent, peer, &message->u.decline, now);
+      agent_handle_decline (agent, peer, &message->u.decline, now);
       return;
     case MSG_ACK:
-      take_ack (agent, &message->u.ack, now);
+      handle_ack (agent, &message->u.ack, now);
       return;
     case MSG_RESUME:
-      take_resume (agent, peer, &message->u.resume, now);
+      handle_resume (agent, peer, &message->u.resume, now);
       return;
     case MSG_CANCEL:
-      take_cancel (agent, &message->u.cancel, now);
+      handle_cancel (agent, &message->u.cancel, now);
       return;
     case MSG_CONFIG_ASK:
-      config_answer (agent, router, &message->u.config_ask, now);
+      config_send_part (agent, router, &message->u.config_ask, now);
       return;
     case MSG_CONFIG_PART:
-      config_take_part (agent, router, &message->u.config_part, now);
+      config_apply_part (agent, router, &message->u.config_part, now);
       return;
     default:
       log_warn ("agent", "Not a message for an agent: kind=%s from=%s.",
@@ -108,40 +108,40 @@
 /* ---- links ---- */
 
 static void
-hold (void *user, const char *router)
+hold_router (void *user, const char *router)
 {
   cfd_agent_t *agent = user;
 
-  if (g_ptr_array_find_with_equal_func (agent->held, router, g_str_equal,
-                                        NULL))
+  if (g_ptr_array_find_with_equal_func (agent->held_routers, router,
+                                        g_str_equal, NULL))
     return;
-  g_ptr_array_add (agent->held, g_strdup (router));
+  g_ptr_array_add (agent->held_routers, g_strdup (router));
   peer_hub_hold (agent->hub, router);
 }
 
 /* Without the platform it matters who is in hearing: heartbeats on all.  */
 static void
-hold_links (cfd_agent_t *agent)
+update_held_links (cfd_agent_t *agent)
 {
   if (!store_platform_is_up (agent->store))
     {
-      links_each_up (agent->links, hold, agent);
+      links_for_each_up (agent->links, hold_router, agent);
       return;
     }
-  for (guint i = 0; i < agent->held->len; i++)
-    peer_hub_release (agent->hub, g_ptr_array_index (agent->held, i));
-  g_ptr_array_set_size (agent->held, 0);
+  for (guint i = 0; i < agent->held_routers->len; i++)
+    peer_hub_release (agent->hub, g_ptr_array_index (agent->held_routers, i));
+  g_ptr_array_set_size (agent->held_routers, 0);
 }
 
 static void
 on_heartbeat (void *user, const peer_id_t *peer, cfd_time_t now)
 {
   if (peer->role == ROLE_ROUTER)
-    config_hear (user, peer->instance, peer->revision, now);
+    config_observe_revision (user, peer->instance, peer->revision, now);
 }
 
 static void
-on_up (void *user, const peer_id_t *peer, cfd_time_t now)
+on_link_up (void *user, const peer_id_t *peer, cfd_time_t now)
 {
   cfd_agent_t *agent = user;
   GHashTableIter iter;
@@ -149,12 +149,12 @@
 
   if (peer->role != ROLE_ROUTER)
     return;
-  links_up (agent->links, peer->instance, peer->zone);
+  links_set_up (agent->links, peer->instance, peer->zone);
   /* From here on the router counts as heard, and an agent that was cut off may
      take work again.  Were its revision left to its first message, which may
      be seconds away, an agent in a zone taken out meanwhile would go on with
      what it last knew.  */
-  config_hear (agent, peer->instance, peer->revision, now);
+  config_observe_revision (agent, peer->instance, peer->revision, now);
   /* A restarted router remembers none of what it sent.  */
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -163,12 +163,12 @@
 
       if (g_str_equal (run->router, peer->instance)
           && run->router_incarnation != peer->incarnation)
-        run_orphan (run, now);
+        run_mark_orphaned (run, now);
     }
 }
 
 static void
-on_down (void *user, const peer_id_t *peer, cfd_time_t now)
+on_link_down (void *user, const peer_id_t *peer, cfd_time_t now)
 {
   cfd_agent_t *agent = user;
   peer_counters_t counters;
@@ -178,8 +178,8 @@
   if (peer->role != ROLE_ROUTER)
     return;
   peer_hub_counters (agent->hub, &counters);
-  links_down (agent->links, peer->instance,
-              counters.silences > agent->silences[1], now);
+  links_set_down (agent->links, peer->instance,
+                  counters.silences > agent->timeouts[1], now);
   pick_remove_router (agent->pick, peer->instance);
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -188,7 +188,7 @@
 }
 
 static uint64_t
-on_revision (void *user)
+get_revision (void *user)
 {
   const cfd_agent_t *agent = user;
 
@@ -201,14 +201,14 @@
   peer_counters_t counters;
 
   links_expire (agent->links, store_platform_is_up (agent->store), now);
-  hold_links (agent);
+  update_held_links (agent);
   peer_hub_counters (agent->hub, &counters);
-  agent->silences[1] = agent->silences[0];
-  agent->silences[0] = counters.silences;
+  agent->timeouts[1] = agent->timeouts[0];
+  agent->timeouts[0] = counters.silences;
 }
 
 const peer_events_t agent_peer_events = { .message = on_message,
                                           .heartbeat = on_heartbeat,
-                                          .up = on_up,
-                                          .down = on_down,
-                                          .revision = on_revision };
+                                          .up = on_link_up,
+                                          .down = on_link_down,
+                                          .revision = get_revision };
--- a/libcoltsfootdrum/agent/agent-private.h
+++ b/libcoltsfootdrum/agent/agent-private.h
@@ -43,9 +43,9 @@
   uint64_t started, completed, broken, unreached, cancelled;
   uint64_t resumed_links, resumed_engine, engine_resume_failed;
   uint64_t prompt_tokens, output_tokens;
-  uint64_t woken, over_limit;
-  uint64_t busy_ms, slot_ms; /* slots in use and allowed, over time */
-  uint64_t needed_busy_ms, needed_slot_ms; /* the same while work waits */
+  uint64_t suspensions, over_limit;
+  uint64_t busy_slot_ms, slot_ms; /* slots in use and allowed, over time */
+  uint64_t loaded_busy_slot_ms, loaded_slot_ms; /* the same while work waits */
 } agent_counters_t;
 
 struct cfd_agent
@@ -71,7 +71,7 @@
   bool has_endpoint;
   bool has_service;
   bool is_model;
-  bool leaving;
+  bool is_leaving;
   char *service;
   char *url;
   char *record_zone;
@@ -85,32 +85,35 @@
   GHashTable *runs;  /* request -> run_t, until acknowledged */
   list_node_t queue; /* run_t of the baseline policy that wait */
   unsigned queued;
-  unsigned running;   /* requests that hold a slot */
-  bool walking;       /* RUNS is walked: no pump, it may change the table */
-  unsigned stale_row; /* stale declines since the last start */
-  unsigned repicks;   /* stale declines since the last tick */
-
-  cfd_time_t noticed;    /* when the loop last ran */
-  cfd_time_t woken_at;   /* 0: never stopped */
-  cfd_time_t cut_off_at; /* when the last cut-off began */
-  bool unconfirmed;
-  bool asked_since_woken;
-  uint64_t peer_revision; /* newest that a peer showed */
-  char *ahead;            /* the router that showed it */
-  cfd_time_t asked_at;
-  cfd_time_t looked_at; /* whether to ask a peer for configuration */
-  unsigned looks;
-  GPtrArray *held;       /* routers held while the platform is out of reach */
-  uint64_t silences[2];  /* links closed for silence, at the last two ticks */
-  grant_reason_t reason; /* last told in the log */
-
-  bool settling; /* what a former life gave the engine may still run */
-  cfd_time_t settle_at;
-  cfd_time_t settle_until;
+  unsigned busy_slots; /* requests that hold a slot */
+  bool
+      is_iterating_runs; /* RUNS is walked: no pump, it may change the table */
+  unsigned
+      consecutive_stale_declines; /* stale declines since the last start */
+  unsigned declines_since_tick;   /* stale declines since the last tick */
+
+  cfd_time_t last_clock_read;     /* when the loop last ran */
+  cfd_time_t suspension_ended_at; /* 0: never stopped */
+  cfd_time_t cut_off_at;          /* when the last cut-off began */
+  bool is_config_unconfirmed;
+  bool asked_since_suspension;
+  uint64_t newest_peer_revision; /* newest that a peer showed */
+  char *newest_peer;             /* the router that showed it */
+  cfd_time_t config_asked_at;
+  cfd_time_t update_checked_at; /* whether to ask a peer for configuration */
+  unsigned next_peer;
+  GPtrArray
+      *held_routers;    /* routers held while the platform is out of reach */
+  uint64_t timeouts[2]; /* links closed for silence, at the last two ticks */
+  grant_reason_t grant_reason; /* last told in the log */
+
+  bool is_settling; /* what a former life gave the engine may still run */
+  cfd_time_t settle_poll_at;
+  cfd_time_t settle_deadline;
   fetch_t *settle_fetch;
 
-  bool draining;
-  cfd_time_t drain_until;
+  bool is_draining;
+  cfd_time_t drain_deadline;
   agent_counters_t counters;
 };
 
@@ -135,44 +138,45 @@
   fetch_t *fetch;
   bool holds_slot;
   bool is_model;
-  bool cancelling;
-  bool gave_up;        /* cancelled because it broke off */
-  bool attached_again; /* by another connection than the first */
-  bool resumed;        /* the rest was asked for, and nothing of it came yet */
-  bool resume_bad;     /* the engine doesn't know the stream */
-  bool turned_away;    /* the endpoint can't serve; nothing was told yet */
-  bool paused;         /* not reading, the router is slow */
-  bool untimed;        /* token times are ours, not the endpoint's */
-  bool discarding;     /* nobody will read the rest */
-  bool withheld;       /* it must not be sent any more, and was not */
-  bool attached;       /* the router's link is there */
-  cfd_time_t detached;
-  cfd_time_t started;
-  cfd_time_t last_byte;
-  cfd_time_t ended;
-  cfd_time_t last_ack;
+  bool is_cancelling;
+  bool is_abandoned;      /* cancelled because it broke off */
+  bool is_reconnected;    /* by another connection than the first */
+  bool is_resume_pending; /* the rest was asked for, and nothing of it came yet
+                           */
+  bool is_resume_refused; /* the engine doesn't know the stream */
+  bool is_turned_away;    /* the endpoint can't serve; nothing was told yet */
+  bool is_paused;         /* not reading, the router is slow */
+  bool is_untimed;        /* token times are ours, not the endpoint's */
+  bool is_discarding;     /* nobody will read the rest */
+  bool was_withheld;      /* it must not be sent any more, and was not */
+  bool is_attached;       /* the router's link is there */
+  cfd_time_t detached_at;
+  cfd_time_t started_at;
+  cfd_time_t last_byte_at;
+  cfd_time_t ended_at;
+  cfd_time_t last_ack_at;
 } run_t;
 
 /* ---- agent.c ---- */
 /* Reads the clock and sees whether the process was stopped meanwhile.  */
-cfd_time_t agent_now (cfd_agent_t *agent);
+cfd_time_t agent_read_clock (cfd_agent_t *agent);
 
 /* ---- agent-config.c ---- */
 extern const store_events_t agent_store_events;
-/* What agent_may_grant says now.  */
-grant_reason_t agent_reason (cfd_agent_t *agent, cfd_time_t now);
+/* What agent_evaluate_grant says now.  */
+grant_reason_t agent_update_grant_reason (cfd_agent_t *agent, cfd_time_t now);
 /* Whether the newest records known here take the endpoint or its zone out of
    service; read from them anew, for the check at each start.  */
-bool config_is_withdrawn (const cfd_agent_t *agent);
+bool config_is_out_of_service (const cfd_agent_t *agent);
 /* Asks peers while they have newer configuration, or after a stop.  */
 /* A frame of ROUTER showed REVISION.  */
-void config_hear (cfd_agent_t *agent, const char *router, uint64_t revision,
-                  cfd_time_t now);
+void config_observe_revision (cfd_agent_t *agent, const char *router,
+                              uint64_t revision, cfd_time_t now);
 void config_catch_up (cfd_agent_t *agent, cfd_time_t now);
-void config_take_part (cfd_agent_t *agent, const char *router,
-                       const msg_config_part_t *part, cfd_time_t now);
-void config_answer (cfd_agent_t *agent, const char *router,
-                    const msg_config_ask_t *ask, cfd_time_t now);
+void config_apply_part (cfd_agent_t *agent, const char *router,
+                        const msg_config_part_t *part, cfd_time_t now);
+void config_send_part (cfd_agent_t *agent, const char *router,
+                       const msg_config_ask_t *ask, cfd_time_t now);
 
 /* ---- agent-peers.c ---- */
 extern const peer_events_t agent_peer_events;
@@ -182,14 +186,14 @@
 
 /* ---- agent-work.c ---- */
 /* Grants the free slots, or starts what was pushed.  */
-void agent_pump (cfd_agent_t *agent, cfd_time_t now);
-void agent_assign (cfd_agent_t *agent, const peer_id_t *peer,
-                   const msg_assign_t *assign);
-void agent_decline (cfd_agent_t *agent, const peer_id_t *peer,
-                    const msg_decline_t *decline, cfd_time_t now);
-void agent_not_started (cfd_agent_t *agent, const char *router,
-                        const char *request, const char *reason,
-                        cfd_time_t now);
+void agent_fill_slots (cfd_agent_t *agent, cfd_time_t now);
+void agent_handle_assign (cfd_agent_t *agent, const peer_id_t *peer,
+                          const msg_assign_t *assign);
+void agent_handle_decline (cfd_agent_t *agent, const peer_id_t *peer,
+                           const msg_decline_t *decline, cfd_time_t now);
+void agent_send_not_started (cfd_agent_t *agent, const char *router,
+                             const char *request, const char *reason,
+                             cfd_time_t now);
 
 /* ---- agent-run.c ---- */
 run_t *run_new (cfd_agent_t *agent, const peer_id_t *peer,
@@ -200,12 +204,12 @@
 void run_finish (run_t *run, outcome_t outcome, const char *detail,
                  cfd_time_t now);
 /* Reads the answer on, or at all, by a new connection.  */
-void run_attach_again (run_t *run);
+void run_reconnect (run_t *run);
 /* The answer broke off: asks the engine once for the rest, else ends it.  */
-void run_broken (run_t *run, const char *detail, cfd_time_t now);
+void run_handle_break (run_t *run, const char *detail, cfd_time_t now);
 
 /* ---- agent-reader.c ---- */
-void run_ack (run_t *run, const msg_ack_t *ack, cfd_time_t now);
+void run_acknowledge (run_t *run, const msg_ack_t *ack, cfd_time_t now);
 void run_resume (run_t *run, const peer_id_t *peer, const msg_resume_t *resume,
                  cfd_time_t now);
 void run_cancel (run_t *run, cfd_time_t now);
@@ -213,9 +217,9 @@
 void run_cancel_at_engine (run_t *run);
 void run_detach (run_t *run, cfd_time_t now);
 /* The router that sent it is gone for good.  */
-void run_orphan (run_t *run, cfd_time_t now);
+void run_mark_orphaned (run_t *run, cfd_time_t now);
 /* The process was stopped for GAP ms.  */
-void run_woken (run_t *run, cfd_time_t gap, cfd_time_t now);
+void run_handle_suspension (run_t *run, cfd_time_t gap, cfd_time_t now);
 /* True when the request can be forgotten.  */
 bool run_tick (run_t *run, cfd_time_t now);
 
@@ -223,15 +227,15 @@
 /* Sends what the link takes of head, body and end.  */
 void answer_flush (run_t *run, cfd_time_t now);
 /* The end of a request that this agent doesn't know.  */
-void answer_unknown (cfd_agent_t *agent, const char *router,
-                     const char *request, const char *detail);
+void answer_send_unknown (cfd_agent_t *agent, const char *router,
+                          const char *request, const char *detail);
 
 /* ---- agent-local.c ---- */
-void local_push (cfd_agent_t *agent, const peer_id_t *peer,
-                 const msg_assign_t *assign, cfd_time_t now);
-void local_pump (cfd_agent_t *agent, cfd_time_t now);
-void local_drop (run_t *run);
-void local_tell_load (cfd_agent_t *agent);
+void local_enqueue (cfd_agent_t *agent, const peer_id_t *peer,
+                    const msg_assign_t *assign, cfd_time_t now);
+void local_fill_slots (cfd_agent_t *agent, cfd_time_t now);
+void local_dequeue (run_t *run);
+void local_send_load (cfd_agent_t *agent);
 
 /* ---- agent-admin.c ---- */
 bool agent_admin_start (cfd_agent_t *agent, const char *address,
--- a/libcoltsfootdrum/agent/agent-run.c
+++ b/libcoltsfootdrum/agent/agent-run.c
@@ -5,32 +5,32 @@
 #include <string.h>
 
 /* Fewer tokens tell too little of the interval between them.  */
-#define JUDGED_TOKENS 8u
+#define MIN_TIMED_TOKENS 8u
 
-static void begin_fetch (run_t *run, const fetch_request_t *request);
+static void start_fetch (run_t *run, const fetch_request_t *request);
 
 /* ---- making and freeing ---- */
 
 /* Connection headers, and those that are for the router alone.  A caller's
    key must not reach the endpoint.  */
 static bool
-is_for_endpoint (const char *header)
+is_forwarded (const char *header)
 {
-  static const char *const ours[]
+  static const char *const excluded[]
       = { "host:",         "content-length:", "transfer-encoding:",
           "connection:",   "keep-alive:",     "expect:",
           "te:",           "upgrade:",        "authorization:",
           "trailer:",      "x-request-id:",   "accept-encoding:",
           "x-stream-keep:" };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (ours); i++)
-    if (g_ascii_strncasecmp (header, ours[i], strlen (ours[i])) == 0)
+  for (size_t i = 0; i < G_N_ELEMENTS (excluded); i++)
+    if (g_ascii_strncasecmp (header, excluded[i], strlen (excluded[i])) == 0)
       return false;
   return true;
 }
 
 static bool
-wants_stream (const msg_bytes_t *body)
+asks_for_stream (const msg_bytes_t *body)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
   JsonNode *root;
@@ -63,7 +63,7 @@
   run->path = g_strdup (assign->path);
   run->headers = g_ptr_array_new_with_free_func (g_free);
   for (uint32_t i = 0; i < assign->header_count; i++)
-    if (is_for_endpoint (assign->headers[i]))
+    if (is_forwarded (assign->headers[i]))
       g_ptr_array_add (run->headers, g_strdup (assign->headers[i]));
   g_ptr_array_add (run->headers,
                    g_strdup_printf ("X-Request-Id: %s", run->request));
@@ -76,11 +76,11 @@
                        (guint)assign->body.length);
   run->idempotent = assign->idempotent;
   run->is_model = agent->is_model;
-  run->attached = true;
+  run->is_attached = true;
   /* Held, so that a link that went silent is seen from this side too.  */
   peer_hub_hold (agent->hub, run->router);
   stream_init (&run->stream);
-  sse_init (&run->sse, agent->is_model && wants_stream (&assign->body));
+  sse_init (&run->sse, agent->is_model && asks_for_stream (&assign->body));
   return run;
 }
 
@@ -91,10 +91,10 @@
 
   if (run->fetch != NULL)
     fetch_cancel (run->fetch);
-  local_drop (run);
+  local_dequeue (run);
   peer_hub_release (run->agent->hub, run->router);
   if (run->holds_slot)
-    run->agent->running--;
+    run->agent->busy_slots--;
   stream_clear (&run->stream);
   sse_clear (&run->sse);
   g_ptr_array_unref (run->headers);
@@ -119,54 +119,55 @@
 }
 
 /* Milliseconds between the answer's tokens; 0 when they can't be told.  For an
-   answer in one piece the whole time stands for it, which is too much by the
-   prompt's part: good when it is still short, and not judged otherwise unless
-   there were many tokens.  */
+   answer in one piece the full_request time stands for it, which is too much
+   by the prompt's part: good when it is still short, and not judged otherwise
+   unless there were many tokens.  */
 static double
-token_interval (const run_t *run, cfd_time_t now)
+get_token_interval_ms (const run_t *run, cfd_time_t now)
 {
-  unsigned tokens = sse_output_tokens (&run->sse);
-  double most;
+  unsigned tokens = sse_count_output_tokens (&run->sse);
+  double max_interval_ms;
 
-  if (!run->is_model || run->untimed || tokens == 0)
+  if (!run->is_model || run->is_untimed || tokens == 0)
     return 0;
-  if (run->sse.tokens >= 2)
-    return sse_interval (&run->sse);
-  most = (double)(now - run->started) / tokens;
-  if (tokens >= JUDGED_TOKENS
-      || most <= run->agent->lim.settings.token_interval_ms)
-    return most;
+  if (run->sse.token_events >= 2)
+    return sse_get_mean_interval_ms (&run->sse);
+  max_interval_ms = (double)(now - run->started_at) / tokens;
+  if (tokens >= MIN_TIMED_TOKENS
+      || max_interval_ms <= run->agent->lim.settings.token_interval_ms)
+    return max_interval_ms;
   return 0;
 }
 
 static double
-first_token (const run_t *run)
+get_first_token_ms (const run_t *run)
 {
-  if (run->untimed || run->sse.first == 0)
+  if (run->is_untimed || run->sse.first_token_at == 0)
     return 0;
-  return (double)(run->sse.first - run->started);
+  return (double)(run->sse.first_token_at - run->started_at);
 }
 
 /* Short answers end between two ticks.  */
 static void
-prove (run_t *run, cfd_time_t now)
+confirm_warm (run_t *run, cfd_time_t now)
 {
   lim_t *lim = &run->agent->lim;
 
-  if (run->sse.streamed && !run->untimed)
-    lim_confirm_warm (lim, sse_newest_gap (&run->sse), run->sse.last, now);
+  if (run->sse.is_streamed && !run->is_untimed)
+    lim_confirm_warm (lim, sse_get_newest_interval_ms (&run->sse),
+                      run->sse.last_token_at, now);
   else
-    lim_confirm_warm_unstreamed (lim, token_interval (run, now),
-                                 sse_output_tokens (&run->sse), now);
+    lim_confirm_warm_unstreamed (lim, get_token_interval_ms (run, now),
+                                 sse_count_output_tokens (&run->sse), now);
 }
 
 static void
-tell_limit (run_t *run, outcome_t outcome, cfd_time_t now)
+update_limit (run_t *run, outcome_t outcome, cfd_time_t now)
 {
   lim_t *lim = &run->agent->lim;
 
   /* That says nothing of the endpoint.  */
-  if (run->withheld)
+  if (run->was_withheld)
     return;
   switch (outcome)
     {
@@ -175,9 +176,10 @@
         lim_record_failure (lim, now);
       else
         {
-          lim_record_completion (lim, first_token (run),
-                                 token_interval (run, now), run->started, now);
-          prove (run, now);
+          lim_record_completion (lim, get_first_token_ms (run),
+                                 get_token_interval_ms (run, now),
+                                 run->started_at, now);
+          confirm_warm (run, now);
         }
       return;
     case OUTCOME_BROKEN:
@@ -211,19 +213,19 @@
   cfd_agent_t *agent = run->agent;
   lim_state_t was = agent->lim.state;
 
-  if (run->stream.ended)
+  if (run->stream.has_ended)
     return;
   sse_finish (&run->sse);
   run->stream.prompt_tokens = run->sse.prompt_tokens;
-  run->stream.output_tokens = sse_output_tokens (&run->sse);
-  stream_end (&run->stream, outcome, detail);
-  run->ended = now;
-  run->last_ack = now;
+  run->stream.output_tokens = sse_count_output_tokens (&run->sse);
+  stream_set_end (&run->stream, outcome, detail);
+  run->ended_at = now;
+  run->last_ack_at = now;
   if (run->holds_slot)
     {
       run->holds_slot = false;
-      agent->running--;
-      tell_limit (run, outcome, now);
+      agent->busy_slots--;
+      update_limit (run, outcome, now);
     }
   count_end (&agent->counters, run, outcome);
   tl_add (agent->ring, TL_END, run->account, agent->zone, agent->endpoint,
@@ -232,7 +234,7 @@
     tl_add (agent->ring, TL_EJECT, NULL, agent->zone, agent->endpoint, NULL,
             lim_state_name (agent->lim.state));
   answer_flush (run, now);
-  agent_pump (agent, now);
+  agent_fill_slots (agent, now);
 }
 
 /* ---- the endpoint's answer ---- */
@@ -241,16 +243,16 @@
 on_head (void *user, unsigned status, const char *const *headers)
 {
   run_t *run = user;
-  cfd_time_t now = agent_now (run->agent);
+  cfd_time_t now = agent_read_clock (run->agent);
 
-  run->last_byte = now;
-  run->resume_bad = run->attached_again && status / 100 != 2;
+  run->last_byte_at = now;
+  run->is_resume_refused = run->is_reconnected && status / 100 != 2;
   /* Another endpoint may do better: the router can try it, if it never saw
      this answer.  What must not repeat gets the endpoint's own word.  */
-  run->turned_away = run->idempotent && is_endpoint_fault (status);
-  if (run->resume_bad || run->turned_away)
+  run->is_turned_away = run->idempotent && is_endpoint_fault (status);
+  if (run->is_resume_refused || run->is_turned_away)
     return;
-  stream_head (&run->stream, status, headers);
+  stream_set_head (&run->stream, status, headers);
   answer_flush (run, now);
 }
 
@@ -258,50 +260,50 @@
 on_data (void *user, const void *bytes, size_t length)
 {
   run_t *run = user;
-  cfd_time_t now = agent_now (run->agent);
+  cfd_time_t now = agent_read_clock (run->agent);
 
-  run->last_byte = now;
-  if (run->resume_bad || run->turned_away)
+  run->last_byte_at = now;
+  if (run->is_resume_refused || run->is_turned_away)
     return;
-  run->resumed = false;
+  run->is_resume_pending = false;
   sse_feed (&run->sse, bytes, length, now);
-  stream_append (&run->stream, bytes, length, run->sse.tokens);
-  if (run->discarding)
-    (void)stream_ack (&run->stream, stream_total (&run->stream));
+  stream_append (&run->stream, bytes, length, run->sse.token_events);
+  if (run->is_discarding)
+    (void)stream_acknowledge (&run->stream, stream_get_length (&run->stream));
   answer_flush (run, now);
-  if (!stream_is_full (&run->stream) || run->paused || run->fetch == NULL)
+  if (!stream_is_full (&run->stream) || run->is_paused || run->fetch == NULL)
     return;
-  run->paused = true;
-  run->untimed = true;
+  run->is_paused = true;
+  run->is_untimed = true;
   fetch_pause (run->fetch, true);
 }
 
 /* A stream ends with its mark, an answer in one piece is one JSON object.  An
    engine may end the answer in order all the same when it gave the request up;
-   the caller would take a part, or nothing, for the whole.  */
+   the caller would take a part, or nothing, for the full_request.  */
 static bool
-is_whole (run_t *run)
+is_answer_complete (run_t *run)
 {
   if (!run->is_model || run->stream.status != 200)
     return true;
   sse_finish (&run->sse);
-  return run->sse.done;
+  return run->sse.is_complete;
 }
 
 void
-run_attach_again (run_t *run)
+run_reconnect (run_t *run)
 {
   static const char *const headers[] = { "X-Stream-Keep: 1", NULL };
   g_autofree char *url = g_strdup_printf (
       "%s/v1/streams/%s?offset=%" G_GUINT64_FORMAT, run->agent->url,
-      run->request, stream_total (&run->stream));
+      run->request, stream_get_length (&run->stream));
   fetch_request_t request
       = { .method = "GET", .url = url, .headers = headers };
 
-  run->attached_again = true;
-  run->untimed = true;
+  run->is_reconnected = true;
+  run->is_untimed = true;
   run->agent->counters.resumed_engine++;
-  begin_fetch (run, &request);
+  start_fetch (run, &request);
 }
 
 /* Asks the engine for the rest of an answer that broke off; once, until more
@@ -309,21 +311,23 @@
 static bool
 try_engine_resume (run_t *run)
 {
-  bool has_rest = run->sse.streamed || stream_total (&run->stream) == 0;
+  bool has_rest
+      = run->sse.is_streamed || stream_get_length (&run->stream) == 0;
 
-  if (!run->is_model || !has_rest || run->resumed || run->cancelling)
+  if (!run->is_model || !has_rest || run->is_resume_pending
+      || run->is_cancelling)
     return false;
-  run->resumed = true;
-  run_attach_again (run);
+  run->is_resume_pending = true;
+  run_reconnect (run);
   return true;
 }
 
 void
-run_broken (run_t *run, const char *detail, cfd_time_t now)
+run_handle_break (run_t *run, const char *detail, cfd_time_t now)
 {
   cfd_agent_t *agent = run->agent;
 
-  if (run->resume_bad)
+  if (run->is_resume_refused)
     {
       /* The engine lost the stream: it was restarted and is cold again.  */
       agent->counters.engine_resume_failed++;
@@ -334,14 +338,14 @@
     }
   if (try_engine_resume (run))
     return;
-  if (!run->is_model || run->cancelling)
+  if (!run->is_model || run->is_cancelling)
     {
       run_finish (run, OUTCOME_BROKEN, detail, now);
       return;
     }
   /* The engine may go on with it, unread: its place in the batch is free only
      when the engine was told to stop.  */
-  run->gave_up = true;
+  run->is_abandoned = true;
   run_cancel_at_engine (run);
 }
 
@@ -350,49 +354,49 @@
          size_t length, const char *detail)
 {
   run_t *run = user;
-  cfd_time_t now = agent_now (run->agent);
+  cfd_time_t now = agent_read_clock (run->agent);
 
   run->fetch = NULL;
   switch (result)
     {
     case FETCH_ANSWERED:
-      if (run->turned_away && !run->attached_again)
+      if (run->is_turned_away && !run->is_reconnected)
         run_finish (run, OUTCOME_BROKEN, "the endpoint can't serve", now);
-      else if (run->resume_bad || !is_whole (run))
-        run_broken (run, "the answer ended early", now);
+      else if (run->is_resume_refused || !is_answer_complete (run))
+        run_handle_break (run, "the answer ended early", now);
       else
         run_finish (run, OUTCOME_COMPLETE, "complete", now);
       return;
     case FETCH_UNREACHED:
-      if (run->attached_again)
+      if (run->is_reconnected)
         run_finish (run, OUTCOME_BROKEN, detail, now);
       else
         run_finish (run, OUTCOME_UNREACHED, detail, now);
       return;
     case FETCH_WITHHELD:
-      run->withheld = true;
+      run->was_withheld = true;
       run_finish (run, OUTCOME_UNREACHED,
                   "stopped before it was sent, and in doubt since", now);
       return;
     case FETCH_BROKEN:
     case FETCH_TIMEOUT:
-      run_broken (run, detail, now);
+      run_handle_break (run, detail, now);
       return;
     }
 }
 
 static void
-begin_fetch (run_t *run, const fetch_request_t *request)
+start_fetch (run_t *run, const fetch_request_t *request)
 {
-  fetch_request_t whole = *request;
-
-  whole.head = on_head;
-  whole.data = on_data;
-  whole.done = on_done;
-  whole.user = run;
-  run->last_byte = agent_now (run->agent);
-  run->paused = false;
-  run->fetch = fetch_start (run->agent->pool, &whole);
+  fetch_request_t full_request = *request;
+
+  full_request.head = on_head;
+  full_request.data = on_data;
+  full_request.done = on_done;
+  full_request.user = run;
+  run->last_byte_at = agent_read_clock (run->agent);
+  run->is_paused = false;
+  run->fetch = fetch_start (run->agent->pool, &full_request);
 }
 
 /* A process that was stopped between starting a request and sending it may
@@ -404,8 +408,8 @@
   run_t *run = user;
   cfd_agent_t *agent = run->agent;
 
-  (void)agent_now (agent);
-  return !agent->unconfirmed && !config_is_withdrawn (agent);
+  (void)agent_read_clock (agent);
+  return !agent->is_config_unconfirmed && !config_is_out_of_service (agent);
 }
 
 void
@@ -423,13 +427,14 @@
     .may_send = may_send,
   };
 
-  INVARIANT ("start-in-service", !config_is_withdrawn (agent), run->request);
-  agent->running++;
+  INVARIANT ("start-in-service", !config_is_out_of_service (agent),
+             run->request);
+  agent->busy_slots++;
   run->holds_slot = true;
-  run->started = now;
+  run->started_at = now;
   agent->counters.started++;
   tl_add (agent->ring, TL_RUN, run->account, agent->zone, agent->endpoint,
           run->request, NULL);
-  begin_fetch (run, &request);
+  start_fetch (run, &request);
   g_byte_array_set_size (run->body, 0);
 }
--- a/libcoltsfootdrum/agent/agent-settle.c
+++ b/libcoltsfootdrum/agent/agent-settle.c
@@ -14,24 +14,25 @@
 
 /* Longer than an engine's report lags.  */
 #define REPORT_LAG_MS 1000
-#define ASK_AGAIN_MS 250
-#define ANSWER_MS 1000
+#define POLL_INTERVAL_MS 250
+#define REPORT_TIMEOUT_MS 1000
 /* What still runs then is longer than nearly any answer; the engine may count
    requests that are not ours.  */
-#define SETTLE_MOST_MS 120000
+#define MAX_SETTLE_MS 120000
 
 static void
-settled (cfd_agent_t *agent, const char *why)
+end_settling (cfd_agent_t *agent, const char *reason)
 {
-  if (!agent->settling)
+  if (!agent->is_settling)
     return;
-  agent->settling = false;
-  log_info ("agent", "The engine is free of a former life: reason=%s.", why);
+  agent->is_settling = false;
+  log_info ("agent", "The engine is free of a former life: reason=%s.",
+            reason);
 }
 
 /* Requests that run by the report, or -1 when TEXT is none.  */
 static gint64
-running_by_report (const char *text)
+parse_running (const char *text)
 {
   g_autoptr (JsonNode) root
       = text != NULL ? json_from_string (text, NULL) : NULL;
@@ -47,47 +48,47 @@
            const char *body, size_t length, const char *detail)
 {
   cfd_agent_t *agent = user;
-  cfd_time_t now = agent_now (agent);
+  cfd_time_t now = agent_read_clock (agent);
   gint64 running = -1;
 
   agent->settle_fetch = NULL;
-  agent->settle_at = now + ASK_AGAIN_MS;
+  agent->settle_poll_at = now + POLL_INTERVAL_MS;
   if (result == FETCH_ANSWERED && status == 200)
-    running = running_by_report (body);
+    running = parse_running (body);
   if (running == 0)
-    settled (agent, "nothing runs there");
+    end_settling (agent, "nothing runs there");
   else if (running < 0 && result == FETCH_ANSWERED)
-    settled (agent, "the engine gives no report");
+    end_settling (agent, "the engine gives no report");
   else if (result == FETCH_UNREACHED)
-    settled (agent, "the engine is not reached");
-  agent_pump (agent, now);
+    end_settling (agent, "the engine is not reached");
+  agent_fill_slots (agent, now);
 }
 
 void
 settle_begin (cfd_agent_t *agent, cfd_time_t now)
 {
-  agent->settling = true;
-  agent->settle_at = now + REPORT_LAG_MS;
-  agent->settle_until = now + SETTLE_MOST_MS;
+  agent->is_settling = true;
+  agent->settle_poll_at = now + REPORT_LAG_MS;
+  agent->settle_deadline = now + MAX_SETTLE_MS;
 }
 
 void
 settle_tick (cfd_agent_t *agent, cfd_time_t now)
 {
   g_autofree char *url = NULL;
-  fetch_request_t request = { .method = "GET", .total_ms = ANSWER_MS };
+  fetch_request_t request = { .method = "GET", .total_ms = REPORT_TIMEOUT_MS };
 
-  if (!agent->settling || !agent->has_endpoint || !agent->has_service)
+  if (!agent->is_settling || !agent->has_endpoint || !agent->has_service)
     return;
   if (!agent->is_model)
     {
-      settled (agent, "a plain service");
+      end_settling (agent, "a plain service");
       return;
     }
-  if (now >= agent->settle_until)
-    settled (agent, "waited long enough");
-  if (!agent->settling || agent->settle_fetch != NULL
-      || now < agent->settle_at)
+  if (now >= agent->settle_deadline)
+    end_settling (agent, "waited long enough");
+  if (!agent->is_settling || agent->settle_fetch != NULL
+      || now < agent->settle_poll_at)
     return;
   url = g_strconcat (agent->url, "/v1/load", NULL);
   request.url = url;
--- a/libcoltsfootdrum/agent/agent-sse.c
+++ b/libcoltsfootdrum/agent/agent-sse.c
@@ -9,7 +9,7 @@
 void
 sse_init (sse_t *sse, bool streamed)
 {
-  *sse = (sse_t){ .streamed = streamed };
+  *sse = (sse_t){ .is_streamed = streamed };
   sse->buffer = g_string_new (NULL);
 }
 
@@ -70,7 +70,7 @@
 }
 
 static void
-take_line (sse_t *sse, cfd_time_t now)
+parse_line (sse_t *sse, cfd_time_t now)
 {
   const char *event = sse->buffer->str;
 
@@ -81,27 +81,28 @@
     event++;
   if (g_str_has_prefix (event, EVENT_END))
     {
-      sse->done = true;
+      sse->is_complete = true;
       return;
     }
   if (strstr (event, "\"usage\"") != NULL)
     (void)read_usage (sse, event, strlen (event));
   if (!has_token (event))
     return;
-  if (sse->first == 0)
-    sse->first = now;
+  if (sse->first_token_at == 0)
+    sse->first_token_at = now;
   else
-    sse->gaps[sse->tokens % SSE_GAPS] = (unsigned)(now - sse->last);
-  sse->tokens++;
-  sse->last = now;
+    sse->intervals_ms[sse->token_events % SSE_INTERVALS]
+        = (unsigned)(now - sse->last_token_at);
+  sse->token_events++;
+  sse->last_token_at = now;
 }
 
 static void
-append (sse_t *sse, const char *bytes, size_t length, size_t most)
+buffer_bytes (sse_t *sse, const char *bytes, size_t length, size_t max_bytes)
 {
-  if (sse->too_long || sse->buffer->len + length > most)
+  if (sse->is_too_long || sse->buffer->len + length > max_bytes)
     {
-      sse->too_long = true;
+      sse->is_too_long = true;
       return;
     }
   g_string_append_len (sse->buffer, bytes, (gssize)length);
@@ -110,22 +111,22 @@
 void
 sse_feed (sse_t *sse, const char *bytes, size_t length, cfd_time_t now)
 {
-  if (!sse->streamed)
+  if (!sse->is_streamed)
     {
-      append (sse, bytes, length, SSE_WHOLE_MAX);
+      buffer_bytes (sse, bytes, length, SSE_MAX_ANSWER_BYTES);
       return;
     }
   while (length > 0)
     {
-      const char *end = memchr (bytes, '\n', length);
-      size_t part = end != NULL ? (size_t)(end - bytes) : length;
+      const char *newline = memchr (bytes, '\n', length);
+      size_t part = newline != NULL ? (size_t)(newline - bytes) : length;
 
-      append (sse, bytes, part, SSE_LINE_MAX);
-      if (end == NULL)
+      buffer_bytes (sse, bytes, part, SSE_MAX_LINE_BYTES);
+      if (newline == NULL)
         return;
-      if (!sse->too_long)
-        take_line (sse, now);
-      sse->too_long = false;
+      if (!sse->is_too_long)
+        parse_line (sse, now);
+      sse->is_too_long = false;
       g_string_truncate (sse->buffer, 0);
       bytes += part + 1;
       length -= part + 1;
@@ -135,28 +136,29 @@
 void
 sse_finish (sse_t *sse)
 {
-  if (sse->streamed)
+  if (sse->is_streamed)
     return;
-  sse->done
-      = sse->too_long || read_usage (sse, sse->buffer->str, sse->buffer->len);
+  sse->is_complete = sse->is_too_long
+                     || read_usage (sse, sse->buffer->str, sse->buffer->len);
 }
 
 unsigned
-sse_output_tokens (const sse_t *sse)
+sse_count_output_tokens (const sse_t *sse)
 {
-  return sse->has_usage ? sse->output_tokens : sse->tokens;
+  return sse->has_usage ? sse->output_tokens : sse->token_events;
 }
 
 double
-sse_interval (const sse_t *sse)
+sse_get_mean_interval_ms (const sse_t *sse)
 {
-  if (sse->tokens < 2)
+  if (sse->token_events < 2)
     return 0;
-  return (double)(sse->last - sse->first) / (sse->tokens - 1);
+  return (double)(sse->last_token_at - sse->first_token_at)
+         / (sse->token_events - 1);
 }
 
 static int
-compare_gaps (const void *a, const void *b)
+compare_intervals (const void *a, const void *b)
 {
   unsigned first = *(const unsigned *)a;
   unsigned second = *(const unsigned *)b;
@@ -165,20 +167,22 @@
 }
 
 double
-sse_interval_now (const sse_t *sse)
+sse_get_median_interval_ms (const sse_t *sse)
 {
-  unsigned sorted[SSE_GAPS];
-  size_t middle = SSE_GAPS / 2;
+  unsigned sorted[SSE_INTERVALS];
+  size_t middle = SSE_INTERVALS / 2;
 
-  if (sse->tokens <= SSE_GAPS)
+  if (sse->token_events <= SSE_INTERVALS)
     return 0;
-  memcpy (sorted, sse->gaps, sizeof sorted);
-  qsort (sorted, SSE_GAPS, sizeof sorted[0], compare_gaps);
+  memcpy (sorted, sse->intervals_ms, sizeof sorted);
+  qsort (sorted, SSE_INTERVALS, sizeof sorted[0], compare_intervals);
   return sorted[middle];
 }
 
 double
-sse_newest_gap (const sse_t *sse)
+sse_get_newest_interval_ms (const sse_t *sse)
 {
-  return sse->tokens < 2 ? 0 : sse->gaps[(sse->tokens - 1) % SSE_GAPS];
+  return sse->token_events < 2
+             ? 0
+             : sse->intervals_ms[(sse->token_events - 1) % SSE_INTERVALS];
 }
--- a/libcoltsfootdrum/agent/agent-stream.c
+++ b/libcoltsfootdrum/agent/agent-stream.c
@@ -4,7 +4,7 @@
 
 /* Acknowledged bytes are moved out when they are this many, so that small
    acknowledgements don't each move the rest.  */
-#define COMPACT_MIN (64u * 1024)
+#define MIN_COMPACT_BYTES (64u * 1024)
 
 void
 stream_init (stream_t *stream)
@@ -24,28 +24,28 @@
 
 /* Connection headers are between the endpoint and us.  */
 static bool
-is_for_caller (const char *header)
+is_forwarded (const char *header)
 {
-  static const char *const ours[]
+  static const char *const excluded[]
       = { "connection:", "transfer-encoding:", "content-length:",
           "keep-alive:", "upgrade:",           "te:",
           "trailer:" };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (ours); i++)
-    if (g_ascii_strncasecmp (header, ours[i], strlen (ours[i])) == 0)
+  for (size_t i = 0; i < G_N_ELEMENTS (excluded); i++)
+    if (g_ascii_strncasecmp (header, excluded[i], strlen (excluded[i])) == 0)
       return false;
   return true;
 }
 
 void
-stream_head (stream_t *stream, uint32_t status, const char *const *headers)
+stream_set_head (stream_t *stream, uint32_t status, const char *const *headers)
 {
   if (stream->has_head)
     return;
   stream->has_head = true;
   stream->status = status;
   for (; headers != NULL && *headers != NULL; headers++)
-    if (is_for_caller (*headers) && stream->headers->len < MSG_HEADERS_MAX)
+    if (is_forwarded (*headers) && stream->headers->len < MSG_HEADERS_MAX)
       g_ptr_array_add (stream->headers, g_strdup (*headers));
 }
 
@@ -58,82 +58,84 @@
 }
 
 void
-stream_end (stream_t *stream, outcome_t outcome, const char *detail)
+stream_set_end (stream_t *stream, outcome_t outcome, const char *detail)
 {
-  if (stream->ended)
+  if (stream->has_ended)
     return;
-  stream->ended = true;
+  stream->has_ended = true;
   stream->outcome = outcome;
   stream->detail = g_strdup (detail);
 }
 
 size_t
-stream_retained (const stream_t *stream)
+stream_count_retained_bytes (const stream_t *stream)
 {
-  return stream->bytes->len - stream->skip;
+  return stream->bytes->len - stream->dropped_bytes;
 }
 
 uint64_t
-stream_total (const stream_t *stream)
+stream_get_length (const stream_t *stream)
 {
-  return stream->base + stream_retained (stream);
+  return stream->acked_offset + stream_count_retained_bytes (stream);
 }
 
 bool
 stream_is_full (const stream_t *stream)
 {
-  return stream_retained (stream) >= STREAM_RETAINED_MAX;
+  return stream_count_retained_bytes (stream) >= STREAM_MAX_RETAINED_BYTES;
 }
 
 bool
-stream_ack (stream_t *stream, uint64_t offset)
+stream_acknowledge (stream_t *stream, uint64_t offset)
 {
-  if (offset > stream_total (stream))
+  if (offset > stream_get_length (stream))
     return false;
-  if (offset <= stream->base)
+  if (offset <= stream->acked_offset)
     return true;
-  stream->skip += (size_t)(offset - stream->base);
-  stream->base = offset;
-  if (stream->sent < offset)
-    stream->sent = offset;
-  if (stream->skip < COMPACT_MIN && stream->skip < stream->bytes->len)
+  stream->dropped_bytes += (size_t)(offset - stream->acked_offset);
+  stream->acked_offset = offset;
+  if (stream->sent_offset < offset)
+    stream->sent_offset = offset;
+  if (stream->dropped_bytes < MIN_COMPACT_BYTES
+      && stream->dropped_bytes < stream->bytes->len)
     return true;
-  g_byte_array_remove_range (stream->bytes, 0, (guint)stream->skip);
-  stream->skip = 0;
+  g_byte_array_remove_range (stream->bytes, 0, (guint)stream->dropped_bytes);
+  stream->dropped_bytes = 0;
   return true;
 }
 
 bool
 stream_resume (stream_t *stream, uint64_t offset, bool head)
 {
-  if (offset < stream->base || offset > stream_total (stream))
+  if (offset < stream->acked_offset || offset > stream_get_length (stream))
     return false;
   /* All before OFFSET was received: as good as acknowledged.  */
-  (void)stream_ack (stream, offset);
-  stream->sent = offset;
+  (void)stream_acknowledge (stream, offset);
+  stream->sent_offset = offset;
   if (head)
-    stream->head_sent = false;
-  stream->end_sent = false;
+    stream->is_head_sent = false;
+  stream->is_end_sent = false;
   return true;
 }
 
 bool
-stream_next (const stream_t *stream, msg_data_t *data)
+stream_get_next (const stream_t *stream, msg_data_t *data)
 {
-  uint64_t left = stream_total (stream) - stream->sent;
-  size_t at = stream->skip + (size_t)(stream->sent - stream->base);
+  uint64_t left = stream_get_length (stream) - stream->sent_offset;
+  size_t start = stream->dropped_bytes
+                 + (size_t)(stream->sent_offset - stream->acked_offset);
 
   if (left == 0)
     return false;
-  data->offset = stream->sent;
+  data->offset = stream->sent_offset;
   data->tokens = stream->tokens;
-  data->bytes.data = stream->bytes->data + at;
+  data->bytes.data = stream->bytes->data + start;
   data->bytes.length = left < MSG_DATA_MAX ? (size_t)left : MSG_DATA_MAX;
   return true;
 }
 
 void
-stream_sent (stream_t *stream, size_t length)
+stream_mark_sent (stream_t *stream, size_t length)
 {
-  stream->sent += length;
+  stream->sent_offset += length;
 }
--- a/libcoltsfootdrum/agent/agent-work.c
+++ b/libcoltsfootdrum/agent/agent-work.c
@@ -7,7 +7,7 @@
 
 /* Stale declines after which the agent waits for the next tick: an account
    whose virtual time moves faster than grants travel must not keep it busy. */
-#define REPICKS_MAX 16u
+#define MAX_DECLINES_PER_TICK 16u
 
 static bool
 send_grant (cfd_agent_t *agent, uint64_t grant, const pick_choice_t *choice)
@@ -25,7 +25,7 @@
 
 /* Offers one slot; false when nothing more can be offered now.  */
 static bool
-grant_one (cfd_agent_t *agent, cfd_time_t now)
+grant_one_slot (cfd_agent_t *agent, cfd_time_t now)
 {
   pick_choice_t choice;
   uint64_t grant = pick_make_grant (agent->pick, now, &choice);
@@ -33,7 +33,7 @@
 
   if (grant == 0)
     return false;
-  if (agent->stale_row >= AGENT_STALE_ROW_MAX)
+  if (agent->consecutive_stale_declines >= AGENT_MAX_STALE_DECLINES)
     choice.limit_vt = INFINITY;
   if (send_grant (agent, grant, &choice))
     {
@@ -49,35 +49,37 @@
 }
 
 void
-agent_pump (cfd_agent_t *agent, cfd_time_t now)
+agent_fill_slots (cfd_agent_t *agent, cfd_time_t now)
 {
-  unsigned flying;
+  unsigned outstanding_grants;
   unsigned slots;
 
-  if (agent->walking)
+  if (agent->is_iterating_runs)
     return;
   if (agent->policy == CFD_POLICY_LOCAL)
     {
-      local_pump (agent, now);
+      local_fill_slots (agent, now);
       return;
     }
-  if (agent_reason (agent, now) != GRANT_MAY)
+  if (agent_update_grant_reason (agent, now) != GRANT_ALLOWED)
     return;
-  flying = pick_expire_grants (agent->pick, now);
-  slots = lim_count_free_slots (&agent->lim, agent->running + flying, now);
+  outstanding_grants = pick_expire_grants (agent->pick, now);
+  slots = lim_count_free_slots (&agent->lim,
+                                agent->busy_slots + outstanding_grants, now);
   while (slots-- > 0)
-    if (!grant_one (agent, now))
+    if (!grant_one_slot (agent, now))
       return;
 }
 
 void
-agent_not_started (cfd_agent_t *agent, const char *router, const char *request,
-                   const char *reason, cfd_time_t now)
+agent_send_not_started (cfd_agent_t *agent, const char *router,
+                        const char *request, const char *reason,
+                        cfd_time_t now)
 {
   msg_t message = { .kind = MSG_NOT_STARTED };
 
   /* Remembered before the word is given: once given, it has to hold.  */
-  ids_set (agent->ids, request, IDS_REFUSED, now);
+  ids_set_state (agent->ids, request, IDS_REFUSED, now);
   agent->counters.refused++;
   message.u.not_started
       = (msg_not_started_t){ .request = request, .reason = reason };
@@ -90,87 +92,88 @@
    the frame was taken from the socket: a process that was stopped in between
    finds its grants dead.  */
 static const char *
-refusal (cfd_agent_t *agent, const msg_assign_t *assign, bool alive,
-         cfd_time_t now)
+get_refusal (cfd_agent_t *agent, const msg_assign_t *assign,
+             bool is_grant_valid, cfd_time_t now)
 {
-  grant_reason_t reason = agent_reason (agent, now);
+  grant_reason_t reason = agent_update_grant_reason (agent, now);
 
-  if (!alive)
+  if (!is_grant_valid)
     return "the grant is dead";
   if (assign->incarnation != agent->incarnation)
     return "the grant is of another incarnation";
-  if (reason != GRANT_MAY)
+  if (reason != GRANT_ALLOWED)
     return grant_reason_name (reason);
   if (g_strcmp0 (assign->service, agent->service) != 0)
     return "the endpoint is of another service";
   /* The limit may have been cut back since the grant.  */
-  if (lim_count_free_slots (&agent->lim, agent->running, now) == 0)
+  if (lim_count_free_slots (&agent->lim, agent->busy_slots, now) == 0)
     return "no slot is free any more";
   return NULL;
 }
 
 static void
-start (cfd_agent_t *agent, const peer_id_t *peer, const msg_assign_t *assign,
-       cfd_time_t now)
+start_run (cfd_agent_t *agent, const peer_id_t *peer,
+           const msg_assign_t *assign, cfd_time_t now)
 {
   run_t *run = run_new (agent, peer, assign);
 
-  ids_set (agent->ids, run->request, IDS_STARTED, now);
+  ids_set_state (agent->ids, run->request, IDS_STARTED, now);
   g_hash_table_insert (agent->runs, run->request, run);
   run_start (run, now);
   INVARIANT ("running-within-slots",
              agent->lim.state == LIM_EJECTED
-                 ? agent->running == 1
-                 : agent->running <= agent->lim.slots,
+                 ? agent->busy_slots == 1
+                 : agent->busy_slots <= agent->lim.slots,
              run->request);
 }
 
 void
-agent_assign (cfd_agent_t *agent, const peer_id_t *peer,
-              const msg_assign_t *assign)
+agent_handle_assign (cfd_agent_t *agent, const peer_id_t *peer,
+                     const msg_assign_t *assign)
 {
-  cfd_time_t now = agent_now (agent);
-  const char *why;
-  bool alive;
+  cfd_time_t now = agent_read_clock (agent);
+  const char *refusal;
+  bool is_grant_valid;
 
   if (assign->grant == 0)
     {
-      local_push (agent, peer, assign, now);
+      local_enqueue (agent, peer, assign, now);
       return;
     }
-  alive = pick_complete_grant (agent->pick, assign->grant, now);
+  is_grant_valid = pick_complete_grant (agent->pick, assign->grant, now);
   if (g_strcmp0 (assign->service, agent->service) == 0)
     pick_update_waiting (agent->pick, peer->instance, &assign->left, now);
-  if (ids_get (agent->ids, assign->request) == IDS_STARTED)
+  if (ids_get_state (agent->ids, assign->request) == IDS_STARTED)
     {
-      /* No word is given: it did start.  */
+      /* No word is given: it did start_run.  */
       log_warn ("agent", "Assigned again, not started again: request=%s.",
                 assign->request);
       if (!g_hash_table_contains (agent->runs, assign->request))
-        answer_unknown (agent, peer->instance, assign->request,
-                        "it was started before");
+        answer_send_unknown (agent, peer->instance, assign->request,
+                             "it was started before");
       return;
     }
-  why = refusal (agent, assign, alive, now);
+  refusal = get_refusal (agent, assign, is_grant_valid, now);
   agent->counters.assigned++;
-  if (why != NULL)
+  if (refusal != NULL)
     {
       log_debug ("agent", "Request not started: request=%s why=%s.",
-                 assign->request, why);
-      agent_not_started (agent, peer->instance, assign->request, why, now);
+                 assign->request, refusal);
+      agent_send_not_started (agent, peer->instance, assign->request, refusal,
+                              now);
     }
   else
     {
-      agent->repicks = 0;
-      agent->stale_row = 0;
-      start (agent, peer, assign, now);
+      agent->declines_since_tick = 0;
+      agent->consecutive_stale_declines = 0;
+      start_run (agent, peer, assign, now);
     }
-  agent_pump (agent, now);
+  agent_fill_slots (agent, now);
 }
 
 void
-agent_decline (cfd_agent_t *agent, const peer_id_t *peer,
-               const msg_decline_t *decline, cfd_time_t now)
+agent_handle_decline (cfd_agent_t *agent, const peer_id_t *peer,
+                      const msg_decline_t *decline, cfd_time_t now)
 {
   (void)pick_complete_grant (agent->pick, decline->grant, now);
   if (g_strcmp0 (decline->service, agent->service) == 0)
@@ -179,7 +182,7 @@
     {
     case DECLINE_STALE:
       agent->counters.declined_stale++;
-      agent->stale_row++;
+      agent->consecutive_stale_declines++;
       break;
     case DECLINE_NO_WORK:
       agent->counters.declined_other++;
@@ -190,6 +193,6 @@
       pick_remove_router (agent->pick, peer->instance);
       break;
     }
-  if (agent->repicks++ < REPICKS_MAX)
-    agent_pump (agent, now);
+  if (agent->declines_since_tick++ < MAX_DECLINES_PER_TICK)
+    agent_fill_slots (agent, now);
 }
--- a/libcoltsfootdrum/agent/agent.c
+++ b/libcoltsfootdrum/agent/agent.c
@@ -7,36 +7,36 @@
 
 #define RING_CAPACITY 8192
 /* A gap between two turns of the loop by which the process was stopped.  */
-#define STOPPED_MS 1000
+#define MIN_SUSPENSION_MS 1000
 
 /* ---- time ---- */
 
 static void
-woken (cfd_agent_t *agent, cfd_time_t gap, cfd_time_t now)
+handle_suspension (cfd_agent_t *agent, cfd_time_t gap, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
 
   log_warn ("agent", "The process was stopped: ms=%" G_GINT64_FORMAT ".", gap);
-  agent->counters.woken++;
-  agent->woken_at = now;
-  agent->unconfirmed = true;
-  agent->asked_since_woken = false;
-  agent->asked_at = 0;
+  agent->counters.suspensions++;
+  agent->suspension_ended_at = now;
+  agent->is_config_unconfirmed = true;
+  agent->asked_since_suspension = false;
+  agent->config_asked_at = 0;
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    run_woken (value, gap, now);
+    run_handle_suspension (value, gap, now);
 }
 
 cfd_time_t
-agent_now (cfd_agent_t *agent)
+agent_read_clock (cfd_agent_t *agent)
 {
   cfd_time_t now = clock_now ();
-  cfd_time_t gap = now - agent->noticed;
+  cfd_time_t gap = now - agent->last_clock_read;
 
-  agent->noticed = now;
-  if (gap > STOPPED_MS)
-    woken (agent, gap, now);
+  agent->last_clock_read = now;
+  if (gap > MIN_SUSPENSION_MS)
+    handle_suspension (agent, gap, now);
   return now;
 }
 
@@ -45,7 +45,7 @@
 static void
 on_check (struct ev_loop *loop, ev_check *watcher, int events)
 {
-  (void)agent_now (watcher->data);
+  (void)agent_read_clock (watcher->data);
 }
 
 /* ---- the tick ---- */
@@ -57,14 +57,14 @@
   GHashTableIter iter;
   gpointer value;
 
-  agent->walking = true;
+  agent->is_iterating_runs = true;
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       if (run_tick (value, now))
         g_ptr_array_add (ended, g_strdup (((run_t *)value)->request));
     }
-  agent->walking = false;
+  agent->is_iterating_runs = false;
   for (guint i = 0; i < ended->len; i++)
     g_hash_table_remove (agent->runs, g_ptr_array_index (ended, i));
 }
@@ -74,7 +74,7 @@
 {
   unsigned left = g_hash_table_size (agent->runs);
 
-  if (!agent->draining || (left > 0 && now < agent->drain_until))
+  if (!agent->is_draining || (left > 0 && now < agent->drain_deadline))
     return;
   log_info ("agent", "Stopped: unfinished=%u.", left);
   ev_break (agent->loop, EVBREAK_ALL);
@@ -83,22 +83,23 @@
 static void
 tick_counters (cfd_agent_t *agent)
 {
-  agent->counters.busy_ms += (uint64_t)agent->running * AGENT_TICK_MS;
+  agent->counters.busy_slot_ms += (uint64_t)agent->busy_slots * AGENT_TICK_MS;
   agent->counters.slot_ms += (uint64_t)agent->lim.slots * AGENT_TICK_MS;
   if (!pick_has_waiting (agent->pick) && agent->queued == 0)
     return;
-  agent->counters.needed_busy_ms += (uint64_t)agent->running * AGENT_TICK_MS;
-  agent->counters.needed_slot_ms += (uint64_t)agent->lim.slots * AGENT_TICK_MS;
+  agent->counters.loaded_busy_slot_ms
+      += (uint64_t)agent->busy_slots * AGENT_TICK_MS;
+  agent->counters.loaded_slot_ms += (uint64_t)agent->lim.slots * AGENT_TICK_MS;
 }
 
 static void
 on_tick (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   cfd_agent_t *agent = watcher->data;
-  cfd_time_t now = agent_now (agent);
+  cfd_time_t now = agent_read_clock (agent);
   lim_state_t was = agent->lim.state;
 
-  agent->repicks = 0;
+  agent->declines_since_tick = 0;
   tick_runs (agent, now);
   tick_counters (agent);
   ids_expire (agent->ids, now);
@@ -106,8 +107,8 @@
   config_catch_up (agent, now);
   settle_tick (agent, now);
   if (agent->policy == CFD_POLICY_LOCAL)
-    local_tell_load (agent);
-  agent_pump (agent, now);
+    local_send_load (agent);
+  agent_fill_slots (agent, now);
   if (agent->lim.state != was)
     tl_add (agent->ring, TL_LIMIT, NULL, agent->zone, agent->endpoint, NULL,
             lim_state_name (agent->lim.state));
@@ -153,7 +154,7 @@
                GError **error)
 {
   g_autoptr (cfd_agent_t) agent = g_new0 (cfd_agent_t, 1);
-  lim_settings_t unknown = { .max = 0 };
+  lim_settings_t no_limits = { .max = 0 };
 
   agent->loop = loop;
   agent->instance = g_strdup (settings->instance);
@@ -162,20 +163,20 @@
   agent->policy = settings->policy;
   agent->drain_s = settings->drain_s;
   randombytes_buf (&agent->incarnation, sizeof agent->incarnation);
-  agent->noticed = clock_now ();
+  agent->last_clock_read = clock_now ();
   agent->ring = tl_ring_new (agent->instance, RING_CAPACITY);
   agent->store = store_new (agent->ring, &agent_store_events, agent);
   agent->pick = pick_new ();
   agent->links = links_new ();
   agent->ids = ids_new ();
-  agent->held = g_ptr_array_new_with_free_func (g_free);
+  agent->held_routers = g_ptr_array_new_with_free_func (g_free);
   agent->runs
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, run_free);
   list_init (&agent->queue);
-  lim_init (&agent->lim, &unknown, agent->noticed);
+  lim_init (&agent->lim, &no_limits, agent->last_clock_read);
   agent->lim.seed = agent->incarnation;
   agent->pool = fetch_pool_new (loop);
-  settle_begin (agent, agent->noticed);
+  settle_begin (agent, agent->last_clock_read);
   agent->plat = plat_new (agent->pool, settings->platform);
   if (!open_ports (agent, settings, error))
     return NULL;
@@ -190,13 +191,13 @@
 void
 cfd_agent_drain (cfd_agent_t *agent)
 {
-  if (agent->draining)
+  if (agent->is_draining)
     return;
-  agent->draining = true;
-  agent->drain_until = clock_now () + (cfd_time_t)agent->drain_s * 1000;
+  agent->is_draining = true;
+  agent->drain_deadline = clock_now () + (cfd_time_t)agent->drain_s * 1000;
   tl_add (agent->ring, TL_STOP, NULL, agent->zone, agent->endpoint, NULL,
           "graceful shutdown");
-  log_info ("agent", "Shutting down: running=%u.", agent->running);
+  log_info ("agent", "Shutting down: running=%u.", agent->busy_slots);
 }
 
 void
@@ -215,13 +216,13 @@
   pick_free (agent->pick);
   links_free (agent->links);
   ids_free (agent->ids);
-  g_ptr_array_unref (agent->held);
+  g_ptr_array_unref (agent->held_routers);
   tl_ring_free (agent->ring);
   g_free (agent->instance);
   g_free (agent->zone);
   g_free (agent->endpoint);
   g_free (agent->service);
-  g_free (agent->ahead);
+  g_free (agent->newest_peer);
   g_free (agent->url);
   g_free (agent->record_zone);
   g_free (agent);
--- a/libcoltsfootdrum/agent/test-agent.c
+++ b/libcoltsfootdrum/agent/test-agent.c
@@ -352,13 +352,13 @@
   scene_t *scene = scene_new (ENGINE_HANGS);
 
   scene_announce_rivals (scene, 1000);
-  for (unsigned i = 2; i <= 1 + AGENT_STALE_ROW_MAX; i++)
+  for (unsigned i = 2; i <= 1 + AGENT_MAX_STALE_DECLINES; i++)
     {
       SCENE_UNTIL (scene, scene->grants == i);
       g_assert_true (isfinite (scene->limit));
       scene_decline (scene, scene->grant, 100 * i);
     }
-  SCENE_UNTIL (scene, scene->grants == 2 + AGENT_STALE_ROW_MAX);
+  SCENE_UNTIL (scene, scene->grants == 2 + AGENT_MAX_STALE_DECLINES);
   g_assert_false (isfinite (scene->limit));
   scene_free (scene);
 }
--- a/libcoltsfootdrum/agent/test-grant.c
+++ b/libcoltsfootdrum/agent/test-grant.c
@@ -13,54 +13,61 @@
   grant_state_t state;
   grant_reason_t reason;
 } cases[] = {
-  { "all-is-well", { GOOD, .platform_up = true }, GRANT_MAY },
+  { "all-is-well", { GOOD, .is_platform_up = true }, GRANT_ALLOWED },
   { "no-endpoint",
-    { .has_service = true, .platform_up = true },
+    { .has_service = true, .is_platform_up = true },
     GRANT_NO_RECORD },
   { "no-service",
-    { .has_endpoint = true, .platform_up = true },
+    { .has_endpoint = true, .is_platform_up = true },
     GRANT_NO_RECORD },
   { "zone-out",
-    { GOOD, .platform_up = true, .zone_out = true },
+    { GOOD, .is_platform_up = true, .is_zone_out = true },
     GRANT_ZONE_OUT },
-  { "leaving", { GOOD, .platform_up = true, .leaving = true }, GRANT_LEAVING },
+  { "leaving",
+    { GOOD, .is_platform_up = true, .is_leaving = true },
+    GRANT_LEAVING },
   { "draining",
-    { GOOD, .platform_up = true, .draining = true },
+    { GOOD, .is_platform_up = true, .is_draining = true },
     GRANT_DRAINING },
   { "just-woken",
-    { GOOD, .platform_up = true, .unconfirmed = true },
+    { GOOD, .is_platform_up = true, .is_config_unconfirmed = true },
     GRANT_JUST_WOKEN },
   { "settling",
-    { GOOD, .platform_up = true, .settling = true },
+    { GOOD, .is_platform_up = true, .is_settling = true },
     GRANT_SETTLING },
-  { "behind", { GOOD, .platform_up = true, .behind = true }, GRANT_BEHIND },
-  { "ejected", { GOOD, .platform_up = true, .ejected = true }, GRANT_EJECTED },
+  { "behind",
+    { GOOD, .is_platform_up = true, .is_behind = true },
+    GRANT_BEHIND },
+  { "ejected",
+    { GOOD, .is_platform_up = true, .is_ejected = true },
+    GRANT_EJECTED },
   { "platform-down-most-heard",
-    { GOOD, .routers_known = 3, .routers_heard = 2 },
-    GRANT_MAY },
+    { GOOD, .routers_known = 3, .routers_connected = 2 },
+    GRANT_ALLOWED },
   { "platform-down-half-heard",
-    { GOOD, .routers_known = 4, .routers_heard = 2 },
-    GRANT_MAY },
+    { GOOD, .routers_known = 4, .routers_connected = 2 },
+    GRANT_ALLOWED },
   { "island-of-one",
-    { GOOD, .routers_known = 3, .routers_heard = 1 },
+    { GOOD, .routers_known = 3, .routers_connected = 1 },
     GRANT_CUT_OFF },
   { "all-alone", { GOOD, .routers_known = 3 }, GRANT_CUT_OFF },
   { "knows-nobody", { GOOD }, GRANT_CUT_OFF },
   { "island-that-looks-whole",
-    { GOOD, .routers_known = 1, .routers_heard = 1, .zones_known = 3,
-      .zones_heard = 1, .age_ms = AGENT_OLD_WORD_MS },
+    { GOOD, .routers_known = 1, .routers_connected = 1, .zones_known = 3,
+      .zones_connected = 1, .platform_age_ms = AGENT_STALE_PLATFORM_MS },
     GRANT_CUT_OFF },
   { "one-zone-heard-and-fresh-word",
-    { GOOD, .routers_known = 1, .routers_heard = 1, .zones_known = 3,
-      .zones_heard = 1, .age_ms = AGENT_OLD_WORD_MS - 1 },
-    GRANT_MAY },
+    { GOOD, .routers_known = 1, .routers_connected = 1, .zones_known = 3,
+      .zones_connected = 1, .platform_age_ms = AGENT_STALE_PLATFORM_MS - 1 },
+    GRANT_ALLOWED },
   { "half-of-the-zones-heard",
-    { GOOD, .routers_known = 2, .routers_heard = 2, .zones_known = 4,
-      .zones_heard = 2, .age_ms = 60000 },
-    GRANT_MAY },
+    { GOOD, .routers_known = 2, .routers_connected = 2, .zones_known = 4,
+      .zones_connected = 2, .platform_age_ms = 60000 },
+    GRANT_ALLOWED },
   { "few-heard-but-platform",
-    { GOOD, .platform_up = true, .routers_known = 3, .routers_heard = 1 },
-    GRANT_MAY },
+    { GOOD, .is_platform_up = true, .routers_known = 3,
+      .routers_connected = 1 },
+    GRANT_ALLOWED },
 };
 
 static void
@@ -69,7 +76,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_test_message ("%s", cases[i].name);
-      g_assert_cmpint (agent_may_grant (&cases[i].state), ==, cases[i].reason);
+      g_assert_cmpint (agent_evaluate_grant (&cases[i].state), ==,
+                       cases[i].reason);
     }
 }
 
@@ -79,7 +87,7 @@
   unsigned known_now;
   unsigned heard_now;
 
-  links_count (links, &known_now, &heard_now);
+  links_get_counts (links, &known_now, &heard_now);
   g_assert_cmpuint (known_now, ==, known);
   g_assert_cmpuint (heard_now, ==, heard);
 }
@@ -91,20 +99,20 @@
 {
   g_autoptr (links_t) links = links_new ();
 
-  links_up (links, "r1", "a");
-  links_up (links, "r2", "a");
-  links_up (links, "r3", "a");
-  links_down (links, "r1", false, 0);
+  links_set_up (links, "r1", "a");
+  links_set_up (links, "r2", "a");
+  links_set_up (links, "r3", "a");
+  links_set_down (links, "r1", false, 0);
   assert_count (links, 2, 2);
-  links_down (links, "r2", true, 0);
+  links_set_down (links, "r2", true, 0);
   assert_count (links, 2, 1);
-  links_expire (links, false, 10 * LINKS_LOST_MS);
+  links_expire (links, false, 10 * LINKS_LOST_RETENTION_MS);
   assert_count (links, 2, 1);
-  links_expire (links, true, 10 * LINKS_LOST_MS);
+  links_expire (links, true, 10 * LINKS_LOST_RETENTION_MS);
   assert_count (links, 1, 1);
-  links_down (links, "r3", true, 0);
-  links_up (links, "r3", "a");
-  links_expire (links, true, 10 * LINKS_LOST_MS);
+  links_set_down (links, "r3", true, 0);
+  links_set_up (links, "r3", "a");
+  links_expire (links, true, 10 * LINKS_LOST_RETENTION_MS);
   assert_count (links, 1, 1);
 }
 
@@ -113,12 +121,12 @@
 {
   g_autoptr (links_t) links = links_new ();
 
-  links_up (links, "r1", "a");
-  links_up (links, "r2", "a");
-  links_up (links, "r3", "b");
-  g_assert_cmpuint (links_zones (links), ==, 2);
-  links_down (links, "r3", true, 0);
-  g_assert_cmpuint (links_zones (links), ==, 1);
+  links_set_up (links, "r1", "a");
+  links_set_up (links, "r2", "a");
+  links_set_up (links, "r3", "b");
+  g_assert_cmpuint (links_count_zones (links), ==, 2);
+  links_set_down (links, "r3", true, 0);
+  g_assert_cmpuint (links_count_zones (links), ==, 1);
 }
 
 static void
@@ -126,23 +134,23 @@
 {
   g_autoptr (ids_t) ids = ids_new ();
 
-  g_assert_cmpint (ids_get (ids, "a"), ==, IDS_NEW);
-  ids_set (ids, "a", IDS_STARTED, 0);
-  ids_set (ids, "b", IDS_REFUSED, 5);
-  ids_set (ids, "a", IDS_STARTED, 9);
-  ids_expire (ids, IDS_LIFE_MS + 6);
-  g_assert_cmpint (ids_get (ids, "a"), ==, IDS_STARTED);
-  g_assert_cmpint (ids_get (ids, "b"), ==, IDS_NEW);
-  ids_forget (ids, "a");
-  g_assert_cmpint (ids_get (ids, "a"), ==, IDS_NEW);
-  for (unsigned i = 0; i <= IDS_MAX; i++)
+  g_assert_cmpint (ids_get_state (ids, "a"), ==, IDS_NEW);
+  ids_set_state (ids, "a", IDS_STARTED, 0);
+  ids_set_state (ids, "b", IDS_REFUSED, 5);
+  ids_set_state (ids, "a", IDS_STARTED, 9);
+  ids_expire (ids, IDS_RETENTION_MS + 6);
+  g_assert_cmpint (ids_get_state (ids, "a"), ==, IDS_STARTED);
+  g_assert_cmpint (ids_get_state (ids, "b"), ==, IDS_NEW);
+  ids_remove (ids, "a");
+  g_assert_cmpint (ids_get_state (ids, "a"), ==, IDS_NEW);
+  for (unsigned i = 0; i <= IDS_MAX_COUNT; i++)
     {
       g_autofree char *name = g_strdup_printf ("request-%u", i);
 
-      ids_set (ids, name, IDS_STARTED, i);
+      ids_set_state (ids, name, IDS_STARTED, i);
     }
-  g_assert_cmpint (ids_get (ids, "request-0"), ==, IDS_NEW);
-  g_assert_cmpint (ids_get (ids, "request-1"), ==, IDS_STARTED);
+  g_assert_cmpint (ids_get_state (ids, "request-0"), ==, IDS_NEW);
+  g_assert_cmpint (ids_get_state (ids, "request-1"), ==, IDS_STARTED);
 }
 
 int
--- a/libcoltsfootdrum/agent/test-sse.c
+++ b/libcoltsfootdrum/agent/test-sse.c
@@ -64,8 +64,8 @@
         sse_finish (&sse);
         g_test_message ("%s in pieces of %zu", cases[i].name, piece);
         g_assert_cmpuint (sse.prompt_tokens, ==, cases[i].prompt);
-        g_assert_cmpuint (sse_output_tokens (&sse), ==, cases[i].output);
-        g_assert_cmpint (sse.done, ==, cases[i].done);
+        g_assert_cmpuint (sse_count_output_tokens (&sse), ==, cases[i].output);
+        g_assert_cmpint (sse.is_complete, ==, cases[i].done);
         sse_clear (&sse);
       }
 }
@@ -84,10 +84,10 @@
     {
       now += gaps[i];
       sse_feed (&sse, TOKEN, strlen (TOKEN), now);
-      g_assert_cmpint ((int)sse_interval_now (&sse), ==, now_is[i]);
+      g_assert_cmpint ((int)sse_get_median_interval_ms (&sse), ==, now_is[i]);
     }
-  g_assert_cmpint (sse.first, ==, 1000);
-  g_assert_cmpint ((int)sse_interval (&sse), ==, 740 / 9);
+  g_assert_cmpint (sse.first_token_at, ==, 1000);
+  g_assert_cmpint ((int)sse_get_mean_interval_ms (&sse), ==, 740 / 9);
   sse_clear (&sse);
 }
 
@@ -107,9 +107,9 @@
     {
       now += gaps[i];
       sse_feed (&sse, TOKEN, strlen (TOKEN), now);
-      g_assert_cmpint ((int)sse_newest_gap (&sse), ==, newest[i]);
+      g_assert_cmpint ((int)sse_get_newest_interval_ms (&sse), ==, newest[i]);
     }
-  g_assert_cmpint ((int)sse_interval_now (&sse), ==, 20);
+  g_assert_cmpint ((int)sse_get_median_interval_ms (&sse), ==, 20);
   sse_clear (&sse);
 }
 
@@ -117,16 +117,16 @@
 static void
 test_bound (void)
 {
-  g_autofree char *junk = g_strnfill (SSE_LINE_MAX / 2, 'x');
+  g_autofree char *junk = g_strnfill (SSE_MAX_LINE_BYTES / 2, 'x');
   sse_t sse;
 
   sse_init (&sse, true);
   for (int i = 0; i < 4; i++)
     sse_feed (&sse, junk, strlen (junk), 1);
-  g_assert_cmpuint (sse.buffer->len, <=, SSE_LINE_MAX);
+  g_assert_cmpuint (sse.buffer->len, <=, SSE_MAX_LINE_BYTES);
   sse_feed (&sse, "\n" TOKEN DONE, strlen ("\n" TOKEN DONE), 1);
-  g_assert_cmpuint (sse.tokens, ==, 1);
-  g_assert_true (sse.done);
+  g_assert_cmpuint (sse.token_events, ==, 1);
+  g_assert_true (sse.is_complete);
   sse_clear (&sse);
 }
 
--- a/libcoltsfootdrum/agent/test-stream.c
+++ b/libcoltsfootdrum/agent/test-stream.c
@@ -10,12 +10,12 @@
   GString *text = g_string_new (NULL);
   msg_data_t data;
 
-  while (stream_next (stream, &data))
+  while (stream_get_next (stream, &data))
     {
       g_assert_cmpuint (data.bytes.length, <=, MSG_DATA_MAX);
       g_string_append_len (text, (const char *)data.bytes.data,
                            (gssize)data.bytes.length);
-      stream_sent (stream, data.bytes.length);
+      stream_mark_sent (stream, data.bytes.length);
     }
   return g_string_free (text, FALSE);
 }
@@ -68,7 +68,7 @@
           stream_append (&stream, steps[i].bytes, strlen (steps[i].bytes), 0);
           break;
         case ACK:
-          good = stream_ack (&stream, steps[i].offset);
+          good = stream_acknowledge (&stream, steps[i].offset);
           break;
         case RESUME:
           good = stream_resume (&stream, steps[i].offset, false);
@@ -78,7 +78,8 @@
       g_test_message ("step %zu", i);
       g_assert_cmpint (good, ==, steps[i].good);
       g_assert_cmpstr (sent, ==, steps[i].sent);
-      g_assert_cmpuint (stream_retained (&stream), ==, steps[i].retained);
+      g_assert_cmpuint (stream_count_retained_bytes (&stream), ==,
+                        steps[i].retained);
     }
   stream_clear (&stream);
 }
@@ -105,12 +106,13 @@
       piece[0] = (char)('a' + i % 26);
       stream_append (&stream, piece, PIECE, 0);
       if (i % 7 == 0)
-        (void)stream_resume (&stream, stream.base, false);
+        (void)stream_resume (&stream, stream.acked_offset, false);
       out = drain (&stream);
-      sent = stream.sent;
+      sent = stream.sent_offset;
       if (i >= 4)
-        g_assert_true (stream_ack (&stream, sent - 4 * (uint64_t)PIECE));
-      g_assert_cmpuint (stream_retained (&stream), <=, 5 * PIECE);
+        g_assert_true (
+            stream_acknowledge (&stream, sent - 4 * (uint64_t)PIECE));
+      g_assert_cmpuint (stream_count_retained_bytes (&stream), <=, 5 * PIECE);
       g_assert_true (out[strlen (out) - PIECE] == 'a' + i % 26);
     }
   g_assert_cmpuint (sent, ==, (uint64_t)PIECE * PIECES);
@@ -126,20 +128,20 @@
   stream_t stream;
 
   stream_init (&stream);
-  stream_head (&stream, 200, headers);
+  stream_set_head (&stream, 200, headers);
   g_assert_cmpuint (stream.headers->len, ==, 1);
-  stream_head (&stream, 500, headers);
+  stream_set_head (&stream, 500, headers);
   g_assert_cmpuint (stream.status, ==, 200);
-  stream_end (&stream, OUTCOME_BROKEN, "first");
-  stream_end (&stream, OUTCOME_COMPLETE, "second");
+  stream_set_end (&stream, OUTCOME_BROKEN, "first");
+  stream_set_end (&stream, OUTCOME_COMPLETE, "second");
   g_assert_cmpint (stream.outcome, ==, OUTCOME_BROKEN);
-  stream.head_sent = true;
-  stream.end_sent = true;
+  stream.is_head_sent = true;
+  stream.is_end_sent = true;
   g_assert_true (stream_resume (&stream, 0, false));
-  g_assert_true (stream.head_sent);
-  g_assert_false (stream.end_sent);
+  g_assert_true (stream.is_head_sent);
+  g_assert_false (stream.is_end_sent);
   g_assert_true (stream_resume (&stream, 0, true));
-  g_assert_false (stream.head_sent);
+  g_assert_false (stream.is_head_sent);
   stream_clear (&stream);
 }
 
