--- a/libcoltsfootdrum/admin/admin-node.c
+++ b/libcoltsfootdrum/admin/admin-node.c
@@ -38,7 +38,7 @@
           [TRAFFIC_FRAMES] = "cfd_peer_frames_total" };
   peer_counters_t c;
 
-  peer_hub_counters (hub, &c);
+  peer_hub_get_counters (hub, &c);
   const struct
   {
     const char *name;
@@ -60,10 +60,10 @@
     prom_sample (out, counters[i].name, "counter", counters[i].labels,
                  (double)counters[i].value);
   if (up_ms > 0)
-    prom_sample (
-        out, "cfd_control_bytes_per_second", "gauge", NULL,
-        (double)(peer_control_bytes (c.in) + peer_control_bytes (c.out)) * 1000
-            / (double)up_ms);
+    prom_sample (out, "cfd_control_bytes_per_second", "gauge", NULL,
+                 (double)(peer_sum_control_bytes (c.in)
+                          + peer_sum_control_bytes (c.out))
+                     * 1000 / (double)up_ms);
 }
 
 static void
@@ -79,15 +79,15 @@
   cfd_time_t now = clock_now ();
   unsigned zones_out = 0;
 
-  store_each (node->store, REC_ZONE, count_out, &zones_out);
+  store_foreach (node->store, REC_ZONE, count_out, &zones_out);
   prom_sample (out, "cfd_config_revision", "gauge", NULL,
-               (double)store_revision (node->store));
+               (double)store_get_revision (node->store));
   prom_sample (out, "cfd_config_age_ms", "gauge", NULL,
-               store_age (node->store, now));
+               store_get_age_ms (node->store, now));
   prom_sample (out, "cfd_config_behind_ms", "gauge", NULL,
-               (double)store_behind_ms (node->store, now));
+               (double)store_get_behind_ms (node->store, now));
   prom_sample (out, "cfd_platform_up", "gauge", NULL,
-               store_platform_is_up (node->store));
+               store_is_platform_up (node->store));
   prom_sample (out, "cfd_platform_calls_total", "counter", NULL,
                (double)plat_calls (node->plat));
   prom_sample (out, "cfd_zones_out", "gauge", NULL, zones_out);
@@ -101,10 +101,11 @@
   admin_text (out, "instance", node->instance);
   admin_text (out, "role", node->role);
   admin_text (out, "zone", node->zone);
-  admin_number (out, "revision", (int64_t)store_revision (node->store));
-  admin_number (out, "config_age_ms", store_age (node->store, clock_now ()));
+  admin_number (out, "revision", (int64_t)store_get_revision (node->store));
+  admin_number (out, "config_age_ms",
+                store_get_age_ms (node->store, clock_now ()));
   json_builder_set_member_name (out, "platform_up");
-  json_builder_add_boolean_value (out, store_platform_is_up (node->store));
+  json_builder_add_boolean_value (out, store_is_platform_up (node->store));
   json_builder_set_member_name (out, "ready");
   json_builder_add_boolean_value (out, not_ready == NULL);
   admin_text (out, "why_not", not_ready);
--- a/libcoltsfootdrum/agent/agent-config.c
+++ b/libcoltsfootdrum/agent/agent-config.c
@@ -18,7 +18,7 @@
 static void
 confirm_by_platform (cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard_at = now - store_age (agent->store, now);
+  cfd_time_t heard_at = now - store_get_age_ms (agent->store, now);
 
   if (heard_at > agent->suspension_ended_at + MAX_BUFFERED_MS)
     agent->is_config_unconfirmed = false;
@@ -30,9 +30,9 @@
 static bool
 platform_is_up (const cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard_at = now - store_age (agent->store, now);
+  cfd_time_t heard_at = now - store_get_age_ms (agent->store, now);
 
-  return store_platform_is_up (agent->store) && heard_at >= agent->cut_off_at;
+  return store_is_platform_up (agent->store) && heard_at >= agent->cut_off_at;
 }
 
 static void
@@ -49,9 +49,9 @@
 static void
 count_zones (const cfd_agent_t *agent, grant_state_t *state, cfd_time_t now)
 {
-  state->platform_age_ms = store_age (agent->store, now);
+  state->platform_age_ms = store_get_age_ms (agent->store, now);
   state->zones_known
-      = witness_zones (store_instances (agent->store, ROLE_ROUTER));
+      = witness_count_zones (store_get_instances (agent->store, ROLE_ROUTER));
   state->zones_connected = links_count_zones (agent->links);
 }
 
@@ -64,11 +64,12 @@
     .has_service = agent->has_service,
     .is_leaving = agent->is_leaving,
     .is_zone_out
-    = store_zone_is_out (agent->store, agent->zone)
+    = store_is_zone_out (agent->store, agent->zone)
       || (agent->record_zone != NULL
-          && store_zone_is_out (agent->store, agent->record_zone)),
+          && store_is_zone_out (agent->store, agent->record_zone)),
     .is_settling = agent->is_settling,
-    .is_behind = agent->newest_peer_revision > store_revision (agent->store),
+    .is_behind
+    = agent->newest_peer_revision > store_get_revision (agent->store),
     .is_platform_up = platform_is_up (agent, now),
     .is_ejected
     = agent->lim.state == LIM_EJECTED && now < agent->lim.ejected_until,
@@ -95,8 +96,8 @@
 
   if (record == NULL || record->deleted || record->u.endpoint.leaving)
     return true;
-  return store_zone_is_out (agent->store, agent->zone)
-         || store_zone_is_out (agent->store, record->u.endpoint.zone);
+  return store_is_zone_out (agent->store, agent->zone)
+         || store_is_zone_out (agent->store, record->u.endpoint.zone);
 }
 
 /* ---- configuration ---- */
@@ -121,7 +122,7 @@
   if (now - agent->update_checked_at < UPDATE_CHECK_INTERVAL_MS)
     return;
   agent->update_checked_at = now;
-  if (!store_wants_word (agent->store, now))
+  if (!store_should_ask_peer (agent->store, now))
     return;
   router = links_get_nth_up (agent->links, agent->next_peer++);
   if (router != NULL)
@@ -132,7 +133,7 @@
 config_observe_revision (cfd_agent_t *agent, const char *router,
                          uint64_t revision, cfd_time_t now)
 {
-  store_heard_of (agent->store, revision, now);
+  store_record_peer_revision (agent->store, revision, now);
   if (revision > agent->newest_peer_revision)
     {
       agent->newest_peer_revision = revision;
@@ -160,7 +161,8 @@
 void
 config_catch_up (cfd_agent_t *agent, cfd_time_t now)
 {
-  bool is_behind = agent->newest_peer_revision > store_revision (agent->store);
+  bool is_behind
+      = agent->newest_peer_revision > store_get_revision (agent->store);
 
   ask_for_update (agent, now);
   if (!agent->is_config_unconfirmed && !is_behind)
@@ -178,10 +180,11 @@
 config_apply_part (cfd_agent_t *agent, const char *router,
                    const msg_config_part_t *part, cfd_time_t now)
 {
-  bool is_newer = store_take_part (agent->store, part, now);
+  bool is_newer = store_apply_part (agent->store, part, now);
 
   /* A piece: the next one now, not at the next tick.  */
-  if (is_newer && store_revision (agent->store) < agent->newest_peer_revision)
+  if (is_newer
+      && store_get_revision (agent->store) < agent->newest_peer_revision)
     ask_config (agent, (char *)router);
   if (agent->asked_since_suspension)
     agent->is_config_unconfirmed = false;
--- a/libcoltsfootdrum/agent/agent-grant.h
+++ b/libcoltsfootdrum/agent/agent-grant.h
@@ -15,8 +15,8 @@
 #define AGENT_MAX_STALE_DECLINES 16u
 
 /* Word of the platform so old that nobody in hearing can have it: an agent
-   asks for younger word after 4 s (SPREAD_ASK_MS), and the witnesses of other
-   zones (config/witness.h) have called by then.  */
+   asks for younger word after 4 s (SPREAD_ASK_PEER_AFTER_MS), and the
+   witnesses of other zones (config/witness.h) have called by then.  */
 #define AGENT_STALE_PLATFORM_MS 5000u
 
 typedef enum
--- a/libcoltsfootdrum/agent/agent-links.h
+++ b/libcoltsfootdrum/agent/agent-links.h
@@ -2,9 +2,9 @@
 
    Heard are those whose link is up: while the platform is out of reach the
    agent holds all its links, and a held link that is has_timed_out is closed
-   in PEER_SILENCE_MS.  Known are these and the ones lost by silence; a router
-   that closed its link itself went of its own accord (idle, restarted, shut
-   down) and is forgotten.  Lost ones are forgotten after
+   in PEER_SILENCE_TIMEOUT_MS.  Known are these and the ones lost by silence; a
+   router that closed its link itself went of its own accord (idle, restarted,
+   shut down) and is forgotten.  Lost ones are forgotten after
    LINKS_LOST_RETENTION_MS, but never while the platform is out of reach: else
    an island would in time take itself for the whole fleet.  */
 
--- a/libcoltsfootdrum/agent/agent-peers.c
+++ b/libcoltsfootdrum/agent/agent-peers.c
@@ -123,7 +123,7 @@
 static void
 update_held_links (cfd_agent_t *agent)
 {
-  if (!store_platform_is_up (agent->store))
+  if (!store_is_platform_up (agent->store))
     {
       links_for_each_up (agent->links, hold_router, agent);
       return;
@@ -177,7 +177,7 @@
 
   if (peer->role != ROLE_ROUTER)
     return;
-  peer_hub_counters (agent->hub, &counters);
+  peer_hub_get_counters (agent->hub, &counters);
   links_set_down (agent->links, peer->instance,
                   counters.silences > agent->timeouts[1], now);
   pick_remove_router (agent->pick, peer->instance);
@@ -192,7 +192,7 @@
 {
   const cfd_agent_t *agent = user;
 
-  return store_revision (agent->store);
+  return store_get_revision (agent->store);
 }
 
 void
@@ -200,9 +200,9 @@
 {
   peer_counters_t counters;
 
-  links_expire (agent->links, store_platform_is_up (agent->store), now);
+  links_expire (agent->links, store_is_platform_up (agent->store), now);
   update_held_links (agent);
-  peer_hub_counters (agent->hub, &counters);
+  peer_hub_get_counters (agent->hub, &counters);
   agent->timeouts[1] = agent->timeouts[0];
   agent->timeouts[0] = counters.silences;
 }
--- a/libcoltsfootdrum/agent/agent.c
+++ b/libcoltsfootdrum/agent/agent.c
@@ -133,7 +133,7 @@
 static bool
 open_ports (cfd_agent_t *agent, const cfd_settings_t *settings, GError **error)
 {
-  peer_self_t self = {
+  peer_hub_options_t self = {
     .role = ROLE_AGENT,
     .instance = agent->instance,
     .zone = agent->zone,
--- a/libcoltsfootdrum/agent/test-agent.c
+++ b/libcoltsfootdrum/agent/test-agent.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* The silence that closes a held link, and some more.  */
-#define CUT_OFF_MS (PEER_SILENCE_MS + 1000)
+#define CUT_OFF_MS (PEER_SILENCE_TIMEOUT_MS + 1000)
 /* Longer than the gap by which the agent knows that it was stopped.  */
 #define STOP_MS 1500
 
@@ -322,7 +322,7 @@
 
   scene_platform (scene, true);
   scene->router_revision = scene->revision + 1;
-  scene_pass (scene, PEER_SILENCE_MS);
+  scene_pass (scene, PEER_SILENCE_TIMEOUT_MS);
   scene->router_revision = scene->revision;
   scene_announce (scene, 1);
   scene_pass (scene, 300);
--- a/libcoltsfootdrum/agent/test-scene.c
+++ b/libcoltsfootdrum/agent/test-scene.c
@@ -302,19 +302,19 @@
 scene_dial (scene_t *scene, uint64_t incarnation)
 {
   g_autofree char *link = address (PORT_LINK);
-  peer_self_t self = { .role = ROLE_ROUTER,
-                       .instance = "router",
-                       .zone = "z",
-                       .incarnation = incarnation,
-                       .listen = NULL,
-                       .secret = SECRET };
+  peer_hub_options_t self = { .role = ROLE_ROUTER,
+                              .instance = "router",
+                              .zone = "z",
+                              .incarnation = incarnation,
+                              .listen = NULL,
+                              .secret = SECRET };
   g_autoptr (GError) error = NULL;
 
   scene->up = false;
   scene->router
       = peer_hub_new (scene->loop, &self, NULL, &events, scene, &error);
   g_assert_no_error (error);
-  peer_hub_address (scene->router, "agent", link);
+  peer_hub_set_address (scene->router, "agent", link);
   peer_hub_hold (scene->router, "agent");
 }
 
@@ -324,16 +324,16 @@
   g_autofree char *link = address (PORT_LINK);
   static const peer_events_t only_up
       = { .up = on_up, .revision = on_revision };
-  peer_self_t self = { .role = ROLE_ROUTER,
-                       .instance = name,
-                       .zone = "z",
-                       .incarnation = 1,
-                       .secret = SECRET };
+  peer_hub_options_t self = { .role = ROLE_ROUTER,
+                              .instance = name,
+                              .zone = "z",
+                              .incarnation = 1,
+                              .secret = SECRET };
   g_autoptr (GError) error = NULL;
   peer_hub_t *hub = peer_hub_new (loop, &self, NULL, &only_up, scene, &error);
 
   g_assert_no_error (error);
-  peer_hub_address (hub, "agent", link);
+  peer_hub_set_address (hub, "agent", link);
   peer_hub_hold (hub, "agent");
   scene->up = false;
   while (!scene->up)
--- a/libcoltsfootdrum/config/rec-parse.c
+++ b/libcoltsfootdrum/config/rec-parse.c
@@ -10,7 +10,7 @@
 #define QUEUE_MAX_MOST 100000
 #define SLOTS_MOST 65536
 #define SLOTS_COLD_DEFAULT 1
-#define KEY_HASH_LENGTH (REC_KEY_HEX_SIZE - 1)
+#define KEY_HASH_LENGTH (REC_KEY_HASH_HEX_SIZE - 1)
 
 static const char *const default_classes[] = { "full-shift", "quick", NULL };
 
@@ -147,7 +147,7 @@
 read_key_hash (const rec_t *record, JsonObject *object, const char *member,
                GArray *hashes, GError **error)
 {
-  rec_key_t key;
+  rec_key_hash_t key;
   JsonNode *node = value_of (object, member, G_TYPE_STRING);
   const char *hash = node == NULL ? NULL : json_node_get_string (node);
 
@@ -184,7 +184,8 @@
 read_account (rec_t *record, JsonObject *spec, unsigned schema, GError **error)
 {
   rec_account_t *account = &record->u.account;
-  g_autoptr (GArray) hashes = g_array_new (FALSE, FALSE, sizeof (rec_key_t));
+  g_autoptr (GArray) hashes
+      = g_array_new (FALSE, FALSE, sizeof (rec_key_hash_t));
   JsonNode *weight = json_object_get_member (spec, "weight");
   bool ok;
 
@@ -202,7 +203,8 @@
                         &account->queue_max, error);
   /* A copy of the right size: the array's has room to grow.  */
   account->key_count = hashes->len;
-  account->keys = g_memdup2 (hashes->data, hashes->len * sizeof (rec_key_t));
+  account->keys
+      = g_memdup2 (hashes->data, hashes->len * sizeof (rec_key_hash_t));
   return ok;
 }
 
--- a/libcoltsfootdrum/config/rec-text.c
+++ b/libcoltsfootdrum/config/rec-text.c
@@ -21,7 +21,7 @@
 {
   const char *values[SLOT_END]; /* NULL: not there */
   char revision[DIGITS_MAX];
-  char keys[KEYS_MAX][REC_KEY_HEX_SIZE];
+  char keys[KEYS_MAX][REC_KEY_HASH_HEX_SIZE];
 } slots_t;
 
 static void
@@ -40,7 +40,7 @@
   for (unsigned i = 0; i < keys; i++)
     slots->values[SLOT_KEYS + i]
         = sodium_bin2hex (slots->keys[i], sizeof slots->keys[i],
-                          account->keys[i].bytes, REC_KEY_SIZE);
+                          account->keys[i].bytes, REC_KEY_HASH_SIZE);
 }
 
 /* Whether the value of SLOT stands at AT as a whole JSON value.  */
@@ -86,7 +86,7 @@
 }
 
 char *
-rec_text (const rec_t *record)
+rec_to_text (const rec_t *record)
 {
   GString *text = g_string_new (NULL);
   slots_t slots;
--- a/libcoltsfootdrum/config/rec.c
+++ b/libcoltsfootdrum/config/rec.c
@@ -201,8 +201,8 @@
 }
 
 bool
-rec_service_idempotent (const rec_service_t *service, const char *method,
-                        const char *path)
+rec_service_is_idempotent (const rec_service_t *service, const char *method,
+                           const char *path)
 {
   if (service->is_model)
     return true;
@@ -219,7 +219,7 @@
 }
 
 unsigned
-rec_service_class (const rec_service_t *service, const char *name)
+rec_service_get_class_rank (const rec_service_t *service, const char *name)
 {
   unsigned count = g_strv_length (service->classes);
 
@@ -230,19 +230,19 @@
 }
 
 void
-rec_key_make (const char *key, rec_key_t *hash)
+rec_hash_key (const char *key, rec_key_hash_t *hash)
 {
   crypto_generichash (hash->bytes, sizeof hash->bytes,
                       (const unsigned char *)key, strlen (key), NULL, 0);
 }
 
 char *
-rec_key_hash (const char *key)
+rec_hash_key_to_hex (const char *key)
 {
-  char text[REC_KEY_HEX_SIZE];
-  rec_key_t hash;
+  char text[REC_KEY_HASH_HEX_SIZE];
+  rec_key_hash_t hash;
 
-  rec_key_make (key, &hash);
+  rec_hash_key (key, &hash);
   sodium_bin2hex (text, sizeof text, hash.bytes, sizeof hash.bytes);
   return g_strdup (text);
 }
@@ -250,10 +250,10 @@
 bool
 rec_account_has_key (const rec_account_t *account, const char *key)
 {
-  rec_key_t hash;
+  rec_key_hash_t hash;
   bool found = false;
 
-  rec_key_make (key, &hash);
+  rec_hash_key (key, &hash);
   for (unsigned i = 0; i < account->key_count; i++)
     if (sodium_memcmp (&account->keys[i], &hash, sizeof hash) == 0)
       found = true;
--- a/libcoltsfootdrum/config/rec.h
+++ b/libcoltsfootdrum/config/rec.h
@@ -35,21 +35,21 @@
   REC_ENDPOINT
 } rec_kind_t;
 
-#define REC_KEY_SIZE 32
-#define REC_KEY_HEX_SIZE (REC_KEY_SIZE * 2 + 1)
+#define REC_KEY_HASH_SIZE 32
+#define REC_KEY_HASH_HEX_SIZE (REC_KEY_HASH_SIZE * 2 + 1)
 
 /* The hash of a caller's key.  */
 typedef struct
 {
-  unsigned char bytes[REC_KEY_SIZE];
-} rec_key_t;
+  unsigned char bytes[REC_KEY_HASH_SIZE];
+} rec_key_hash_t;
 
 typedef struct
 {
   double weight;
   unsigned queue_max;
   unsigned key_count;
-  rec_key_t *keys;
+  rec_key_hash_t *keys;
 } rec_account_t;
 
 typedef struct
@@ -105,7 +105,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (rec_t, rec_free)
 
 /* The platform object's text, unchanged, for peers; free with g_free.  */
-char *rec_text (const rec_t *record);
+char *rec_to_text (const rec_t *record);
 
 /* "client-account", "service", "availability-zone", "endpoint".  */
 const char *rec_kind_name (rec_kind_t kind);
@@ -113,16 +113,17 @@
 
 /* Whether a call of METHOD on PATH may be repeated.  Model services always
    may; plain ones by their rules, and not where no rule matches.  */
-bool rec_service_idempotent (const rec_service_t *service, const char *method,
-                             const char *path);
+bool rec_service_is_idempotent (const rec_service_t *service,
+                                const char *method, const char *path);
 
 /* Rank of class NAME, the last rank when unknown or NULL.  */
-unsigned rec_service_class (const rec_service_t *service, const char *name);
+unsigned rec_service_get_class_rank (const rec_service_t *service,
+                                     const char *name);
 
 /* Whether KEY is one of the account's, in constant time for each hash.  */
 bool rec_account_has_key (const rec_account_t *account, const char *key);
 /* The hash to store for KEY; free with g_free.  */
-char *rec_key_hash (const char *key);
-void rec_key_make (const char *key, rec_key_t *hash);
+char *rec_hash_key_to_hex (const char *key);
+void rec_hash_key (const char *key, rec_key_hash_t *hash);
 
 #endif
--- a/libcoltsfootdrum/config/spread-tree.c
+++ b/libcoltsfootdrum/config/spread-tree.c
@@ -23,7 +23,7 @@
 
   if (strcmp (first->name, second->name) == 0)
     return 0;
-  return spread_goes_before (first->name, second->name) ? -1 : 1;
+  return spread_ranks_before (first->name, second->name) ? -1 : 1;
 }
 
 /* The names of the INSTANCES that stay, in order of rank.  */
@@ -58,9 +58,9 @@
 static void
 choose_routers (spread_tree_t *tree)
 {
-  unsigned first = SPREAD_RANKS + tree->rank * SPREAD_FAN;
+  unsigned first = SPREAD_WATCHERS_PER_ROLE + tree->rank * SPREAD_TREE_FANOUT;
 
-  for (unsigned i = first; i < first + SPREAD_FAN; i++)
+  for (unsigned i = first; i < first + SPREAD_TREE_FANOUT; i++)
     if (i < tree->routers->len)
       g_ptr_array_add (tree->told_routers, tree->routers->pdata[i]);
 }
@@ -112,19 +112,19 @@
 }
 
 const GPtrArray *
-spread_tree_routers (const spread_tree_t *tree)
+spread_tree_get_child_routers (const spread_tree_t *tree)
 {
   return tree->told_routers;
 }
 
 const GPtrArray *
-spread_tree_agents (const spread_tree_t *tree)
+spread_tree_get_child_agents (const spread_tree_t *tree)
 {
   return tree->told_agents;
 }
 
 const char *
-spread_tree_ask (const spread_tree_t *tree, unsigned choice)
+spread_tree_choose_source (const spread_tree_t *tree, unsigned choice)
 {
   const GPtrArray *routers = tree->routers;
   unsigned others = routers->len - (tree->rank == NOT_LISTED ? 0 : 1);
@@ -132,8 +132,10 @@
 
   if (others == 0)
     return NULL;
-  if (choice == 0 && tree->rank != NOT_LISTED && tree->rank >= SPREAD_RANKS)
-    return routers->pdata[(tree->rank - SPREAD_RANKS) / SPREAD_FAN];
+  if (choice == 0 && tree->rank != NOT_LISTED
+      && tree->rank >= SPREAD_WATCHERS_PER_ROLE)
+    return routers
+        ->pdata[(tree->rank - SPREAD_WATCHERS_PER_ROLE) / SPREAD_TREE_FANOUT];
   index = (unsigned)(XXH3_64bits_withSeed (tree->self, strlen (tree->self),
                                            choice)
                      % others);
--- a/libcoltsfootdrum/config/spread.c
+++ b/libcoltsfootdrum/config/spread.c
@@ -5,7 +5,7 @@
 #include <xxhash.h>
 
 bool
-spread_goes_before (const char *a, const char *b)
+spread_ranks_before (const char *a, const char *b)
 {
   uint64_t hash_a = XXH3_64bits (a, strlen (a));
   uint64_t hash_b = XXH3_64bits (b, strlen (b));
@@ -41,15 +41,15 @@
 
       if (!instance->leaving
           && (zone == NULL || strcmp (instance->zone, zone) == 0)
-          && spread_goes_before (instance->name, name))
+          && spread_ranks_before (instance->name, name))
         count++;
     }
   return count;
 }
 
 void
-spread_place (const GPtrArray *routers, const GPtrArray *agents, role_t role,
-              const char *self, spread_place_t *place)
+spread_find_position (const GPtrArray *routers, const GPtrArray *agents,
+                      role_t role, const char *self, spread_position_t *place)
 {
   const GPtrArray *own = role == ROLE_ROUTER ? routers : agents;
   const store_instance_t *instance = find (own, self);
@@ -66,32 +66,33 @@
 }
 
 bool
-spread_watches (const spread_place_t *place)
+spread_is_watcher (const spread_position_t *place)
 {
-  return place->fleet <= SPREAD_ALL || place->rank < SPREAD_RANKS
-         || place->is_first_in_zone;
+  return place->fleet <= SPREAD_SMALL_FLEET_INSTANCES
+         || place->rank < SPREAD_WATCHERS_PER_ROLE || place->is_first_in_zone;
 }
 
 unsigned
-spread_poll_ms (const spread_place_t *place)
+spread_poll_interval_ms (const spread_position_t *place)
 {
-  return MAX (1000u, place->fleet * 1000u / SPREAD_POLLS);
+  return MAX (1000u, place->fleet * 1000u / SPREAD_MAX_FLEET_POLLS_PER_S);
 }
 
 unsigned
-spread_read_ms (const spread_place_t *place)
+spread_read_interval_ms (const spread_position_t *place)
 {
-  return MAX ((unsigned)SPREAD_READ_EACH_MS,
-              place->fleet * 1000u / SPREAD_READS);
+  return MAX ((unsigned)SPREAD_MIN_READ_INTERVAL_MS,
+              place->fleet * 1000u / SPREAD_MAX_FLEET_READS_PER_S);
 }
 
-spread_step_t
-spread_step (const spread_place_t *place, uint32_t age_ms,
-             cfd_time_t last_read, cfd_time_t now)
+spread_action_t
+spread_choose_action (const spread_position_t *place, uint32_t age_ms,
+                      cfd_time_t last_read, cfd_time_t now)
 {
-  if (age_ms < SPREAD_ASK_MS)
+  if (age_ms < SPREAD_ASK_PEER_AFTER_MS)
     return SPREAD_WAIT;
-  if (age_ms < SPREAD_READ_MS || now - last_read < spread_read_ms (place))
-    return SPREAD_ASK;
-  return SPREAD_READ;
+  if (age_ms < SPREAD_READ_PLATFORM_AFTER_MS
+      || now - last_read < spread_read_interval_ms (place))
+    return SPREAD_ASK_PEER;
+  return SPREAD_READ_PLATFORM;
 }
--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -80,15 +80,16 @@
 }
 
 static void
-current_place (const store_t *store, spread_place_t *place)
+current_place (const store_t *store, spread_position_t *place)
 {
   if (store->self == NULL)
     {
-      *place = (spread_place_t){ .is_first_in_zone = true };
+      *place = (spread_position_t){ .is_first_in_zone = true };
       return;
     }
-  spread_place (store->instances[ROLE_ROUTER], store->instances[ROLE_AGENT],
-                store->self_role, store->self, place);
+  spread_find_position (store->instances[ROLE_ROUTER],
+                        store->instances[ROLE_AGENT], store->self_role,
+                        store->self, place);
 }
 
 /* Begins the list anew with the next read.  */
@@ -139,7 +140,7 @@
     case PLAT_OK:
       follow->failures = 0;
       follow->catching_up = false;
-      store_take_objects (store, answer, clock_now ());
+      store_apply_objects (store, answer, clock_now ());
       json_object_unref (answer);
       arm (follow, &follow->step, store->revision > before ? 0 : GAP_MS);
       return;
@@ -192,15 +193,17 @@
 
 /* Whether a process that does not watch reads the platform now.  */
 static bool
-must_read (const follow_t *follow, const spread_place_t *place, cfd_time_t now)
+must_read (const follow_t *follow, const spread_position_t *place,
+           cfd_time_t now)
 {
   const store_t *store = follow->store;
 
-  if (store_behind_ms (store, now) >= SPREAD_BEHIND_MS
-      && now - follow->last_read >= spread_read_ms (place))
+  if (store_get_behind_ms (store, now) >= SPREAD_MAX_BEHIND_MS
+      && now - follow->last_read >= spread_read_interval_ms (place))
     return true;
-  return spread_step (place, store_age (store, now), follow->last_read, now)
-         == SPREAD_READ;
+  return spread_choose_action (place, store_get_age_ms (store, now),
+                               follow->last_read, now)
+         == SPREAD_READ_PLATFORM;
 }
 
 static void
@@ -208,12 +211,14 @@
 {
   follow_t *follow = timer->data;
   cfd_time_t now = clock_now ();
-  spread_place_t place;
+  spread_position_t place;
 
   current_place (follow->store, &place);
-  if (spread_watches (&place))
+  if (spread_is_watcher (&place))
     read_changes (follow,
-                  place.fleet <= SPREAD_ALL ? WATCH_MS : WATCH_LARGE_MS, now);
+                  place.fleet <= SPREAD_SMALL_FLEET_INSTANCES ? WATCH_MS
+                                                              : WATCH_LARGE_MS,
+                  now);
   else if (!follow->listed || follow->catching_up
            || must_read (follow, &place, now))
     read_changes (follow, 0, now);
@@ -225,7 +230,7 @@
 on_instances (void *user, plat_status_t status, JsonObject *answer)
 {
   follow_t *follow = user;
-  spread_place_t place;
+  spread_position_t place;
 
   note_platform (follow, status);
   if (status != PLAT_OK)
@@ -238,7 +243,7 @@
   store_take_instances (follow->store, answer, clock_now ());
   json_object_unref (answer);
   current_place (follow->store, &place);
-  arm (follow, &follow->poll, spread_poll_ms (&place));
+  arm (follow, &follow->poll, spread_poll_interval_ms (&place));
 }
 
 static void
@@ -280,21 +285,22 @@
 }
 
 bool
-store_wants_word (const store_t *store, cfd_time_t now)
+store_should_ask_peer (const store_t *store, cfd_time_t now)
 {
-  spread_place_t place;
+  spread_position_t place;
 
   current_place (store, &place);
-  if (spread_watches (&place) && store->platform_is_up)
+  if (spread_is_watcher (&place) && store->platform_is_up)
     return false;
-  if (store_behind_ms (store, now) > 0)
+  if (store_get_behind_ms (store, now) > 0)
     return true;
-  return spread_step (&place, store_age (store, now), now, now) != SPREAD_WAIT;
+  return spread_choose_action (&place, store_get_age_ms (store, now), now, now)
+         != SPREAD_WAIT;
 }
 
 bool
-store_learns_from_peers (const store_t *store)
+store_is_fleet_large (const store_t *store)
 {
   return store->instances[ROLE_ROUTER]->len + store->instances[ROLE_AGENT]->len
-         > SPREAD_ALL;
+         > SPREAD_SMALL_FLEET_INSTANCES;
 }
--- a/libcoltsfootdrum/config/store-give.c
+++ b/libcoltsfootdrum/config/store-give.c
@@ -264,9 +264,9 @@
   bool goes_on = ask->state > ask->have && ask->state <= store->revision;
   packer_t packer = { .texts = g_ptr_array_new_with_free_func (g_free),
                       .open = g_string_new (NULL) };
-  first_t first = { g_ptr_array_new (), store->piece_records, false };
+  first_t first = { g_ptr_array_new (), store->max_piece_records, false };
 
-  part->from = MSG_FROM_NONE;
+  part->from = MSG_FROM_SNAPSHOT_PIECE;
   part->state = goes_on ? ask->state : store->revision;
   part->up_to = part->state;
   if (goes_on)
@@ -297,9 +297,9 @@
       say_nothing (have, part);
       return;
     }
-  part->from = have < store->deletions_from ? 0 : have;
+  part->from = have < store->deletions_known_from ? 0 : have;
   part->up_to = store->revision;
-  part->age_ms = store_age (store, now);
+  part->age_ms = store_get_age_ms (store, now);
   if (have >= store->revision)
     return;
   if (part->from == 0 && ask->pieces)
--- a/libcoltsfootdrum/config/store-impl.h
+++ b/libcoltsfootdrum/config/store-impl.h
@@ -36,15 +36,17 @@
   GHashTable *keys; /* of store_entry_t by hash of key, in its record */
   bool keys_shared; /* two accounts have had one key */
   uint64_t revision;
-  uint64_t deletions_from; /* each deletion after this revision is known */
-  cfd_time_t heard;        /* CFD_TIME_NEVER before the first word */
-  uint64_t ahead;          /* newest revision that a peer showed */
-  cfd_time_t ahead_since;  /* when it first was above REVISION */
+  uint64_t
+      deletions_known_from; /* each deletion after this revision is known */
+  cfd_time_t heard;         /* CFD_TIME_NEVER before the first word */
+  uint64_t ahead;           /* newest revision that a peer showed */
+  cfd_time_t ahead_since;   /* when it first was above REVISION */
   bool platform_is_up;
   GPtrArray *instances[STORE_ROLES];
   char *instances_text;   /* the list they were made of */
   unsigned schema_newest; /* that it reads; tests make an older program */
-  unsigned piece_records; /* STORE_PIECE_RECORDS; tests make small pieces */
+  unsigned
+      max_piece_records;  /* STORE_PIECE_RECORDS; tests make small pieces */
   unsigned state_records; /* STORE_STATE_RECORDS; tests bear less */
   pieces_t *pieces;       /* of a whole state; NULL: none was begun */
   role_t self_role;
--- a/libcoltsfootdrum/config/store-instances.c
+++ b/libcoltsfootdrum/config/store-instances.c
@@ -106,7 +106,7 @@
 }
 
 GPtrArray *
-store_instances (const store_t *store, role_t role)
+store_get_instances (const store_t *store, role_t role)
 {
   return store->instances[role];
 }
--- a/libcoltsfootdrum/config/store-part.c
+++ b/libcoltsfootdrum/config/store-part.c
@@ -36,7 +36,7 @@
   if (revision <= store->revision)
     return;
   store_drop_absent (store, present, revision, now);
-  store->deletions_from = revision;
+  store->deletions_known_from = revision;
 }
 
 static void
@@ -64,7 +64,7 @@
 }
 
 void
-store_take_objects (store_t *store, JsonObject *answer, cfd_time_t now)
+store_apply_objects (store_t *store, JsonObject *answer, cfd_time_t now)
 {
   bool is_whole = json_object_get_boolean_member_with_default (
       answer, "complete", FALSE);
@@ -170,7 +170,8 @@
 }
 
 bool
-store_take_part (store_t *store, const msg_config_part_t *part, cfd_time_t now)
+store_apply_part (store_t *store, const msg_config_part_t *part,
+                  cfd_time_t now)
 {
   uint64_t before = store->revision;
   bool is_news = part->state != 0 ? store_take_piece (store, part, now)
--- a/libcoltsfootdrum/config/store-pieces.c
+++ b/libcoltsfootdrum/config/store-pieces.c
@@ -56,7 +56,7 @@
 
 #define PART "config"
 /* So long without a next piece another state may take its place.  Below the
-   8 s of SPREAD_READ_MS, above several asks.  */
+   8 s of SPREAD_READ_PLATFORM_AFTER_MS, above several asks.  */
 #define STILL_MS 4000
 
 struct pieces
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -24,13 +24,13 @@
 static gboolean
 same_key (gconstpointer a, gconstpointer b)
 {
-  return sodium_memcmp (a, b, sizeof (rec_key_t)) == 0;
+  return sodium_memcmp (a, b, sizeof (rec_key_hash_t)) == 0;
 }
 
 /* Gives the key HASH to the account with the least name of those that have
    it, so that all processes choose the same one.  */
 static void
-give_key (store_t *store, rec_key_t *hash, store_entry_t *entry)
+give_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
   const store_entry_t *other = g_hash_table_lookup (store->keys, hash);
 
@@ -50,7 +50,7 @@
 /* Calls VISIT for each key of ENTRY.  */
 static void
 each_key (store_t *store, store_entry_t *entry,
-          void (*visit) (store_t *store, rec_key_t *hash,
+          void (*visit) (store_t *store, rec_key_hash_t *hash,
                          store_entry_t *entry))
 {
   const rec_t *record = entry->record;
@@ -62,7 +62,7 @@
 }
 
 static void
-take_key (store_t *store, rec_key_t *hash, store_entry_t *entry)
+take_key (store_t *store, rec_key_hash_t *hash, store_entry_t *entry)
 {
   if (g_hash_table_lookup (store->keys, hash) == entry)
     g_hash_table_remove (store->keys, hash);
@@ -116,7 +116,7 @@
 store_entry_text (const store_entry_t *entry)
 {
   return entry->text != NULL ? g_strdup (entry->text)
-                             : rec_text (entry->record);
+                             : rec_to_text (entry->record);
 }
 
 static void
@@ -272,7 +272,7 @@
 }
 
 void
-store_heard_of (store_t *store, uint64_t revision, cfd_time_t now)
+store_record_peer_revision (store_t *store, uint64_t revision, cfd_time_t now)
 {
   if (revision <= store->revision)
     return;
@@ -282,7 +282,7 @@
 }
 
 cfd_time_t
-store_behind_ms (const store_t *store, cfd_time_t now)
+store_get_behind_ms (const store_t *store, cfd_time_t now)
 {
   return store->ahead > store->revision ? now - store->ahead_since : 0;
 }
@@ -295,13 +295,13 @@
 }
 
 uint64_t
-store_revision (const store_t *store)
+store_get_revision (const store_t *store)
 {
   return store->revision;
 }
 
 uint32_t
-store_age (const store_t *store, cfd_time_t now)
+store_get_age_ms (const store_t *store, cfd_time_t now)
 {
   if (store->heard == CFD_TIME_NEVER)
     return UINT32_MAX;
@@ -309,7 +309,7 @@
 }
 
 bool
-store_platform_is_up (const store_t *store)
+store_is_platform_up (const store_t *store)
 {
   return store->platform_is_up;
 }
@@ -328,8 +328,8 @@
 }
 
 void
-store_each (const store_t *store, rec_kind_t kind,
-            void (*visit) (void *user, const rec_t *record), void *user)
+store_foreach (const store_t *store, rec_kind_t kind,
+               void (*visit) (void *user, const rec_t *record), void *user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -345,18 +345,18 @@
 }
 
 const rec_t *
-store_account_by_key (const store_t *store, const char *key)
+store_find_account_by_key (const store_t *store, const char *key)
 {
   const store_entry_t *entry;
-  rec_key_t hash;
+  rec_key_hash_t hash;
 
-  rec_key_make (key, &hash);
+  rec_hash_key (key, &hash);
   entry = g_hash_table_lookup (store->keys, &hash);
   return entry == NULL ? NULL : entry->record;
 }
 
 bool
-store_zone_is_out (const store_t *store, const char *zone)
+store_is_zone_out (const store_t *store, const char *zone)
 {
   const rec_t *record = store_get (store, REC_ZONE, zone);
 
@@ -366,10 +366,12 @@
 /* ---- rendezvous ---- */
 
 const char *
-store_home (const store_t *store, const char *account, const char *service,
-            bool (*usable) (void *user, const char *router), void *user)
+store_find_home_router (const store_t *store, const char *account,
+                        const char *service,
+                        bool (*usable) (void *user, const char *router),
+                        void *user)
 {
-  const GPtrArray *routers = store_instances (store, ROLE_ROUTER);
+  const GPtrArray *routers = store_get_instances (store, ROLE_ROUTER);
   g_autofree char *key = g_strconcat (account, "\n", service, NULL);
   uint64_t seed = XXH3_64bits (key, strlen (key));
   uint64_t best_weight = 0;
@@ -422,7 +424,7 @@
   store->heard = CFD_TIME_NEVER;
   store->keeps_accounts = true;
   store->schema_newest = REC_SCHEMA_NEWEST;
-  store->piece_records = STORE_PIECE_RECORDS;
+  store->max_piece_records = STORE_PIECE_RECORDS;
   store->state_records = STORE_STATE_RECORDS;
   for (int kind = 0; kind < STORE_KINDS; kind++)
     store->entries[kind]
--- a/libcoltsfootdrum/config/store.h
+++ b/libcoltsfootdrum/config/store.h
@@ -48,42 +48,44 @@
 /* Whether to send a CONFIG_ASK to some peer now, because nothing was heard for
    a while or a peer is known to be ahead; to be asked each second.  False
    while the process watches.  */
-bool store_wants_word (const store_t *store, cfd_time_t now);
+bool store_should_ask_peer (const store_t *store, cfd_time_t now);
 /* Whether the fleet is so large that most learn from peers alone.  */
-bool store_learns_from_peers (const store_t *store);
+bool store_is_fleet_large (const store_t *store);
 /* A frame of a peer showed REVISION.  */
-void store_heard_of (store_t *store, uint64_t revision, cfd_time_t now);
+void store_record_peer_revision (store_t *store, uint64_t revision,
+                                 cfd_time_t now);
 
 /* Starts to list, watch and poll the instances from PLAT, for ever, with
    backoff and jitter.  */
 void store_follow (store_t *store, struct ev_loop *loop, plat_t *plat);
 
-uint64_t store_revision (const store_t *store);
+uint64_t store_get_revision (const store_t *store);
 /* Milliseconds since this process, or a peer it learned from, last heard the
    platform.  */
-uint32_t store_age (const store_t *store, cfd_time_t now);
+uint32_t store_get_age_ms (const store_t *store, cfd_time_t now);
 /* Milliseconds for which a peer has been known to be ahead; 0: none is.  */
-cfd_time_t store_behind_ms (const store_t *store, cfd_time_t now);
-bool store_platform_is_up (const store_t *store);
+cfd_time_t store_get_behind_ms (const store_t *store, cfd_time_t now);
+bool store_is_platform_up (const store_t *store);
 
 const rec_t *store_get (const store_t *store, rec_kind_t kind,
                         const char *name);
 /* Calls VISIT for each record of KIND that is not deleted.  */
-void store_each (const store_t *store, rec_kind_t kind,
-                 void (*visit) (void *user, const rec_t *record), void *user);
+void store_foreach (const store_t *store, rec_kind_t kind,
+                    void (*visit) (void *user, const rec_t *record),
+                    void *user);
 /* The account whose key this is, or NULL.  Records stay valid until the next
    store_take_... or turn of the loop: keep names, not records.  */
-const rec_t *store_account_by_key (const store_t *store, const char *key);
-bool store_zone_is_out (const store_t *store, const char *zone);
+const rec_t *store_find_account_by_key (const store_t *store, const char *key);
+bool store_is_zone_out (const store_t *store, const char *zone);
 
 /* Instances of ROLE, of store_instance_t, owned by the store.  */
-GPtrArray *store_instances (const store_t *store, role_t role);
+GPtrArray *store_get_instances (const store_t *store, role_t role);
 
 /* Takes what a platform list or watch, or a peer, gave.  */
-void store_take_objects (store_t *store, JsonObject *answer, cfd_time_t now);
+void store_apply_objects (store_t *store, JsonObject *answer, cfd_time_t now);
 /* True when it brought something, so that its sender may have more.  */
-bool store_take_part (store_t *store, const msg_config_part_t *part,
-                      cfd_time_t now);
+bool store_apply_part (store_t *store, const msg_config_part_t *part,
+                       cfd_time_t now);
 /* What to ask any peer for now; ASK is good until the next store_take_...  */
 void store_make_ask (const store_t *store, msg_config_ask_t *ask);
 /* The part for a peer of ROLE that sent ASK, with the kinds that it keeps;
@@ -97,9 +99,8 @@
 /* The rendezvous choice for KEY among the live routers for which USABLE (may
    be NULL) says true: every process that sees the same list picks the same.
    NULL when there is none.  */
-const char *store_home (const store_t *store, const char *account,
-                        const char *service,
-                        bool (*usable) (void *user, const char *router),
-                        void *user);
+const char *store_find_home_router (
+    const store_t *store, const char *account, const char *service,
+    bool (*usable) (void *user, const char *router), void *user);
 
 #endif
--- a/libcoltsfootdrum/config/test-follow.c
+++ b/libcoltsfootdrum/config/test-follow.c
@@ -50,7 +50,7 @@
 {
   fixture_t *f = user;
 
-  return store_revision (f->store)
+  return store_get_revision (f->store)
          == sp_model_revision (sp_state (f->test.sp), NULL);
 }
 
@@ -81,8 +81,8 @@
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 3);
   g_assert_null (store_get (f->store, REC_ZONE, "z0001"));
   g_assert_null (store_get (f->store, REC_ZONE, "z1199"));
-  g_assert_true (store_zone_is_out (f->store, "z0002"));
-  g_assert_true (store_zone_is_out (f->store, "zz"));
+  g_assert_true (store_is_zone_out (f->store, "z0002"));
+  g_assert_true (store_is_zone_out (f->store, "zz"));
   g_assert_nonnull (store_get (f->store, REC_ZONE, "z1198"));
 }
 
@@ -113,7 +113,7 @@
   catch_up (f);
   sp_test_write (&f->test, ZONE, "a", OUT);
   catch_up (f);
-  g_assert_true (store_zone_is_out (f->store, "a"));
+  g_assert_true (store_is_zone_out (f->store, "a"));
 }
 
 static void
@@ -131,24 +131,24 @@
 static bool
 is_down (void *user)
 {
-  return !store_platform_is_up (((fixture_t *)user)->store);
+  return !store_is_platform_up (((fixture_t *)user)->store);
 }
 
 static bool
 is_up (void *user)
 {
-  return store_platform_is_up (((fixture_t *)user)->store);
+  return store_is_platform_up (((fixture_t *)user)->store);
 }
 
 static void
 test_changes (fixture_t *f, gconstpointer data)
 {
   catch_up (f);
-  g_assert_true (store_platform_is_up (f->store));
-  g_assert_false (store_zone_is_out (f->store, "a"));
+  g_assert_true (store_is_platform_up (f->store));
+  g_assert_false (store_is_zone_out (f->store, "a"));
   sp_test_write (&f->test, ZONE, "a", OUT);
   catch_up (f);
-  g_assert_true (store_zone_is_out (f->store, "a"));
+  g_assert_true (store_is_zone_out (f->store, "a"));
   sp_test_write (&f->test, ZONE, "a", NULL);
   catch_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
@@ -171,7 +171,7 @@
   sp_fault (f->test.sp, SP_UP, 0, 0);
   catch_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
-  g_assert_true (store_zone_is_out (f->store, "b"));
+  g_assert_true (store_is_zone_out (f->store, "b"));
   g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
 }
 
@@ -197,11 +197,11 @@
   sp_fault (f->test.sp, SP_STALE, 0, 100000000);
   sp_test_run (&f->test, is_up, f);
   sp_test_run (&f->test, has_watched_again, f);
-  g_assert_true (store_zone_is_out (f->store, "a"));
+  g_assert_true (store_is_zone_out (f->store, "a"));
   sp_fault (f->test.sp, SP_UP, 0, 0);
   sp_test_write (&f->test, ZONE, "a", IN);
   catch_up (f);
-  g_assert_false (store_zone_is_out (f->store, "a"));
+  g_assert_false (store_is_zone_out (f->store, "a"));
 }
 
 static bool
@@ -222,12 +222,13 @@
                 "\"address\":\"127.0.0.2:1\",\"state\":\"leaving\"},"
                 "{\"name\":\"x\",\"role\":\"database\"}]");
   sp_test_run (&f->test, has_list, f);
-  g_assert_cmpuint (store_instances (f->store, ROLE_ROUTER)->len, ==, 1);
-  g_assert_cmpuint (store_instances (f->store, ROLE_AGENT)->len, ==, 1);
-  agent = g_ptr_array_index (store_instances (f->store, ROLE_AGENT), 0);
+  g_assert_cmpuint (store_get_instances (f->store, ROLE_ROUTER)->len, ==, 1);
+  g_assert_cmpuint (store_get_instances (f->store, ROLE_AGENT)->len, ==, 1);
+  agent = g_ptr_array_index (store_get_instances (f->store, ROLE_AGENT), 0);
   g_assert_cmpstr (agent->address, ==, "127.0.0.2:1");
   g_assert_true (agent->leaving);
-  g_assert_cmpstr (store_home (f->store, "acc", "s", NULL, NULL), ==, "r1");
+  g_assert_cmpstr (store_find_home_router (f->store, "acc", "s", NULL, NULL),
+                   ==, "r1");
 }
 
 static bool
@@ -251,9 +252,10 @@
   for (unsigned i = 0; i < 400; i++)
     {
       g_autofree char *account = g_strdup_printf ("account-%u", i);
-      const char *home = store_home (f->store, account, "s", NULL, NULL);
-      const char *without
-          = store_home (f->store, account, "s", is_not, (void *)"r2");
+      const char *home
+          = store_find_home_router (f->store, account, "s", NULL, NULL);
+      const char *without = store_find_home_router (f->store, account, "s",
+                                                    is_not, (void *)"r2");
 
       homes[home[1] - '0']++;
       g_assert_cmpstr (without, !=, "r2");
--- a/libcoltsfootdrum/config/test-rec.c
+++ b/libcoltsfootdrum/config/test-rec.c
@@ -38,7 +38,7 @@
 static void
 assert_key (const rec_t *record, unsigned index, unsigned char byte)
 {
-  for (unsigned i = 0; i < REC_KEY_SIZE; i++)
+  for (unsigned i = 0; i < REC_KEY_HASH_SIZE; i++)
     g_assert_cmpuint (record->u.account.keys[index].bytes[i], ==, byte);
 }
 
@@ -64,7 +64,7 @@
   assert_key (v2, 0, 0xaa);
   assert_key (v2, 1, 0xbb);
   /* A member of a newer writer is passed on unchanged.  */
-  text = rec_text (v2);
+  text = rec_to_text (v2);
   g_assert_nonnull (strstr (text, "\"later\":[1]"));
 }
 
@@ -101,7 +101,7 @@
       g_autofree char *after = NULL;
 
       g_assert_nonnull (record);
-      after = rec_text (record);
+      after = rec_to_text (record);
       g_assert_cmpstr (after, ==, before);
     }
 }
@@ -191,8 +191,8 @@
       g_autoptr (rec_t) record = parse_good ("service", calls[i].spec);
 
       g_test_message ("%s %s", calls[i].method, calls[i].path);
-      g_assert_true (rec_service_idempotent (&record->u.service,
-                                             calls[i].method, calls[i].path)
+      g_assert_true (rec_service_is_idempotent (&record->u.service,
+                                                calls[i].method, calls[i].path)
                      == calls[i].idempotent);
     }
 }
@@ -203,10 +203,11 @@
   g_autoptr (rec_t) v1 = parse_good ("service", V1_PLAIN);
   g_autoptr (rec_t) v2 = parse_good ("service", V2_PLAIN);
 
-  g_assert_cmpuint (rec_service_class (&v1->u.service, "full-shift"), ==, 0);
-  g_assert_cmpuint (rec_service_class (&v1->u.service, NULL), ==, 1);
-  g_assert_cmpuint (rec_service_class (&v2->u.service, "b"), ==, 1);
-  g_assert_cmpuint (rec_service_class (&v2->u.service, "x"), ==, 2);
+  g_assert_cmpuint (rec_service_get_class_rank (&v1->u.service, "full-shift"),
+                    ==, 0);
+  g_assert_cmpuint (rec_service_get_class_rank (&v1->u.service, NULL), ==, 1);
+  g_assert_cmpuint (rec_service_get_class_rank (&v2->u.service, "b"), ==, 1);
+  g_assert_cmpuint (rec_service_get_class_rank (&v2->u.service, "x"), ==, 2);
 }
 
 /* Each is refused by an error that holds the text.  */
@@ -279,7 +280,7 @@
 static void
 test_keys (void)
 {
-  g_autofree char *hash = rec_key_hash ("secret");
+  g_autofree char *hash = rec_hash_key_to_hex ("secret");
   g_autofree char *spec = g_strdup_printf (
       "{\"schema\":1,\"weight\":1,\"key_hash\":\"%s\"}", hash);
   g_autoptr (rec_t) record = parse_good ("client-account", spec);
--- a/libcoltsfootdrum/config/test-spread-tree.c
+++ b/libcoltsfootdrum/config/test-spread-tree.c
@@ -63,15 +63,16 @@
       const char *self = ((store_instance_t *)routers->pdata[i])->name;
       g_autoptr (spread_tree_t) tree = spread_tree_new (routers, agents, self);
 
-      g_assert_cmpuint (spread_tree_routers (tree)->len, <=, SPREAD_FAN);
-      g_assert_cmpuint (spread_tree_agents (tree)->len, <=,
+      g_assert_cmpuint (spread_tree_get_child_routers (tree)->len, <=,
+                        SPREAD_TREE_FANOUT);
+      g_assert_cmpuint (spread_tree_get_child_agents (tree)->len, <=,
                         fleets[index].agents_most);
-      note (pairs, self, spread_tree_routers (tree));
-      note (pairs, self, spread_tree_agents (tree));
+      note (pairs, self, spread_tree_get_child_routers (tree));
+      note (pairs, self, spread_tree_get_child_agents (tree));
     }
   /* Each router but the roots is told by one, each agent by two.  */
   g_assert_cmpuint (g_hash_table_size (pairs), ==,
-                    staying - MIN (staying, SPREAD_RANKS)
+                    staying - MIN (staying, SPREAD_WATCHERS_PER_ROLE)
                         + fleets[index].agents * MIN (staying, 2));
   for (guint i = 0; i < staying; i++)
     {
@@ -79,13 +80,13 @@
       g_autoptr (spread_tree_t) tree = spread_tree_new (routers, agents, self);
       g_autoptr (GHashTable) asked
           = g_hash_table_new (g_str_hash, g_str_equal);
-      g_autofree char *pair
-          = g_strdup_printf ("%s>%s", spread_tree_ask (tree, 0), self);
+      g_autofree char *pair = g_strdup_printf (
+          "%s>%s", spread_tree_choose_source (tree, 0), self);
 
       asked_above += g_hash_table_contains (pairs, pair);
       for (unsigned choice = 0; staying > 1 && choice < 20; choice++)
         {
-          const char *name = spread_tree_ask (tree, choice);
+          const char *name = spread_tree_choose_source (tree, choice);
 
           /* Never itself, nor one that leaves.  */
           g_assert_cmpstr (name, !=, self);
@@ -94,7 +95,8 @@
         }
       g_assert_cmpuint (g_hash_table_size (asked), >=, MIN (staying - 1, 8));
     }
-  g_assert_cmpuint (asked_above, >=, staying - MIN (staying, SPREAD_RANKS));
+  g_assert_cmpuint (asked_above, >=,
+                    staying - MIN (staying, SPREAD_WATCHERS_PER_ROLE));
 }
 
 static void
@@ -117,10 +119,10 @@
   g_autoptr (spread_tree_t) second = spread_tree_new (one, none, "router-0");
   g_autoptr (spread_tree_t) third = spread_tree_new (one, one, "new");
 
-  g_assert_null (spread_tree_ask (first, 0));
-  g_assert_null (spread_tree_ask (second, 0));
-  g_assert_cmpstr (spread_tree_ask (third, 0), ==, "router-0");
-  g_assert_cmpuint (spread_tree_agents (third)->len, ==, 0);
+  g_assert_null (spread_tree_choose_source (first, 0));
+  g_assert_null (spread_tree_choose_source (second, 0));
+  g_assert_cmpstr (spread_tree_choose_source (third, 0), ==, "router-0");
+  g_assert_cmpuint (spread_tree_get_child_agents (third)->len, ==, 0);
 }
 
 int
--- a/libcoltsfootdrum/config/test-spread.c
+++ b/libcoltsfootdrum/config/test-spread.c
@@ -46,12 +46,12 @@
   for (guint i = 0; i < of->len; i++)
     {
       const store_instance_t *instance = g_ptr_array_index (of, i);
-      spread_place_t place;
+      spread_position_t place;
       unsigned zone = 0;
 
-      spread_place (fleet->routers, fleet->agents, instance->role,
-                    instance->name, &place);
-      if (instance->leaving || !spread_watches (&place))
+      spread_find_position (fleet->routers, fleet->agents, instance->role,
+                            instance->name, &place);
+      if (instance->leaving || !spread_is_watcher (&place))
         continue;
       watchers++;
       g_assert_cmpint (sscanf (instance->zone, "zone-%u", &zone), ==, 1);
@@ -97,7 +97,7 @@
      the list says so, not when the last watch has ended.  */
   fleet_t fleet = { make (ROLE_ROUTER, 40, 4), make (ROLE_AGENT, 60, 4) };
   bool zones[8] = { false };
-  spread_place_t place;
+  spread_position_t place;
 
   for (guint i = 0; i < fleet.routers->len; i++)
     {
@@ -106,9 +106,10 @@
       router->leaving = i < 20;
     }
   g_assert_cmpuint (count_watchers (&fleet, fleet.routers, zones), >=,
-                    SPREAD_RANKS);
-  spread_place (fleet.routers, fleet.agents, ROLE_ROUTER, "unlisted", &place);
-  g_assert_true (spread_watches (&place));
+                    SPREAD_WATCHERS_PER_ROLE);
+  spread_find_position (fleet.routers, fleet.agents, ROLE_ROUTER, "unlisted",
+                        &place);
+  g_assert_true (spread_is_watcher (&place));
   g_ptr_array_unref (fleet.routers);
   g_ptr_array_unref (fleet.agents);
 }
@@ -118,18 +119,20 @@
   unsigned fleet;
   uint32_t age_ms;
   cfd_time_t since_read;
-  spread_step_t step;
+  spread_action_t step;
 } steps[] = {
   { 100, 0, 100000, SPREAD_WAIT },
-  { 100, SPREAD_ASK_MS - 1, 100000, SPREAD_WAIT },
-  { 100, SPREAD_ASK_MS, 100000, SPREAD_ASK },
-  { 100, SPREAD_READ_MS - 1, 100000, SPREAD_ASK },
-  { 100, SPREAD_READ_MS, 100000, SPREAD_READ },
-  { 100, SPREAD_READ_MS, SPREAD_READ_EACH_MS - 1, SPREAD_ASK },
-  { 100, SPREAD_READ_MS, SPREAD_READ_EACH_MS, SPREAD_READ },
-  { 100, UINT32_MAX, SPREAD_READ_EACH_MS, SPREAD_READ },
-  { 930, SPREAD_READ_MS, 9299, SPREAD_ASK },
-  { 930, SPREAD_READ_MS, 9300, SPREAD_READ },
+  { 100, SPREAD_ASK_PEER_AFTER_MS - 1, 100000, SPREAD_WAIT },
+  { 100, SPREAD_ASK_PEER_AFTER_MS, 100000, SPREAD_ASK_PEER },
+  { 100, SPREAD_READ_PLATFORM_AFTER_MS - 1, 100000, SPREAD_ASK_PEER },
+  { 100, SPREAD_READ_PLATFORM_AFTER_MS, 100000, SPREAD_READ_PLATFORM },
+  { 100, SPREAD_READ_PLATFORM_AFTER_MS, SPREAD_MIN_READ_INTERVAL_MS - 1,
+    SPREAD_ASK_PEER },
+  { 100, SPREAD_READ_PLATFORM_AFTER_MS, SPREAD_MIN_READ_INTERVAL_MS,
+    SPREAD_READ_PLATFORM },
+  { 100, UINT32_MAX, SPREAD_MIN_READ_INTERVAL_MS, SPREAD_READ_PLATFORM },
+  { 930, SPREAD_READ_PLATFORM_AFTER_MS, 9299, SPREAD_ASK_PEER },
+  { 930, SPREAD_READ_PLATFORM_AFTER_MS, 9300, SPREAD_READ_PLATFORM },
 };
 
 static void
@@ -139,10 +142,10 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (steps); i++)
     {
-      spread_place_t place = { .fleet = steps[i].fleet };
+      spread_position_t place = { .fleet = steps[i].fleet };
 
-      g_assert_cmpint (spread_step (&place, steps[i].age_ms,
-                                    now - steps[i].since_read, now),
+      g_assert_cmpint (spread_choose_action (&place, steps[i].age_ms,
+                                             now - steps[i].since_read, now),
                        ==, steps[i].step);
     }
 }
@@ -155,9 +158,9 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (fleets_ms); i++)
     {
-      spread_place_t place = { .fleet = fleets_ms[i][0] };
+      spread_position_t place = { .fleet = fleets_ms[i][0] };
 
-      g_assert_cmpuint (spread_poll_ms (&place), ==, fleets_ms[i][1]);
+      g_assert_cmpuint (spread_poll_interval_ms (&place), ==, fleets_ms[i][1]);
     }
 }
 
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -29,17 +29,17 @@
   store_make_part (store, ROLE_ROUTER, &(msg_config_ask_t){ 0 }, 0, &part);
   g_assert_cmpuint (part.count, >, 0);
   g_assert_cmpuint (part.count, <=, MSG_ENTRIES_MAX);
-  store_take_part (peer, &part, 0);
+  store_apply_part (peer, &part, 0);
   store_part_clear (&part);
   for (unsigned i = 0; i < ACCOUNTS; i += 97)
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
       g_autofree char *key = g_strdup_printf ("key-%u", i);
 
-      g_assert_cmpstr (store_account_by_key (store, key)->name, ==, name);
-      g_assert_cmpstr (store_account_by_key (peer, key)->name, ==, name);
+      g_assert_cmpstr (store_find_account_by_key (store, key)->name, ==, name);
+      g_assert_cmpstr (store_find_account_by_key (peer, key)->name, ==, name);
     }
-  g_assert_null (store_account_by_key (store, "key"));
+  g_assert_null (store_find_account_by_key (store, "key"));
   sp_model_free (model);
 }
 
@@ -75,14 +75,14 @@
   take_list (router, model);
   take_list (agent, model);
   g_assert_null (store_get (agent, REC_ACCOUNT, "acc"));
-  g_assert_cmpuint (store_revision (agent), ==, 2);
+  g_assert_cmpuint (store_get_revision (agent), ==, 2);
   write_account (model, "acc", "new");
   take_list (router, model);
   g_assert_true (part_has (router, ROLE_ROUTER, 2, "client-account"));
   g_assert_false (part_has (router, ROLE_AGENT, 2, "client-account"));
   take_part_as (agent, ROLE_AGENT, router, 2);
-  g_assert_cmpuint (store_revision (agent), ==, 3);
-  g_assert_cmpuint (store_age (agent, 2000), ==, 1000);
+  g_assert_cmpuint (store_get_revision (agent), ==, 3);
+  g_assert_cmpuint (store_get_age_ms (agent, 2000), ==, 1000);
   sp_model_free (model);
 }
 
@@ -104,10 +104,10 @@
   write_account (model, "acc", "new");
   write_zone (model, "a", OUT);
   take_list (agent, model);
-  take_part (router, agent, store_revision (router));
+  take_part (router, agent, store_get_revision (router));
   g_assert_nonnull (store_get (router, REC_ACCOUNT, "acc"));
-  g_assert_cmpuint (store_revision (router), ==, 1);
-  g_assert_cmpuint (store_age (router, 9000), ==, 8000);
+  g_assert_cmpuint (store_get_revision (router), ==, 1);
+  g_assert_cmpuint (store_get_age_ms (router, 9000), ==, 8000);
   sp_model_free (model);
 }
 
@@ -134,11 +134,11 @@
       if (i == ACCOUNTS / 2)
         write_zone (model, "a", OUT);
     }
-  changes = sp_model_changes (model, store_revision (store), KINDS);
+  changes = sp_model_changes (model, store_get_revision (store), KINDS);
   take (store, changes, false);
-  while (store_revision (peer) < store_revision (store))
+  while (store_get_revision (peer) < store_get_revision (store))
     {
-      uint64_t before = store_revision (peer);
+      uint64_t before = store_get_revision (peer);
       const msg_config_ask_t ask = { .have = before };
       msg_config_part_t part;
       msg_t message = { .kind = MSG_CONFIG_PART };
@@ -148,18 +148,18 @@
       message.u.config_part = part;
       frame = msg_encode (&message, NULL);
       g_assert_cmpuint (frame->len, <, 512 * 1024);
-      store_take_part (peer, &part, 9000);
+      store_apply_part (peer, &part, 9000);
       g_assert_true (
           part.age_ms
-          == (part.up_to == store_revision (store) ? 8000 : UINT32_MAX));
+          == (part.up_to == store_get_revision (store) ? 8000 : UINT32_MAX));
       store_part_clear (&part);
-      g_assert_cmpuint (store_revision (peer), >, before);
-      g_assert_true (store_zone_is_out (peer, "a")
-                     == (store_revision (peer) > 2 + ACCOUNTS / 2));
+      g_assert_cmpuint (store_get_revision (peer), >, before);
+      g_assert_true (store_is_zone_out (peer, "a")
+                     == (store_get_revision (peer) > 2 + ACCOUNTS / 2));
       pieces++;
     }
   g_assert_cmpuint (pieces, >, 5);
-  g_assert_cmpuint (store_age (peer, 9000), ==, 8000);
+  g_assert_cmpuint (store_get_age_ms (peer, 9000), ==, 8000);
   for (unsigned i = 0; i < ACCOUNTS; i += 97)
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
@@ -188,10 +188,10 @@
   take_list (store, model);
   take_list (peer, model);
   take (store, "{\"revision\":99999,\"objects\":[]}", true);
-  store->deletions_from = 0; /* as if it had seen each one go */
+  store->deletions_known_from = 0; /* as if it had seen each one go */
   for (unsigned i = 0; i < 40; i++)
-    take_part (peer, store, store_revision (peer));
-  g_assert_cmpuint (store_revision (peer), ==, 99999);
+    take_part (peer, store, store_get_revision (peer));
+  g_assert_cmpuint (store_get_revision (peer), ==, 99999);
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
@@ -211,8 +211,8 @@
   take_list (store, model);
   write_account (model, "a", "new");
   take_list (store, model);
-  g_assert_null (store_account_by_key (store, "old"));
-  g_assert_cmpstr (store_account_by_key (store, "new")->name, ==, "a");
+  g_assert_null (store_find_account_by_key (store, "old"));
+  g_assert_cmpstr (store_find_account_by_key (store, "new")->name, ==, "a");
   sp_model_free (model);
 }
 
@@ -228,10 +228,10 @@
   take_list (store, model);
   write_account (model, "a", "same");
   take_list (store, model);
-  g_assert_cmpstr (store_account_by_key (store, "same")->name, ==, "a");
+  g_assert_cmpstr (store_find_account_by_key (store, "same")->name, ==, "a");
   sp_model_write (model, "client-account", "a", NULL, 0);
   take_list (store, model);
-  g_assert_cmpstr (store_account_by_key (store, "same")->name, ==, "b");
+  g_assert_cmpstr (store_find_account_by_key (store, "same")->name, ==, "b");
   sp_model_free (model);
 }
 
--- a/libcoltsfootdrum/config/test-store-help.c
+++ b/libcoltsfootdrum/config/test-store-help.c
@@ -16,7 +16,7 @@
 
   if (is_whole)
     json_object_set_boolean_member (answer, "complete", TRUE);
-  store_take_objects (store, answer, 1000);
+  store_apply_objects (store, answer, 1000);
 }
 
 void
@@ -43,7 +43,7 @@
   msg_config_part_t part;
 
   store_make_part (from, role, &ask, 2000, &part);
-  store_take_part (to, &part, 2000);
+  store_apply_part (to, &part, 2000);
   store_part_clear (&part);
 }
 
@@ -56,7 +56,7 @@
 void
 write_account (sp_model_t *model, const char *name, const char *key)
 {
-  g_autofree char *hash = rec_key_hash (key);
+  g_autofree char *hash = rec_hash_key_to_hex (key);
   g_autofree char *spec = g_strdup_printf (
       "{\"schema\":1,\"weight\":1,\"key_hash\":\"%s\"}", hash);
   g_autoptr (JsonNode) node = json_from_string (spec, NULL);
--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -33,7 +33,7 @@
 {
   store_t *store = store_new (NULL, NULL, NULL);
 
-  store->piece_records = PIECE;
+  store->max_piece_records = PIECE;
   take_list (store, model);
   return store;
 }
@@ -110,7 +110,7 @@
 
   make (scene, from, from_state, &part);
   for (unsigned i = 0; i < times; i++)
-    store_take_part (scene->to, &part, scene->now);
+    store_apply_part (scene->to, &part, scene->now);
   store_part_clear (&part);
 }
 
@@ -123,7 +123,7 @@
   msg_config_part_t part;
 
   store_make_part (scene->sender, ROLE_ROUTER, &ask, scene->now, &part);
-  store_take_part (scene->to, &part, scene->now);
+  store_apply_part (scene->to, &part, scene->now);
   store_part_clear (&part);
 }
 
@@ -135,7 +135,7 @@
 
   make (scene, scene->sender, 0, &part);
   part.next = part.after;
-  store_take_part (scene->to, &part, scene->now);
+  store_apply_part (scene->to, &part, scene->now);
   store_part_clear (&part);
 }
 
@@ -191,7 +191,7 @@
       make (scene, scene->sender, 0, &scene->held);
       return;
     case 'r': /* what was held comes */
-      store_take_part (scene->to, &scene->held, scene->now);
+      store_apply_part (scene->to, &scene->held, scene->now);
       return;
     case 'f': /* the answer to an ask of before the first piece */
       take_first (scene, true);
@@ -373,7 +373,7 @@
   g_assert_cmpuint (part.state, ==, scene.sender->revision);
   part.state = 0;
   part.next.kind = 0;
-  g_assert_false (store_take_part (scene.to, &part, 2000));
+  g_assert_false (store_apply_part (scene.to, &part, 2000));
   check (&scene);
   store_part_clear (&part);
   step (&scene, 'W');
@@ -396,10 +396,10 @@
   step (&scene, 'p');
   step (&scene, 'p');
   g_assert_cmpuint (scene.to->revision, <, scene.sender->revision);
-  g_assert_cmpuint (store_age (scene.to, 3000), ==, 2000);
+  g_assert_cmpuint (store_get_age_ms (scene.to, 3000), ==, 2000);
   scene.sender->heard = 2000;
   step (&scene, 'p');
-  g_assert_cmpuint (store_age (scene.to, 3000), ==, 1000);
+  g_assert_cmpuint (store_get_age_ms (scene.to, 3000), ==, 1000);
   scene_end (&scene);
 }
 
--- a/libcoltsfootdrum/config/test-store.c
+++ b/libcoltsfootdrum/config/test-store.c
@@ -21,11 +21,11 @@
   old_watch = sp_model_changes (model, 0, KINDS);
   write_zone (model, "a", OUT);
   take_list (store, model);
-  g_assert_true (store_zone_is_out (store, "a"));
+  g_assert_true (store_is_zone_out (store, "a"));
   take (store, old_list, true);
   take (store, old_watch, false);
-  g_assert_true (store_zone_is_out (store, "a"));
-  g_assert_cmpuint (store_revision (store), ==, 2);
+  g_assert_true (store_is_zone_out (store, "a"));
+  g_assert_cmpuint (store_get_revision (store), ==, 2);
   sp_model_free (model);
 }
 
@@ -45,9 +45,9 @@
   old = object_from (old_list);
   write_zone (model, "a", NULL);
   take_list (store, model); /* at 1000 */
-  store_take_objects (store, old, 9000);
+  store_apply_objects (store, old, 9000);
   g_assert_null (store_get (store, REC_ZONE, "a"));
-  g_assert_cmpuint (store_age (store, 9000), ==, 8000);
+  g_assert_cmpuint (store_get_age_ms (store, 9000), ==, 8000);
   sp_model_free (model);
 }
 
@@ -65,8 +65,8 @@
   write_zone (model, "a", NEWER);
   write_zone (model, "b", NEWER);
   take_list (store, model);
-  g_assert_cmpuint (store_revision (store), ==, 3);
-  g_assert_true (store_zone_is_out (store, "a"));
+  g_assert_cmpuint (store_get_revision (store), ==, 3);
+  g_assert_true (store_is_zone_out (store, "a"));
   g_assert_null (store_get (store, REC_ZONE, "b"));
   store_make_part (store, ROLE_ROUTER, &(msg_config_ask_t){ 0 }, 0, &part);
   g_assert_cmpuint (part.count, ==, 1);
@@ -75,7 +75,7 @@
   store_part_clear (&part);
   write_zone (model, "a", IN);
   take_list (store, model);
-  g_assert_false (store_zone_is_out (store, "a"));
+  g_assert_false (store_is_zone_out (store, "a"));
   sp_model_free (model);
 }
 
@@ -101,14 +101,14 @@
   take_list (new_one, model);
   take_part (old_one, new_one, 1);
   take_part (behind, old_one, 1);
-  g_assert_true (store_zone_is_out (new_one, "a"));
-  g_assert_false (store_zone_is_out (old_one, "a"));
-  g_assert_true (store_zone_is_out (behind, "a"));
-  g_assert_cmpuint (store_revision (old_one), ==, 2);
+  g_assert_true (store_is_zone_out (new_one, "a"));
+  g_assert_false (store_is_zone_out (old_one, "a"));
+  g_assert_true (store_is_zone_out (behind, "a"));
+  g_assert_cmpuint (store_get_revision (old_one), ==, 2);
   write_zone (model, "a", "{\"schema\":1,\"out\":true}");
   take_list (new_one, model);
   take_part (old_one, new_one, 2);
-  g_assert_true (store_zone_is_out (old_one, "a"));
+  g_assert_true (store_is_zone_out (old_one, "a"));
   sp_model_free (model);
 }
 
@@ -123,13 +123,13 @@
   msg_config_part_t part
       = { .from = 5, .up_to = 9, .count = 1, .records = &record };
 
-  store_take_part (store, &part, 0);
-  g_assert_cmpuint (store_revision (store), ==, 0);
-  g_assert_false (store_zone_is_out (store, "a"));
+  store_apply_part (store, &part, 0);
+  g_assert_cmpuint (store_get_revision (store), ==, 0);
+  g_assert_false (store_is_zone_out (store, "a"));
   part.from = 0;
-  store_take_part (store, &part, 0);
-  g_assert_cmpuint (store_revision (store), ==, 9);
-  g_assert_true (store_zone_is_out (store, "a"));
+  store_apply_part (store, &part, 0);
+  g_assert_cmpuint (store_get_revision (store), ==, 9);
+  g_assert_true (store_is_zone_out (store, "a"));
 }
 
 static void
@@ -147,10 +147,10 @@
   write_zone (model, "a", NULL);
   write_zone (model, "b", IN);
   take_list (late, model);
-  take_part (cut_off, late, store_revision (cut_off));
+  take_part (cut_off, late, store_get_revision (cut_off));
   g_assert_null (store_get (cut_off, REC_ZONE, "a"));
   g_assert_nonnull (store_get (cut_off, REC_ZONE, "b"));
-  g_assert_cmpuint (store_revision (cut_off), ==, 3);
+  g_assert_cmpuint (store_get_revision (cut_off), ==, 3);
   sp_model_free (model);
 }
 
@@ -163,14 +163,14 @@
   g_autoptr (store_t) second = store_new (NULL, NULL, NULL);
   sp_model_t *model = sp_model_new (100);
 
-  g_assert_cmpuint (store_age (first, 5000), ==, UINT32_MAX);
+  g_assert_cmpuint (store_get_age_ms (first, 5000), ==, UINT32_MAX);
   take_part (second, first, 0);
-  g_assert_cmpuint (store_age (second, 5000), ==, UINT32_MAX);
+  g_assert_cmpuint (store_get_age_ms (second, 5000), ==, UINT32_MAX);
   write_zone (model, "a", IN);
   take_list (first, model);     /* at 1000 */
   take_part (second, first, 0); /* at 2000 */
-  g_assert_cmpuint (store_age (first, 5000), ==, 4000);
-  g_assert_cmpuint (store_age (second, 5000), ==, 4000);
+  g_assert_cmpuint (store_get_age_ms (first, 5000), ==, 4000);
+  g_assert_cmpuint (store_get_age_ms (second, 5000), ==, 4000);
   sp_model_free (model);
 }
 
@@ -253,13 +253,13 @@
       g_ptr_array_add (late, sp_model_list (model, KINDS));
       break;
     case 2:
-      take_part (store, other, store_revision (store));
+      take_part (store, other, store_get_revision (store));
       break;
     case 3:
       /* The receiver has moved on since it asked.  */
-      take_part (
-          store, other,
-          g_rand_int_range (random, 0, (gint32)store_revision (store) + 1));
+      take_part (store, other,
+                 g_rand_int_range (random, 0,
+                                   (gint32)store_get_revision (store) + 1));
       break;
     case 4:
       if (late->len > 0)
@@ -271,7 +271,7 @@
     default:
       {
         g_autofree char *changes
-            = sp_model_changes (model, store_revision (store), KINDS);
+            = sp_model_changes (model, store_get_revision (store), KINDS);
 
         if (changes != NULL)
           take (store, changes, false);
@@ -296,8 +296,8 @@
       random_step (random, model, stores, late);
       for (int i = 0; i < STORES; i++)
         {
-          g_assert_cmpuint (store_revision (stores[i]), >=, before[i]);
-          before[i] = store_revision (stores[i]);
+          g_assert_cmpuint (store_get_revision (stores[i]), >=, before[i]);
+          before[i] = store_get_revision (stores[i]);
           for (char name[2] = "a"; name[0] < 'a' + NAMES; name[0]++)
             if (before[i] == sp_model_revision (model, NULL))
               assert_same (stores[i], model, name);
--- a/libcoltsfootdrum/config/test-witness.c
+++ b/libcoltsfootdrum/config/test-witness.c
@@ -49,16 +49,16 @@
         {
           g_autofree char *agent = g_strdup_printf ("agent-%u", j);
 
-          count += witness_is (list, router->name, agent);
+          count += witness_is_selected (list, router->name, agent);
         }
       g_assert_true ((count == 0) == router->leaving);
       most = MAX (most, count);
       all += count;
     }
-  g_assert_cmpuint (all, ==, AGENTS * ZONES * WITNESS_EACH);
+  g_assert_cmpuint (all, ==, AGENTS * ZONES * WITNESS_PER_ZONE);
   /* 40 on the mean.  */
   g_assert_cmpuint (most, <, 70);
-  g_assert_false (witness_is (list, "not-listed", "agent-0"));
+  g_assert_false (witness_is_selected (list, "not-listed", "agent-0"));
   drop (list);
 }
 
@@ -67,11 +67,11 @@
 {
   GPtrArray *list = make (4);
 
-  g_assert_cmpuint (witness_zones (list), ==, 3);
+  g_assert_cmpuint (witness_count_zones (list), ==, 3);
   ((store_instance_t *)list->pdata[1])->leaving = true;
-  g_assert_cmpuint (witness_zones (list), ==, 2);
+  g_assert_cmpuint (witness_count_zones (list), ==, 2);
   ((store_instance_t *)list->pdata[0])->leaving = true;
-  g_assert_cmpuint (witness_zones (list), ==, 2);
+  g_assert_cmpuint (witness_count_zones (list), ==, 2);
   drop (list);
 }
 
--- a/libcoltsfootdrum/config/witness.c
+++ b/libcoltsfootdrum/config/witness.c
@@ -27,7 +27,8 @@
 }
 
 bool
-witness_is (const GPtrArray *routers, const char *self, const char *agent)
+witness_is_selected (const GPtrArray *routers, const char *self,
+                     const char *agent)
 {
   const store_instance_t *own = find (routers, self);
   uint64_t weight = weight_of (self, agent);
@@ -43,11 +44,11 @@
           && weight_of (other->name, agent) > weight)
         before++;
     }
-  return before < WITNESS_EACH;
+  return before < WITNESS_PER_ZONE;
 }
 
 unsigned
-witness_zones (const GPtrArray *routers)
+witness_count_zones (const GPtrArray *routers)
 {
   g_autoptr (GHashTable) zones = g_hash_table_new (g_str_hash, g_str_equal);
 
--- a/libcoltsfootdrum/ctl/ctl-record.c
+++ b/libcoltsfootdrum/ctl/ctl-record.c
@@ -281,7 +281,7 @@
   if (fgets (key, sizeof key, stdin) == NULL)
     return ctl_usage ("no key came by standard input");
   g_strchomp (key);
-  hash = rec_key_hash (key);
+  hash = rec_hash_key_to_hex (key);
   puts (hash);
   return CTL_OK;
 }
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -17,7 +17,7 @@
 
   if (router->draining)
     return "This router is shutting down.";
-  if (store_revision (router->store) == 0)
+  if (store_get_revision (router->store) == 0)
     return "No configuration was read yet; check the platform.";
   return NULL;
 }
--- a/libcoltsfootdrum/router/router-agents.c
+++ b/libcoltsfootdrum/router/router-agents.c
@@ -82,7 +82,7 @@
   agent->leaving = instance->leaving;
   g_free (agent->host);
   agent->host = host_of (instance->address);
-  peer_hub_address (router->hub, instance->name, instance->address);
+  peer_hub_set_address (router->hub, instance->name, instance->address);
 }
 
 /* Forgets agents that are neither listed nor needed.  */
@@ -99,7 +99,7 @@
 
       if (agent->listed || agent->up || agent->in_flight > 0 || agent->held)
         continue;
-      peer_hub_address (router->hub, agent->name, "");
+      peer_hub_set_address (router->hub, agent->name, "");
       g_hash_table_iter_remove (&iter);
     }
 }
@@ -107,7 +107,7 @@
 void
 agents_listed (cfd_router_t *router)
 {
-  GPtrArray *instances = store_instances (router->store, ROLE_AGENT);
+  GPtrArray *instances = store_get_instances (router->store, ROLE_AGENT);
   GHashTableIter iter;
   gpointer value;
 
@@ -179,7 +179,7 @@
   if (agent->leaving)
     return false;
   return agent->zone == NULL
-         || !store_zone_is_out (router->store, agent->zone);
+         || !store_is_zone_out (router->store, agent->zone);
 }
 
 static bool
@@ -214,7 +214,7 @@
   g_autoptr (GHashTable) hosts
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   endpoints_t endpoints = { router, hosts };
-  GPtrArray *instances = store_instances (router->store, ROLE_AGENT);
+  GPtrArray *instances = store_get_instances (router->store, ROLE_AGENT);
   GHashTableIter iter;
   gpointer value;
 
@@ -228,11 +228,11 @@
       agents_get (router, instance->name, NULL)->leaving = instance->leaving;
     }
   g_hash_table_remove_all (router->served);
-  store_each (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
+  store_foreach (router->store, REC_ENDPOINT, add_endpoint, &endpoints);
   g_hash_table_iter_init (&iter, router->agents);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     guess (value, hosts);
-  store_each (router->store, REC_SERVICE, sort_service, router);
+  store_foreach (router->store, REC_SERVICE, sort_service, router);
 }
 
 static bool
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -334,7 +334,7 @@
 {
   peer_counters_t counters;
 
-  peer_hub_counters (router->hub, &counters);
+  peer_hub_get_counters (router->hub, &counters);
   if (counters.silences > router->silences)
     router->silent_at = now;
   router->silences = counters.silences;
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -207,14 +207,15 @@
 {
   const cfd_router_t *router = user;
 
-  return store_instances (router->store, ROLE_ROUTER)->len;
+  return store_get_instances (router->store, ROLE_ROUTER)->len;
 }
 
 static bool
 sweep_keeps_ages (void *user)
 {
   const cfd_router_t *router = user;
-  const char *home = store_home (router->store, AGES_KEY, "", NULL, NULL);
+  const char *home
+      = store_find_home_router (router->store, AGES_KEY, "", NULL, NULL);
 
   return g_strcmp0 (home, router->instance) == 0;
 }
--- a/libcoltsfootdrum/router/router-config.c
+++ b/libcoltsfootdrum/router/router-config.c
@@ -1,10 +1,10 @@
 /* How this router learns of changes from peers, and tells them.
 
-   In a fleet up to SPREAD_ALL everyone watches the platform, and a frame of a
-   peer with a newer revision is a reason to ask that peer.  In a larger one
-   the tree of spread-tree.h says whom to tell and whom to ask besides.  A word
-   is a CONFIG_ASK: its frame shows the sender's revision, so that whoever of
-   the two is behind learns it.  */
+   In a fleet up to SPREAD_SMALL_FLEET_INSTANCES everyone watches the platform,
+   and a frame of a peer with a newer revision is a reason to ask that peer. In
+   a larger one the tree of spread-tree.h says whom to tell and whom to ask
+   besides.  A word is a CONFIG_ASK: its frame shows the sender's revision, so
+   that whoever of the two is behind learns it.  */
 
 #include "router/router-private.h"
 
@@ -19,7 +19,8 @@
 #define DOUBT_SILENT 2u
 #define DOUBT_OLD 1u
 /* Each agent is told once in so many seconds at most: a link without use is
-   closed after PEER_IDLE_MS, and an agent without a link hears nothing.  */
+   closed after PEER_IDLE_TIMEOUT_MS, and an agent without a link hears
+   nothing.  */
 #define TELL_ROUND_S 20u
 
 static bool
@@ -42,7 +43,8 @@
 static void
 ask_chosen (cfd_router_t *router)
 {
-  const char *name = spread_tree_ask (router->tree, router->ask_choice);
+  const char *name
+      = spread_tree_choose_source (router->tree, router->ask_choice);
 
   forget_asked (router);
   if (name == NULL)
@@ -70,8 +72,8 @@
 conf_hear (cfd_router_t *router, const peer_id_t *peer, uint64_t revision,
            cfd_time_t now)
 {
-  store_heard_of (router->store, revision, now);
-  if (revision <= store_revision (router->store)
+  store_record_peer_revision (router->store, revision, now);
+  if (revision <= store_get_revision (router->store)
       || (revision <= router->asked_revision
           && now - router->asked_at < ASK_MS))
     return;
@@ -92,10 +94,10 @@
 
   if (g_strcmp0 (router->asked, peer->instance) == 0)
     forget_asked (router);
-  is_news = store_take_part (router->store, part, now);
-  store_heard_of (router->store, revision, now);
+  is_news = store_apply_part (router->store, part, now);
+  store_record_peer_revision (router->store, revision, now);
   /* A piece: the next one now, not with some later frame.  */
-  if (is_news && store_revision (router->store) < revision)
+  if (is_news && store_get_revision (router->store) < revision)
     (void)send_ask (router, peer->instance);
 }
 
@@ -123,24 +125,24 @@
 void
 conf_advanced (cfd_router_t *router)
 {
-  if (!store_learns_from_peers (router->store))
+  if (!store_is_fleet_large (router->store))
     return;
-  tell_all (router, spread_tree_routers (router->tree));
-  tell_all (router, spread_tree_agents (router->tree));
+  tell_all (router, spread_tree_get_child_routers (router->tree));
+  tell_all (router, spread_tree_get_child_agents (router->tree));
 }
 
 /* Who could not be told because there was no link learns it here.  */
 void
 conf_peer_up (cfd_router_t *router, const peer_id_t *peer)
 {
-  if (store_learns_from_peers (router->store))
+  if (store_is_fleet_large (router->store))
     (void)send_ask (router, peer->instance);
 }
 
 static void
 tell_some_agents (cfd_router_t *router)
 {
-  const GPtrArray *agents = spread_tree_agents (router->tree);
+  const GPtrArray *agents = spread_tree_get_child_agents (router->tree);
   unsigned count = (agents->len + TELL_ROUND_S - 1) / TELL_ROUND_S;
 
   for (unsigned i = 0; i < count; i++)
@@ -152,8 +154,8 @@
 static void
 call_as_witness (cfd_router_t *router)
 {
-  const GPtrArray *routers = store_instances (router->store, ROLE_ROUTER);
-  const GPtrArray *agents = store_instances (router->store, ROLE_AGENT);
+  const GPtrArray *routers = store_get_instances (router->store, ROLE_ROUTER);
+  const GPtrArray *agents = store_get_instances (router->store, ROLE_AGENT);
 
   for (guint i = 0; i < agents->len; i++)
     {
@@ -161,7 +163,7 @@
       const agent_t *agent = agents_find (router, listed->name);
 
       if ((agent == NULL || !agent->up)
-          && witness_is (routers, router->instance, listed->name))
+          && witness_is_selected (routers, router->instance, listed->name))
         (void)send_ask (router, listed->name);
     }
 }
@@ -171,13 +173,13 @@
 void
 conf_keep (cfd_router_t *router, cfd_time_t now)
 {
-  if (store_wants_word (router->store, now))
+  if (store_should_ask_peer (router->store, now))
     ask_for_word (router);
   else
     router->ask_doubts = 0;
-  if (store_learns_from_peers (router->store))
+  if (store_is_fleet_large (router->store))
     tell_some_agents (router);
-  if (!store_platform_is_up (router->store))
+  if (!store_is_platform_up (router->store))
     call_as_witness (router);
 }
 
@@ -185,9 +187,9 @@
 conf_listed (cfd_router_t *router)
 {
   spread_tree_free (router->tree);
-  router->tree = spread_tree_new (store_instances (router->store, ROLE_ROUTER),
-                                  store_instances (router->store, ROLE_AGENT),
-                                  router->instance);
+  router->tree = spread_tree_new (
+      store_get_instances (router->store, ROLE_ROUTER),
+      store_get_instances (router->store, ROLE_AGENT), router->instance);
   router->ask_choice = 0;
   router->ask_doubts = 0;
   forget_asked (router);
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -33,7 +33,8 @@
 
   if (header != NULL
       && g_ascii_strncasecmp (header, scheme, sizeof scheme - 1) == 0)
-    account = store_account_by_key (router->store, header + sizeof scheme - 1);
+    account = store_find_account_by_key (router->store,
+                                         header + sizeof scheme - 1);
   if (account == NULL)
     refuse (router, web, REFUSED_KEY, 401, "Unknown key",
             "Send \"Authorization: Bearer KEY\" with a key of a client "
@@ -172,8 +173,8 @@
 {
   return call->is_model
          || (is_plain_path (call->path)
-             && rec_service_idempotent (&service->u.service, method,
-                                        call->path));
+             && rec_service_is_idempotent (&service->u.service, method,
+                                           call->path));
 }
 
 /* Begins the life of a request that passed all checks.  */
@@ -203,7 +204,7 @@
                            ? cost_expect (router->cost, account->name,
                                           service->name, call->cost)
                            : call->cost;
-  request->item.class_rank = rec_service_class (
+  request->item.class_rank = rec_service_get_class_rank (
       &service->u.service, web_header (web, "X-Request-Class"));
   if (!request->idempotent)
     request->key = g_strdup (web_header (web, "Idempotency-Key"));
@@ -295,7 +296,7 @@
 
   router->counters.requests++;
   web_set_header (web, "X-Request-Id", name);
-  if (store_revision (router->store) == 0)
+  if (store_get_revision (router->store) == 0)
     refuse (router, web, REFUSED_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; ask again.",
             RETRY_CONFIG_S);
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -66,8 +66,8 @@
     return REACH_DIALLING;
   router->counters.announces++;
   router->counters.announced_entries += word->count;
-  return peer_hub_is_quiet (router->hub, name, now) ? REACH_UNRESPONSIVE
-                                                    : REACH_SENT;
+  return peer_hub_is_unresponsive (router->hub, name, now) ? REACH_UNRESPONSIVE
+                                                           : REACH_SENT;
 }
 
 void
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -77,7 +77,7 @@
 void
 homes_listed (cfd_router_t *router, cfd_time_t now)
 {
-  GPtrArray *instances = store_instances (router->store, ROLE_ROUTER);
+  GPtrArray *instances = store_get_instances (router->store, ROLE_ROUTER);
   GHashTableIter iter;
   gpointer value;
 
@@ -91,7 +91,7 @@
       if (strcmp (instance->name, router->instance) == 0)
         continue;
       homes_get (router, instance->name)->listed = true;
-      peer_hub_address (router->hub, instance->name, instance->address);
+      peer_hub_set_address (router->hub, instance->name, instance->address);
     }
   g_hash_table_iter_init (&iter, router->routers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -100,7 +100,7 @@
 
       if (peer->listed || peer->up || peer->held)
         continue;
-      peer_hub_address (router->hub, peer->name, "");
+      peer_hub_set_address (router->hub, peer->name, "");
       g_hash_table_iter_remove (&iter);
     }
   homes_moved (router, now);
@@ -168,8 +168,8 @@
 const char *
 homes_of (cfd_router_t *router, const char *account, const char *service)
 {
-  const char *home
-      = store_home (router->store, account, service, is_usable, router);
+  const char *home = store_find_home_router (router->store, account, service,
+                                             is_usable, router);
 
   return home != NULL ? home : router->instance;
 }
--- a/libcoltsfootdrum/router/router-local.c
+++ b/libcoltsfootdrum/router/router-local.c
@@ -73,7 +73,7 @@
 {
   if (router->policy == CFD_POLICY_LOCAL
       && adm_count_waiting (router->adm) > 0)
-    store_each (router->store, REC_SERVICE, push_record, router);
+    store_foreach (router->store, REC_SERVICE, push_record, router);
 }
 
 /* Agents tell their load over links, which are kept up from the first work
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -217,7 +217,7 @@
   uint64_t asked_revision; /* of a peer that showed it */
   cfd_time_t asked_at;
   char *asked;         /* router asked for word that did not answer yet */
-  unsigned ask_choice; /* whom to ask, see spread_tree_ask */
+  unsigned ask_choice; /* whom to ask, see spread_tree_choose_source */
   unsigned ask_doubts; /* in it */
   unsigned told;       /* agents told, in turn */
 
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -233,7 +233,7 @@
 static uint64_t
 revision (void *user)
 {
-  return store_revision (((cfd_router_t *)user)->store);
+  return store_get_revision (((cfd_router_t *)user)->store);
 }
 
 /* ---- configuration ---- */
@@ -275,12 +275,12 @@
   static const peer_events_t events = {
     .message = on_message, .up = on_up, .down = on_down, .revision = revision
   };
-  const peer_self_t self = { .role = ROLE_ROUTER,
-                             .instance = settings->instance,
-                             .zone = settings->zone,
-                             .incarnation = router->incarnation,
-                             .listen = settings->peer_listen,
-                             .secret = settings->secret };
+  const peer_hub_options_t self = { .role = ROLE_ROUTER,
+                                    .instance = settings->instance,
+                                    .zone = settings->zone,
+                                    .incarnation = router->incarnation,
+                                    .listen = settings->peer_listen,
+                                    .secret = settings->secret };
 
   router->hub = peer_hub_new (router->loop, &self, router->ring, &events,
                               router, error);
--- a/libcoltsfootdrum/router/test-router-config.c
+++ b/libcoltsfootdrum/router/test-router-config.c
@@ -66,7 +66,7 @@
 static uint64_t
 on_revision (void *user)
 {
-  return store_revision (((node_t *)user)->store);
+  return store_get_revision (((node_t *)user)->store);
 }
 
 /* NODE learns what the platform has now.  */
@@ -77,7 +77,7 @@
       = sp_model_list (sp_state (f->test.sp), PLAT_CONFIG_KINDS);
   g_autoptr (JsonNode) root = json_from_string (text, NULL);
 
-  store_take_objects (node->store, json_node_get_object (root), clock_now ());
+  store_apply_objects (node->store, json_node_get_object (root), clock_now ());
 }
 
 /* The port of "router-N" or "agent-N".  */
@@ -104,12 +104,13 @@
                                         .revision = on_revision };
   g_autofree char *listen = address (f, name);
   g_autofree char *router = address (f, SELF);
-  const peer_self_t self = { .role = name[0] == 'a' ? ROLE_AGENT : ROLE_ROUTER,
-                             .instance = name,
-                             .zone = "z",
-                             .incarnation = port_of (name),
-                             .listen = listen,
-                             .secret = "secret" };
+  const peer_hub_options_t self
+      = { .role = name[0] == 'a' ? ROLE_AGENT : ROLE_ROUTER,
+          .instance = name,
+          .zone = "z",
+          .incarnation = port_of (name),
+          .listen = listen,
+          .secret = "secret" };
   node_t *node = g_new0 (node_t, 1);
 
   node->store = store_new (NULL, NULL, NULL);
@@ -117,7 +118,7 @@
   learn (f, node);
   node->hub = peer_hub_new (loop, &self, NULL, &events, node, NULL);
   g_assert_nonnull (node->hub);
-  peer_hub_address (node->hub, SELF, router);
+  peer_hub_set_address (node->hub, SELF, router);
   g_hash_table_insert (f->nodes, g_strdup (name), node);
   return node;
 }
@@ -140,7 +141,7 @@
 {
   msg_t message = { .kind = MSG_CONFIG_ASK };
 
-  message.u.config_ask.have = store_revision (node->store);
+  message.u.config_ask.have = store_get_revision (node->store);
   while (!peer_hub_send (node->hub, SELF, &message))
     ev_run (f->test.loop, EVRUN_ONCE);
 }
@@ -196,7 +197,7 @@
 {
   const store_t *store = ((fixture_t *)user)->router->store;
 
-  return store_revision (store) > 0 && store_learns_from_peers (store);
+  return store_get_revision (store) > 0 && store_is_fleet_large (store);
 }
 
 /* The router starts, and the platform goes down.  */
@@ -219,7 +220,7 @@
   f->router = cfd_router_new (f->test.loop, &settings, NULL);
   g_assert_nonnull (f->router);
   sp_test_run (&f->test, has_started, f);
-  g_assert_cmpstr (spread_tree_ask (f->router->tree, 0), ==, ABOVE);
+  g_assert_cmpstr (spread_tree_choose_source (f->router->tree, 0), ==, ABOVE);
   sp_fault (f->test.sp, SP_DOWN, 0, 0);
 }
 
@@ -235,7 +236,7 @@
 static bool
 has_change (void *user)
 {
-  return store_revision (((fixture_t *)user)->router->store) >= 3;
+  return store_get_revision (((fixture_t *)user)->router->store) >= 3;
 }
 
 /* Milliseconds until HOLDS.  */
@@ -274,7 +275,7 @@
   if (above == ABOVE_DEAD)
     g_hash_table_remove (f->nodes, ABOVE);
   g_assert_cmpint (until (f, has_change), <, IN_FORCE_MS);
-  g_assert_true (store_zone_is_out (f->router->store, "z"));
+  g_assert_true (store_is_zone_out (f->router->store, "z"));
 }
 
 static bool
@@ -294,8 +295,8 @@
   start_router (f);
   sp_test_write (&f->test, ZONE, "z", OUT);
   tell (f, play (f, ABOVE, f->test.loop));
-  g_assert_cmpint (until (f, below_was_told), <, SPREAD_ASK_MS);
-  g_assert_true (store_zone_is_out (f->router->store, "z"));
+  g_assert_cmpint (until (f, below_was_told), <, SPREAD_ASK_PEER_AFTER_MS);
+  g_assert_true (store_is_zone_out (f->router->store, "z"));
 }
 
 static void
@@ -311,7 +312,8 @@
   sp_test_write (&f->test, "client-account", "acc", NULL);
   (void)play (f, AGENT, f->test.loop);
   sp_fault (f->test.sp, SP_UP, 0, 0);
-  g_assert_cmpint (until (f, has_change), <, SPREAD_READ_MS - 1000);
+  g_assert_cmpint (until (f, has_change), <,
+                   SPREAD_READ_PLATFORM_AFTER_MS - 1000);
   g_assert_null (store_get (f->router->store, REC_ACCOUNT, "acc"));
 }
 
@@ -329,20 +331,20 @@
   (void)play (f, ABOVE, f->test.loop);
   sp_fault (f->test.sp, SP_STALE, 0, 200);
   start_router (f);
-  g_assert_false (store_zone_is_out (f->router->store, "z"));
+  g_assert_false (store_is_zone_out (f->router->store, "z"));
   sp_fault (f->test.sp, SP_STALE, 0, 100000000);
   tell (f, g_hash_table_lookup (f->nodes, ABOVE));
-  g_assert_cmpint (until (f, has_change), <, SPREAD_ASK_MS);
+  g_assert_cmpint (until (f, has_change), <, SPREAD_ASK_PEER_AFTER_MS);
   end = clock_now () + 1500;
   while (clock_now () < end)
     ev_run (f->test.loop, EVRUN_ONCE);
-  g_assert_true (store_zone_is_out (f->router->store, "z"));
+  g_assert_true (store_is_zone_out (f->router->store, "z"));
 }
 
 static bool
 has_many (void *user)
 {
-  return store_revision (((fixture_t *)user)->router->store) >= 2 + MANY;
+  return store_get_revision (((fixture_t *)user)->router->store) >= 2 + MANY;
 }
 
 static void
@@ -363,11 +365,11 @@
       sp_test_write (&f->test, ZONE, name, OUT);
     }
   above = play (f, ABOVE, f->test.loop);
-  above->store->deletions_from = 2 + MANY;
-  above->store->piece_records = 4;
+  above->store->deletions_known_from = 2 + MANY;
+  above->store->max_piece_records = 4;
   tell (f, above);
-  g_assert_cmpint (until (f, has_many), <, SPREAD_ASK_MS);
-  g_assert_true (store_zone_is_out (f->router->store, "z0"));
+  g_assert_cmpint (until (f, has_many), <, SPREAD_ASK_PEER_AFTER_MS);
+  g_assert_true (store_is_zone_out (f->router->store, "z0"));
   g_assert_nonnull (store_get (f->router->store, REC_ACCOUNT, "acc"));
 }
 
--- a/libcoltsfootdrum/router/test-router-scene.c
+++ b/libcoltsfootdrum/router/test-router-scene.c
@@ -33,7 +33,7 @@
 static char *
 objects (const scene_t *scene)
 {
-  g_autofree char *hash = rec_key_hash (KEY);
+  g_autofree char *hash = rec_hash_key_to_hex (KEY);
   g_autofree char *first = address (HOST_AGENTS, 1);
   g_autofree char *second = address (HOST_AGENTS + 1, 1);
 
@@ -196,12 +196,12 @@
   static const char *const services[] = { "draft", "register" };
   scene_agent_t *agent = &scene->agents[index];
   g_autofree char *listen = address (HOST_AGENTS + index, PORT_LINK);
-  peer_self_t self = { .role = ROLE_AGENT,
-                       .instance = agent->name,
-                       .zone = "z",
-                       .incarnation = 100 + index,
-                       .listen = listen,
-                       .secret = SECRET };
+  peer_hub_options_t self = { .role = ROLE_AGENT,
+                              .instance = agent->name,
+                              .zone = "z",
+                              .incarnation = 100 + index,
+                              .listen = listen,
+                              .secret = SECRET };
   g_autoptr (GError) error = NULL;
 
   *agent = (scene_agent_t){ .scene = scene,
--- a/libcoltsfootdrum/wire/msg-pack.c
+++ b/libcoltsfootdrum/wire/msg-pack.c
@@ -73,7 +73,7 @@
   uint32_t number;
 
   if (writer->state == NULL || name == NULL || strlen (name) > most
-      || !msg_state_find (writer->state, name, &number))
+      || !msg_state_intern_name (writer->state, name, &number))
     return pack_string (writer, name, most);
   msgpack_pack_uint32 (&writer->packer, number);
   return true;
@@ -207,7 +207,7 @@
   uint64_t stamp = message->stamp;
   uint64_t revision = message->revision;
 
-  if (state != NULL && !msg_stamp_code (state->stamp, stamp, &stamp))
+  if (state != NULL && !msg_stamp_encode (state->stamp, stamp, &stamp))
     return false;
   if (state != NULL)
     revision -= state->revision;
@@ -266,7 +266,7 @@
 
 fail:
   if (state != NULL)
-    msg_state_forget (state, next);
+    msg_state_reset_names (state, next);
   g_byte_array_unref (frame);
   return NULL;
 }
--- a/libcoltsfootdrum/wire/msg-state.c
+++ b/libcoltsfootdrum/wire/msg-state.c
@@ -34,7 +34,7 @@
 }
 
 bool
-msg_state_find (msg_state_t *state, const char *name, uint32_t *number)
+msg_state_intern_name (msg_state_t *state, const char *name, uint32_t *number)
 {
   gpointer known;
   const char *former = state->names[state->next];
@@ -57,7 +57,7 @@
 }
 
 void
-msg_state_forget (msg_state_t *state, uint32_t next)
+msg_state_reset_names (msg_state_t *state, uint32_t next)
 {
   if (state->numbers != NULL)
     g_hash_table_remove_all (state->numbers);
@@ -67,20 +67,20 @@
 }
 
 void
-msg_state_learn (msg_state_t *state, const char *name)
+msg_state_add_name (msg_state_t *state, const char *name)
 {
   if (name[0] != 0)
     (void)add (state, name);
 }
 
 const char *
-msg_state_name (const msg_state_t *state, uint64_t number)
+msg_state_get_name (const msg_state_t *state, uint64_t number)
 {
   return number < MSG_NAMES_MAX ? state->names[number] : NULL;
 }
 
 bool
-msg_stamp_code (uint64_t last, uint64_t stamp, uint64_t *code)
+msg_stamp_encode (uint64_t last, uint64_t stamp, uint64_t *code)
 {
   uint64_t ms = ((stamp >> COUNT_BITS) - (last >> COUNT_BITS)) & MS_MASK;
   uint64_t count = stamp & COUNT_MASK;
@@ -95,7 +95,7 @@
 }
 
 uint64_t
-msg_stamp_of (uint64_t last, uint64_t code)
+msg_stamp_decode (uint64_t last, uint64_t code)
 {
   bool is_long = code & CODE_LONG;
   uint64_t both = code >> 1;
--- a/libcoltsfootdrum/wire/msg-state.h
+++ b/libcoltsfootdrum/wire/msg-state.h
@@ -34,19 +34,20 @@
 void msg_state_clear (msg_state_t *state);
 
 /* At the sender: whether NAME has a number; if not it gets the next one.  */
-bool msg_state_find (msg_state_t *state, const char *name, uint32_t *number);
+bool msg_state_intern_name (msg_state_t *state, const char *name,
+                            uint32_t *number);
 /* At the sender, when a frame was not sent after all: its names are unknown
    to the receiver.  All are sent as text again, from number NEXT on.  */
-void msg_state_forget (msg_state_t *state, uint32_t next);
+void msg_state_reset_names (msg_state_t *state, uint32_t next);
 
 /* At the receiver.  */
-void msg_state_learn (msg_state_t *state, const char *name);
+void msg_state_add_name (msg_state_t *state, const char *name);
 /* The name of a number, NULL when the sender never gave it out.  */
-const char *msg_state_name (const msg_state_t *state, uint64_t number);
+const char *msg_state_get_name (const msg_state_t *state, uint64_t number);
 
 /* The stamp as what was added since LAST: mostly 1 to 3 bytes.  False when it
    can't be said: no clock of ours steps back or by millennia.  */
-bool msg_stamp_code (uint64_t last, uint64_t stamp, uint64_t *code);
-uint64_t msg_stamp_of (uint64_t last, uint64_t code);
+bool msg_stamp_encode (uint64_t last, uint64_t stamp, uint64_t *code);
+uint64_t msg_stamp_decode (uint64_t last, uint64_t code);
 
 #endif
--- a/libcoltsfootdrum/wire/msg-unpack.c
+++ b/libcoltsfootdrum/wire/msg-unpack.c
@@ -233,13 +233,13 @@
 
   if (node->type == NODE_UINT && target->state != NULL)
     {
-      known = msg_state_name (target->state, node->u.number);
+      known = msg_state_get_name (target->state, node->u.number);
       return known != NULL && copy_name (target, known, to);
     }
   if (!store_string (target, node, most, to))
     return false;
   if (target->state != NULL)
-    msg_state_learn (target->state, *to);
+    msg_state_add_name (target->state, *to);
   return true;
 }
 
@@ -367,7 +367,7 @@
 {
   if (state == NULL)
     return;
-  message->stamp = msg_stamp_of (state->stamp, message->stamp);
+  message->stamp = msg_stamp_decode (state->stamp, message->stamp);
   message->revision += state->revision;
   state->stamp = message->stamp;
   state->revision = message->revision;
@@ -421,14 +421,14 @@
 #define UINT_32 0xce
 
 msg_length_t
-msg_length (const uint8_t *bytes, size_t have, bool is_short, uint32_t *length,
-            size_t *prefix)
+msg_parse_length (const uint8_t *bytes, size_t have, bool is_short,
+                  uint32_t *length, size_t *prefix)
 {
   size_t start = 0;
 
   *prefix = sizeof *length;
   if (is_short && have == 0)
-    return MSG_LENGTH_PART;
+    return MSG_LENGTH_INCOMPLETE;
   if (is_short && bytes[0] <= UINT_FIX_MAX)
     {
       *prefix = 1;
@@ -436,16 +436,16 @@
   else if (is_short)
     {
       if (bytes[0] < UINT_8 || bytes[0] > UINT_32)
-        return MSG_LENGTH_BAD;
+        return MSG_LENGTH_INVALID;
       start = 1;
       *prefix = start + (1u << (bytes[0] - UINT_8));
     }
   if (have < *prefix)
-    return MSG_LENGTH_PART;
+    return MSG_LENGTH_INCOMPLETE;
   *length = 0;
   for (size_t i = start; i < *prefix; i++)
     *length = *length << 8 | bytes[i];
-  return MSG_LENGTH_WHOLE;
+  return MSG_LENGTH_COMPLETE;
 }
 
 msg_t *
--- a/libcoltsfootdrum/wire/msg.h
+++ b/libcoltsfootdrum/wire/msg.h
@@ -303,7 +303,7 @@
   msg_cursor_t next;
 } msg_config_part_t;
 
-#define MSG_FROM_NONE UINT64_MAX
+#define MSG_FROM_SNAPSHOT_PIECE UINT64_MAX
 
 /* Agent to routers under the baseline policy, each 100 ms.  */
 typedef struct
@@ -352,15 +352,16 @@
 
 typedef enum
 {
-  MSG_LENGTH_WHOLE, /* LENGTH and PREFIX are set */
-  MSG_LENGTH_PART,  /* more bytes are needed */
-  MSG_LENGTH_BAD
+  MSG_LENGTH_COMPLETE,   /* LENGTH and PREFIX are set */
+  MSG_LENGTH_INCOMPLETE, /* more bytes are needed */
+  MSG_LENGTH_INVALID
 } msg_length_t;
 
 /* Reads the length before a frame, a short one if so, from the HAVE bytes.
    PREFIX is how many bytes the length itself takes.  */
-msg_length_t msg_length (const uint8_t *bytes, size_t have, bool is_short,
-                         uint32_t *length, size_t *prefix);
+msg_length_t msg_parse_length (const uint8_t *bytes, size_t have,
+                               bool is_short, uint32_t *length,
+                               size_t *prefix);
 
 /* Decodes the payload of one frame (without its length): a short one with
    STATE, the receiver's of the link, or a whole one with NULL.  Strings are
--- a/libcoltsfootdrum/wire/peer-link.c
+++ b/libcoltsfootdrum/wire/peer-link.c
@@ -156,7 +156,7 @@
     }
   /* A link that takes nothing is closed, not skipped: then both sides know
      that frames were lost, and start anew.  */
-  if (link_pending (link) + frame->len > PEER_OUTPUT_MAX)
+  if (link_pending (link) + frame->len > PEER_MAX_OUTPUT_BYTES)
     {
       link_close (link, "output full");
       return false;
@@ -343,7 +343,7 @@
   const char *name = link->id.instance ? link->id.instance : "not proved";
 
   link->hub->counters.frames_bad++;
-  if (what == MSG_LENGTH_BAD)
+  if (what == MSG_LENGTH_INVALID)
     log_warn ("peer", "Bad length of a frame: peer=%s.", name);
   else
     log_warn ("peer", "Frame too large: peer=%s bytes=%u most=%zu.", name,
@@ -366,11 +366,12 @@
       size_t have = link->in->len - done;
       uint32_t length = 0;
       size_t prefix;
-      msg_length_t what = msg_length (start, have, is_short, &length, &prefix);
+      msg_length_t what
+          = msg_parse_length (start, have, is_short, &length, &prefix);
 
-      if (what == MSG_LENGTH_PART)
+      if (what == MSG_LENGTH_INCOMPLETE)
         break;
-      if (what == MSG_LENGTH_BAD || length > most)
+      if (what == MSG_LENGTH_INVALID || length > most)
         {
           refuse_length (link, what, length, most);
           break;
--- a/libcoltsfootdrum/wire/peer-watch.c
+++ b/libcoltsfootdrum/wire/peer-watch.c
@@ -35,19 +35,19 @@
 static void
 watch_held (peer_link_t *link, cfd_time_t now)
 {
-  if (now - link->quiet_since >= PEER_SILENCE_MS
+  if (now - link->quiet_since >= PEER_SILENCE_TIMEOUT_MS
       || (link->ping_open != 0 && now - link->ping_open >= PEER_UNANSWERED_MS))
     {
       link->hub->counters.silences++;
       link_close (link, "silent");
       return;
     }
-  if (now - link->pinged < PEER_HEARTBEAT_MS)
+  if (now - link->pinged < PEER_HEARTBEAT_INTERVAL_MS)
     return;
   /* An unanswered PING is repeated only after silence: on a live link its
      PONG is on the way behind other frames.  */
-  if (now - link->quiet_since >= PEER_HEARTBEAT_MS
-      || now - link->pinged >= PEER_SILENCE_MS)
+  if (now - link->quiet_since >= PEER_HEARTBEAT_INTERVAL_MS
+      || now - link->pinged >= PEER_SILENCE_TIMEOUT_MS)
     ping (link, now);
 }
 
@@ -56,13 +56,13 @@
 {
   if (link->state != LINK_PROVED)
     {
-      if (now - link->born >= PEER_SILENCE_MS)
+      if (now - link->born >= PEER_SILENCE_TIMEOUT_MS)
         link_close (link, "not proved in time");
       return;
     }
   if (link->peer->holds > 0 && link == peer_newest (link->peer))
     watch_held (link, now);
-  else if (now - MAX (link->quiet_since, link->sent) >= PEER_IDLE_MS)
+  else if (now - MAX (link->quiet_since, link->sent) >= PEER_IDLE_TIMEOUT_MS)
     link_close (link, "idle");
 }
 
--- a/libcoltsfootdrum/wire/peer.c
+++ b/libcoltsfootdrum/wire/peer.c
@@ -309,8 +309,9 @@
 }
 
 peer_hub_t *
-peer_hub_new (struct ev_loop *loop, const peer_self_t *self, tl_ring_t *ring,
-              const peer_events_t *events, void *user, GError **error)
+peer_hub_new (struct ev_loop *loop, const peer_hub_options_t *self,
+              tl_ring_t *ring, const peer_events_t *events, void *user,
+              GError **error)
 {
   peer_hub_t *hub;
   int fd = -1;
@@ -377,7 +378,8 @@
 }
 
 void
-peer_hub_address (peer_hub_t *hub, const char *instance, const char *address)
+peer_hub_set_address (peer_hub_t *hub, const char *instance,
+                      const char *address)
 {
   peer_t *peer;
 
@@ -451,17 +453,18 @@
 }
 
 bool
-peer_hub_is_quiet (const peer_hub_t *hub, const char *instance, cfd_time_t now)
+peer_hub_is_unresponsive (const peer_hub_t *hub, const char *instance,
+                          cfd_time_t now)
 {
   const peer_t *peer = g_hash_table_lookup (hub->peers, instance);
   const peer_link_t *link = peer != NULL ? peer_newest (peer) : NULL;
 
   return link != NULL && link->ping_open != 0
-         && now - link->quiet_since >= PEER_QUIET_MS;
+         && now - link->quiet_since >= PEER_UNRESPONSIVE_MS;
 }
 
 size_t
-peer_hub_pending (const peer_hub_t *hub, const char *instance)
+peer_hub_get_pending_bytes (const peer_hub_t *hub, const char *instance)
 {
   const peer_t *peer = g_hash_table_lookup (hub->peers, instance);
   const peer_link_t *link = peer != NULL ? peer_newest (peer) : NULL;
@@ -470,13 +473,13 @@
 }
 
 void
-peer_hub_counters (const peer_hub_t *hub, peer_counters_t *counters)
+peer_hub_get_counters (const peer_hub_t *hub, peer_counters_t *counters)
 {
   *counters = hub->counters;
 }
 
 uint64_t
-peer_control_bytes (const peer_traffic_t *traffic)
+peer_sum_control_bytes (const peer_traffic_t *traffic)
 {
   uint64_t bytes = 0;
 
--- a/libcoltsfootdrum/wire/peer.h
+++ b/libcoltsfootdrum/wire/peer.h
@@ -5,9 +5,9 @@
 
    Routers dial agents and other routers; agents only accept.  Links that are
    held (by work in flight or announced) exchange heartbeats; a held link that
-   stays silent for PEER_SILENCE_MS is closed and dialled anew, because a
-   connection can go silent for good while new ones work.  Links nobody holds
-   are closed after PEER_IDLE_MS.  */
+   stays silent for PEER_SILENCE_TIMEOUT_MS is closed and dialled anew, because
+   a connection can go silent for good while new ones work.  Links nobody holds
+   are closed after PEER_IDLE_TIMEOUT_MS.  */
 
 #ifndef WIRE_PEER_H
 #define WIRE_PEER_H
@@ -17,13 +17,13 @@
 #include "wire/msg.h"
 #include <ev.h>
 
-#define PEER_HEARTBEAT_MS 500
-#define PEER_SILENCE_MS 2000
-#define PEER_IDLE_MS 30000
+#define PEER_HEARTBEAT_INTERVAL_MS 500
+#define PEER_SILENCE_TIMEOUT_MS 2000
+#define PEER_IDLE_TIMEOUT_MS 30000
 /* A held link from which nothing was heard for so long is quiet: the PING sent
    after one heartbeat has had another one's time.  */
-#define PEER_QUIET_MS 1000
-#define PEER_OUTPUT_MAX (32u * 1024 * 1024)
+#define PEER_UNRESPONSIVE_MS 1000
+#define PEER_MAX_OUTPUT_BYTES (32u * 1024 * 1024)
 
 typedef struct peer_hub peer_hub_t;
 
@@ -36,7 +36,7 @@
   uint64_t incarnation;
   const char *listen; /* IP:PORT */
   const char *secret; /* shared by all processes of the fleet */
-} peer_self_t;
+} peer_hub_options_t;
 
 /* The proved other side of a link.  */
 typedef struct
@@ -63,15 +63,15 @@
   uint64_t (*revision) (void *user);
 } peer_events_t;
 
-peer_hub_t *peer_hub_new (struct ev_loop *loop, const peer_self_t *self,
+peer_hub_t *peer_hub_new (struct ev_loop *loop, const peer_hub_options_t *self,
                           tl_ring_t *ring, const peer_events_t *events,
                           void *user, GError **error);
 void peer_hub_free (peer_hub_t *hub);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (peer_hub_t, peer_hub_free)
 
 /* The address at which INSTANCE accepts links; "" forgets it.  */
-void peer_hub_address (peer_hub_t *hub, const char *instance,
-                       const char *address);
+void peer_hub_set_address (peer_hub_t *hub, const char *instance,
+                           const char *address);
 
 /* Sends over the newest proved link to INSTANCE.  Without one it starts to
    dial, if the address is known, and returns false: nothing was sent.  False
@@ -85,12 +85,13 @@
 
 bool peer_hub_is_up (const peer_hub_t *hub, const char *instance);
 /* Whether the link is up, and its other side answers no PING by now: frozen or
-   cut off, which PEER_SILENCE_MS will show for certain.  */
-bool peer_hub_is_quiet (const peer_hub_t *hub, const char *instance,
-                        cfd_time_t now);
+   cut off, which PEER_SILENCE_TIMEOUT_MS will show for certain.  */
+bool peer_hub_is_unresponsive (const peer_hub_t *hub, const char *instance,
+                               cfd_time_t now);
 
 /* Bytes that wait in the output of the link, for flow control.  */
-size_t peer_hub_pending (const peer_hub_t *hub, const char *instance);
+size_t peer_hub_get_pending_bytes (const peer_hub_t *hub,
+                                   const char *instance);
 
 typedef struct
 {
@@ -105,9 +106,9 @@
   peer_traffic_t out[MSG_KIND_COUNT];
   uint64_t links_up, links_refused, frames_bad, silences;
 } peer_counters_t;
-void peer_hub_counters (const peer_hub_t *hub, peer_counters_t *counters);
+void peer_hub_get_counters (const peer_hub_t *hub, peer_counters_t *counters);
 
 /* Bytes of all control frames in TRAFFIC, by kind as above.  */
-uint64_t peer_control_bytes (const peer_traffic_t *traffic);
+uint64_t peer_sum_control_bytes (const peer_traffic_t *traffic);
 
 #endif
--- a/libcoltsfootdrum/wire/test-hubs.c
+++ b/libcoltsfootdrum/wire/test-hubs.c
@@ -70,12 +70,12 @@
 {
   static const peer_events_t events
       = { .message = on_message, .up = on_up, .down = on_down };
-  peer_self_t self = { .role = role,
-                       .instance = instance,
-                       .zone = "zone-a",
-                       .incarnation = incarnation,
-                       .listen = address,
-                       .secret = secret };
+  peer_hub_options_t self = { .role = role,
+                              .instance = instance,
+                              .zone = "zone-a",
+                              .incarnation = incarnation,
+                              .listen = address,
+                              .secret = secret };
   g_autoptr (GError) error = NULL;
 
   if (node->told == NULL)
@@ -146,7 +146,7 @@
 void
 hubs_hold_b (hubs_t *hubs)
 {
-  peer_hub_address (hubs->a.hub, "b", hubs->address_b);
+  peer_hub_set_address (hubs->a.hub, "b", hubs->address_b);
   peer_hub_hold (hubs->a.hub, "b");
 }
 
@@ -184,7 +184,7 @@
 {
   peer_counters_t counted;
 
-  peer_hub_counters (node->hub, &counted);
+  peer_hub_get_counters (node->hub, &counted);
   return counted;
 }
 
--- a/libcoltsfootdrum/wire/test-msg-state.c
+++ b/libcoltsfootdrum/wire/test-msg-state.c
@@ -31,8 +31,8 @@
 
   g_assert_nonnull (frame);
   g_assert_cmpint (
-      msg_length (frame->data, frame->len, true, &length, &prefix), ==,
-      MSG_LENGTH_WHOLE);
+      msg_parse_length (frame->data, frame->len, true, &length, &prefix), ==,
+      MSG_LENGTH_COMPLETE);
   g_assert_cmpuint (prefix + length, ==, frame->len);
   *bytes = frame->len;
   return msg_decode (frame->data + prefix, length, &line->receiver, NULL);
@@ -159,16 +159,16 @@
     uint32_t length;
     size_t prefix;
   } cases[] = {
-    { PAYLOAD (""), MSG_LENGTH_PART, 0, 0 },
-    { PAYLOAD ("\x7f"), MSG_LENGTH_WHOLE, 127, 1 },
-    { PAYLOAD ("\xcc"), MSG_LENGTH_PART, 0, 0 },
-    { PAYLOAD ("\xcc\x80"), MSG_LENGTH_WHOLE, 128, 2 },
-    { PAYLOAD ("\xcd\x01"), MSG_LENGTH_PART, 0, 0 },
-    { PAYLOAD ("\xcd\x01\x02"), MSG_LENGTH_WHOLE, 258, 3 },
-    { PAYLOAD ("\xce\xff\xff\xff\xfe"), MSG_LENGTH_WHOLE, 0xfffffffe, 5 },
-    { PAYLOAD ("\x80"), MSG_LENGTH_BAD, 0, 0 },
-    { PAYLOAD ("\xcf"), MSG_LENGTH_BAD, 0, 0 },
-    { PAYLOAD ("\xff"), MSG_LENGTH_BAD, 0, 0 },
+    { PAYLOAD (""), MSG_LENGTH_INCOMPLETE, 0, 0 },
+    { PAYLOAD ("\x7f"), MSG_LENGTH_COMPLETE, 127, 1 },
+    { PAYLOAD ("\xcc"), MSG_LENGTH_INCOMPLETE, 0, 0 },
+    { PAYLOAD ("\xcc\x80"), MSG_LENGTH_COMPLETE, 128, 2 },
+    { PAYLOAD ("\xcd\x01"), MSG_LENGTH_INCOMPLETE, 0, 0 },
+    { PAYLOAD ("\xcd\x01\x02"), MSG_LENGTH_COMPLETE, 258, 3 },
+    { PAYLOAD ("\xce\xff\xff\xff\xfe"), MSG_LENGTH_COMPLETE, 0xfffffffe, 5 },
+    { PAYLOAD ("\x80"), MSG_LENGTH_INVALID, 0, 0 },
+    { PAYLOAD ("\xcf"), MSG_LENGTH_INVALID, 0, 0 },
+    { PAYLOAD ("\xff"), MSG_LENGTH_INVALID, 0, 0 },
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -176,10 +176,11 @@
       uint32_t length;
       size_t prefix;
 
-      g_assert_cmpint (msg_length ((const uint8_t *)cases[i].bytes,
-                                   cases[i].have, true, &length, &prefix),
+      g_assert_cmpint (msg_parse_length ((const uint8_t *)cases[i].bytes,
+                                         cases[i].have, true, &length,
+                                         &prefix),
                        ==, cases[i].what);
-      if (cases[i].what != MSG_LENGTH_WHOLE)
+      if (cases[i].what != MSG_LENGTH_COMPLETE)
         continue;
       g_assert_cmpuint (length, ==, cases[i].length);
       g_assert_cmpuint (prefix, ==, cases[i].prefix);
--- a/libcoltsfootdrum/wire/test-peer-auth.c
+++ b/libcoltsfootdrum/wire/test-peer-auth.c
@@ -42,7 +42,7 @@
   hubs_start (&hubs, HUBS_SECRET);
   hubs_node_start (&hubs, &hubs.c, ROLE_AGENT, "c", hubs.address_c, 3,
                    HUBS_SECRET);
-  peer_hub_address (hubs.a.hub, "b", hubs.address_c);
+  peer_hub_set_address (hubs.a.hub, "b", hubs.address_c);
   peer_hub_hold (hubs.a.hub, "b");
   hubs_run_until (&hubs, a_refused);
   g_assert_cmpstr (hubs.a.told->str, ==, "");
--- a/libcoltsfootdrum/wire/test-peer-random.c
+++ b/libcoltsfootdrum/wire/test-peer-random.c
@@ -50,7 +50,7 @@
   ev_io_stop (hubs->loop, &link->readable);
   ev_io_stop (hubs->loop, &link->writable);
   if (peer_hub_is_up (hubs->a.hub, "b"))
-    hubs_link (&hubs->a, "b")->quiet_since -= PEER_SILENCE_MS;
+    hubs_link (&hubs->a, "b")->quiet_since -= PEER_SILENCE_TIMEOUT_MS;
 }
 
 static void
--- a/libcoltsfootdrum/wire/test-peer.c
+++ b/libcoltsfootdrum/wire/test-peer.c
@@ -26,9 +26,9 @@
   hubs_run_until (&hubs, hubs_both_up);
   g_assert_true (peer_hub_is_up (hubs.a.hub, "b"));
   g_assert_true (peer_hub_send (hubs.a.hub, "b", &cancel));
-  g_assert_cmpuint (peer_hub_pending (hubs.a.hub, "b"), >, 0);
+  g_assert_cmpuint (peer_hub_get_pending_bytes (hubs.a.hub, "b"), >, 0);
   hubs_run_until (&hubs, a_got_ack);
-  g_assert_cmpuint (peer_hub_pending (hubs.a.hub, "b"), ==, 0);
+  g_assert_cmpuint (peer_hub_get_pending_bytes (hubs.a.hub, "b"), ==, 0);
   g_assert_cmpstr (hubs.b.told->str, ==, "+a/1 CANCEL<a ");
   g_assert_cmpuint (hubs_counters (&hubs.a).links_up, ==, 1);
   hubs_end (&hubs);
@@ -85,7 +85,7 @@
 static bool
 b_is_quiet (hubs_t *hubs)
 {
-  return peer_hub_is_quiet (hubs->a.hub, "b", clock_now ());
+  return peer_hub_is_unresponsive (hubs->a.hub, "b", clock_now ());
 }
 
 /* The caller sees nothing: the router's held link to an agent goes silent for
@@ -213,7 +213,7 @@
   hubs_start (&hubs, HUBS_SECRET);
   hubs_node_start (&hubs, &hubs.c, ROLE_ROUTER, "c", hubs.address_c, 3,
                    HUBS_SECRET);
-  peer_hub_address (hubs.c.hub, "a", hubs.address_a);
+  peer_hub_set_address (hubs.c.hub, "a", hubs.address_a);
   peer_hub_hold (hubs.c.hub, "a");
   while (!hubs_told (&hubs.a, "+c/3 "))
     ev_run (hubs.loop, EVRUN_ONCE);
@@ -221,7 +221,7 @@
   hubs_node_stop (&hubs.b);
   hubs_node_start (&hubs, &hubs.b, ROLE_ROUTER, "c", hubs.address_b, 4,
                    HUBS_SECRET);
-  peer_hub_address (hubs.b.hub, "a", hubs.address_a);
+  peer_hub_set_address (hubs.b.hub, "a", hubs.address_a);
   peer_hub_hold (hubs.b.hub, "a");
   hubs_run_until (&hubs, a_saw_successor);
   g_assert_cmpuint (hubs_counters (&hubs.a).links_up, ==, 1);
@@ -243,8 +243,8 @@
   hubs_hold_b (&hubs);
   hubs_run_until (&hubs, hubs_both_up);
   while (peer_hub_send (hubs.a.hub, "b", &data))
-    most = MAX (most, peer_hub_pending (hubs.a.hub, "b"));
-  g_assert_cmpuint (most, <=, PEER_OUTPUT_MAX);
+    most = MAX (most, peer_hub_get_pending_bytes (hubs.a.hub, "b"));
+  g_assert_cmpuint (most, <=, PEER_MAX_OUTPUT_BYTES);
   g_assert_cmpstr (hubs.a.told->str, ==, "+b/2 ");
   hubs_run_until (&hubs, a_up_again);
   hubs_end (&hubs);
--- a/tests/bench-link.c
+++ b/tests/bench-link.c
@@ -92,11 +92,12 @@
 
   g_snprintf (bench->address, sizeof bench->address, "127.78.%u.%u:%u",
               (unsigned)getpid () >> 8 & 255, (unsigned)getpid () & 255, port);
-  hub = peer_hub_new (
-      bench->loop,
-      &(peer_self_t){ role, name, "zone-a", port, bench->address, SECRET },
-      NULL, role == ROLE_ROUTER ? &router_events : &agent_events, bench,
-      &error);
+  hub = peer_hub_new (bench->loop,
+                      &(peer_hub_options_t){ role, name, "zone-a", port,
+                                             bench->address, SECRET },
+                      NULL,
+                      role == ROLE_ROUTER ? &router_events : &agent_events,
+                      bench, &error);
   if (hub == NULL)
     g_error ("%s", error->message);
   return hub;
@@ -112,7 +113,7 @@
       g_autofree char *name = g_strdup_printf ("agent-%u", i);
 
       bench->agents[i] = start_hub (bench, ROLE_AGENT, name, 8000 + i);
-      peer_hub_address (bench->router, name, bench->address);
+      peer_hub_set_address (bench->router, name, bench->address);
     }
   memory = resident_kb ();
   for (unsigned i = 0; i < AGENTS; i++)
@@ -163,18 +164,20 @@
   double start = cpu_us ();
   ev_timer end;
 
-  peer_hub_counters (bench->router, &before);
+  peer_hub_get_counters (bench->router, &before);
   ev_timer_init (&end, on_idle_end, IDLE_S, 0);
   ev_timer_start (bench->loop, &end);
   ev_run (bench->loop, 0);
-  peer_hub_counters (bench->router, &after);
-  printf ("held without work: %.1f B/s out, %.1f B/s in, %.2f us/s of CPU a "
-          "link, both ends\n",
-          (peer_control_bytes (after.out) - peer_control_bytes (before.out))
-              / IDLE_S / AGENTS,
-          (peer_control_bytes (after.in) - peer_control_bytes (before.in))
-              / IDLE_S / AGENTS,
-          (cpu_us () - start) / IDLE_S / AGENTS);
+  peer_hub_get_counters (bench->router, &after);
+  printf (
+      "held without work: %.1f B/s out, %.1f B/s in, %.2f us/s of CPU a "
+      "link, both ends\n",
+      (peer_sum_control_bytes (after.out)
+       - peer_sum_control_bytes (before.out))
+          / IDLE_S / AGENTS,
+      (peer_sum_control_bytes (after.in) - peer_sum_control_bytes (before.in))
+          / IDLE_S / AGENTS,
+      (cpu_us () - start) / IDLE_S / AGENTS);
 }
 
 int
--- a/tests/bench-state.c
+++ b/tests/bench-state.c
@@ -57,7 +57,7 @@
 add_account (GString *text, unsigned number)
 {
   g_autofree char *key = g_strdup_printf ("key-%u", number);
-  g_autofree char *hash = rec_key_hash (key);
+  g_autofree char *hash = rec_hash_key_to_hex (key);
 
   g_string_append_printf (
       text,
@@ -83,7 +83,7 @@
         add_account (text, i);
       g_string_append (text, "]}");
       root = json_from_string (text->str, NULL);
-      store_take_objects (store, json_node_get_object (root), 1000);
+      store_apply_objects (store, json_node_get_object (root), 1000);
     }
 }
 
@@ -131,7 +131,7 @@
 
   if (!read_bytes (fd, prefix, sizeof prefix))
     return NULL;
-  (void)msg_length (prefix, sizeof prefix, false, &length, &used);
+  (void)msg_parse_length (prefix, sizeof prefix, false, &length, &used);
   payload = g_malloc (length);
   if (!read_bytes (fd, payload, length))
     return NULL;
@@ -151,7 +151,7 @@
   fill (store, accounts);
   /* Its first list ended after the last change at the receiver.  */
   store->revision = accounts + 1;
-  store->deletions_from = accounts + 1;
+  store->deletions_known_from = accounts + 1;
   reset_peak ();
   before = status_kb ("VmRSS:");
   for (;;)
@@ -191,7 +191,7 @@
   part = read_frame (fd);
   if (part == NULL)
     return false;
-  store_take_part (store, &part->u.config_part, 2000);
+  store_apply_part (store, &part->u.config_part, 2000);
   return true;
 }
 
--- a/tests/bench-wire.c
+++ b/tests/bench-wire.c
@@ -73,7 +73,7 @@
 
       g_clear_pointer (&frame, g_byte_array_unref);
       frame = msg_encode (&row->message, sender);
-      (void)msg_length (frame->data, frame->len, true, &length, &prefix);
+      (void)msg_parse_length (frame->data, frame->len, true, &length, &prefix);
       msg_free (msg_decode (frame->data + prefix, length, receiver, NULL));
     }
   return frame;
@@ -91,7 +91,7 @@
   double start = cpu_us ();
   double encoded;
 
-  (void)msg_length (frame->data, frame->len, true, &length, &prefix);
+  (void)msg_parse_length (frame->data, frame->len, true, &length, &prefix);
   for (int i = 0; i < ROUNDS; i++)
     g_byte_array_unref (msg_encode (&row->message, &sender));
   encoded = cpu_us ();
--- a/tests/fleet-records.c
+++ b/tests/fleet-records.c
@@ -23,7 +23,7 @@
 put_old_account (fleet_t *fleet, const fleet_account_t *account,
                  GError **error)
 {
-  g_autofree char *hash = rec_key_hash (account->key);
+  g_autofree char *hash = rec_hash_key_to_hex (account->key);
   g_autofree char *spec
       = g_strdup_printf ("{\"schema\":1,\"weight\":%g,\"key_hash\":\"%s\"}",
                          account->weight, hash);
@@ -55,7 +55,7 @@
 static bool
 put_account (fleet_t *fleet, const fleet_account_t *account, GError **error)
 {
-  g_autofree char *hash = rec_key_hash (account->key);
+  g_autofree char *hash = rec_hash_key_to_hex (account->key);
   g_autofree char *spec = g_strdup_printf (
       "{\"schema\":2,\"weight\":%g,\"keys\":[{\"hash\":\"%s\"}],"
       "\"queue_max\":%u}",
--- a/tests/fuzz-frames.c
+++ b/tests/fuzz-frames.c
@@ -48,8 +48,8 @@
 {
   size_t prefix;
 
-  if (msg_length (frame->data, frame->len, is_short, length, &prefix)
-      != MSG_LENGTH_WHOLE)
+  if (msg_parse_length (frame->data, frame->len, is_short, length, &prefix)
+      != MSG_LENGTH_COMPLETE)
     abort ();
   return frame->data + prefix;
 }
@@ -103,7 +103,8 @@
   uint32_t length;
   size_t prefix;
 
-  while (msg_length (data, size, true, &length, &prefix) == MSG_LENGTH_WHOLE
+  while (msg_parse_length (data, size, true, &length, &prefix)
+             == MSG_LENGTH_COMPLETE
          && prefix + length <= size && pass_on (&relay, data + prefix, length))
     {
       data += prefix + length;
--- a/tests/measure-memory.c
+++ b/tests/measure-memory.c
@@ -19,7 +19,7 @@
 add_account (GString *body, unsigned number)
 {
   g_autofree char *key = g_strdup_printf ("key-%u", number);
-  g_autofree char *hash = rec_key_hash (key);
+  g_autofree char *hash = rec_hash_key_to_hex (key);
 
   g_string_append_printf (
       body,
