--- a/libcoltsfootdrum/admin/admin-node.c
+++ b/libcoltsfootdrum/admin/admin-node.c
@@ -25,7 +25,7 @@
       if (sort != TRAFFIC_FRAMES
           && msg_is_control (kind) != (sort == TRAFFIC_CONTROL))
         continue;
-      prom_sample (out, name, "counter", labels, (double)value);
+      prom_append_sample (out, name, "counter", labels, (double)value);
     }
 }
 
@@ -57,13 +57,13 @@
       put_traffic (out, traffic[sort], sort, "out", c.out);
     }
   for (size_t i = 0; i < G_N_ELEMENTS (counters); i++)
-    prom_sample (out, counters[i].name, "counter", counters[i].labels,
-                 (double)counters[i].value);
+    prom_append_sample (out, counters[i].name, "counter", counters[i].labels,
+                        (double)counters[i].value);
   if (up_ms > 0)
-    prom_sample (out, "cfd_control_bytes_per_second", "gauge", NULL,
-                 (double)(peer_sum_control_bytes (c.in)
-                          + peer_sum_control_bytes (c.out))
-                     * 1000 / (double)up_ms);
+    prom_append_sample (out, "cfd_control_bytes_per_second", "gauge", NULL,
+                        (double)(peer_sum_control_bytes (c.in)
+                                 + peer_sum_control_bytes (c.out))
+                            * 1000 / (double)up_ms);
 }
 
 static void
@@ -74,39 +74,41 @@
 }
 
 void
-admin_node_metrics (const admin_node_t *node, cfd_time_t started, GString *out)
+admin_node_append_metrics (const admin_node_t *node, cfd_time_t started,
+                           GString *out)
 {
   cfd_time_t now = clock_now ();
   unsigned zones_out = 0;
 
   store_foreach (node->store, REC_ZONE, count_out, &zones_out);
-  prom_sample (out, "cfd_config_revision", "gauge", NULL,
-               (double)store_get_revision (node->store));
-  prom_sample (out, "cfd_config_age_ms", "gauge", NULL,
-               store_get_age_ms (node->store, now));
-  prom_sample (out, "cfd_config_behind_ms", "gauge", NULL,
-               (double)store_get_behind_ms (node->store, now));
-  prom_sample (out, "cfd_platform_up", "gauge", NULL,
-               store_is_platform_up (node->store));
-  prom_sample (out, "cfd_platform_calls_total", "counter", NULL,
-               (double)plat_calls (node->plat));
-  prom_sample (out, "cfd_zones_out", "gauge", NULL, zones_out);
+  prom_append_sample (out, "cfd_config_revision", "gauge", NULL,
+                      (double)store_get_revision (node->store));
+  prom_append_sample (out, "cfd_config_age_ms", "gauge", NULL,
+                      store_get_age_ms (node->store, now));
+  prom_append_sample (out, "cfd_config_behind_ms", "gauge", NULL,
+                      (double)store_get_behind_ms (node->store, now));
+  prom_append_sample (out, "cfd_platform_up", "gauge", NULL,
+                      store_is_platform_up (node->store));
+  prom_append_sample (out, "cfd_platform_calls_total", "counter", NULL,
+                      (double)plat_count_calls (node->plat));
+  prom_append_sample (out, "cfd_zones_out", "gauge", NULL, zones_out);
   put_links (node->hub, now - started, out);
 }
 
 void
-admin_node_status (const admin_node_t *node, const char *not_ready,
-                   JsonBuilder *out)
+admin_node_add_status (const admin_node_t *node, const char *not_ready,
+                       JsonBuilder *out)
 {
-  admin_text (out, "instance", node->instance);
-  admin_text (out, "role", node->role);
-  admin_text (out, "zone", node->zone);
-  admin_number (out, "revision", (int64_t)store_get_revision (node->store));
-  admin_number (out, "config_age_ms",
-                store_get_age_ms (node->store, clock_now ()));
+  admin_add_text (out, "instance", node->instance);
+  admin_add_text (out, "role", node->role);
+  admin_add_text (out, "zone", node->zone);
+  admin_add_number (out, "revision",
+                    (int64_t)store_get_revision (node->store));
+  admin_add_number (out, "config_age_ms",
+                    store_get_age_ms (node->store, clock_now ()));
   json_builder_set_member_name (out, "platform_up");
   json_builder_add_boolean_value (out, store_is_platform_up (node->store));
   json_builder_set_member_name (out, "ready");
   json_builder_add_boolean_value (out, not_ready == NULL);
-  admin_text (out, "why_not", not_ready);
+  admin_add_text (out, "why_not", not_ready);
 }
--- a/libcoltsfootdrum/admin/admin.c
+++ b/libcoltsfootdrum/admin/admin.c
@@ -14,7 +14,7 @@
   web_server_t *server;
   admin_node_t node;
   cfd_time_t started;
-  admin_source_t source;
+  admin_callbacks_t source;
   void *user;
 };
 
@@ -33,7 +33,7 @@
   if (why == NULL)
     respond_text (request, 200, "text/plain", "ready\n");
   else
-    web_problem (request, 503, "Not ready", why, "not-run", 1);
+    web_respond_problem (request, 503, "Not ready", why, "not-run", 1);
 }
 
 static void
@@ -41,12 +41,12 @@
 {
   g_autoptr (GString) out = g_string_new (NULL);
 
-  admin_node_metrics (&admin->node, admin->started, out);
-  prom_sample (out, "cfd_ready", "gauge", NULL,
-               admin->source.not_ready (admin->user) == NULL);
+  admin_node_append_metrics (&admin->node, admin->started, out);
+  prom_append_sample (out, "cfd_ready", "gauge", NULL,
+                      admin->source.not_ready (admin->user) == NULL);
   admin->source.metrics (admin->user, out);
-  prom_sample (out, "cfd_invariant_failures_total", "counter", NULL,
-               invariant_failures ());
+  prom_append_sample (out, "cfd_invariant_failures_total", "counter", NULL,
+                      invariant_count_failures ());
   web_respond (request, 200, "text/plain; version=0.0.4", NULL, out->str,
                out->len);
 }
@@ -59,8 +59,8 @@
   g_autofree char *text = NULL;
 
   json_builder_begin_object (builder);
-  admin_node_status (&admin->node, admin->source.not_ready (admin->user),
-                     builder);
+  admin_node_add_status (&admin->node, admin->source.not_ready (admin->user),
+                         builder);
   admin->source.status (admin->user, builder);
   json_builder_end_object (builder);
   root = json_builder_get_root (builder);
@@ -81,12 +81,12 @@
       && !g_ascii_string_to_unsigned (since, 10, 0, G_MAXUINT64, &sequence,
                                       NULL))
     {
-      web_problem (request, 400, "Bad sequence",
-                   "since must be a whole number; leave it out for all",
-                   "not-run", -1);
+      web_respond_problem (
+          request, 400, "Bad sequence",
+          "since must be a whole number; leave it out for all", "not-run", -1);
       return;
     }
-  text = tl_json (admin->node.ring, sequence, &filter);
+  text = tl_to_json (admin->node.ring, sequence, &filter);
   respond_text (request, 200, "application/json", text);
 }
 
@@ -97,8 +97,8 @@
   const char *path = web_path (request);
 
   if (!g_str_equal (web_method (request), "GET"))
-    web_problem (request, 405, "Only GET", "the admin port changes nothing",
-                 "not-run", -1);
+    web_respond_problem (request, 405, "Only GET",
+                         "the admin port changes nothing", "not-run", -1);
   else if (g_str_equal (path, "/healthz"))
     respond_text (request, 200, "text/plain", "ok\n");
   else if (g_str_equal (path, "/readyz"))
@@ -110,14 +110,15 @@
   else if (g_str_equal (path, "/events"))
     respond_events (admin, request);
   else
-    web_problem (request, 404, "No such page",
-                 "there are /healthz, /readyz, /metrics, /status, /events",
-                 "not-run", -1);
+    web_respond_problem (
+        request, 404, "No such page",
+        "there are /healthz, /readyz, /metrics, /status, /events", "not-run",
+        -1);
 }
 
 admin_t *
 admin_new (struct ev_loop *loop, const char *address, const admin_node_t *node,
-           const admin_source_t *source, void *user, GError **error)
+           const admin_callbacks_t *source, void *user, GError **error)
 {
   static const web_limits_t limits
       = { ADMIN_BODY_MAX, ADMIN_CONNECTIONS, ADMIN_IDLE_S };
@@ -144,14 +145,14 @@
 }
 
 void
-admin_text (JsonBuilder *out, const char *name, const char *value)
+admin_add_text (JsonBuilder *out, const char *name, const char *value)
 {
   json_builder_set_member_name (out, name);
   json_builder_add_string_value (out, value != NULL ? value : "");
 }
 
 void
-admin_number (JsonBuilder *out, const char *name, int64_t value)
+admin_add_number (JsonBuilder *out, const char *name, int64_t value)
 {
   json_builder_set_member_name (out, name);
   json_builder_add_int_value (out, value);
--- a/libcoltsfootdrum/admin/admin.h
+++ b/libcoltsfootdrum/admin/admin.h
@@ -39,22 +39,22 @@
   /* Adds members to those that all daemons have: instance, role, zone,
      revision, config_age_ms, platform_up, ready, why_not.  */
   void (*status) (void *user, JsonBuilder *out);
-} admin_source_t;
+} admin_callbacks_t;
 
 admin_t *admin_new (struct ev_loop *loop, const char *address,
-                    const admin_node_t *node, const admin_source_t *source,
+                    const admin_node_t *node, const admin_callbacks_t *source,
                     void *user, GError **error);
 void admin_free (admin_t *admin);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (admin_t, admin_free)
 
 /* Members of the status object.  */
-void admin_text (JsonBuilder *out, const char *name, const char *value);
-void admin_number (JsonBuilder *out, const char *name, int64_t value);
+void admin_add_text (JsonBuilder *out, const char *name, const char *value);
+void admin_add_number (JsonBuilder *out, const char *name, int64_t value);
 
 /* ---- admin-node.c ---- */
-void admin_node_metrics (const admin_node_t *node, cfd_time_t started,
-                         GString *out);
-void admin_node_status (const admin_node_t *node, const char *not_ready,
-                        JsonBuilder *out);
+void admin_node_append_metrics (const admin_node_t *node, cfd_time_t started,
+                                GString *out);
+void admin_node_add_status (const admin_node_t *node, const char *not_ready,
+                            JsonBuilder *out);
 
 #endif
--- a/libcoltsfootdrum/admin/prom.c
+++ b/libcoltsfootdrum/admin/prom.c
@@ -17,8 +17,8 @@
 }
 
 void
-prom_sample (GString *out, const char *name, const char *type,
-             const char *labels, double value)
+prom_append_sample (GString *out, const char *name, const char *type,
+                    const char *labels, double value)
 {
   char number[G_ASCII_DTOSTR_BUF_SIZE];
 
@@ -31,7 +31,7 @@
 }
 
 void
-prom_hist_add (prom_hist_t *hist, int64_t ms)
+prom_hist_observe (prom_hist_t *hist, int64_t ms)
 {
   unsigned i = 0;
 
@@ -42,8 +42,8 @@
 }
 
 void
-prom_hist_put (const prom_hist_t *hist, GString *out, const char *name,
-               const char *labels)
+prom_hist_append (const prom_hist_t *hist, GString *out, const char *name,
+                  const char *labels)
 {
   uint64_t below = 0;
 
--- a/libcoltsfootdrum/admin/prom.h
+++ b/libcoltsfootdrum/admin/prom.h
@@ -9,8 +9,8 @@
 
 /* Appends one sample, before the first of its name the type line; TYPE is
    "counter" or "gauge", LABELS is NULL or "name=\"value\",...".  */
-void prom_sample (GString *out, const char *name, const char *type,
-                  const char *labels, double value);
+void prom_append_sample (GString *out, const char *name, const char *type,
+                         const char *labels, double value);
 
 /* Upper bounds are 1, 2, 5, 10, ... up to 10,000 ms, then infinity: a third of
    a decade apart, from a loopback's round trip to callers' deadlines.  */
@@ -22,11 +22,11 @@
   double sum_ms;
 } prom_hist_t;
 
-void prom_hist_add (prom_hist_t *hist, int64_t ms);
+void prom_hist_observe (prom_hist_t *hist, int64_t ms);
 
 /* Appends HIST; LABELS is "name=\"value\",...", and
    the type line comes before the first of its name.  */
-void prom_hist_put (const prom_hist_t *hist, GString *out, const char *name,
-                    const char *labels);
+void prom_hist_append (const prom_hist_t *hist, GString *out, const char *name,
+                       const char *labels);
 
 #endif
--- a/libcoltsfootdrum/admin/test-prom.c
+++ b/libcoltsfootdrum/admin/test-prom.c
@@ -43,8 +43,8 @@
       g_autoptr (GString) out = g_string_new (NULL);
       prom_hist_t hist = { 0 };
 
-      prom_hist_add (&hist, cases[i].ms);
-      prom_hist_put (&hist, out, "cfd_x_ms", LABELS);
+      prom_hist_observe (&hist, cases[i].ms);
+      prom_hist_append (&hist, out, "cfd_x_ms", LABELS);
       g_assert_true (has_bucket (out, cases[i].first, 1));
       g_assert_true (cases[i].before == NULL
                      || has_bucket (out, cases[i].before, 0));
@@ -59,10 +59,10 @@
   prom_hist_t hist = { 0 };
   const char *type = "# TYPE cfd_x_ms histogram\n";
 
-  prom_hist_add (&hist, 7);
-  prom_hist_add (&hist, 70);
-  prom_hist_put (&hist, out, "cfd_x_ms", LABELS);
-  prom_hist_put (&hist, out, "cfd_x_ms", "service=\"other\"");
+  prom_hist_observe (&hist, 7);
+  prom_hist_observe (&hist, 70);
+  prom_hist_append (&hist, out, "cfd_x_ms", LABELS);
+  prom_hist_append (&hist, out, "cfd_x_ms", "service=\"other\"");
   g_assert_true (g_str_has_prefix (out->str, type));
   g_assert_null (strstr (out->str + 1, type));
   g_assert_nonnull (strstr (out->str, "cfd_x_ms_sum{" LABELS "} 77\n"));
--- a/libcoltsfootdrum/admit/adm.c
+++ b/libcoltsfootdrum/admit/adm.c
@@ -70,7 +70,7 @@
   queue = g_new0 (queue_t, 1);
   queue->key.account = item->account;
   queue->key.service = item->service;
-  pair_own (&queue->key);
+  pair_copy_names (&queue->key);
   queue->drained = now;
   for (unsigned i = 0; i < ADM_CLASSES_MAX; i++)
     list_init (&queue->classes[i]);
--- a/libcoltsfootdrum/agent/agent-admin.c
+++ b/libcoltsfootdrum/agent/agent-admin.c
@@ -9,7 +9,7 @@
 {
   g_autofree char *full = g_strconcat ("cfd_agent_", name, NULL);
 
-  prom_sample (text, full, type, NULL, value);
+  prom_append_sample (text, full, type, NULL, value);
 }
 
 static void
@@ -70,10 +70,10 @@
   add_metric (text, "queued", "gauge", agent->queued);
   add_metric (text, "may_grant", "gauge",
               agent_update_grant_reason (agent, now) == GRANT_ALLOWED);
-  prom_sample (text, "cfd_fairness_spread", "gauge", NULL,
-               pick_compute_vt_spread (agent->pick, now));
-  prom_sample (text, "cfd_utilisation", "gauge", NULL,
-               compute_utilisation (agent));
+  prom_append_sample (text, "cfd_fairness_spread", "gauge", NULL,
+                      pick_compute_vt_spread (agent->pick, now));
+  prom_append_sample (text, "cfd_utilisation", "gauge", NULL,
+                      compute_utilisation (agent));
 }
 
 static void
@@ -99,19 +99,19 @@
   cfd_agent_t *agent = user;
   grant_reason_t reason = agent_update_grant_reason (agent, clock_now ());
 
-  admin_text (out, "endpoint", agent->endpoint);
-  admin_text (out, "service", agent->service);
-  admin_text (out, "state", grant_reason_name (reason));
-  admin_text (out, "limit", lim_state_name (agent->lim.state));
-  admin_number (out, "in_flight", agent->busy_slots);
-  admin_number (out, "slots", agent->lim.slots);
-  admin_number (out, "waiting", pick_count_waiting (agent->pick));
+  admin_add_text (out, "endpoint", agent->endpoint);
+  admin_add_text (out, "service", agent->service);
+  admin_add_text (out, "state", grant_reason_name (reason));
+  admin_add_text (out, "limit", lim_state_name (agent->lim.state));
+  admin_add_number (out, "in_flight", agent->busy_slots);
+  admin_add_number (out, "slots", agent->lim.slots);
+  admin_add_number (out, "waiting", pick_count_waiting (agent->pick));
 }
 
 bool
 agent_admin_start (cfd_agent_t *agent, const char *address, GError **error)
 {
-  static const admin_source_t source
+  static const admin_callbacks_t source
       = { get_not_ready_reason, write_metrics, write_status };
 
   const admin_node_t node
--- a/libcoltsfootdrum/agent/agent-control.c
+++ b/libcoltsfootdrum/agent/agent-control.c
@@ -90,8 +90,8 @@
   fetch_request_t request = {
     .method = "POST",
     .url = url,
-    .connect_ms = CANCEL_TIMEOUT_MS,
-    .total_ms = CANCEL_TIMEOUT_MS,
+    .connect_timeout_ms = CANCEL_TIMEOUT_MS,
+    .total_timeout_ms = CANCEL_TIMEOUT_MS,
     .done = on_cancelled,
     .user = run,
   };
@@ -187,7 +187,7 @@
   run_t *run = user;
 
   run->fetch = NULL;
-  if (result == FETCH_ANSWERED)
+  if (result == FETCH_COMPLETE)
     {
       run_reconnect (run);
       return;
@@ -209,8 +209,8 @@
   g_autofree char *url = g_strconcat (run->agent->url, "/v1/load", NULL);
   fetch_request_t request = { .method = "GET",
                               .url = url,
-                              .connect_ms = PROBE_TIMEOUT_MS,
-                              .total_ms = PROBE_TIMEOUT_MS,
+                              .connect_timeout_ms = PROBE_TIMEOUT_MS,
+                              .total_timeout_ms = PROBE_TIMEOUT_MS,
                               .done = on_probe_done,
                               .user = run };
 
--- a/libcoltsfootdrum/agent/agent-run.c
+++ b/libcoltsfootdrum/agent/agent-run.c
@@ -359,7 +359,7 @@
   run->fetch = NULL;
   switch (result)
     {
-    case FETCH_ANSWERED:
+    case FETCH_COMPLETE:
       if (run->is_turned_away && !run->is_reconnected)
         run_finish (run, OUTCOME_BROKEN, "the endpoint can't serve", now);
       else if (run->is_resume_refused || !is_answer_complete (run))
@@ -367,18 +367,18 @@
       else
         run_finish (run, OUTCOME_COMPLETE, "complete", now);
       return;
-    case FETCH_UNREACHED:
+    case FETCH_CONNECT_FAILED:
       if (run->is_reconnected)
         run_finish (run, OUTCOME_BROKEN, detail, now);
       else
         run_finish (run, OUTCOME_UNREACHED, detail, now);
       return;
-    case FETCH_WITHHELD:
+    case FETCH_SEND_DENIED:
       run->was_withheld = true;
       run_finish (run, OUTCOME_UNREACHED,
                   "stopped before it was sent, and in doubt since", now);
       return;
-    case FETCH_BROKEN:
+    case FETCH_INCOMPLETE:
     case FETCH_TIMEOUT:
       run_handle_break (run, detail, now);
       return;
@@ -423,7 +423,7 @@
     .headers = (const char *const *)run->headers->pdata,
     .body = run->body->data,
     .body_length = run->body->len,
-    .repeatable = run->idempotent && !run->is_model,
+    .reuse_connection = run->idempotent && !run->is_model,
     .may_send = may_send,
   };
 
--- a/libcoltsfootdrum/agent/agent-settle.c
+++ b/libcoltsfootdrum/agent/agent-settle.c
@@ -53,13 +53,13 @@
 
   agent->settle_fetch = NULL;
   agent->settle_poll_at = now + POLL_INTERVAL_MS;
-  if (result == FETCH_ANSWERED && status == 200)
+  if (result == FETCH_COMPLETE && status == 200)
     running = parse_running (body);
   if (running == 0)
     end_settling (agent, "nothing runs there");
-  else if (running < 0 && result == FETCH_ANSWERED)
+  else if (running < 0 && result == FETCH_COMPLETE)
     end_settling (agent, "the engine gives no report");
-  else if (result == FETCH_UNREACHED)
+  else if (result == FETCH_CONNECT_FAILED)
     end_settling (agent, "the engine is not reached");
   agent_fill_slots (agent, now);
 }
@@ -76,7 +76,8 @@
 settle_tick (cfd_agent_t *agent, cfd_time_t now)
 {
   g_autofree char *url = NULL;
-  fetch_request_t request = { .method = "GET", .total_ms = REPORT_TIMEOUT_MS };
+  fetch_request_t request
+      = { .method = "GET", .total_timeout_ms = REPORT_TIMEOUT_MS };
 
   if (!agent->is_settling || !agent->has_endpoint || !agent->has_service)
     return;
--- a/libcoltsfootdrum/base/addr.c
+++ b/libcoltsfootdrum/base/addr.c
@@ -76,7 +76,7 @@
 }
 
 int
-addr_dial (const addr_t *addr)
+addr_connect (const addr_t *addr)
 {
   int on = 1;
   int fd;
--- a/libcoltsfootdrum/base/addr.h
+++ b/libcoltsfootdrum/base/addr.h
@@ -23,6 +23,6 @@
 
 /* A non-blocking, close-on-exec socket whose connect to ADDR has begun or is
    done; -1 with errno set.  */
-int addr_dial (const addr_t *addr);
+int addr_connect (const addr_t *addr);
 
 #endif
--- a/libcoltsfootdrum/base/clock.c
+++ b/libcoltsfootdrum/base/clock.c
@@ -28,13 +28,13 @@
 static int64_t (*wall_source) (void);
 
 void
-clock_set_wall (int64_t (*source) (void))
+clock_set_wall_source (int64_t (*source) (void))
 {
   wall_source = source;
 }
 
 int64_t
-clock_wall (void)
+clock_wall_ms (void)
 {
   if (wall_source != NULL)
     return wall_source ();
--- a/libcoltsfootdrum/base/clock.h
+++ b/libcoltsfootdrum/base/clock.h
@@ -21,11 +21,11 @@
 int64_t clock_now_us (void);
 
 /* Milliseconds of wall time since 1970, for display alone.  */
-int64_t clock_wall (void);
+int64_t clock_wall_ms (void);
 
 /* Puts SOURCE in place of the system's wall clock, for tests in which it
    jumps; NULL is the system's again.  */
-void clock_set_wall (int64_t (*source) (void));
+void clock_set_wall_source (int64_t (*source) (void));
 
 /* A hybrid logical clock: the upper 48 bits are wall milliseconds, the lower
    16 count events.  Ticking orders each event after its causes, whatever the
--- a/libcoltsfootdrum/base/log.c
+++ b/libcoltsfootdrum/base/log.c
@@ -142,7 +142,7 @@
 
   json_builder_begin_object (builder);
   json_builder_set_member_name (builder, "wall_ms");
-  json_builder_add_int_value (builder, clock_wall ());
+  json_builder_add_int_value (builder, clock_wall_ms ());
   json_builder_set_member_name (builder, "level");
   json_builder_add_string_value (builder, level_names[level]);
   json_builder_set_member_name (builder, "instance");
@@ -360,14 +360,14 @@
 }
 
 void *
-invariant_hook_user (void)
+invariant_get_hook_user (void)
 {
   return state.hook_user;
 }
 
 void
-invariant_failed (const char *invariant, const char *file, int line,
-                  const char *detail)
+invariant_report_failure (const char *invariant, const char *file, int line,
+                          const char *detail)
 {
   state.failures++;
   log_error ("invariant", "Broken: name=%s at=%s:%d detail=%s.", invariant,
@@ -380,7 +380,7 @@
 }
 
 unsigned
-invariant_failures (void)
+invariant_count_failures (void)
 {
   return state.failures;
 }
--- a/libcoltsfootdrum/base/log.h
+++ b/libcoltsfootdrum/base/log.h
@@ -41,22 +41,22 @@
 
 /* Counts a broken invariant, logs it with the time line's last events, and
    aborts in builds with CFD_ABORT_ON_VIOLATION.  */
-void invariant_failed (const char *invariant, const char *file, int line,
-                       const char *detail);
-unsigned invariant_failures (void);
+void invariant_report_failure (const char *invariant, const char *file,
+                               int line, const char *detail);
+unsigned invariant_count_failures (void);
 
 /* Called at each broken invariant, before the abort of test builds; the time
    line registers itself here.  */
 typedef void (*invariant_hook_t) (void *user, const char *invariant,
                                   const char *detail);
 void invariant_set_hook (invariant_hook_t hook, void *user);
-void *invariant_hook_user (void);
+void *invariant_get_hook_user (void);
 
 #define INVARIANT(name, condition, detail)                                    \
   do                                                                          \
     {                                                                         \
       if (!(condition))                                                       \
-        invariant_failed (name, __FILE__, __LINE__, detail);                  \
+        invariant_report_failure (name, __FILE__, __LINE__, detail);          \
     }                                                                         \
   while (0)
 
--- a/libcoltsfootdrum/base/pair.c
+++ b/libcoltsfootdrum/base/pair.c
@@ -23,7 +23,7 @@
 }
 
 void
-pair_own (pair_t *pair)
+pair_copy_names (pair_t *pair)
 {
   size_t account_size = strlen (pair->account) + 1;
   size_t service_size = strlen (pair->service) + 1;
@@ -72,7 +72,7 @@
   pair_t *entry = g_malloc0 (size);
 
   *entry = (pair_t){ account, service };
-  pair_own (entry);
+  pair_copy_names (entry);
   g_hash_table_insert (table, entry, entry);
   return entry;
 }
--- a/libcoltsfootdrum/base/pair.h
+++ b/libcoltsfootdrum/base/pair.h
@@ -17,7 +17,7 @@
 
 /* Replaces the borrowed names of PAIR by copies in one block, to be freed by
    pair_clear.  */
-void pair_own (pair_t *pair);
+void pair_copy_names (pair_t *pair);
 void pair_clear (pair_t *pair);
 
 /* Tables of entries that begin with their pair_t.  FREE_ENTRY must call
--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -67,7 +67,7 @@
 static void
 note_platform (follow_t *follow, plat_status_t status)
 {
-  bool is_up = status == PLAT_OK || status == PLAT_GONE;
+  bool is_up = status == PLAT_OK || status == PLAT_REVISION_EXPIRED;
 
   if (is_up == follow->store->platform_is_up)
     return;
@@ -144,7 +144,7 @@
       json_object_unref (answer);
       arm (follow, &follow->step, store->revision > before ? 0 : GAP_MS);
       return;
-    case PLAT_GONE:
+    case PLAT_REVISION_EXPIRED:
       log_info (PART, "The platform's history is too short, listing again.");
       follow->history_is_short = true;
       forget_list (follow);
@@ -251,7 +251,7 @@
 {
   follow_t *follow = timer->data;
 
-  plat_instances (follow->plat, on_instances, follow);
+  plat_list_instances (follow->plat, on_instances, follow);
 }
 
 void
--- a/libcoltsfootdrum/ctl/ctl-call.c
+++ b/libcoltsfootdrum/ctl/ctl-call.c
@@ -71,11 +71,11 @@
 }
 
 plat_status_t
-ctl_instances (ctl_t *ctl, JsonObject **answer)
+ctl_list_instances (ctl_t *ctl, JsonObject **answer)
 {
   call_t call = { .ctl = ctl };
 
-  plat_instances (ctl->plat, on_done, &call);
+  plat_list_instances (ctl->plat, on_done, &call);
   return wait_for (&call, answer);
 }
 
@@ -111,7 +111,7 @@
 {
   g_autofree page_t *page = user;
 
-  if (result == FETCH_ANSWERED && status == 200)
+  if (result == FETCH_COMPLETE && status == 200)
     page->instance->page = json_from_string (body, NULL);
   page->pages->open--;
   if (page->pages->open == 0)
@@ -127,7 +127,7 @@
   fetch_request_t request = {
     .method = "GET",
     .url = url,
-    .total_ms = (unsigned)pages->ctl->timeout_s * 1000,
+    .total_timeout_ms = (unsigned)pages->ctl->timeout_s * 1000,
     .done = on_page,
     .user = page,
   };
@@ -159,7 +159,7 @@
 }
 
 GPtrArray *
-ctl_pages (ctl_t *ctl, const char *path, plat_status_t *status)
+ctl_fetch_pages (ctl_t *ctl, const char *path, plat_status_t *status)
 {
   g_autoptr (JsonObject) answer = NULL;
   g_autoptr (GPtrArray) instances
@@ -167,7 +167,7 @@
   pages_t pages = { ctl, 0 };
   JsonArray *list;
 
-  *status = ctl_instances (ctl, &answer);
+  *status = ctl_list_instances (ctl, &answer);
   if (*status != PLAT_OK)
     return NULL;
   list = json_object_get_array_member (answer, "instances");
@@ -186,7 +186,7 @@
 }
 
 ctl_exit_t
-ctl_fail (plat_status_t status, const char *what)
+ctl_report_failure (plat_status_t status, const char *what)
 {
   switch (status)
     {
@@ -200,20 +200,20 @@
     case PLAT_NOT_FOUND:
       fprintf (stderr, "cfdctl: %s: no such record; see cfdctl list\n", what);
       return CTL_NOT_FOUND;
-    case PLAT_UNKNOWN:
+    case PLAT_OUTCOME_UNKNOWN:
       fprintf (stderr,
                "cfdctl: %s: no answer came, it may have taken effect; "
                "get the record before trying again\n",
                what);
       return CTL_UNAVAILABLE;
-    case PLAT_GONE:
-    case PLAT_DOWN:
+    case PLAT_REVISION_EXPIRED:
+    case PLAT_UNAVAILABLE:
       fprintf (stderr,
                "cfdctl: %s: the platform does not answer and nothing was "
                "changed; check --platform, try again later\n",
                what);
       return CTL_UNAVAILABLE;
-    case PLAT_BAD:
+    case PLAT_INVALID_RESPONSE:
       break;
     }
   fprintf (stderr,
@@ -224,7 +224,7 @@
 }
 
 ctl_exit_t
-ctl_usage (const char *format, ...)
+ctl_report_usage (const char *format, ...)
 {
   g_autofree char *text = NULL;
   va_list args;
--- a/libcoltsfootdrum/ctl/ctl-fleet.c
+++ b/libcoltsfootdrum/ctl/ctl-fleet.c
@@ -91,7 +91,7 @@
   for (;;)
     {
       plat_status_t status;
-      g_autoptr (GPtrArray) pages = ctl_pages (ctl, "/status", &status);
+      g_autoptr (GPtrArray) pages = ctl_fetch_pages (ctl, "/status", &status);
       cfd_time_t now = clock_now ();
 
       if (pages != NULL && count_late (pages, revision, late) == 0)
@@ -131,17 +131,17 @@
 
   if (count != 2
       || (!g_str_equal (args[0], "out") && !g_str_equal (args[0], "in")))
-    return ctl_usage ("zone takes out|in NAME");
+    return ctl_report_usage ("zone takes out|in NAME");
   out = g_str_equal (args[0], "out");
   status = ctl_get (ctl, "availability-zone", args[1], &object);
   if (status != PLAT_OK)
-    return ctl_fail (status, args[1]);
+    return ctl_report_failure (status, args[1]);
   spec = json_object_get_object_member (object, "spec");
   put_state (spec, out);
   status = ctl_put (ctl, "availability-zone", args[1],
                     text_member (object, "version"), spec, &written);
   if (status != PLAT_OK)
-    return ctl_fail (status, args[1]);
+    return ctl_report_failure (status, args[1]);
   return wait_in_force (ctl, args[1],
                         json_object_get_int_member (written, "revision"));
 }
@@ -209,10 +209,10 @@
   g_autoptr (GPtrArray) pages = NULL;
 
   if (count != 0)
-    return ctl_usage ("status takes no words");
-  pages = ctl_pages (ctl, "/status", &status);
+    return ctl_report_usage ("status takes no words");
+  pages = ctl_fetch_pages (ctl, "/status", &status);
   if (pages == NULL)
-    return ctl_fail (status, "status");
+    return ctl_report_failure (status, "status");
   for (unsigned i = 0; i < pages->len; i++)
     print_status (ctl, g_ptr_array_index (pages, i));
   return CTL_OK;
--- a/libcoltsfootdrum/ctl/ctl-logs.c
+++ b/libcoltsfootdrum/ctl/ctl-logs.c
@@ -221,8 +221,8 @@
 }
 
 char *
-ctl_logs_story (const ctl_logs_t *logs, const ctl_logs_filter_t *filter,
-                bool json)
+ctl_logs_format (const ctl_logs_t *logs, const ctl_logs_filter_t *filter,
+                 bool json)
 {
   g_autoptr (GPtrArray) found = select_lines (logs, filter);
   g_autoptr (GString) out = g_string_new (NULL);
@@ -240,8 +240,8 @@
 
   if (!g_file_get_contents (path, &text, NULL, &error))
     {
-      (void)ctl_usage ("logs: %s; name files that can be read",
-                       error->message);
+      (void)ctl_report_usage ("logs: %s; name files that can be read",
+                              error->message);
       return false;
     }
   ctl_logs_read (logs, text);
@@ -259,12 +259,12 @@
   char *story = NULL;
 
   if (count < 1)
-    return ctl_usage ("logs: name one or more files of log lines");
+    return ctl_report_usage ("logs: name one or more files of log lines");
   logs = ctl_logs_new ();
   for (int i = 0; i < count; i++)
     if (!read_file (logs, args[i]))
       goto out;
-  story = ctl_logs_story (logs, &filter, ctl->json);
+  story = ctl_logs_format (logs, &filter, ctl->json);
   fputs (story, stdout);
   if (logs->unread > 0)
     fprintf (stderr, "cfdctl: logs: %u lines are no log lines\n",
--- a/libcoltsfootdrum/ctl/ctl-record.c
+++ b/libcoltsfootdrum/ctl/ctl-record.c
@@ -21,13 +21,14 @@
 
   if (rec_kind_parse (kind, &parsed))
     return true;
-  near = ctl_nearest (kind, kinds);
+  near = ctl_find_nearest (kind, kinds);
   if (near != NULL)
-    (void)ctl_usage ("no kind \"%s\"; did you mean %s?", kind, near);
+    (void)ctl_report_usage ("no kind \"%s\"; did you mean %s?", kind, near);
   else
-    (void)ctl_usage ("no kind \"%s\"; there are client-account, service, "
-                     "availability-zone and endpoint",
-                     kind);
+    (void)ctl_report_usage (
+        "no kind \"%s\"; there are client-account, service, "
+        "availability-zone and endpoint",
+        kind);
   return false;
 }
 
@@ -77,7 +78,7 @@
       JsonObject *answer)
 {
   if (status != PLAT_OK)
-    return ctl_fail (status, name);
+    return ctl_report_failure (status, name);
   print_record (ctl, answer);
   return CTL_OK;
 }
@@ -154,14 +155,14 @@
   plat_status_t status;
 
   if (count < 2)
-    return ctl_usage ("create takes KIND NAME [MEMBER=VALUE...]");
+    return ctl_report_usage ("create takes KIND NAME [MEMBER=VALUE...]");
   if (!check_kind (args[0]))
     return CTL_USAGE;
   spec = new_spec (ctl, count - 2, args + 2, &error);
   if (spec != NULL)
     (void)ctl_spec_check (args[0], args[1], spec, &error);
   if (error != NULL)
-    return ctl_usage ("%s", error->message);
+    return ctl_report_usage ("%s", error->message);
   status = ctl_put (ctl, args[0], args[1], NULL, spec, &answer);
   return show (ctl, status, args[1], answer);
 }
@@ -173,7 +174,7 @@
   plat_status_t status;
 
   if (count != 2)
-    return ctl_usage ("get takes KIND NAME");
+    return ctl_report_usage ("get takes KIND NAME");
   if (!check_kind (args[0]))
     return CTL_USAGE;
   status = ctl_get (ctl, args[0], args[1], &answer);
@@ -188,12 +189,12 @@
   JsonArray *objects;
 
   if (count > 1)
-    return ctl_usage ("list takes at most a KIND");
+    return ctl_report_usage ("list takes at most a KIND");
   if (count == 1 && !check_kind (args[0]))
     return CTL_USAGE;
   status = ctl_list (ctl, &answer);
   if (status != PLAT_OK)
-    return ctl_fail (status, "list");
+    return ctl_report_failure (status, "list");
   objects = json_object_get_array_member (answer, "objects");
   for (unsigned i = 0; i < json_array_get_length (objects); i++)
     {
@@ -224,7 +225,7 @@
   spec = json_object_get_object_member (object, "spec");
   if (!assign_all (spec, count - 2, args + 2, error)
       || !ctl_spec_check (args[0], args[1], spec, error))
-    return PLAT_BAD;
+    return PLAT_INVALID_RESPONSE;
   return ctl_put (ctl, args[0], args[1], version, spec, answer);
 }
 
@@ -237,13 +238,13 @@
   int tries = ctl->if_version != NULL ? 1 : SET_TRIES;
 
   if (count < 3)
-    return ctl_usage ("set takes KIND NAME MEMBER=VALUE...");
+    return ctl_report_usage ("set takes KIND NAME MEMBER=VALUE...");
   if (!check_kind (args[0]))
     return CTL_USAGE;
   for (int i = 0; i < tries && status == PLAT_CONFLICT; i++)
     status = set_once (ctl, count, args, &answer, &error);
   if (error != NULL)
-    return ctl_usage ("%s", error->message);
+    return ctl_report_usage ("%s", error->message);
   return show (ctl, status, args[1], answer);
 }
 
@@ -255,17 +256,18 @@
   plat_status_t status;
 
   if (count != 2)
-    return ctl_usage ("delete takes KIND NAME");
+    return ctl_report_usage ("delete takes KIND NAME");
   if (!check_kind (args[0]))
     return CTL_USAGE;
   if (version == NULL)
     {
       status = ctl_get (ctl, args[0], args[1], &object);
       if (status != PLAT_OK)
-        return ctl_fail (status, args[1]);
+        return ctl_report_failure (status, args[1]);
       version = text_member (object, "version");
     }
-  return ctl_fail (ctl_delete (ctl, args[0], args[1], version), args[1]);
+  return ctl_report_failure (ctl_delete (ctl, args[0], args[1], version),
+                             args[1]);
 }
 
 /* The key comes by standard input, never as an argument, which others could
@@ -277,9 +279,9 @@
   g_autofree char *hash = NULL;
 
   if (count != 0)
-    return ctl_usage ("key-hash reads the key from standard input");
+    return ctl_report_usage ("key-hash reads the key from standard input");
   if (fgets (key, sizeof key, stdin) == NULL)
-    return ctl_usage ("no key came by standard input");
+    return ctl_report_usage ("no key came by standard input");
   g_strchomp (key);
   hash = rec_hash_key_to_hex (key);
   puts (hash);
--- a/libcoltsfootdrum/ctl/ctl-spec.c
+++ b/libcoltsfootdrum/ctl/ctl-spec.c
@@ -116,7 +116,7 @@
 }
 
 const char *
-ctl_nearest (const char *text, const char *const *words)
+ctl_find_nearest (const char *text, const char *const *words)
 {
   const char *nearest = NULL;
   unsigned best = NEAREST_MAX + 1;
--- a/libcoltsfootdrum/ctl/ctl-timeline.c
+++ b/libcoltsfootdrum/ctl/ctl-timeline.c
@@ -26,7 +26,8 @@
          && passes (event, "zone", ctl->zone)
          && passes (event, "endpoint", ctl->endpoint)
          && (ctl->request == NULL
-             || tl_is_request (text_member (event, "request"), ctl->request))
+             || tl_matches_request (text_member (event, "request"),
+                                    ctl->request))
          && passes (event, "kind", ctl->kind);
 }
 
@@ -170,12 +171,12 @@
 {
   plat_status_t status;
   g_autofree char *path = events_path (ctl);
-  g_autoptr (GPtrArray) pages = ctl_pages (ctl, path, &status);
+  g_autoptr (GPtrArray) pages = ctl_fetch_pages (ctl, path, &status);
   g_autoptr (GPtrArray) events = g_ptr_array_new ();
   g_autoptr (GHashTable) endpoints = NULL;
 
   if (pages == NULL)
-    return ctl_fail (status, "timeline");
+    return ctl_report_failure (status, "timeline");
   endpoints = find_endpoints (pages);
   for (unsigned i = 0; i < pages->len; i++)
     {
@@ -206,12 +207,14 @@
       if (g_str_equal (names[i], kind))
         return true;
     }
-  near = ctl_nearest (kind, names);
+  near = ctl_find_nearest (kind, names);
   all = g_strjoinv (", ", (char **)names);
   if (near != NULL)
-    (void)ctl_usage ("no kind of event \"%s\"; did you mean %s?", kind, near);
+    (void)ctl_report_usage ("no kind of event \"%s\"; did you mean %s?", kind,
+                            near);
   else
-    (void)ctl_usage ("no kind of event \"%s\"; there are %s", kind, all);
+    (void)ctl_report_usage ("no kind of event \"%s\"; there are %s", kind,
+                            all);
   return false;
 }
 
@@ -219,7 +222,8 @@
 ctl_cmd_timeline (ctl_t *ctl, int count, char **args)
 {
   if (count != 0)
-    return ctl_usage ("timeline takes only options, such as --account NAME");
+    return ctl_report_usage (
+        "timeline takes only options, such as --account NAME");
   if (ctl->kind != NULL && !check_event_kind (ctl->kind))
     return CTL_USAGE;
   return print_timeline (ctl);
@@ -231,8 +235,9 @@
   ctl_exit_t result;
 
   if (count != 1)
-    return ctl_usage ("explain takes a REQUEST-ID, from the answer's header "
-                      "X-Request-Id");
+    return ctl_report_usage (
+        "explain takes a REQUEST-ID, from the answer's header "
+        "X-Request-Id");
   g_free (ctl->request);
   ctl->request = g_strdup (args[0]);
   result = print_timeline (ctl);
--- a/libcoltsfootdrum/ctl/ctl.c
+++ b/libcoltsfootdrum/ctl/ctl.c
@@ -107,11 +107,11 @@
         return &commands[i];
       names[i] = commands[i].name;
     }
-  near = ctl_nearest (name, names);
+  near = ctl_find_nearest (name, names);
   if (near != NULL)
-    (void)ctl_usage ("no command \"%s\"; did you mean %s?", name, near);
+    (void)ctl_report_usage ("no command \"%s\"; did you mean %s?", name, near);
   else
-    (void)ctl_usage ("no command \"%s\"; see cfdctl --help", name);
+    (void)ctl_report_usage ("no command \"%s\"; see cfdctl --help", name);
   return NULL;
 }
 
@@ -121,13 +121,14 @@
   if (options->output != NULL && !g_str_equal (options->output, "json")
       && !g_str_equal (options->output, "text"))
     {
-      (void)ctl_usage ("--output is text or json, not \"%s\"",
-                       options->output);
+      (void)ctl_report_usage ("--output is text or json, not \"%s\"",
+                              options->output);
       return false;
     }
   if (ctl->timeout_s < 1 || ctl->deadline_s < 1)
     {
-      (void)ctl_usage ("--timeout and --deadline are whole seconds from 1");
+      (void)ctl_report_usage (
+          "--timeout and --deadline are whole seconds from 1");
       return false;
     }
   ctl->json = options->output != NULL && g_str_equal (options->output, "json");
@@ -147,13 +148,14 @@
       return CTL_OK;
     }
   if (count < 1)
-    return ctl_usage ("name a command; see cfdctl --help");
+    return ctl_report_usage ("name a command; see cfdctl --help");
   command = find_command (words[0]);
   if (command == NULL)
     return CTL_USAGE;
   if (options->platform == NULL && command->run != ctl_cmd_key_hash
       && command->run != ctl_cmd_logs)
-    return ctl_usage ("set --platform or CFD_PLATFORM to http://IP:PORT");
+    return ctl_report_usage (
+        "set --platform or CFD_PLATFORM to http://IP:PORT");
   ctl->loop = ev_loop_new (EVFLAG_AUTO);
   ctl->pool = fetch_pool_new (ctl->loop);
   if (options->platform != NULL)
@@ -188,7 +190,7 @@
   ctl_exit_t status = CTL_USAGE;
 
   if (!parse (&ctl, &options, &argc, &argv, &error))
-    (void)ctl_usage ("%s; see cfdctl --help", error->message);
+    (void)ctl_report_usage ("%s; see cfdctl --help", error->message);
   else if (check_options (&ctl, &options))
     status = run (&ctl, &options, argc - 1, argv + 1);
   clear (&ctl, &options);
--- a/libcoltsfootdrum/ctl/ctl.h
+++ b/libcoltsfootdrum/ctl/ctl.h
@@ -45,7 +45,7 @@
                        JsonObject **answer);
 plat_status_t ctl_delete (ctl_t *ctl, const char *kind, const char *name,
                           const char *version);
-plat_status_t ctl_instances (ctl_t *ctl, JsonObject **answer);
+plat_status_t ctl_list_instances (ctl_t *ctl, JsonObject **answer);
 
 /* One instance of the platform's list and what its admin page said.  */
 typedef struct
@@ -60,12 +60,13 @@
 
 /* Asks all instances at once for the JSON of PATH; an array of
    ctl_instance_t, or NULL with the platform's status.  */
-GPtrArray *ctl_pages (ctl_t *ctl, const char *path, plat_status_t *status);
+GPtrArray *ctl_fetch_pages (ctl_t *ctl, const char *path,
+                            plat_status_t *status);
 
 /* Prints what went wrong with its remedy; returns the exit status.  */
-ctl_exit_t ctl_fail (plat_status_t status, const char *what);
+ctl_exit_t ctl_report_failure (plat_status_t status, const char *what);
 /* Prints "cfdctl: MESSAGE" and returns CTL_USAGE.  */
-ctl_exit_t ctl_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
+ctl_exit_t ctl_report_usage (const char *format, ...) G_GNUC_PRINTF (1, 2);
 
 /* ---- ctl-logs.c: log lines of several processes ---- */
 typedef struct ctl_logs ctl_logs_t;
@@ -84,8 +85,8 @@
 /* Adds the lines of TEXT; such as are no log lines are counted.  */
 void ctl_logs_read (ctl_logs_t *logs, const char *text);
 /* The lines that FILTER lets through, in order of time; free with g_free.  */
-char *ctl_logs_story (const ctl_logs_t *logs, const ctl_logs_filter_t *filter,
-                      bool json);
+char *ctl_logs_format (const ctl_logs_t *logs, const ctl_logs_filter_t *filter,
+                       bool json);
 
 /* ---- commands; ARGS holds COUNT words after the command ---- */
 ctl_exit_t ctl_cmd_create (ctl_t *ctl, int count, char **args);
@@ -109,6 +110,6 @@
                      GError **error);
 /* The word of WORDS (NULL-ended) nearest to TEXT, or NULL when none is near.
  */
-const char *ctl_nearest (const char *text, const char *const *words);
+const char *ctl_find_nearest (const char *text, const char *const *words);
 
 #endif
--- a/libcoltsfootdrum/ctl/test-ctl.c
+++ b/libcoltsfootdrum/ctl/test-ctl.c
@@ -50,9 +50,9 @@
 {
   const char *const words[] = { "endpoint", "service", NULL };
 
-  g_assert_cmpstr (ctl_nearest ("endpiont", words), ==, "endpoint");
-  g_assert_cmpstr (ctl_nearest ("servce", words), ==, "service");
-  g_assert_null (ctl_nearest ("zebra", words));
+  g_assert_cmpstr (ctl_find_nearest ("endpiont", words), ==, "endpoint");
+  g_assert_cmpstr (ctl_find_nearest ("servce", words), ==, "service");
+  g_assert_null (ctl_find_nearest ("zebra", words));
 }
 
 /* Lines of two processes and a collector's words before them: a request was
@@ -89,14 +89,14 @@
 
   ctl_logs_read (logs, FAILED OTHER SENT LONG_AGO "no log line\n{\"a\":");
   ctl_logs_read (logs, LAPSED ELSEWHERE);
-  story = ctl_logs_story (logs, &one, false);
+  story = ctl_logs_format (logs, &one, false);
   g_assert_cmpstr (story, ==,
                    "00:00:05.100 r1 relay: sent\n"
                    "00:00:05.900 r2 endpoints: lapsed\n"
                    "00:00:06.000 r1 relay: failed\n");
-  of_endpoint = ctl_logs_story (logs, &endpoint, true);
+  of_endpoint = ctl_logs_format (logs, &endpoint, true);
   g_assert_true (g_str_has_prefix (of_endpoint, "{\"wall_ms\":5900,"));
-  nothing = ctl_logs_story (logs, &none, false);
+  nothing = ctl_logs_format (logs, &none, false);
   g_assert_cmpstr (nothing, ==, "");
 }
 
--- a/libcoltsfootdrum/events/test-tl.c
+++ b/libcoltsfootdrum/events/test-tl.c
@@ -10,7 +10,7 @@
 static JsonArray *
 events_since (tl_ring_t *ring, uint64_t since, JsonNode **root)
 {
-  g_autofree char *text = tl_json (ring, since, NULL);
+  g_autofree char *text = tl_to_json (ring, since, NULL);
 
   *root = json_from_string (text, NULL);
   return json_node_get_array (*root);
@@ -74,7 +74,7 @@
   tl_add (ring, TL_START, NULL, NULL, NULL, NULL, NULL);
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *text = tl_json (ring, 0, &cases[i].filter);
+      g_autofree char *text = tl_to_json (ring, 0, &cases[i].filter);
       g_autoptr (JsonNode) root = json_from_string (text, NULL);
 
       g_assert_cmpuint (json_array_get_length (json_node_get_array (root)), ==,
@@ -130,7 +130,7 @@
       g_autoptr (tl_ring_t) ring = tl_ring_new ("r1", CAPACITY);
 
       tl_add (ring, TL_GRANT, "branch", NULL, NULL, "q77", NULL);
-      invariant_failed ("at-most-once", "file.c", 1, "q77 ran twice");
+      invariant_report_failure ("at-most-once", "file.c", 1, "q77 ran twice");
       exit (1);
     }
   g_test_trap_subprocess (NULL, 0, 0);
--- a/libcoltsfootdrum/events/tl.c
+++ b/libcoltsfootdrum/events/tl.c
@@ -123,7 +123,7 @@
 {
   if (ring == NULL)
     return;
-  if (invariant_hook_user () == ring)
+  if (invariant_get_hook_user () == ring)
     invariant_set_hook (NULL, NULL);
   for (unsigned i = 0; i < ring->capacity; i++)
     event_clear (&ring->events[i]);
@@ -132,7 +132,7 @@
 }
 
 hlc_t *
-tl_ring_clock (tl_ring_t *ring)
+tl_ring_get_clock (tl_ring_t *ring)
 {
   return &ring->clock;
 }
@@ -151,7 +151,7 @@
 
   event_clear (event);
   event->sequence = ring->next++;
-  event->wall_ms = clock_wall ();
+  event->wall_ms = clock_wall_ms ();
   event->stamp = hlc_tick (&ring->clock, event->wall_ms);
   event->kind = kind;
   event->account = g_strdup (account);
@@ -204,7 +204,7 @@
 }
 
 bool
-tl_is_request (const char *request, const char *wanted)
+tl_matches_request (const char *request, const char *wanted)
 {
   size_t length = strlen (wanted);
 
@@ -222,11 +222,11 @@
     return false;
   return filter->request == NULL
          || (event->request != NULL
-             && tl_is_request (event->request, filter->request));
+             && tl_matches_request (event->request, filter->request));
 }
 
 char *
-tl_json (const tl_ring_t *ring, uint64_t since, const tl_filter_t *filter)
+tl_to_json (const tl_ring_t *ring, uint64_t since, const tl_filter_t *filter)
 {
   g_autoptr (JsonBuilder) builder = json_builder_new ();
   g_autoptr (JsonNode) root = NULL;
--- a/libcoltsfootdrum/events/tl.h
+++ b/libcoltsfootdrum/events/tl.h
@@ -41,7 +41,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (tl_ring_t, tl_ring_free)
 
 /* The process-wide logical clock, to be ticked and merged by frames.  */
-hlc_t *tl_ring_clock (tl_ring_t *ring);
+hlc_t *tl_ring_get_clock (tl_ring_t *ring);
 
 /* Fields that do not apply are NULL.  DETAIL is a short sentence.  */
 void tl_add (tl_ring_t *ring, tl_kind_t kind, const char *account,
@@ -56,14 +56,14 @@
   const char *request;
 } tl_filter_t;
 
-bool tl_is_request (const char *request, const char *wanted);
+bool tl_matches_request (const char *request, const char *wanted);
 
 /* JSON array of the events after SEQUENCE that FILTER (NULL: all) lets pass,
    oldest first; free with g_free.
    Members: sequence, stamp, wall_ms, instance, kind, account, zone, endpoint,
    request, detail.  */
-char *tl_json (const tl_ring_t *ring, uint64_t since,
-               const tl_filter_t *filter);
+char *tl_to_json (const tl_ring_t *ring, uint64_t since,
+                  const tl_filter_t *filter);
 
 const char *tl_kind_name (tl_kind_t kind);
 
--- a/libcoltsfootdrum/http/fetch-easy.c
+++ b/libcoltsfootdrum/http/fetch-easy.c
@@ -60,8 +60,9 @@
 struct curl_slist *
 fetch_easy_setup (CURL *easy, const fetch_request_t *request)
 {
-  unsigned connect_ms
-      = request->connect_ms == 0 ? CONNECT_MS_DEFAULT : request->connect_ms;
+  unsigned connect_timeout_ms = request->connect_timeout_ms == 0
+                                    ? CONNECT_MS_DEFAULT
+                                    : request->connect_timeout_ms;
 
   curl_easy_setopt (easy, CURLOPT_URL, request->url);
   curl_easy_setopt (easy, CURLOPT_PATH_AS_IS, 1L);
@@ -70,10 +71,12 @@
   curl_easy_setopt (easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (easy, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (easy, CURLOPT_HTTP09_ALLOWED, 0L);
-  curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, (long)connect_ms);
-  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)request->total_ms);
-  curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, (long)!request->repeatable);
-  curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, (long)!request->repeatable);
+  curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS, (long)connect_timeout_ms);
+  curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)request->total_timeout_ms);
+  curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT,
+                    (long)!request->reuse_connection);
+  curl_easy_setopt (easy, CURLOPT_FORBID_REUSE,
+                    (long)!request->reuse_connection);
   set_method (easy, request);
   return set_headers (easy, request->headers);
 }
--- a/libcoltsfootdrum/http/fetch-easy.h
+++ b/libcoltsfootdrum/http/fetch-easy.h
@@ -2,8 +2,9 @@
 
    libcurl repeats a request by itself when a kept connection turns out to be
    closed, also a POST that the other side had already run: the caller would
-   see one answer and the endpoint two requests.  So only a repeatable request
-   uses a kept connection; on a fresh connection libcurl never repeats.  */
+   see one answer and the endpoint two requests.  So only a reuse_connection
+   request uses a kept connection; on a fresh connection libcurl never repeats.
+ */
 
 #ifndef HTTP_FETCH_EASY_H
 #define HTTP_FETCH_EASY_H
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -29,7 +29,7 @@
   CURL *easy;
   struct curl_slist *header_list;
   fetch_request_t request; /* its pointers to data are not kept */
-  unsigned silence_ms;
+  unsigned idle_timeout_ms;
   ev_timer silence;
   unsigned status;
   GPtrArray *head;
@@ -81,7 +81,7 @@
 static void
 restart_silence (fetch_t *fetch)
 {
-  if (fetch->silence_ms == 0)
+  if (fetch->idle_timeout_ms == 0)
     return;
   ev_now_update (fetch->pool->loop);
   ev_timer_again (fetch->pool->loop, &fetch->silence);
@@ -110,14 +110,14 @@
 result_of (fetch_t *fetch, CURLcode code)
 {
   if (code == CURLE_OK && fetch->has_head)
-    return FETCH_ANSWERED;
+    return FETCH_COMPLETE;
   if (fetch->withheld)
-    return FETCH_WITHHELD;
+    return FETCH_SEND_DENIED;
   if (!may_be_sent (fetch, code))
-    return FETCH_UNREACHED;
+    return FETCH_CONNECT_FAILED;
   if (code == CURLE_OPERATION_TIMEDOUT)
     return FETCH_TIMEOUT;
-  return FETCH_BROKEN;
+  return FETCH_INCOMPLETE;
 }
 
 static const char *
@@ -450,12 +450,12 @@
 
   fetch->pool = pool;
   fetch->request = *request;
-  fetch->silence_ms = request->silence_ms;
+  fetch->idle_timeout_ms = request->idle_timeout_ms;
   fetch->head = g_ptr_array_new_with_free_func (g_free);
   fetch->body = g_byte_array_new ();
   list_append (&pool->fetches, &fetch->node);
   ev_init (&fetch->silence, on_silence);
-  fetch->silence.repeat = (double)request->silence_ms / 1000.0;
+  fetch->silence.repeat = (double)request->idle_timeout_ms / 1000.0;
   fetch->silence.data = fetch;
   set_up (fetch, request);
   restart_silence (fetch);
--- a/libcoltsfootdrum/http/fetch.h
+++ b/libcoltsfootdrum/http/fetch.h
@@ -13,11 +13,13 @@
 
 typedef enum
 {
-  FETCH_ANSWERED,  /* the whole answer came */
-  FETCH_UNREACHED, /* no connection was made: the request was never sent */
-  FETCH_WITHHELD,  /* MAY_SEND said no: the request was never sent */
-  FETCH_BROKEN,    /* sent, maybe in part; whether it took effect is unknown */
-  FETCH_TIMEOUT    /* as FETCH_BROKEN, after the time limit */
+  FETCH_COMPLETE,       /* the whole answer came */
+  FETCH_CONNECT_FAILED, /* no connection was made: the request was never sent
+                         */
+  FETCH_SEND_DENIED,    /* MAY_SEND said no: the request was never sent */
+  FETCH_INCOMPLETE, /* sent, maybe in part; whether it took effect is unknown
+                     */
+  FETCH_TIMEOUT     /* as FETCH_INCOMPLETE, after the time limit */
 } fetch_result_t;
 
 typedef struct
@@ -27,11 +29,11 @@
   const char *const *headers; /* NULL or NULL-ended "Name: value" */
   const void *body;           /* copied */
   size_t body_length;
-  unsigned connect_ms; /* 0: 1000 */
-  unsigned total_ms;   /* 0: no limit */
-  unsigned silence_ms; /* 0: none; no byte for so long is a timeout */
-  bool repeatable;     /* may use a kept connection: libcurl sends again by
-                          itself when that turns out to be closed */
+  unsigned connect_timeout_ms; /* 0: 1000 */
+  unsigned total_timeout_ms;   /* 0: no limit */
+  unsigned idle_timeout_ms;    /* 0: none; no byte for so long is a timeout */
+  bool reuse_connection; /* may use a kept connection: libcurl sends again by
+                      itself when that turns out to be closed */
 
   /* Asked once the connection stands, just before the first byte is sent:
      time may have passed since the start.  NULL: always.  */
--- a/libcoltsfootdrum/http/test-fetch.c
+++ b/libcoltsfootdrum/http/test-fetch.c
@@ -174,13 +174,13 @@
 }
 
 static fetch_request_t
-request_of (fixture_t *f, const char *method, unsigned total_ms,
-            unsigned silence_ms)
+request_of (fixture_t *f, const char *method, unsigned total_timeout_ms,
+            unsigned idle_timeout_ms)
 {
   return (fetch_request_t){ .method = method,
                             .url = f->url,
-                            .total_ms = total_ms,
-                            .silence_ms = silence_ms,
+                            .total_timeout_ms = total_timeout_ms,
+                            .idle_timeout_ms = idle_timeout_ms,
                             .head = on_head,
                             .data = on_data,
                             .done = on_done,
@@ -188,10 +188,11 @@
 }
 
 static void
-start (fixture_t *f, const char *method, unsigned total_ms,
-       unsigned silence_ms)
+start (fixture_t *f, const char *method, unsigned total_timeout_ms,
+       unsigned idle_timeout_ms)
 {
-  fetch_request_t request = request_of (f, method, total_ms, silence_ms);
+  fetch_request_t request
+      = request_of (f, method, total_timeout_ms, idle_timeout_ms);
 
   f->fetch = fetch_start (f->pool, &request);
 }
@@ -221,26 +222,26 @@
 {
   const char *script;
   after_t after;
-  unsigned total_ms, silence_ms;
+  unsigned total_timeout_ms, idle_timeout_ms;
   fetch_result_t result;
   unsigned status;
   const char *body;
 } rows[] = {
-  { OK_HEAD "Content-Length: 2\r\n\r\nhi", KEEP, 0, 0, FETCH_ANSWERED, 200,
+  { OK_HEAD "Content-Length: 2\r\n\r\nhi", KEEP, 0, 0, FETCH_COMPLETE, 200,
     "hi" },
   { "HTTP/1.1 100 Continue\r\n\r\n" OK_HEAD "Content-Length: 2\r\n\r\nhi",
-    KEEP, 0, 0, FETCH_ANSWERED, 200, "hi" },
+    KEEP, 0, 0, FETCH_COMPLETE, 200, "hi" },
   { OK_HEAD "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nT: 1\r\n\r\n",
-    KEEP, 0, 0, FETCH_ANSWERED, 200, "hi" },
+    KEEP, 0, 0, FETCH_COMPLETE, 200, "hi" },
   { "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", KEEP, 0, 0,
-    FETCH_ANSWERED, 503, "" },
+    FETCH_COMPLETE, 503, "" },
   /* The other side may have run the request in each of these.  */
-  { "", CLOSE, 0, 0, FETCH_BROKEN, 0, "" },
-  { "no HTTP\r\n\r\n", CLOSE, 0, 0, FETCH_BROKEN, 0, "" },
-  { OK_HEAD "Content-Length: 9\r\n\r\nhi", CLOSE, 0, 0, FETCH_BROKEN, 200,
+  { "", CLOSE, 0, 0, FETCH_INCOMPLETE, 0, "" },
+  { "no HTTP\r\n\r\n", CLOSE, 0, 0, FETCH_INCOMPLETE, 0, "" },
+  { OK_HEAD "Content-Length: 9\r\n\r\nhi", CLOSE, 0, 0, FETCH_INCOMPLETE, 200,
     "hi" },
   { OK_HEAD "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", CLOSE, 0, 0,
-    FETCH_BROKEN, 200, "hi" },
+    FETCH_INCOMPLETE, 200, "hi" },
   { "", KEEP, 50, 0, FETCH_TIMEOUT, 0, "" },
   { "", KEEP, 0, 50, FETCH_TIMEOUT, 0, "" },
   { OK_HEAD "Content-Length: 9\r\n\r\nhi", KEEP, 0, 50, FETCH_TIMEOUT, 200,
@@ -257,7 +258,7 @@
       f->after = rows[i].after;
       f->heads = 0;
       g_string_truncate (f->body, 0);
-      start (f, "POST", rows[i].total_ms, rows[i].silence_ms);
+      start (f, "POST", rows[i].total_timeout_ms, rows[i].idle_timeout_ms);
       g_assert_cmpuint (f->dones, ==, i);
       run_until (f, &f->dones, i + 1);
       g_assert_cmpint (f->result, ==, rows[i].result);
@@ -273,7 +274,7 @@
   stop_listening (f);
   start (f, "POST", 0, 0);
   run_until (f, &f->dones, 1);
-  g_assert_cmpint (f->result, ==, FETCH_UNREACHED);
+  g_assert_cmpint (f->result, ==, FETCH_CONNECT_FAILED);
 }
 
 static void
@@ -289,7 +290,7 @@
   f->after = CLOSE;
   start (f, "POST", 0, 0);
   run_until (f, &f->dones, 2);
-  g_assert_cmpint (f->result, ==, FETCH_BROKEN);
+  g_assert_cmpint (f->result, ==, FETCH_INCOMPLETE);
   g_assert_cmpuint (f->requests, ==, 2);
 }
 
@@ -364,7 +365,7 @@
   g_assert_cmpuint (f->dones, ==, 0);
   fetch_pause (f->fetch, false);
   run_until (f, &f->dones, 1);
-  g_assert_cmpint (f->result, ==, FETCH_ANSWERED);
+  g_assert_cmpint (f->result, ==, FETCH_COMPLETE);
   g_assert_cmpstr (f->body->str, ==, "hi");
 }
 
@@ -388,13 +389,13 @@
   request.may_send = refuse;
   f->fetch = fetch_start (f->pool, &request);
   run_until (f, &f->dones, 1);
-  g_assert_cmpint (f->result, ==, FETCH_WITHHELD);
+  g_assert_cmpint (f->result, ==, FETCH_SEND_DENIED);
   g_assert_cmpuint (f->asked, ==, 1);
   g_assert_cmpuint (f->requests, ==, 0);
   f->allowed = true;
   f->fetch = fetch_start (f->pool, &request);
   run_until (f, &f->dones, 2);
-  g_assert_cmpint (f->result, ==, FETCH_ANSWERED);
+  g_assert_cmpint (f->result, ==, FETCH_COMPLETE);
   g_assert_cmpuint (f->requests, ==, 1);
 }
 
--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -59,7 +59,8 @@
   if (strcmp (path, "/echo") == 0)
     web_respond (request, 200, "text/plain", NULL, body, length);
   else if (strcmp (path, "/refuse") == 0)
-    web_problem (request, 429, "Queue full", "Ask \"later\".", "not-run", 3);
+    web_respond_problem (request, 429, "Queue full", "Ask \"later\".",
+                         "not-run", 3);
   else
     {
       f->request = request;
@@ -85,7 +86,7 @@
   g_autofree char *listen = g_strdup_printf ("%s:%d", f->address, PORT);
   f->server = web_server_new (f->loop, listen, &limits, handle, f, &error);
   g_assert_no_error (error);
-  web_server_limit_bodies (f->server, BODIES_MAX);
+  web_server_set_max_body_bytes (f->server, BODIES_MAX);
 }
 
 static void
@@ -220,7 +221,7 @@
   rest = answer (f, fd, "0\r\n\r\n", NULL);
   g_assert_cmpstr (rest, ==, "4\r\ntwo!\r\n0\r\n\r\n");
   g_assert_cmpuint (f->closed, ==, 0);
-  g_assert_cmpuint (web_server_active (f->server), ==, 0);
+  g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
   close (fd);
 }
 
@@ -327,7 +328,7 @@
       close (fd);
       run_until (f, &f->closed, i + 1);
     }
-  g_assert_cmpuint (web_server_active (f->server), ==, 0);
+  g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
 }
 
 /* An answer to HEAD ends while its owner still writes; the owner must see
@@ -342,7 +343,7 @@
   web_stream_write (f->request, "body", 4);
   g_assert_cmpuint (f->drained, ==, 4);
   web_stream_end (f->request, true);
-  g_assert_cmpuint (web_server_active (f->server), ==, 0);
+  g_assert_cmpuint (web_server_count_active (f->server), ==, 0);
   close (fd);
 }
 
--- a/libcoltsfootdrum/http/web-answer.c
+++ b/libcoltsfootdrum/http/web-answer.c
@@ -41,7 +41,8 @@
 }
 
 void
-web_set_header (web_request_t *request, const char *name, const char *value)
+web_set_response_header (web_request_t *request, const char *name,
+                         const char *value)
 {
   g_free (request->header_name);
   g_free (request->header_value);
@@ -50,7 +51,7 @@
 }
 
 const char *
-web_header_set (const web_request_t *request)
+web_get_response_header (const web_request_t *request)
 {
   return request->header_value;
 }
@@ -97,8 +98,9 @@
 }
 
 void
-web_problem (web_request_t *request, unsigned status, const char *title,
-             const char *detail, const char *run, int retry_after_s)
+web_respond_problem (web_request_t *request, unsigned status,
+                     const char *title, const char *detail, const char *run,
+                     int retry_after_s)
 {
   g_autoptr (JsonNode) root = json_node_new (JSON_NODE_OBJECT);
   JsonObject *problem = json_object_new ();
--- a/libcoltsfootdrum/http/web-private.h
+++ b/libcoltsfootdrum/http/web-private.h
@@ -44,7 +44,7 @@
   bool suspended;    /* by us, with PEEK watching for the caller's close */
   bool gone;         /* the caller closed while suspended */
   bool queued;       /* RESPONSE was given to MHD */
-  char *header_name; /* of web_set_header, or NULL */
+  char *header_name; /* of web_set_response_header, or NULL */
   char *header_value;
   struct MHD_Response *response;
   unsigned status; /* of RESPONSE */
--- a/libcoltsfootdrum/http/web-request.c
+++ b/libcoltsfootdrum/http/web-request.c
@@ -53,10 +53,10 @@
 }
 
 void
-web_each_header (const web_request_t *request,
-                 void (*visit) (void *user, const char *name,
-                                const char *value),
-                 void *user)
+web_foreach_header (const web_request_t *request,
+                    void (*visit) (void *user, const char *name,
+                                   const char *value),
+                    void *user)
 {
   visit_t all = { visit, user };
 
--- a/libcoltsfootdrum/http/web.c
+++ b/libcoltsfootdrum/http/web.c
@@ -119,17 +119,18 @@
 static void
 refuse_too_large (web_request_t *request)
 {
-  web_problem (request, MHD_HTTP_CONTENT_TOO_LARGE, "Request too large",
-               "The body is over the limit; send a smaller one.", "not-run",
-               -1);
+  web_respond_problem (
+      request, MHD_HTTP_CONTENT_TOO_LARGE, "Request too large",
+      "The body is over the limit; send a smaller one.", "not-run", -1);
 }
 
 static void
 refuse_no_room (web_request_t *request)
 {
-  web_problem (request, MHD_HTTP_SERVICE_UNAVAILABLE, "No room",
-               "Too many large requests are held here; ask again later.",
-               "not-run", RETRY_ROOM_S);
+  web_respond_problem (
+      request, MHD_HTTP_SERVICE_UNAVAILABLE, "No room",
+      "Too many large requests are held here; ask again later.", "not-run",
+      RETRY_ROOM_S);
 }
 
 /* Many large bodies at once, from one client account perhaps, must not take
@@ -153,7 +154,7 @@
 static enum MHD_Result
 on_upload (web_request_t *request, const char *data, size_t *length)
 {
-  size_t max = request->server->limits.body_max;
+  size_t max = request->server->limits.max_body_bytes;
   size_t needed = request->body->len + *length;
 
   /* A chunked body names no length beforehand: drop what is over the limit,
@@ -185,7 +186,7 @@
   request->method = g_strdup (method);
   request->http10 = strcmp (version, MHD_HTTP_VERSION_1_0) == 0;
   request->body = g_byte_array_new ();
-  if (length > request->server->limits.body_max)
+  if (length > request->server->limits.max_body_bytes)
     refuse_too_large (request);
   else if (!reserve (request, length))
     refuse_no_room (request);
@@ -227,8 +228,9 @@
                enum MHD_ConnectionNotificationCode code)
 {
   const web_server_t *server = user;
-  const int timeout_ms = (int)server->limits.idle_s * 1000;
-  const int probe_s = MAX (1, (int)server->limits.idle_s / (PROBES + 1));
+  const int timeout_ms = (int)server->limits.idle_timeout_s * 1000;
+  const int probe_s
+      = MAX (1, (int)server->limits.idle_timeout_s / (PROBES + 1));
   const int probes = PROBES;
   const int yes = 1;
   int fd;
@@ -318,7 +320,7 @@
       MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_access,
       server, MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_CONNECTION_LIMIT,
       server->limits.connections, MHD_OPTION_CONNECTION_TIMEOUT,
-      server->limits.idle_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      server->limits.idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
       (size_t)CONNECTION_MEMORY, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
       server, MHD_OPTION_URI_LOG_CALLBACK, on_target, server,
       MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
@@ -365,7 +367,7 @@
 }
 
 void
-web_server_limit_bodies (web_server_t *server, size_t bytes)
+web_server_set_max_body_bytes (web_server_t *server, size_t bytes)
 {
   server->bodies_max = bytes;
 }
@@ -408,7 +410,7 @@
 }
 
 unsigned
-web_server_active (const web_server_t *server)
+web_server_count_active (const web_server_t *server)
 {
   return server->active;
 }
--- a/libcoltsfootdrum/http/web.h
+++ b/libcoltsfootdrum/http/web.h
@@ -15,9 +15,9 @@
 
 typedef struct
 {
-  size_t body_max;      /* a larger body is answered 413 */
-  unsigned connections; /* more are refused */
-  unsigned idle_s;      /* a connection silent for so long is closed */
+  size_t max_body_bytes;   /* a larger body is answered 413 */
+  unsigned connections;    /* more are refused */
+  unsigned idle_timeout_s; /* a connection silent for so long is closed */
 } web_limits_t;
 
 /* Called once for each request when its body is whole.  The handler must
@@ -31,12 +31,12 @@
                               GError **error);
 /* Bytes of bodies that all requests may hold together; a request beyond it is
    answered 503.  No limit without this call.  */
-void web_server_limit_bodies (web_server_t *server, size_t bytes);
+void web_server_set_max_body_bytes (web_server_t *server, size_t bytes);
 /* Stops accepting; requests in progress go on.  */
 void web_server_quiesce (web_server_t *server);
 void web_server_free (web_server_t *server);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (web_server_t, web_server_free)
-unsigned web_server_active (const web_server_t *server);
+unsigned web_server_count_active (const web_server_t *server);
 
 const char *web_method (const web_request_t *request);
 /* The path with its query, as sent.  */
@@ -46,10 +46,10 @@
 /* NULL when absent.  */
 const char *web_query (const web_request_t *request, const char *name);
 const char *web_header (const web_request_t *request, const char *name);
-void web_each_header (const web_request_t *request,
-                      void (*visit) (void *user, const char *name,
-                                     const char *value),
-                      void *user);
+void web_foreach_header (const web_request_t *request,
+                         void (*visit) (void *user, const char *name,
+                                        const char *value),
+                         void *user);
 const char *web_body (const web_request_t *request, size_t *length);
 /* The body, which the request then no longer has; free with g_bytes_unref.  It
    counts against the server's limit until the request is answered.  */
@@ -62,10 +62,10 @@
 
 /* Goes into the answer, whatever it is, instead of a header of the same name
    in the answer's own.  One a request; a second call replaces the first.  */
-void web_set_header (web_request_t *request, const char *name,
-                     const char *value);
+void web_set_response_header (web_request_t *request, const char *name,
+                              const char *value);
 /* The value that was set, or NULL.  */
-const char *web_header_set (const web_request_t *request);
+const char *web_get_response_header (const web_request_t *request);
 
 /* HEADERS is NULL or NULL-ended "Name: value" strings.  */
 void web_respond (web_request_t *request, unsigned status,
@@ -74,8 +74,9 @@
 
 /* A problem+json answer after RFC 9457.  RUN is "not-run" or "unknown";
    RETRY_AFTER_S below 0 leaves Retry-After out.  */
-void web_problem (web_request_t *request, unsigned status, const char *title,
-                  const char *detail, const char *run, int retry_after_s);
+void web_respond_problem (web_request_t *request, unsigned status,
+                          const char *title, const char *detail,
+                          const char *run, int retry_after_s);
 
 /* A streamed answer.  DRAINED is called when bytes have left for the caller,
    with the total so far.  */
--- a/libcoltsfootdrum/once/once-job.c
+++ b/libcoltsfootdrum/once/once-job.c
@@ -141,7 +141,7 @@
     case PLAT_OK:
       job_free (job);
       break;
-    case PLAT_DOWN:
+    case PLAT_UNAVAILABLE:
       retry_later (job);
       break;
     default:
--- a/libcoltsfootdrum/once/once.c
+++ b/libcoltsfootdrum/once/once.c
@@ -189,8 +189,8 @@
       plat_get (claim->once->plat, ONCE_KIND, claim->name, on_claim_read,
                 claim);
       break;
-    case PLAT_UNKNOWN:
-    case PLAT_BAD:
+    case PLAT_OUTCOME_UNKNOWN:
+    case PLAT_INVALID_RESPONSE:
       claim->may_be_written = true;
       plat_get (claim->once->plat, ONCE_KIND, claim->name, on_claim_read,
                 claim);
--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -103,7 +103,8 @@
 static bool
 record_status (sweep_t *sweep, plat_status_t status)
 {
-  if (status != PLAT_DOWN && status != PLAT_UNKNOWN && status != PLAT_BAD)
+  if (status != PLAT_UNAVAILABLE && status != PLAT_OUTCOME_UNKNOWN
+      && status != PLAT_INVALID_RESPONSE)
     return true;
   sweep->counters.failed++;
   return false;
@@ -299,8 +300,8 @@
       if (is_pass_due (sweep, answer))
         {
           sweep->counters.calls++;
-          plat_page (sweep->plat, ONCE_KIND, sweep->after, MAX_PAGE_CLAIMS,
-                     on_page, sweep);
+          plat_list_limited (sweep->plat, ONCE_KIND, sweep->after,
+                             MAX_PAGE_CLAIMS, on_page, sweep);
           g_clear_pointer (&answer, json_object_unref);
           return;
         }
--- a/libcoltsfootdrum/platform/plat.c
+++ b/libcoltsfootdrum/platform/plat.c
@@ -33,11 +33,12 @@
 static plat_status_t
 status_of (const call_t *call, fetch_result_t result, unsigned status)
 {
-  plat_status_t doubt = call->is_write ? PLAT_UNKNOWN : PLAT_DOWN;
+  plat_status_t doubt
+      = call->is_write ? PLAT_OUTCOME_UNKNOWN : PLAT_UNAVAILABLE;
 
-  if (result == FETCH_UNREACHED)
-    return PLAT_DOWN;
-  if (result != FETCH_ANSWERED)
+  if (result == FETCH_CONNECT_FAILED)
+    return PLAT_UNAVAILABLE;
+  if (result != FETCH_COMPLETE)
     return doubt;
   switch (status)
     {
@@ -50,12 +51,12 @@
     case 412:
       return PLAT_CONFLICT;
     case 410:
-      return PLAT_GONE;
+      return PLAT_REVISION_EXPIRED;
     case 429:
     case 503:
-      return PLAT_DOWN;
+      return PLAT_UNAVAILABLE;
     default:
-      return status >= 500 ? doubt : PLAT_BAD;
+      return status >= 500 ? doubt : PLAT_INVALID_RESPONSE;
     }
 }
 
@@ -85,7 +86,7 @@
     {
       answer = parse_object (body, length);
       if (answer == NULL)
-        outcome = PLAT_BAD;
+        outcome = PLAT_INVALID_RESPONSE;
       else if (call->is_list)
         json_object_set_boolean_member (answer, "complete", TRUE);
     }
@@ -109,10 +110,10 @@
   call->is_list = is_list;
   call->is_write = is_write;
   request->url = url;
-  request->connect_ms = CONNECT_MS;
-  if (request->total_ms == 0)
-    request->total_ms = is_write ? WRITE_MS : READ_MS;
-  request->repeatable = !is_write;
+  request->connect_timeout_ms = CONNECT_MS;
+  if (request->total_timeout_ms == 0)
+    request->total_timeout_ms = is_write ? WRITE_MS : READ_MS;
+  request->reuse_connection = !is_write;
   request->done = on_done;
   request->user = call;
   list_append (&plat->waiting, &call->node);
@@ -214,8 +215,8 @@
 }
 
 void
-plat_page (plat_t *plat, const char *kinds, const char *after, unsigned limit,
-           plat_done_t done, void *user)
+plat_list_limited (plat_t *plat, const char *kinds, const char *after,
+                   unsigned limit, plat_done_t done, void *user)
 {
   fetch_request_t request = { .method = "GET" };
   g_autofree char *escaped = g_uri_escape_string (after, NULL, FALSE);
@@ -278,7 +279,7 @@
             void *user)
 {
   fetch_request_t request
-      = { .method = "GET", .total_ms = wait_ms + WATCH_SLACK_MS };
+      = { .method = "GET", .total_timeout_ms = wait_ms + WATCH_SLACK_MS };
 
   send (plat, &request,
         g_strdup_printf ("/v1/watch?after=%" G_GUINT64_FORMAT
@@ -288,15 +289,16 @@
 }
 
 void
-plat_instances (plat_t *plat, plat_done_t done, void *user)
+plat_list_instances (plat_t *plat, plat_done_t done, void *user)
 {
-  fetch_request_t request = { .method = "GET", .total_ms = INSTANCES_MS };
+  fetch_request_t request
+      = { .method = "GET", .total_timeout_ms = INSTANCES_MS };
 
   send (plat, &request, g_strdup ("/v1/instances"), false, done, user);
 }
 
 uint64_t
-plat_calls (const plat_t *plat)
+plat_count_calls (const plat_t *plat)
 {
   return plat->calls;
 }
@@ -312,13 +314,13 @@
       return "conflict";
     case PLAT_NOT_FOUND:
       return "not found";
-    case PLAT_GONE:
+    case PLAT_REVISION_EXPIRED:
       return "gone";
-    case PLAT_DOWN:
+    case PLAT_UNAVAILABLE:
       return "down";
-    case PLAT_UNKNOWN:
+    case PLAT_OUTCOME_UNKNOWN:
       return "unknown";
-    case PLAT_BAD:
+    case PLAT_INVALID_RESPONSE:
       return "against the contract";
     }
   return "?";
--- a/libcoltsfootdrum/platform/plat.h
+++ b/libcoltsfootdrum/platform/plat.h
@@ -35,13 +35,13 @@
 typedef enum
 {
   PLAT_OK,
-  PLAT_CONFLICT,  /* 409: another writer was first */
-  PLAT_NOT_FOUND, /* 404 */
-  PLAT_GONE,      /* 410: list again */
-  PLAT_DOWN,      /* not reached, or 429 or 503: it did not take effect; or a
-                     read that failed in any way */
-  PLAT_UNKNOWN,   /* sent but not answered: it may have taken effect */
-  PLAT_BAD        /* an answer against the contract */
+  PLAT_CONFLICT,         /* 409: another writer was first */
+  PLAT_NOT_FOUND,        /* 404 */
+  PLAT_REVISION_EXPIRED, /* 410: list again */
+  PLAT_UNAVAILABLE, /* not reached, or 429 or 503: it did not take effect; or a
+                read that failed in any way */
+  PLAT_OUTCOME_UNKNOWN, /* sent but not answered: it may have taken effect */
+  PLAT_INVALID_RESPONSE /* an answer against the contract */
 } plat_status_t;
 
 /* The kinds of object that make up the configuration; one revision counts
@@ -69,8 +69,8 @@
 void plat_list_page (plat_t *plat, const char *kinds, uint64_t revision_least,
                      const char *after, plat_done_t done, void *user);
 /* The same, LIMIT objects at most, whatever their revision.  */
-void plat_page (plat_t *plat, const char *kinds, const char *after,
-                unsigned limit, plat_done_t done, void *user);
+void plat_list_limited (plat_t *plat, const char *kinds, const char *after,
+                        unsigned limit, plat_done_t done, void *user);
 /* VERSION NULL creates, and conflicts when the object is there.  */
 void plat_put (plat_t *plat, const char *kind, const char *name,
                const char *version, JsonObject *spec, plat_done_t done,
@@ -79,7 +79,7 @@
                   const char *version, plat_done_t done, void *user);
 void plat_watch (plat_t *plat, uint64_t after, unsigned wait_ms,
                  plat_done_t done, void *user);
-void plat_instances (plat_t *plat, plat_done_t done, void *user);
+void plat_list_instances (plat_t *plat, plat_done_t done, void *user);
 
 /* Drops the calls made with USER: no call back comes, and whether a write took
    effect stays unknown.  */
@@ -87,7 +87,7 @@
 struct ev_loop *plat_loop (const plat_t *plat);
 
 /* Calls made since start, for the platform budget.  */
-uint64_t plat_calls (const plat_t *plat);
+uint64_t plat_count_calls (const plat_t *plat);
 
 const char *plat_status_name (plat_status_t status);
 
--- a/libcoltsfootdrum/platform/test-plat.c
+++ b/libcoltsfootdrum/platform/test-plat.c
@@ -113,7 +113,7 @@
                   on_done, result);
       break;
     case INSTANCES:
-      plat_instances (plat, on_done, result);
+      plat_list_instances (plat, on_done, result);
       break;
     }
 }
@@ -152,18 +152,18 @@
   { SP_SLOW, CREATE, NOTHING, PLAT_OK, NEW },
   { SP_SLOW, GET, OLD, PLAT_OK, OLD },
   { SP_SLOW, LIST, OLD, PLAT_OK, OLD },
-  { SP_LOSE_ANSWER, CREATE, NOTHING, PLAT_UNKNOWN, NEW },
+  { SP_LOSE_ANSWER, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NEW },
   { SP_LOSE_ANSWER, CREATE, OLD, PLAT_CONFLICT, OLD },
-  { SP_LOSE_ANSWER, UPDATE, OLD, PLAT_UNKNOWN, NEW },
-  { SP_LOSE_ANSWER, DELETE, OLD, PLAT_UNKNOWN, NOTHING },
+  { SP_LOSE_ANSWER, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, NEW },
+  { SP_LOSE_ANSWER, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, NOTHING },
   { SP_LOSE_ANSWER, GET, OLD, PLAT_OK, OLD },
-  { SP_DOWN, CREATE, NOTHING, PLAT_UNKNOWN, NOTHING },
-  { SP_DOWN, UPDATE, OLD, PLAT_UNKNOWN, OLD },
-  { SP_DOWN, DELETE, OLD, PLAT_UNKNOWN, OLD },
-  { SP_DOWN, GET, OLD, PLAT_DOWN, OLD },
-  { SP_DOWN, LIST, OLD, PLAT_DOWN, OLD },
-  { SP_DOWN, WATCH, OLD, PLAT_DOWN, OLD },
-  { SP_DOWN, INSTANCES, OLD, PLAT_DOWN, OLD },
+  { SP_DOWN, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NOTHING },
+  { SP_DOWN, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, OLD },
+  { SP_DOWN, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, OLD },
+  { SP_DOWN, GET, OLD, PLAT_UNAVAILABLE, OLD },
+  { SP_DOWN, LIST, OLD, PLAT_UNAVAILABLE, OLD },
+  { SP_DOWN, WATCH, OLD, PLAT_UNAVAILABLE, OLD },
+  { SP_DOWN, INSTANCES, OLD, PLAT_UNAVAILABLE, OLD },
   { SP_STALE, GET, OLD, PLAT_NOT_FOUND, OLD },
   { SP_STALE, CREATE, OLD, PLAT_CONFLICT, OLD },
   { SP_STALE, UPDATE, OLD, PLAT_OK, NEW },
@@ -207,7 +207,7 @@
   sp_test_begin (&test);
   sp_test_stop (&test);
   plat_delete (test.plat, KIND, "x", "0", on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_DOWN);
+  g_assert_cmpint (await (&test, &result), ==, PLAT_UNAVAILABLE);
   sp_test_end (&test);
 }
 
@@ -222,7 +222,7 @@
   sp_test_begin (&test);
   sp_fault (test.sp, SP_SLOW, 60000, 0);
   call (&test, CREATE, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_UNKNOWN);
+  g_assert_cmpint (await (&test, &result), ==, PLAT_OUTCOME_UNKNOWN);
   g_assert_cmpint (state_now (&test), ==, NEW);
   sp_test_end (&test);
 }
@@ -277,7 +277,7 @@
   for (unsigned i = 0; i < SP_TEST_HISTORY + 2; i++)
     sp_test_write (&test, KIND, "x", i % 2 ? NULL : SPEC);
   plat_watch (test.plat, 1, 0, on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_GONE);
+  g_assert_cmpint (await (&test, &result), ==, PLAT_REVISION_EXPIRED);
   forget (&result);
   plat_watch (test.plat, 2, 0, on_done, &result);
   g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
@@ -297,7 +297,7 @@
   sp_test_write (&test, KIND, "x", SPEC);
   sp_fault (test.sp, SP_STALE, 0, 100000000);
   plat_list (test.plat, 1, on_done, &result);
-  g_assert_cmpint (await (&test, &result), ==, PLAT_DOWN);
+  g_assert_cmpint (await (&test, &result), ==, PLAT_UNAVAILABLE);
   sp_test_end (&test);
 }
 
@@ -311,12 +311,12 @@
   result_t result = { false };
 
   sp_test_begin (&test);
-  plat_instances (test.plat, on_done, &gone);
-  plat_instances (test.plat, on_done, &result);
+  plat_list_instances (test.plat, on_done, &gone);
+  plat_list_instances (test.plat, on_done, &result);
   plat_cancel (test.plat, &gone);
   g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
   g_assert_false (gone.done);
-  g_assert_cmpuint (plat_calls (test.plat), ==, 2);
+  g_assert_cmpuint (plat_count_calls (test.plat), ==, 2);
   forget (&result);
   sp_test_end (&test);
 }
--- a/libcoltsfootdrum/relay/con.c
+++ b/libcoltsfootdrum/relay/con.c
@@ -199,7 +199,7 @@
 con_new_outbound (struct ev_loop *loop, const addr_t *addr,
                   const con_ops_t *ops, void *user)
 {
-  int fd = addr_dial (addr);
+  int fd = addr_connect (addr);
   con_t *con;
 
   if (fd < 0)
--- a/libcoltsfootdrum/relay/lag.c
+++ b/libcoltsfootdrum/relay/lag.c
@@ -119,8 +119,8 @@
     {
       g_autofree char *labels = g_strdup_printf ("work=\"%s\"", names[i]);
 
-      prom_sample (out, "cfd_relay_loop_seconds_total", "counter", labels,
-                   (double)lag->total_us[i] / G_USEC_PER_SEC);
+      prom_append_sample (out, "cfd_relay_loop_seconds_total", "counter",
+                          labels, (double)lag->total_us[i] / G_USEC_PER_SEC);
     }
 }
 
--- a/libcoltsfootdrum/relay/rly-answer.c
+++ b/libcoltsfootdrum/relay/rly-answer.c
@@ -332,7 +332,7 @@
     }
   edp_record_success (request->edp, now);
   if (answer->status / 100 == 2)
-    prom_hist_add (&request->service->whole, now - request->since);
+    prom_hist_observe (&request->service->whole, now - request->since);
   if (answer->stream)
     {
       end_stream (request);
--- a/libcoltsfootdrum/relay/rly-metrics.c
+++ b/libcoltsfootdrum/relay/rly-metrics.c
@@ -26,8 +26,8 @@
   };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (counters); i++)
-    prom_sample (out, counters[i].name, "counter", counters[i].labels,
-                 (double)counters[i].value);
+    prom_append_sample (out, counters[i].name, "counter", counters[i].labels,
+                        (double)counters[i].value);
 }
 
 static unsigned
@@ -47,15 +47,17 @@
 {
   uint64_t version = rly->table != NULL ? rte_table_version (rly->table) : 0;
 
-  prom_sample (out, "cfd_relay_waiting", "gauge", NULL, rly->counts.waiting);
-  prom_sample (out, "cfd_relay_running", "gauge", NULL, rly->counts.running);
-  prom_sample (out, "cfd_relay_routers", "gauge", NULL, rly->routers);
-  prom_sample (out, "cfd_relay_endpoints", "gauge", NULL,
-               edp_set_count (rly->endpoints));
-  prom_sample (out, "cfd_relay_endpoints_open", "gauge", NULL,
-               count_open (rly, now));
-  prom_sample (out, "cfd_relay_config_version", "gauge", NULL,
-               (double)version);
+  prom_append_sample (out, "cfd_relay_waiting", "gauge", NULL,
+                      rly->counts.waiting);
+  prom_append_sample (out, "cfd_relay_running", "gauge", NULL,
+                      rly->counts.running);
+  prom_append_sample (out, "cfd_relay_routers", "gauge", NULL, rly->routers);
+  prom_append_sample (out, "cfd_relay_endpoints", "gauge", NULL,
+                      edp_set_count (rly->endpoints));
+  prom_append_sample (out, "cfd_relay_endpoints_open", "gauge", NULL,
+                      count_open (rly, now));
+  prom_append_sample (out, "cfd_relay_config_version", "gauge", NULL,
+                      (double)version);
 }
 
 static void
@@ -64,9 +66,10 @@
   g_autofree char *name = g_strescape (service->name, NULL);
   g_autofree char *labels = g_strdup_printf ("service=\"%s\"", name);
 
-  prom_hist_put (&service->wait, out, "cfd_relay_wait_ms", labels);
-  prom_hist_put (&service->first_byte, out, "cfd_relay_first_byte_ms", labels);
-  prom_hist_put (&service->whole, out, "cfd_relay_answer_ms", labels);
+  prom_hist_append (&service->wait, out, "cfd_relay_wait_ms", labels);
+  prom_hist_append (&service->first_byte, out, "cfd_relay_first_byte_ms",
+                    labels);
+  prom_hist_append (&service->whole, out, "cfd_relay_answer_ms", labels);
 }
 
 void
--- a/libcoltsfootdrum/relay/rly-send.c
+++ b/libcoltsfootdrum/relay/rly-send.c
@@ -128,7 +128,7 @@
       request->ran = true;
       if (request->key != 0)
         ret_mark_served (request->rly->ret, request->key);
-      prom_hist_add (&request->service->first_byte, now - request->since);
+      prom_hist_observe (&request->service->first_byte, now - request->since);
     }
   if (first && is_success (&request->answer))
     {
@@ -225,7 +225,7 @@
       return false;
     }
   begin (request, edp, now);
-  prom_hist_add (&request->service->wait, now - request->since);
+  prom_hist_observe (&request->service->wait, now - request->since);
   log_info (
       "relay",
       "A request was sent: request=%s account=%s endpoint=%s active=%u "
--- a/libcoltsfootdrum/relay/test-ent.c
+++ b/libcoltsfootdrum/relay/test-ent.c
@@ -62,7 +62,7 @@
 
   for (unsigned i = 0; i < BURST; i++)
     {
-      fds[i] = addr_dial (&fixture->address);
+      fds[i] = addr_connect (&fixture->address);
       g_assert_cmpint (fds[i], >=, 0);
       established += send (fds[i], "", 0, MSG_NOSIGNAL) == 0;
     }
--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -26,8 +26,8 @@
 put_counters (GString *out, const counter_t *counters, unsigned count)
 {
   for (unsigned i = 0; i < count; i++)
-    prom_sample (out, counters[i].name, "counter", counters[i].labels,
-                 (double)counters[i].value);
+    prom_append_sample (out, counters[i].name, "counter", counters[i].labels,
+                        (double)counters[i].value);
 }
 
 static void
@@ -164,25 +164,27 @@
   put_requests (router, out);
   put_control (router, out);
   put_claims (router, out);
-  prom_sample (out, "cfd_router_waiting", "gauge", NULL,
-               adm_count_waiting (router->adm));
-  prom_sample (out, "cfd_router_in_flight", "gauge", NULL, router->in_flight);
-  prom_sample (out, "cfd_router_agents_doubted", "gauge", NULL,
-               disp_count_suspect_agents (router->disp, clock_now ()));
-  prom_sample (out, "cfd_router_retry_budget", "gauge", NULL,
-               router->retry_budget);
-  prom_sample (out, "cfd_router_accounts", "gauge", "side=\"share\"",
-               share_count_accounts (router->share));
-  prom_sample (out, "cfd_router_accounts", "gauge", "side=\"home\"",
-               home_count_accounts (router->home));
+  prom_append_sample (out, "cfd_router_waiting", "gauge", NULL,
+                      adm_count_waiting (router->adm));
+  prom_append_sample (out, "cfd_router_in_flight", "gauge", NULL,
+                      router->in_flight);
+  prom_append_sample (out, "cfd_router_agents_doubted", "gauge", NULL,
+                      disp_count_suspect_agents (router->disp, clock_now ()));
+  prom_append_sample (out, "cfd_router_retry_budget", "gauge", NULL,
+                      router->retry_budget);
+  prom_append_sample (out, "cfd_router_accounts", "gauge", "side=\"share\"",
+                      share_count_accounts (router->share));
+  prom_append_sample (out, "cfd_router_accounts", "gauge", "side=\"home\"",
+                      home_count_accounts (router->home));
   const home_clamped_t bounded = home_get_clamped (router->home);
-  prom_sample (out, "cfd_share_bounded_tokens_total", "counter",
-               "side=\"debt\"", bounded.debt);
-  prom_sample (out, "cfd_share_bounded_tokens_total", "counter",
-               "side=\"credit\"", bounded.credit);
-  prom_sample (out, "cfd_fairness_spread", "gauge", NULL, spread (router));
-  prom_sample (out, "cfd_router_passed_over_ms", "gauge", NULL,
-               (double)turns_longest (router->turns));
+  prom_append_sample (out, "cfd_share_bounded_tokens_total", "counter",
+                      "side=\"debt\"", bounded.debt);
+  prom_append_sample (out, "cfd_share_bounded_tokens_total", "counter",
+                      "side=\"credit\"", bounded.credit);
+  prom_append_sample (out, "cfd_fairness_spread", "gauge", NULL,
+                      spread (router));
+  prom_append_sample (out, "cfd_router_passed_over_ms", "gauge", NULL,
+                      (double)turns_longest (router->turns));
 }
 
 static void
@@ -199,12 +201,12 @@
       const agent_t *agent = value;
 
       json_builder_begin_object (out);
-      admin_text (out, "name", agent->name);
-      admin_text (out, "service", agent->service ? agent->service : "");
-      admin_text (out, "link", agent->up ? "up" : "down");
-      admin_text (out, "work",
-                  agents_may_work (router, agent) ? "in" : "leaving");
-      admin_number (out, "in_flight", agent->in_flight);
+      admin_add_text (out, "name", agent->name);
+      admin_add_text (out, "service", agent->service ? agent->service : "");
+      admin_add_text (out, "link", agent->up ? "up" : "down");
+      admin_add_text (out, "work",
+                      agents_may_work (router, agent) ? "in" : "leaving");
+      admin_add_number (out, "in_flight", agent->in_flight);
       json_builder_end_object (out);
     }
   json_builder_end_array (out);
@@ -215,18 +217,18 @@
 {
   const cfd_router_t *router = user;
 
-  admin_text (out, "state", router->draining ? "draining" : "serving");
-  admin_text (out, "policy",
-              router->policy == CFD_POLICY_LOCAL ? "local" : "fleet");
-  admin_number (out, "waiting", adm_count_waiting (router->adm));
-  admin_number (out, "in_flight", router->in_flight);
+  admin_add_text (out, "state", router->draining ? "draining" : "serving");
+  admin_add_text (out, "policy",
+                  router->policy == CFD_POLICY_LOCAL ? "local" : "fleet");
+  admin_add_number (out, "waiting", adm_count_waiting (router->adm));
+  admin_add_number (out, "in_flight", router->in_flight);
   put_agents (router, out);
 }
 
 bool
 router_admin_start (cfd_router_t *router, const char *address, GError **error)
 {
-  static const admin_source_t source = { not_ready, metrics, status };
+  static const admin_callbacks_t source = { not_ready, metrics, status };
 
   const admin_node_t node
       = { router->instance, "router",     router->zone, router->ring,
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -72,7 +72,7 @@
     web_respond (request->web, answer->status, answer->type, headers,
                  answer->body, strlen (answer->body));
   else
-    web_problem (
+    web_respond_problem (
         request->web, 409, "Already done",
         "The request with this key ran; its answer could not be kept.",
         "unknown", -1);
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -18,9 +18,9 @@
         int retry_after_s)
 {
   router->counters.refused[reason]++;
-  tl_add (router->ring, TL_REFUSE, NULL, NULL, NULL, web_header_set (web),
-          title);
-  web_problem (web, status, title, detail, "not-run", retry_after_s);
+  tl_add (router->ring, TL_REFUSE, NULL, NULL, NULL,
+          web_get_response_header (web), title);
+  web_respond_problem (web, status, title, detail, "not-run", retry_after_s);
 }
 
 /* The account of the caller's key, or NULL after a refusal.  */
@@ -186,7 +186,7 @@
   request_t *request;
   pass_t pass = { g_ptr_array_new_with_free_func (g_free), false };
 
-  web_each_header (web, pass_header, &pass);
+  web_foreach_header (web, pass_header, &pass);
   if (pass.too_many)
     {
       g_ptr_array_unref (pass.headers);
@@ -295,7 +295,7 @@
   g_autofree char *name = router_name_request (router);
 
   router->counters.requests++;
-  web_set_header (web, "X-Request-Id", name);
+  web_set_response_header (web, "X-Request-Id", name);
   if (store_get_revision (router->store) == 0)
     refuse (router, web, REFUSED_CAPACITY, 503, "Not ready",
             "This router has no configuration yet; ask again.",
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -14,7 +14,7 @@
 
   request->router = router;
   request->web = web;
-  request->trace = g_strdup (web_header_set (web));
+  request->trace = g_strdup (web_get_response_header (web));
   request->method = g_strdup (web_method (web));
   request->item.account = g_strdup (account);
   request->item.service = g_strdup (service);
@@ -60,8 +60,8 @@
   router_note (request->router, TL_REFUSE, request, title);
   if (request->web == NULL)
     return;
-  web_problem (request->web, status, title, detail, req_run_word (run),
-               retry_after_s);
+  web_respond_problem (request->web, status, title, detail, req_run_word (run),
+                       retry_after_s);
   request->web = NULL;
 }
 
@@ -88,11 +88,12 @@
                stop ? "failed: shutting down" : "failed: the agent was lost");
   if (request->web == NULL)
     return;
-  web_problem (request->web, stop ? 503 : 502,
-               stop ? "Shutting down" : "Lost on the way",
-               "The request was given to an endpoint and its outcome is not "
-               "known; it may have run.",
-               "unknown", -1);
+  web_respond_problem (
+      request->web, stop ? 503 : 502,
+      stop ? "Shutting down" : "Lost on the way",
+      "The request was given to an endpoint and its outcome is not "
+      "known; it may have run.",
+      "unknown", -1);
   request->web = NULL;
 }
 
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -91,7 +91,8 @@
 static bool
 has_work (const cfd_router_t *router)
 {
-  return !list_is_empty (&router->all) || web_server_active (router->web) > 0
+  return !list_is_empty (&router->all)
+         || web_server_count_active (router->web) > 0
          || once_count_pending_writes (router->once) > 0;
 }
 
@@ -112,7 +113,8 @@
     router->quiet_since = now;
   if (now - router->quiet_since < QUIET_MS && now < router->drain_until)
     return;
-  log_info ("router", "Shut down: left=%u.", web_server_active (router->web));
+  log_info ("router", "Shut down: left=%u.",
+            web_server_count_active (router->web));
   ev_break (router->loop, EVBREAK_ALL);
 }
 
@@ -297,7 +299,7 @@
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_limit_bodies (router->web, BODIES_MAX);
+  web_server_set_max_body_bytes (router->web, BODIES_MAX);
   return true;
 }
 
--- a/libcoltsfootdrum/router/test-router.c
+++ b/libcoltsfootdrum/router/test-router.c
@@ -410,7 +410,7 @@
   scene_call_t call;
   scene_agent_t *agent = REGISTER (&scene);
 
-  clock_set_wall (jumping_wall);
+  clock_set_wall_source (jumping_wall);
   scene_begin (&scene);
   scene_post (&scene, &call);
   g_autofree char *request = scene_assigned (agent, 1);
@@ -430,7 +430,7 @@
   g_assert_cmpint (clock_now () - asked, >=, 900);
   scene_call_end (&call);
   scene_end (&scene);
-  clock_set_wall (NULL);
+  clock_set_wall_source (NULL);
 }
 
 int
--- a/libcoltsfootdrum/wire/peer-link.c
+++ b/libcoltsfootdrum/wire/peer-link.c
@@ -144,7 +144,7 @@
   peer_hub_t *hub = link->hub;
   g_autoptr (GByteArray) frame = NULL;
 
-  message->stamp = hlc_tick (hub->clock, clock_wall ());
+  message->stamp = hlc_tick (hub->clock, clock_wall_ms ());
   message->revision
       = hub->events.revision != NULL ? hub->events.revision (hub->user) : 0;
   frame = msg_encode (message, out_state (link, message->kind));
@@ -249,7 +249,7 @@
 static void
 take_stamp (peer_hub_t *hub, uint64_t stamp)
 {
-  int64_t wall = clock_wall ();
+  int64_t wall = clock_wall_ms ();
 
   if ((int64_t)(stamp >> 16) - wall < STAMP_AHEAD_MS)
     hlc_merge (hub->clock, stamp, wall);
--- a/libcoltsfootdrum/wire/peer.c
+++ b/libcoltsfootdrum/wire/peer.c
@@ -179,7 +179,7 @@
   schedule_dial (peer, now);
   if (!addr_parse (peer->address, &addr, NULL))
     return;
-  fd = addr_dial (&addr);
+  fd = addr_connect (&addr);
   if (fd < 0)
     {
       log_warn ("peer", "Can't dial: peer=%s address=%s fault=%s.",
@@ -338,7 +338,7 @@
   hub->short_frames = true;
   auth_key (self->secret, hub->key);
   hub->ring = ring;
-  hub->clock = ring != NULL ? tl_ring_clock (ring) : &hub->own_clock;
+  hub->clock = ring != NULL ? tl_ring_get_clock (ring) : &hub->own_clock;
   hub->events = *events;
   hub->user = user;
   hub->peers
--- a/libcoltsfootdrum/wire/test-peer-auth.c
+++ b/libcoltsfootdrum/wire/test-peer-auth.c
@@ -190,7 +190,7 @@
 
       hubs_start (&hubs, HUBS_SECRET);
       g_assert_true (addr_parse (hubs.address_b, &addr, NULL));
-      hubs.raw = addr_dial (&addr);
+      hubs.raw = addr_connect (&addr);
       g_byte_array_unref (raw_receive (&hubs));
       raw_send (&hubs, cases[i].bytes, cases[i].length);
       hubs_run_until (&hubs, b_closed_all);
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -102,7 +102,7 @@
                             .model = FLEET_MODEL,
                             .plain = FLEET_PLAIN,
                             .request_limit = DEMO_REQUESTS,
-                            .silence_ms = 20000,
+                            .idle_timeout_ms = 20000,
                             .accounts = members };
 
   for (unsigned i = 0; i < plan.routers; i++)
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -131,7 +131,7 @@
                             .model = FLEET_MODEL,
                             .plain = FLEET_PLAIN,
                             .request_limit = run.it->requests,
-                            .silence_ms = 20000,
+                            .idle_timeout_ms = 20000,
                             .accounts = members };
   struct ev_loop *loop = ev_loop_new (0);
 
--- a/tests/load.c
+++ b/tests/load.c
@@ -240,7 +240,7 @@
 {
   load_request_t *request = caller->request;
 
-  if (result != FETCH_ANSWERED)
+  if (result != FETCH_COMPLETE)
     return caller->wrong ? LOAD_WRONG : LOAD_BROKEN;
   if (request->status >= 300)
     {
@@ -268,7 +268,7 @@
   request->last_us = clock_now_us ();
   if (request->end != LOAD_RIGHT)
     request->detail
-        = g_strdup (result == FETCH_ANSWERED ? caller->line->str : detail);
+        = g_strdup (result == FETCH_COMPLETE ? caller->line->str : detail);
   if (request->first_us == 0 && load_kind_is_model (request->kind))
     load_tally_wait_over (load->tally, request);
   load->active--;
@@ -317,9 +317,9 @@
           .headers = headers,
           .body = body,
           .body_length = body != NULL ? strlen (body) : 0,
-          .connect_ms = 3000,
-          .total_ms = 60000,
-          .silence_ms = load->plan->silence_ms,
+          .connect_timeout_ms = 3000,
+          .total_timeout_ms = 60000,
+          .idle_timeout_ms = load->plan->idle_timeout_ms,
           .head = on_head,
           .data = on_data,
           .done = on_done,
--- a/tests/load.h
+++ b/tests/load.h
@@ -55,13 +55,13 @@
   bool by_router; /* samples also tell the routers apart */
   const char *model;
   const char *plain;
-  unsigned request_limit; /* stops by itself after so many; 0: none */
-  unsigned silence_ms;    /* a caller gives up after such a silence */
-  bool exact_hints;       /* max_tokens is the answer's length */
-  unsigned pad;           /* bytes that engines add to each event */
-  unsigned pause_ms;      /* a caller reads nothing for so long after the first
-                             bytes; 0: reads at once */
-  GPtrArray *accounts;    /* of load_account_t */
+  unsigned request_limit;   /* stops by itself after so many; 0: none */
+  unsigned idle_timeout_ms; /* a caller gives up after such a silence */
+  bool exact_hints;         /* max_tokens is the answer's length */
+  unsigned pad;             /* bytes that engines add to each event */
+  unsigned pause_ms;   /* a caller reads nothing for so long after the first
+                          bytes; 0: reads at once */
+  GPtrArray *accounts; /* of load_account_t */
 } load_plan_t;
 
 /* One request as its caller saw it.  */
--- a/tests/measure-config.c
+++ b/tests/measure-config.c
@@ -171,7 +171,7 @@
                                  .urls = traffic->urls,
                                  .model = FLEET_MODEL,
                                  .plain = FLEET_PLAIN,
-                                 .silence_ms = 10000,
+                                 .idle_timeout_ms = 10000,
                                  .accounts = traffic->accounts };
   traffic->load = load_new (loop, &traffic->plan);
   if (size->callers > 0)
--- a/tests/measure-path.c
+++ b/tests/measure-path.c
@@ -139,7 +139,7 @@
                              .model = FLEET_MODEL,
                              .plain = FLEET_PLAIN,
                              .request_limit = flow->requests,
-                             .silence_ms = 60000,
+                             .idle_timeout_ms = 60000,
                              .pad = flow->pad,
                              .pause_ms = flow->pause_ms,
                              .accounts = accounts };
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -229,7 +229,7 @@
   load->plain = FLEET_PLAIN;
   load->by_router = strcmp (options->event, "zone") != 0;
   load->exact_hints = options->exact_hints;
-  load->silence_ms = 30000;
+  load->idle_timeout_ms = 30000;
   load->accounts = g_ptr_array_new_with_free_func (account_free);
   add_model_accounts (deployment, (unsigned)MAX (options->accounts, 16) / 16,
                       profile->models, (unsigned)MAX (options->held, 1),
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -104,7 +104,7 @@
   g_autoptr (JsonNode) root = NULL;
 
   endpoint->asked = false;
-  if (result == FETCH_ANSWERED && status == 200)
+  if (result == FETCH_COMPLETE && status == 200)
     root = json_from_string (body, NULL);
   if (root != NULL && JSON_NODE_HOLDS_OBJECT (root))
     take_counters (endpoint, json_node_get_object (root));
@@ -120,7 +120,7 @@
       endpoint_t *endpoint = watch->endpoints->pdata[i];
       const fetch_request_t request = { .method = "GET",
                                         .url = endpoint->url,
-                                        .total_ms = 5000,
+                                        .total_timeout_ms = 5000,
                                         .done = on_counters,
                                         .user = endpoint };
       if (endpoint->asked)
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -59,7 +59,7 @@
                                     .model = FLEET_MODEL,
                                     .plain = FLEET_PLAIN,
                                     .request_limit = plan->requests,
-                                    .silence_ms = 20000,
+                                    .idle_timeout_ms = 20000,
                                     .accounts = g_ptr_array_new () };
   scene->load_plan.urls[0]
       = fleet_url (scene->fleet, FLEET_ROUTER, plan->router);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -215,7 +215,7 @@
                             .urls = urls,
                             .model = FLEET_MODEL,
                             .plain = FLEET_PLAIN,
-                            .silence_ms = 30000,
+                            .idle_timeout_ms = 30000,
                             .accounts = members };
   soak_t soak = { .loop = loop };
   ev_timer step;
--- a/tests/standin-engine.c
+++ b/tests/standin-engine.c
@@ -151,14 +151,14 @@
 
   if (prompt == NULL)
     {
-      web_problem (request, 400, "Bad request", "Give messages or a prompt.",
-                   "not-run", -1);
+      web_respond_problem (request, 400, "Bad request",
+                           "Give messages or a prompt.", "not-run", -1);
       return;
     }
   if (standin->refuse)
     {
-      web_problem (request, 503, "Not taking work", "Told to refuse.",
-                   "not-run", 1);
+      web_respond_problem (request, 503, "Not taking work", "Told to refuse.",
+                           "not-run", 1);
       return;
     }
   bool stream
@@ -187,8 +187,8 @@
 
   if (run == NULL || offset > run->body->len)
     {
-      web_problem (request, 404, "No such stream", "Nothing to resume.",
-                   "unknown", -1);
+      web_respond_problem (request, 404, "No such stream",
+                           "Nothing to resume.", "unknown", -1);
       return;
     }
   if (g_str_has_suffix (name, "/cancel"))
@@ -286,8 +286,8 @@
 
   if (order == NULL)
     {
-      web_problem (request, 400, "Bad request", "Give a JSON object.",
-                   "not-run", -1);
+      web_respond_problem (request, 400, "Bad request", "Give a JSON object.",
+                           "not-run", -1);
       return;
     }
   standin->refuse = json_object_get_boolean_member_with_default (
@@ -329,7 +329,8 @@
   else if (strcmp (path, "/control") == 0)
     on_control (standin, request);
   else
-    web_problem (request, 404, "Not found", "No such path.", "not-run", -1);
+    web_respond_problem (request, 404, "Not found", "No such path.", "not-run",
+                         -1);
 }
 
 int
@@ -373,8 +374,9 @@
                                        .cold_ms = (unsigned)cold_ms,
                                        .step_ms = step_ms };
   g_autoptr (engine_t) engine = engine_new (&settings, clock_now ());
-  const web_limits_t limits
-      = { .body_max = 8 << 20, .connections = 8000, .idle_s = 600 };
+  const web_limits_t limits = { .max_body_bytes = 8 << 20,
+                                .connections = 8000,
+                                .idle_timeout_s = 600 };
   standin.engine = engine;
   ev_timer_init (&standin.step, on_step, 0, 0);
   standin.step.data = &standin;
--- a/tests/standin-relay.c
+++ b/tests/standin-relay.c
@@ -194,7 +194,7 @@
       g_ptr_array_add (maps, map);
     }
   const web_limits_t limits
-      = { .body_max = 65536, .connections = 100, .idle_s = 600 };
+      = { .max_body_bytes = 65536, .connections = 100, .idle_timeout_s = 600 };
   g_autoptr (web_server_t) server
       = web_server_new (loop, control, &limits, on_control, maps, &error);
   if (server == NULL)
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -119,8 +119,8 @@
 
   if (standin->refuse)
     {
-      web_problem (request, 503, "Not taking work", "Told to refuse.",
-                   "not-run", 1);
+      web_respond_problem (request, 503, "Not taking work", "Told to refuse.",
+                           "not-run", 1);
       return;
     }
   call_t *call = g_new0 (call_t, 1);
@@ -236,8 +236,9 @@
     }
   g_autoptr (GHashTable) nonces
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  const web_limits_t limits
-      = { .body_max = 8 << 20, .connections = 1000, .idle_s = 600 };
+  const web_limits_t limits = { .max_body_bytes = 8 << 20,
+                                .connections = 1000,
+                                .idle_timeout_s = 600 };
   standin.nonces = nonces;
   standin.slots = (unsigned)slots;
   standin.accounted = clock_now ();
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -95,7 +95,7 @@
 static void
 wake_agents (run_t *run)
 {
-  run->woken_wall = clock_wall ();
+  run->woken_wall = clock_wall_ms ();
   signal_agents (run, SIGCONT);
 }
 
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -64,7 +64,7 @@
                                     .urls = g_new0 (char *, ROUTERS + 1),
                                     .model = FLEET_MODEL,
                                     .plain = FLEET_PLAIN,
-                                    .silence_ms = 30000,
+                                    .idle_timeout_ms = 30000,
                                     .accounts = g_ptr_array_new () };
   for (unsigned i = 0; i < fleet->routers; i++)
     scene->load_plan.urls[i] = fleet_url (scene->fleet, FLEET_ROUTER, i);
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -301,7 +301,7 @@
                             .urls = urls,
                             .model = FLEET_MODEL,
                             .plain = FLEET_PLAIN,
-                            .silence_ms = 20000,
+                            .idle_timeout_ms = 20000,
                             .accounts = members };
   struct ev_loop *loop = ev_loop_new (0);
   ev_timer check;
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -435,7 +435,7 @@
                        .urls = urls,
                        .model = FLEET_MODEL,
                        .plain = FLEET_PLAIN,
-                       .silence_ms = WAIT_MS,
+                       .idle_timeout_ms = WAIT_MS,
                        .accounts = all };
   shutdown_t down = { .router = fleet_proc (fleet, FLEET_ROUTER, 0) };
   ev_timer check;
