--- a/libcoltsfootdrum/agent/agent-admin.c
+++ b/libcoltsfootdrum/agent/agent-admin.c
@@ -1,4 +1,4 @@
-/* What the agent shows on its admin port.  */
+/* Metrics and status on the agent's admin port.  */
 
 #include "agent/agent-private.h"
 #include "admin/prom.h"
@@ -47,8 +47,8 @@
               (double)c->slot_ms / 1000);
 }
 
-/* Slots in use by slots allowed while work waits; 1 when none does, as then
-   no slot is idle in vain.  */
+/* Share of the allowed slots in use while requests wait; 1 while none wait,
+   because then no slot is idle without need.  */
 static double
 compute_utilisation (const cfd_agent_t *agent)
 {
--- a/libcoltsfootdrum/agent/agent-answer.c
+++ b/libcoltsfootdrum/agent/agent-answer.c
@@ -1,4 +1,4 @@
-/* The answer's way from the agent to the router: head, body pieces, end.  */
+/* Sends the answer from the agent to the router: head, body pieces, end.  */
 
 #include "agent/agent-private.h"
 
--- a/libcoltsfootdrum/agent/agent-config.c
+++ b/libcoltsfootdrum/agent/agent-config.c
@@ -1,38 +1,39 @@
-/* Configuration at the agent, and whether it may take work.  */
+/* The agent's configuration, and whether it may grant slots.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
 #include "config/witness.h"
 
-/* Whatever was read within this time after a stop may have waited in a socket
-   since before it, and confirms nothing.  */
+/* Data that was read within this time after a suspension may have waited in a
+   socket since before it, and confirms nothing.  */
 #define MAX_BUFFERED_MS 250
 #define CONFIG_ASK_INTERVAL_MS 200
 #define UPDATE_CHECK_INTERVAL_MS 1000
-/* What 95 of 100 callers are to see; slower is overload.  */
+/* Targets for 95 % of the callers; slower is overload.  */
 #define TARGET_FIRST_TOKEN_MS 1400.0
 #define TARGET_TOKEN_INTERVAL_MS 32.0
 
-/* ---- whether it may grant ---- */
+/* ---- grant eligibility ---- */
 
 static void
-confirm_by_platform (cfd_agent_t *agent, cfd_time_t now)
+confirm_config_by_platform (cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard_at = now - store_get_age_ms (agent->store, now);
+  cfd_time_t contact_at = now - store_get_age_ms (agent->store, now);
 
-  if (heard_at > agent->suspension_ended_at + MAX_BUFFERED_MS)
+  if (contact_at > agent->suspension_ended_at + MAX_BUFFERED_MS)
     agent->is_config_unconfirmed = false;
 }
 
-/* Whether the platform is in reach.  Its list of instances may answer before
-   the configuration was read; after a cut-off that isn't enough, because a
-   zone may have gone out meanwhile.  */
+/* Whether the platform is reachable.  Its list of instances may be read before
+   the configuration.  After a cut-off that isn't enough, because a zone may
+   have been taken out meanwhile.  */
 static bool
 platform_is_up (const cfd_agent_t *agent, cfd_time_t now)
 {
-  cfd_time_t heard_at = now - store_get_age_ms (agent->store, now);
+  cfd_time_t contact_at = now - store_get_age_ms (agent->store, now);
 
-  return store_is_platform_up (agent->store) && heard_at >= agent->cut_off_at;
+  return store_is_platform_up (agent->store)
+         && contact_at >= agent->cut_off_at;
 }
 
 static void
@@ -40,7 +41,8 @@
 {
   if (reason == agent->grant_reason)
     return;
-  log_info ("agent", "Taking work: state=%s.", grant_reason_name (reason));
+  log_info ("agent", "Grant eligibility changed: state=%s.",
+            grant_reason_name (reason));
   agent->grant_reason = reason;
   if (reason == GRANT_CUT_OFF)
     agent->cut_off_at = now;
@@ -77,7 +79,7 @@
   grant_reason_t reason;
 
   if (agent->is_config_unconfirmed)
-    confirm_by_platform (agent, now);
+    confirm_config_by_platform (agent, now);
   state.is_config_unconfirmed = agent->is_config_unconfirmed;
   links_get_counts (agent->links, &state.routers_known,
                     &state.routers_connected);
@@ -113,7 +115,8 @@
     agent->asked_since_suspension = true;
 }
 
-/* In a large fleet most agents learn from peers alone.  */
+/* In a large fleet most agents receive their configuration from peers
+   only.  */
 static void
 ask_for_update (cfd_agent_t *agent, cfd_time_t now)
 {
@@ -143,9 +146,9 @@
   config_catch_up (agent, now);
 }
 
-/* Asks the router that showed the newest revision, and another in turn, since
-   that one may be dead by now.  Asking all, each 200 ms, would cost a busy
-   agent more than its heartbeats.  */
+/* Asks the router that stated the newest revision, which may be dead by now,
+   and another router in turn.  Asking all of them every 200 ms would cost a
+   busy agent more than its heartbeats.  */
 static void
 ask_newest_peer (cfd_agent_t *agent)
 {
@@ -157,7 +160,6 @@
     ask_config (agent, other);
 }
 
-/* A peer with newer configuration, or a stop: ask until it is caught up.  */
 void
 config_catch_up (cfd_agent_t *agent, cfd_time_t now)
 {
@@ -182,7 +184,8 @@
 {
   bool is_newer = store_apply_part (agent->store, part, now);
 
-  /* A piece: the next one now, not at the next tick.  */
+  /* Only a piece of it was received: asks for the next one without waiting for
+     a tick.  */
   if (is_newer
       && store_get_revision (agent->store) < agent->newest_peer_revision)
     ask_config (agent, (char *)router);
--- a/libcoltsfootdrum/agent/agent-control.c
+++ b/libcoltsfootdrum/agent/agent-control.c
@@ -1,23 +1,24 @@
-/* A request that runs, seen from the router's side and over time:
-   acknowledgements, resuming, is_cancelling, and the watch on silence.  */
+/* A running request: acknowledging, resuming and cancelling by its router, and
+   the timeouts checked at each tick.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
 
-/* An answer that has begun and then says nothing for so long is broken: the
-   connection may have gone silent for good.  */
+/* An answer that has begun and then pauses this long is broken: its connection
+   may be dead.  */
 #define MAX_SILENCE_MS 5000
 /* Longest wait for a stream's first byte, and for an answer in one piece.  */
 #define MAX_FIRST_BYTE_MS 30000
 #define MAX_WHOLE_ANSWER_MS 600000
 #define MAX_PLAIN_SILENCE_MS 60000
-/* A stream whose router stays away so long is given up.  */
+/* A request is cancelled when its router stays disconnected this long.  */
 #define MAX_DETACHED_MS 30000
-/* An ended answer without any acknowledgement from a router in hearing.  */
+/* An ended answer is removed after this time without any acknowledgement from
+   a connected router.  */
 #define MAX_UNACKED_MS 600000
 #define CANCEL_TIMEOUT_MS 1000
-/* An engine that gives no answer to a small question within this time is
-   stopped, not busy.  */
+/* An engine that doesn't answer a small request within this time is stopped,
+   not busy.  */
 #define PROBE_TIMEOUT_MS 2000
 
 void
@@ -25,7 +26,8 @@
 {
   run->last_ack_at = now;
   if (!stream_acknowledge (&run->stream, ack->offset))
-    log_warn ("agent", "Acknowledged bytes that were never sent: request=%s.",
+    log_warn ("agent",
+              "Router acknowledged bytes that were never sent: request=%s.",
               run->request);
   if (run->is_paused && !stream_is_full (&run->stream) && run->fetch != NULL)
     {
@@ -44,7 +46,7 @@
   if (!stream_resume (&run->stream, resume->offset, resume->head))
     {
       answer_send_unknown (agent, peer->instance, run->request,
-                           "the bytes asked for are gone");
+                           "the requested bytes are no longer kept");
       return;
     }
   agent->counters.resumed_links++;
@@ -80,8 +82,8 @@
     run_finish (run, OUTCOME_CANCELLED, "cancelled", now);
 }
 
-/* The engine goes on with a stream whose reader left, so that it can be
-   resumed; its slot is free only when it has taken the order to stop.  */
+/* The engine continues a stream whose reader disconnected, so that it can be
+   resumed.  Its slot is free only after it has accepted the cancellation.  */
 void
 run_cancel_at_engine (run_t *run)
 {
@@ -100,9 +102,9 @@
   run->fetch = fetch_start (run->agent->pool, &request);
 }
 
-/* Leaves the call to finish and nothing of it to be kept.  */
+/* Lets the request run to its end, and drops its answer.  */
 static void
-discard (run_t *run)
+discard_answer (run_t *run)
 {
   run->is_discarding = true;
   (void)stream_acknowledge (&run->stream, stream_get_length (&run->stream));
@@ -125,8 +127,8 @@
     }
   if (!run->idempotent)
     {
-      /* Cutting it off would leave nobody knowing whether it ran.  */
-      discard (run);
+      /* Cutting it off would leave unknown whether it ran.  */
+      discard_answer (run);
       return;
     }
   if (run->fetch != NULL)
@@ -145,17 +147,17 @@
   run->detached_at = now - MAX_DETACHED_MS;
 }
 
-/* ---- time ---- */
+/* ---- timeouts ---- */
 
 void
-run_handle_suspension (run_t *run, cfd_time_t gap, cfd_time_t now)
+run_handle_suspension (run_t *run, cfd_time_t gap_ms, cfd_time_t now)
 {
-  /* What came meanwhile waits in the socket: it is not silent, and its times
-     are ours.  */
+  /* Data that arrived meanwhile waits in the socket: the endpoint was not
+     silent, and the token times show the suspension instead.  */
   run->last_byte_at = now;
   run->is_untimed = true;
   if (!run->is_attached)
-    run->detached_at += gap;
+    run->detached_at += gap_ms;
 }
 
 static cfd_time_t
@@ -167,9 +169,9 @@
 }
 
 /* Whether RUN, at a model engine, may still give its first byte: an answer in
-   one piece gives none until its end.  Its connection may have gone silent for
-   good meanwhile, and nothing tells that from an engine at work; but another
-   connection to the same answer does no harm.  */
+   one piece gives none until its end.  Its connection may be dead, which can't
+   be told from an engine at work; but a second connection to the same answer
+   does no harm.  */
 static bool
 may_still_answer (const run_t *run, cfd_time_t now)
 {
@@ -192,17 +194,17 @@
       run_reconnect (run);
       return;
     }
-  log_warn ("agent", "The endpoint answers nothing: request=%s.",
+  log_warn ("agent", "The endpoint does not respond: request=%s.",
             run->request);
   run->is_abandoned = true;
   run_cancel_at_engine (run);
 }
 
-/* RUN has waited for its first byte for long.  When its connection went silent
-   another one brings the answer; when the whole engine stands still nothing
-   does, and the caller would wait for MAX_FIRST_BYTE_MS and more though
-   another endpoint is free.  What the engine says to any other question tells
-   the two apart.  */
+/* RUN has waited long for its first byte.  If only its connection is dead, a
+   second one gets the answer.  If the whole engine is stopped, nothing does,
+   and the caller would wait for MAX_FIRST_BYTE_MS or longer though another
+   endpoint is free.  Whether the engine answers another request tells the two
+   apart.  */
 static void
 probe_engine (run_t *run, cfd_time_t now)
 {
@@ -240,7 +242,7 @@
   run_handle_break (run, "the endpoint went silent", now);
 }
 
-/* Whether the token times of RUN can tell of the endpoint.  */
+/* Whether the token times of RUN show the endpoint's speed.  */
 static bool
 has_valid_token_times (const run_t *run)
 {
--- a/libcoltsfootdrum/agent/agent-grant.c
+++ b/libcoltsfootdrum/agent/agent-grant.c
@@ -1,12 +1,15 @@
 #include "agent/agent-grant.h"
 
-/* An agent that hears neither the platform nor most of its routers may be in
-   an island with a few of them, where nobody can learn that a zone was taken
-   out: work would go on there for as long as the partition lasts.  With most
-   routers in hearing, the one that did learn it is among them or in hearing
-   of them, so a platform outage alone stops no work.  An agent that had links
-   with the routers of its own zone alone takes these for all, and is not told
-   otherwise by their silence; so it counts the zones that it hears too.  */
+/* Whether the agent may be in a network partition with only a few routers,
+   where nobody can learn that a zone was taken out of service: work would go
+   on there as long as the partition lasts.
+
+   An agent that reaches neither the platform nor at least half of its known
+   routers counts as cut off.  With at least half of them connected, a router
+   that did learn it is among them or connected to one of them, so a platform
+   outage alone stops no work.  An agent whose links were all to routers of its
+   own zone takes these for the whole fleet, and no timeout tells it otherwise;
+   so the connected zones are counted too.  */
 static bool
 is_cut_off (const grant_state_t *state)
 {
--- a/libcoltsfootdrum/agent/agent-ids.c
+++ b/libcoltsfootdrum/agent/agent-ids.c
@@ -4,7 +4,7 @@
 
 typedef struct
 {
-  list_node_t node; /* least recently updated_at first */
+  list_node_t node; /* least recently updated first */
   char *request;
   ids_state_t state;
   cfd_time_t updated_at;
--- a/libcoltsfootdrum/agent/agent-ids.h
+++ b/libcoltsfootdrum/agent/agent-ids.h
@@ -1,8 +1,8 @@
-/* The requests this agent started or refused, so that none is started twice
-   and none after the agent's word that it will not be.  Pure.  Bounded: ids
-   are forgotten IDS_RETENTION_MS after they were last touched, and the oldest
-   when there are more than IDS_MAX_COUNT; a grant's life and a router's resume
-   window are far shorter.  */
+/* Request ids that this agent started or refused, so that no request is
+   started twice, and none after the agent reported that it will not be
+   started.  Pure.  Bounded: an id is removed IDS_RETENTION_MS after its last
+   update, and the oldest one when there are more than IDS_MAX_COUNT; a grant
+   and a router's resume window last far shorter.  */
 
 #ifndef AGENT_AGENT_IDS_H
 #define AGENT_AGENT_IDS_H
@@ -17,7 +17,7 @@
 {
   IDS_NEW,
   IDS_STARTED,
-  IDS_REFUSED /* never started, and never will be */
+  IDS_REFUSED /* not started, and never will be */
 } ids_state_t;
 
 typedef struct ids ids_t;
--- a/libcoltsfootdrum/agent/agent-links.h
+++ b/libcoltsfootdrum/agent/agent-links.h
@@ -1,12 +1,14 @@
-/* Which routers this agent knows, and which of them it hears.  Pure.
-
-   Heard are those whose link is up: while the platform is out of reach the
-   agent holds all its links, and a held link that is has_timed_out is closed
-   in PEER_SILENCE_TIMEOUT_MS.  Known are these and the ones lost by silence; a
-   router that closed its link itself went of its own accord (idle, restarted,
-   shut down) and is forgotten.  Lost ones are forgotten after
-   LINKS_LOST_RETENTION_MS, but never while the platform is out of reach: else
-   an island would in time take itself for the whole fleet.  */
+/* Router links: which routers this agent knows, and which of them are
+   connected.  Pure.
+
+   A router is connected while its link is up.  While the platform is
+   unreachable the agent holds all its links, and a held link that is silent is
+   closed after PEER_SILENCE_MS.  Known are the connected routers and those
+   whose link timed out.  A router that closed its link itself (idle, restarted
+   or shut down) is removed.  A router whose link timed out is removed after
+   LINKS_LOST_RETENTION_MS, but never while the platform is unreachable;
+   otherwise an agent in a network partition would in time take the routers in
+   it for the whole fleet.  */
 
 #ifndef AGENT_AGENT_LINKS_H
 #define AGENT_AGENT_LINKS_H
@@ -29,13 +31,14 @@
 void links_expire (links_t *links, bool is_platform_up, cfd_time_t now);
 void links_get_counts (const links_t *links, unsigned *known_count,
                        unsigned *up_count);
-/* Zones of the routers whose link is up.  */
+/* Number of zones with a connected router.  */
 unsigned links_count_zones (const links_t *links);
-/* Calls VISIT for each router whose link is up.  */
+/* Calls VISIT for each connected router.  */
 void links_for_each_up (const links_t *links,
                         void (*visit) (void *user, const char *router),
                         void *user);
-/* One of the routers whose link is up, another for each NTH; or NULL.  */
+/* The connected router number NTH, modulo their count; NULL when there is
+   none.  */
 const char *links_get_nth_up (const links_t *links, unsigned nth);
 
 #endif
--- a/libcoltsfootdrum/agent/agent-local.c
+++ b/libcoltsfootdrum/agent/agent-local.c
@@ -1,5 +1,6 @@
-/* The baseline policy `local`: routers push, the agent starts what was pushed
-   first in first out as slots get free.  Kept to measure against.  */
+/* The baseline policy `local`: routers push requests, and the agent starts
+   them first in first out as slots become free.  Kept for comparison in
+   measurements.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
@@ -13,7 +14,7 @@
   run->agent->queued--;
 }
 
-/* Gives a waiting request back to its router.  */
+/* Returns a waiting request to its router.  */
 static void
 refuse (cfd_agent_t *agent, run_t *run, const char *why, cfd_time_t now)
 {
@@ -32,7 +33,7 @@
   if (ids_get_state (agent->ids, assign->request) == IDS_STARTED
       || g_hash_table_contains (agent->runs, assign->request))
     {
-      log_warn ("agent", "Pushed again, not started again: request=%s.",
+      log_warn ("agent", "Ignoring a repeated push: request=%s.",
                 assign->request);
       return;
     }
--- a/libcoltsfootdrum/agent/agent-peers.c
+++ b/libcoltsfootdrum/agent/agent-peers.c
@@ -31,7 +31,7 @@
   run_acknowledge (run, ack, now);
   if (!ack->done || !run->stream.has_ended)
     return;
-  /* It never ran, so that it may be assigned anew.  */
+  /* It never ran, so it may be assigned again.  */
   if (run->stream.outcome == OUTCOME_UNREACHED)
     ids_remove (agent->ids, ack->request);
   else
@@ -49,10 +49,10 @@
     run_resume (run, peer, resume, now);
   else if (ids_get_state (agent->ids, resume->request) == IDS_REFUSED)
     agent_send_not_started (agent, peer->instance, resume->request,
-                            "it was refused before", now);
+                            "the request was refused before", now);
   else
     answer_send_unknown (agent, peer->instance, resume->request,
-                         "this agent knows no such request");
+                         "the agent does not know the request");
 }
 
 static void
@@ -100,7 +100,7 @@
       config_apply_part (agent, router, &message->u.config_part, now);
       return;
     default:
-      log_warn ("agent", "Not a message for an agent: kind=%s from=%s.",
+      log_warn ("agent", "Unexpected message: kind=%s from=%s.",
                 msg_kind_name (message->kind), router);
     }
 }
@@ -119,7 +119,8 @@
   peer_hub_hold (agent->hub, router);
 }
 
-/* Without the platform it matters who is in hearing: heartbeats on all.  */
+/* While the platform is unreachable, all links are held: their heartbeats show
+   which routers are connected.  */
 static void
 update_held_links (cfd_agent_t *agent)
 {
@@ -150,12 +151,13 @@
   if (peer->role != ROLE_ROUTER)
     return;
   links_set_up (agent->links, peer->instance, peer->zone);
-  /* From here on the router counts as heard, and an agent that was cut off may
-     take work again.  Were its revision left to its first message, which may
-     be seconds away, an agent in a zone taken out meanwhile would go on with
-     what it last knew.  */
+  /* From now on the router counts as connected, and an agent that was cut off
+     may accept work again.  So its revision is taken from the link already:
+     its first message may be seconds away, and until then an agent in a zone
+     that was taken out meanwhile would continue with its old
+     configuration.  */
   config_observe_revision (agent, peer->instance, peer->revision, now);
-  /* A restarted router remembers none of what it sent.  */
+  /* A restarted router has lost the requests that it sent.  */
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
--- a/libcoltsfootdrum/agent/agent-run.c
+++ b/libcoltsfootdrum/agent/agent-run.c
@@ -1,18 +1,18 @@
-/* One request at the endpoint.  */
+/* Runs one request at the endpoint.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
 #include <string.h>
 
-/* Fewer tokens tell too little of the interval between them.  */
+/* With fewer tokens the mean interval between them is too inaccurate.  */
 #define MIN_TIMED_TOKENS 8u
 
 static void start_fetch (run_t *run, const fetch_request_t *request);
 
-/* ---- making and freeing ---- */
+/* ---- construction ---- */
 
-/* Connection headers, and those that are for the router alone.  A caller's
-   key must not reach the endpoint.  */
+/* Connection headers and headers for the router are not forwarded.  In
+   particular a caller's key must not reach the endpoint.  */
 static bool
 is_forwarded (const char *header)
 {
@@ -67,7 +67,7 @@
       g_ptr_array_add (run->headers, g_strdup (assign->headers[i]));
   g_ptr_array_add (run->headers,
                    g_strdup_printf ("X-Request-Id: %s", run->request));
-  /* So that the engine keeps a stream whose connection broke.  */
+  /* The engine keeps a stream whose connection broke.  */
   if (agent->is_model)
     g_ptr_array_add (run->headers, g_strdup ("X-Stream-Keep: 1"));
   g_ptr_array_add (run->headers, NULL);
@@ -77,7 +77,8 @@
   run->idempotent = assign->idempotent;
   run->is_model = agent->is_model;
   run->is_attached = true;
-  /* Held, so that a link that went silent is seen from this side too.  */
+  /* A held link exchanges heartbeats, so that this side too notices when it
+     goes silent.  */
   peer_hub_hold (agent->hub, run->router);
   stream_init (&run->stream);
   sse_init (&run->sse, agent->is_model && asks_for_stream (&assign->body));
@@ -107,21 +108,21 @@
   g_free (run);
 }
 
-/* ---- the end ---- */
+/* ---- end ---- */
 
-/* Gateway statuses say that the endpoint can't serve; other errors are answers
-   to what the caller asked, and one account's faulty requests must not eject
-   the endpoint for all.  */
+/* Gateway statuses mean that the endpoint can't serve.  Other errors are
+   answers to the caller's request, and the faulty requests of one account must
+   not eject the endpoint for all.  */
 static bool
 is_endpoint_fault (unsigned status)
 {
   return status >= 502 && status <= 504;
 }
 
-/* Milliseconds between the answer's tokens; 0 when they can't be told.  For an
-   answer in one piece the full_request time stands for it, which is too much
-   by the prompt's part: good when it is still short, and not judged otherwise
-   unless there were many tokens.  */
+/* Milliseconds between the answer's tokens; 0 when unknown.  For an answer in
+   one piece the total time divided by the tokens is used, which is too high by
+   the share of the prompt.  That value is valid when it is within the target
+   all the same; otherwise it counts only if there were many tokens.  */
 static double
 get_token_interval_ms (const run_t *run, cfd_time_t now)
 {
@@ -147,7 +148,8 @@
   return (double)(run->sse.first_token_at - run->started_at);
 }
 
-/* Short answers end between two ticks.  */
+/* Confirms that the endpoint is warm at the end of an answer too, because a
+   short answer ends between two ticks.  */
 static void
 confirm_warm (run_t *run, cfd_time_t now)
 {
@@ -166,7 +168,7 @@
 {
   lim_t *lim = &run->agent->lim;
 
-  /* That says nothing of the endpoint.  */
+  /* The request was not sent, so its end says nothing about the endpoint.  */
   if (run->was_withheld)
     return;
   switch (outcome)
@@ -186,7 +188,8 @@
       lim_record_failure (lim, now);
       return;
     case OUTCOME_UNREACHED:
-      /* Nobody listens: it was stopped, and will come back cold.  */
+      /* Nothing listens at the endpoint: it was stopped, and will be cold when
+         it starts again.  */
       lim_reset_to_cold (lim, now);
       lim_record_failure (lim, now);
       return;
@@ -211,7 +214,7 @@
 run_finish (run_t *run, outcome_t outcome, const char *detail, cfd_time_t now)
 {
   cfd_agent_t *agent = run->agent;
-  lim_state_t was = agent->lim.state;
+  lim_state_t old_state = agent->lim.state;
 
   if (run->stream.has_ended)
     return;
@@ -230,14 +233,14 @@
   count_end (&agent->counters, run, outcome);
   tl_add (agent->ring, TL_END, run->account, agent->zone, agent->endpoint,
           run->request, detail);
-  if ((was == LIM_EJECTED) != (agent->lim.state == LIM_EJECTED))
+  if ((old_state == LIM_EJECTED) != (agent->lim.state == LIM_EJECTED))
     tl_add (agent->ring, TL_EJECT, NULL, agent->zone, agent->endpoint, NULL,
             lim_state_name (agent->lim.state));
   answer_flush (run, now);
   agent_fill_slots (agent, now);
 }
 
-/* ---- the endpoint's answer ---- */
+/* ---- answer of the endpoint ---- */
 
 static void
 on_head (void *user, unsigned status, const char *const *headers)
@@ -247,8 +250,8 @@
 
   run->last_byte_at = now;
   run->is_resume_refused = run->is_reconnected && status / 100 != 2;
-  /* Another endpoint may do better: the router can try it, if it never saw
-     this answer.  What must not repeat gets the endpoint's own word.  */
+  /* The router can try another endpoint if it has seen nothing of this answer.
+     A request that must not be repeated gets the endpoint's own answer.  */
   run->is_turned_away = run->idempotent && is_endpoint_fault (status);
   if (run->is_resume_refused || run->is_turned_away)
     return;
@@ -278,9 +281,10 @@
   fetch_pause (run->fetch, true);
 }
 
-/* A stream ends with its mark, an answer in one piece is one JSON object.  An
-   engine may end the answer in order all the same when it gave the request up;
-   the caller would take a part, or nothing, for the full_request.  */
+/* Whether the answer is complete: a stream has its end mark, and an answer in
+   one piece is one JSON object.  An engine that gives a request up may still
+   end the answer properly, and the caller would take a part of it, or nothing,
+   for the whole.  */
 static bool
 is_answer_complete (run_t *run)
 {
@@ -306,8 +310,8 @@
   start_fetch (run, &request);
 }
 
-/* Asks the engine for the rest of an answer that broke off; once, until more
-   of it comes.  Only a stream has a rest.  */
+/* Requests the rest of a broken answer from the engine.  Not again before more
+   of it has arrived, and only for a stream.  */
 static bool
 try_engine_resume (run_t *run)
 {
@@ -329,7 +333,7 @@
 
   if (run->is_resume_refused)
     {
-      /* The engine lost the stream: it was restarted and is cold again.  */
+      /* The engine lost the stream, so it was restarted and is cold again.  */
       agent->counters.engine_resume_failed++;
       lim_reset_to_cold (&agent->lim, now);
       run_finish (run, OUTCOME_BROKEN, "the engine no longer knows the stream",
@@ -343,8 +347,8 @@
       run_finish (run, OUTCOME_BROKEN, detail, now);
       return;
     }
-  /* The engine may go on with it, unread: its place in the batch is free only
-     when the engine was told to stop.  */
+  /* The engine may continue the request without a reader.  Its place in the
+     batch is free only after the engine was told to cancel.  */
   run->is_abandoned = true;
   run_cancel_at_engine (run);
 }
@@ -375,8 +379,9 @@
       return;
     case FETCH_SEND_DENIED:
       run->was_withheld = true;
-      run_finish (run, OUTCOME_UNREACHED,
-                  "stopped before it was sent, and in doubt since", now);
+      run_finish (
+          run, OUTCOME_UNREACHED,
+          "suspended before sending, configuration not confirmed since", now);
       return;
     case FETCH_INCOMPLETE:
     case FETCH_TIMEOUT:
@@ -399,9 +404,10 @@
   run->fetch = fetch_start (run->agent->pool, &full_request);
 }
 
-/* A process that was stopped between starting a request and sending it may
-   have slept through the record that takes its endpoint out of service.  The
-   clock is read here so that the stop is seen in the same call that sends.  */
+/* A process that was suspended between starting a request and sending it may
+   have missed the record that takes its endpoint out of service.  The clock is
+   read here, so that the suspension is detected in the same call that
+   sends.  */
 static bool
 may_send (void *user)
 {
--- a/libcoltsfootdrum/agent/agent-settle.c
+++ b/libcoltsfootdrum/agent/agent-settle.c
@@ -1,23 +1,23 @@
-/* The first moments of an agent: what its former life gave the engine may run
-   on there.
+/* Settling: a new agent waits for requests that a previous agent process
+   started at the engine.
 
-   Engines keep a request whose connection broke, so that it can be resumed.
+   An engine keeps a request whose connection broke, so that it can be resumed.
    When an agent is killed and starts again, its slots look free while the
-   engine is still full; the first grant would bring it above what it bears.
-   So a new agent of a model engine waits until the engine's load report,
-   asked for after the report's lag, says that nothing runs.  The report is
-   trusted for that alone: a lying one costs what the cold start's few slots
-   add, as it would without the wait.  */
+   engine is still full, and the first grant would overload it.  So a new agent
+   of a model engine waits until the engine's load report, requested after the
+   time by which reports lag, shows no running request.  The report is trusted
+   for nothing else: a wrong one costs at most the few slots of a cold start,
+   as much as without the wait.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
 
-/* Longer than an engine's report lags.  */
+/* Longer than the lag of an engine's report.  */
 #define REPORT_LAG_MS 1000
 #define POLL_INTERVAL_MS 250
 #define REPORT_TIMEOUT_MS 1000
-/* What still runs then is longer than nearly any answer; the engine may count
-   requests that are not ours.  */
+/* Longer than nearly any answer takes.  The engine may also count requests
+   that are not this agent's.  */
 #define MAX_SETTLE_MS 120000
 
 static void
@@ -26,11 +26,10 @@
   if (!agent->is_settling)
     return;
   agent->is_settling = false;
-  log_info ("agent", "The engine is free of a former life: reason=%s.",
-            reason);
+  log_info ("agent", "Settling has ended: reason=%s.", reason);
 }
 
-/* Requests that run by the report, or -1 when TEXT is none.  */
+/* Number of running requests in the report TEXT; -1 when it is no report.  */
 static gint64
 parse_running (const char *text)
 {
@@ -56,11 +55,11 @@
   if (result == FETCH_COMPLETE && status == 200)
     running = parse_running (body);
   if (running == 0)
-    end_settling (agent, "nothing runs there");
+    end_settling (agent, "no request is running");
   else if (running < 0 && result == FETCH_COMPLETE)
     end_settling (agent, "the engine gives no report");
   else if (result == FETCH_CONNECT_FAILED)
-    end_settling (agent, "the engine is not reached");
+    end_settling (agent, "the engine is unreachable");
   agent_fill_slots (agent, now);
 }
 
@@ -83,11 +82,11 @@
     return;
   if (!agent->is_model)
     {
-      end_settling (agent, "a plain service");
+      end_settling (agent, "not a model engine");
       return;
     }
   if (now >= agent->settle_deadline)
-    end_settling (agent, "waited long enough");
+    end_settling (agent, "maximum wait reached");
   if (!agent->is_settling || agent->settle_fetch != NULL
       || now < agent->settle_poll_at)
     return;
--- a/libcoltsfootdrum/agent/agent-sse.c
+++ b/libcoltsfootdrum/agent/agent-sse.c
@@ -36,8 +36,8 @@
   return true;
 }
 
-/* Reads {"usage": {...}}; many engines send "usage": null with each token.  */
-/* False when TEXT is no JSON object.  */
+/* Reads the usage figures of a JSON object; false when TEXT is none.  Many
+   engines send "usage": null with each token.  */
 static bool
 read_usage (sse_t *sse, const char *text, size_t length)
 {
@@ -60,7 +60,7 @@
   return true;
 }
 
-/* Whether an event carries output.  An event that only has usage has an empty
+/* Whether an event carries output.  An event with usage alone has an empty
    list of choices.  */
 static bool
 has_token (const char *event)
--- a/libcoltsfootdrum/agent/agent-stream.c
+++ b/libcoltsfootdrum/agent/agent-stream.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Acknowledged bytes are moved out when they are this many, so that small
-   acknowledgements don't each move the rest.  */
+/* Acknowledged bytes are removed from the buffer only when there are at least
+   this many, so that small acknowledgements don't each move the rest.  */
 #define MIN_COMPACT_BYTES (64u * 1024)
 
 void
@@ -22,7 +22,7 @@
   g_free (stream->detail);
 }
 
-/* Connection headers are between the endpoint and us.  */
+/* Connection headers concern only the endpoint and the agent.  */
 static bool
 is_forwarded (const char *header)
 {
@@ -109,7 +109,7 @@
 {
   if (offset < stream->acked_offset || offset > stream_get_length (stream))
     return false;
-  /* All before OFFSET was received: as good as acknowledged.  */
+  /* The router has received all before OFFSET, which acknowledges it.  */
   (void)stream_acknowledge (stream, offset);
   stream->sent_offset = offset;
   if (head)
--- a/libcoltsfootdrum/agent/agent-stream.h
+++ b/libcoltsfootdrum/agent/agent-stream.h
@@ -1,10 +1,10 @@
-/* The answer to one request as the agent keeps it: the bytes that the router
-   hasn't acknowledged, how far they were sent over the present link, and the
-   end.  Pure.
+/* Answer buffer: the answer to one request as the agent keeps it, that is the
+   bytes which the router hasn't acknowledged, how far they were sent over the
+   present link, and the end.  Pure.
 
    Offsets count body bytes from the start of the answer:
 
-     0 .. base (acknowledged, dropped) .. sent .. total  */
+     0 .. acked_offset (acknowledged, dropped) .. sent_offset .. length  */
 
 #ifndef AGENT_AGENT_STREAM_H
 #define AGENT_AGENT_STREAM_H
@@ -12,13 +12,14 @@
 #include "wire/msg.h"
 #include <glib.h>
 
-/* With more unacknowledged bytes the endpoint is not read further.  */
+/* The endpoint is not read further while this many bytes are
+   unacknowledged.  */
 #define STREAM_MAX_RETAINED_BYTES (1024u * 1024)
 
 typedef struct
 {
   GByteArray *bytes;
-  size_t dropped_bytes; /* dropped bytes still in BYTES, at its front */
+  size_t dropped_bytes; /* dropped bytes still at the front of BYTES */
   uint64_t acked_offset;
   uint64_t sent_offset;
   bool has_head;
@@ -41,21 +42,22 @@
                       const char *const *headers);
 void stream_append (stream_t *stream, const void *bytes, size_t length,
                     uint32_t tokens);
-/* The first call counts; an outcome never changes.  */
+/* Only the first call has an effect; an outcome never changes.  */
 void stream_set_end (stream_t *stream, outcome_t outcome, const char *detail);
 
 uint64_t stream_get_length (const stream_t *stream);
 size_t stream_count_retained_bytes (const stream_t *stream);
 bool stream_is_full (const stream_t *stream);
 
-/* Bytes up to OFFSET left for the caller.  False when OFFSET was never sent
-   to anybody: a fault of the peer, and nothing is dropped.  */
+/* The caller has received the bytes up to OFFSET: drops them.  False, and
+   nothing is dropped, when bytes before OFFSET don't exist yet: an error of
+   the peer.  */
 bool stream_acknowledge (stream_t *stream, uint64_t offset);
-/* The next link gets all from OFFSET.  False when those bytes are gone or
-   never were.  */
+/* Sends all from OFFSET over the next link.  False when those bytes were
+   dropped or don't exist yet.  */
 bool stream_resume (stream_t *stream, uint64_t offset, bool head);
-/* The next unsent piece, at most MSG_DATA_MAX long; false when there is none.
-   Stays unsent until stream_mark_sent.  */
+/* Gets the next unsent piece, of at most MSG_DATA_MAX bytes; false when there
+   is none.  It counts as unsent until stream_mark_sent.  */
 bool stream_get_next (const stream_t *stream, msg_data_t *data);
 void stream_mark_sent (stream_t *stream, size_t length);
 
--- a/libcoltsfootdrum/agent/agent-work.c
+++ b/libcoltsfootdrum/agent/agent-work.c
@@ -1,12 +1,13 @@
-/* Grants out, assignments in.  */
+/* Grants sent to routers, and the assignments received for them.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
 #include <math.h>
 #include <string.h>
 
-/* Stale declines after which the agent waits for the next tick: an account
-   whose virtual time moves faster than grants travel must not keep it busy. */
+/* Declines after which the agent waits for the next tick: an account whose
+   virtual time moves faster than grants travel must not keep the agent
+   busy.  */
 #define MAX_DECLINES_PER_TICK 16u
 
 static bool
@@ -23,7 +24,7 @@
   return agent_send (agent, choice->router, &message);
 }
 
-/* Offers one slot; false when nothing more can be offered now.  */
+/* Grants one slot; false when nothing more can be granted now.  */
 static bool
 grant_one_slot (cfd_agent_t *agent, cfd_time_t now)
 {
@@ -78,7 +79,7 @@
 {
   msg_t message = { .kind = MSG_NOT_STARTED };
 
-  /* Remembered before the word is given: once given, it has to hold.  */
+  /* The refusal is recorded before it is sent: once sent, it has to hold.  */
   ids_set_state (agent->ids, request, IDS_REFUSED, now);
   agent->counters.refused++;
   message.u.not_started
@@ -88,9 +89,9 @@
   (void)agent_send (agent, router, &message);
 }
 
-/* Why the request of ASSIGN must not be started, or NULL.  NOW was read after
-   the frame was taken from the socket: a process that was stopped in between
-   finds its grants dead.  */
+/* The reason why the request of ASSIGN must not be started, or NULL.  NOW was
+   read after the frame was received, so that a process which was suspended in
+   between finds its grants expired.  */
 static const char *
 get_refusal (cfd_agent_t *agent, const msg_assign_t *assign,
              bool is_grant_valid, cfd_time_t now)
@@ -98,14 +99,14 @@
   grant_reason_t reason = agent_update_grant_reason (agent, now);
 
   if (!is_grant_valid)
-    return "the grant is dead";
+    return "the grant has expired";
   if (assign->incarnation != agent->incarnation)
     return "the grant is of another incarnation";
   if (reason != GRANT_ALLOWED)
     return grant_reason_name (reason);
   if (g_strcmp0 (assign->service, agent->service) != 0)
     return "the endpoint is of another service";
-  /* The limit may have been cut back since the grant.  */
+  /* The limit may have been lowered since the grant.  */
   if (lim_count_free_slots (&agent->lim, agent->busy_slots, now) == 0)
     return "no slot is free any more";
   return NULL;
@@ -145,12 +146,12 @@
     pick_update_waiting (agent->pick, peer->instance, &assign->left, now);
   if (ids_get_state (agent->ids, assign->request) == IDS_STARTED)
     {
-      /* No word is given: it did start_run.  */
-      log_warn ("agent", "Assigned again, not started again: request=%s.",
+      /* NOT_STARTED must not be sent: the request did start.  */
+      log_warn ("agent", "Ignoring a repeated assignment: request=%s.",
                 assign->request);
       if (!g_hash_table_contains (agent->runs, assign->request))
         answer_send_unknown (agent, peer->instance, assign->request,
-                             "it was started before");
+                             "the request was started before");
       return;
     }
   refusal = get_refusal (agent, assign, is_grant_valid, now);
--- a/libcoltsfootdrum/agent/agent.c
+++ b/libcoltsfootdrum/agent/agent.c
@@ -1,4 +1,5 @@
-/* The agent beside one endpoint: start, end, configuration, messages in.  */
+/* Construction, periodic tick and shutdown of the agent, which runs beside one
+   endpoint.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
@@ -6,18 +7,20 @@
 #include <string.h>
 
 #define RING_CAPACITY 8192
-/* A gap between two turns of the loop by which the process was stopped.  */
+/* A longer gap between two turns of the event loop means that the process was
+   suspended.  */
 #define MIN_SUSPENSION_MS 1000
 
-/* ---- time ---- */
+/* ---- clock ---- */
 
 static void
-handle_suspension (cfd_agent_t *agent, cfd_time_t gap, cfd_time_t now)
+handle_suspension (cfd_agent_t *agent, cfd_time_t gap_ms, cfd_time_t now)
 {
   GHashTableIter iter;
   gpointer value;
 
-  log_warn ("agent", "The process was stopped: ms=%" G_GINT64_FORMAT ".", gap);
+  log_warn ("agent", "The process was suspended: ms=%" G_GINT64_FORMAT ".",
+            gap_ms);
   agent->counters.suspensions++;
   agent->suspension_ended_at = now;
   agent->is_config_unconfirmed = true;
@@ -25,30 +28,30 @@
   agent->config_asked_at = 0;
   g_hash_table_iter_init (&iter, agent->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    run_handle_suspension (value, gap, now);
+    run_handle_suspension (value, gap_ms, now);
 }
 
 cfd_time_t
 agent_read_clock (cfd_agent_t *agent)
 {
   cfd_time_t now = clock_now ();
-  cfd_time_t gap = now - agent->last_clock_read;
+  cfd_time_t gap_ms = now - agent->last_clock_read;
 
   agent->last_clock_read = now;
-  if (gap > MIN_SUSPENSION_MS)
-    handle_suspension (agent, gap, now);
+  if (gap_ms > MIN_SUSPENSION_MS)
+    handle_suspension (agent, gap_ms, now);
   return now;
 }
 
-/* Runs before any other watcher of a turn, so that nothing that waited in a
-   socket is acted on before the stop is noticed.  */
+/* Runs before any other watcher of a turn, so that no data that waited in a
+   socket is acted on before a suspension is detected.  */
 static void
 on_check (struct ev_loop *loop, ev_check *watcher, int events)
 {
   (void)agent_read_clock (watcher->data);
 }
 
-/* ---- the tick ---- */
+/* ---- tick ---- */
 
 static void
 tick_runs (cfd_agent_t *agent, cfd_time_t now)
@@ -97,7 +100,7 @@
 {
   cfd_agent_t *agent = watcher->data;
   cfd_time_t now = agent_read_clock (agent);
-  lim_state_t was = agent->lim.state;
+  lim_state_t old_state = agent->lim.state;
 
   agent->declines_since_tick = 0;
   tick_runs (agent, now);
@@ -109,13 +112,13 @@
   if (agent->policy == CFD_POLICY_LOCAL)
     local_send_load (agent);
   agent_fill_slots (agent, now);
-  if (agent->lim.state != was)
+  if (agent->lim.state != old_state)
     tl_add (agent->ring, TL_LIMIT, NULL, agent->zone, agent->endpoint, NULL,
             lim_state_name (agent->lim.state));
   tick_drain (agent, now);
 }
 
-/* ---- life ---- */
+/* ---- construction and shutdown ---- */
 
 static void
 start_watchers (cfd_agent_t *agent)
--- a/libcoltsfootdrum/agent/test-grant.c
+++ b/libcoltsfootdrum/agent/test-grant.c
@@ -1,11 +1,11 @@
-/* Whether an agent may take work, which routers it counts, and which requests
-   it must never start.  */
+/* Tests of grant eligibility, of the counts of routers, and of the request ids
+   that must not be started again.  */
 
 #include "agent/agent-grant.h"
 #include "agent/agent-ids.h"
 #include "agent/agent-links.h"
 
-#define GOOD .has_endpoint = true, .has_service = true
+#define RECORDS .has_endpoint = true, .has_service = true
 
 static const struct
 {
@@ -13,7 +13,7 @@
   grant_state_t state;
   grant_reason_t reason;
 } cases[] = {
-  { "all-is-well", { GOOD, .is_platform_up = true }, GRANT_ALLOWED },
+  { "no-obstacle", { RECORDS, .is_platform_up = true }, GRANT_ALLOWED },
   { "no-endpoint",
     { .has_service = true, .is_platform_up = true },
     GRANT_NO_RECORD },
@@ -21,51 +21,51 @@
     { .has_endpoint = true, .is_platform_up = true },
     GRANT_NO_RECORD },
   { "zone-out",
-    { GOOD, .is_platform_up = true, .is_zone_out = true },
+    { RECORDS, .is_platform_up = true, .is_zone_out = true },
     GRANT_ZONE_OUT },
   { "leaving",
-    { GOOD, .is_platform_up = true, .is_leaving = true },
+    { RECORDS, .is_platform_up = true, .is_leaving = true },
     GRANT_LEAVING },
   { "draining",
-    { GOOD, .is_platform_up = true, .is_draining = true },
+    { RECORDS, .is_platform_up = true, .is_draining = true },
     GRANT_DRAINING },
   { "just-woken",
-    { GOOD, .is_platform_up = true, .is_config_unconfirmed = true },
+    { RECORDS, .is_platform_up = true, .is_config_unconfirmed = true },
     GRANT_JUST_WOKEN },
   { "settling",
-    { GOOD, .is_platform_up = true, .is_settling = true },
+    { RECORDS, .is_platform_up = true, .is_settling = true },
     GRANT_SETTLING },
   { "behind",
-    { GOOD, .is_platform_up = true, .is_behind = true },
+    { RECORDS, .is_platform_up = true, .is_behind = true },
     GRANT_BEHIND },
   { "ejected",
-    { GOOD, .is_platform_up = true, .is_ejected = true },
+    { RECORDS, .is_platform_up = true, .is_ejected = true },
     GRANT_EJECTED },
-  { "platform-down-most-heard",
-    { GOOD, .routers_known = 3, .routers_connected = 2 },
+  { "platform-down-most-connected",
+    { RECORDS, .routers_known = 3, .routers_connected = 2 },
     GRANT_ALLOWED },
-  { "platform-down-half-heard",
-    { GOOD, .routers_known = 4, .routers_connected = 2 },
+  { "platform-down-half-connected",
+    { RECORDS, .routers_known = 4, .routers_connected = 2 },
     GRANT_ALLOWED },
-  { "island-of-one",
-    { GOOD, .routers_known = 3, .routers_connected = 1 },
+  { "platform-down-few-connected",
+    { RECORDS, .routers_known = 3, .routers_connected = 1 },
     GRANT_CUT_OFF },
-  { "all-alone", { GOOD, .routers_known = 3 }, GRANT_CUT_OFF },
-  { "knows-nobody", { GOOD }, GRANT_CUT_OFF },
-  { "island-that-looks-whole",
-    { GOOD, .routers_known = 1, .routers_connected = 1, .zones_known = 3,
+  { "no-router-connected", { RECORDS, .routers_known = 3 }, GRANT_CUT_OFF },
+  { "no-router-known", { RECORDS }, GRANT_CUT_OFF },
+  { "partition-of-one-zone",
+    { RECORDS, .routers_known = 1, .routers_connected = 1, .zones_known = 3,
       .zones_connected = 1, .platform_age_ms = AGENT_STALE_PLATFORM_MS },
     GRANT_CUT_OFF },
-  { "one-zone-heard-and-fresh-word",
-    { GOOD, .routers_known = 1, .routers_connected = 1, .zones_known = 3,
+  { "one-zone-connected-recent-contact",
+    { RECORDS, .routers_known = 1, .routers_connected = 1, .zones_known = 3,
       .zones_connected = 1, .platform_age_ms = AGENT_STALE_PLATFORM_MS - 1 },
     GRANT_ALLOWED },
-  { "half-of-the-zones-heard",
-    { GOOD, .routers_known = 2, .routers_connected = 2, .zones_known = 4,
+  { "half-of-the-zones-connected",
+    { RECORDS, .routers_known = 2, .routers_connected = 2, .zones_known = 4,
       .zones_connected = 2, .platform_age_ms = 60000 },
     GRANT_ALLOWED },
-  { "few-heard-but-platform",
-    { GOOD, .is_platform_up = true, .routers_known = 3,
+  { "few-connected-platform-up",
+    { RECORDS, .is_platform_up = true, .routers_known = 3,
       .routers_connected = 1 },
     GRANT_ALLOWED },
 };
@@ -82,18 +82,18 @@
 }
 
 static void
-assert_count (const links_t *links, unsigned known, unsigned heard)
+assert_counts (const links_t *links, unsigned known_count, unsigned up_count)
 {
   unsigned known_now;
-  unsigned heard_now;
+  unsigned up_now;
 
-  links_get_counts (links, &known_now, &heard_now);
-  g_assert_cmpuint (known_now, ==, known);
-  g_assert_cmpuint (heard_now, ==, heard);
+  links_get_counts (links, &known_now, &up_now);
+  g_assert_cmpuint (known_now, ==, known_count);
+  g_assert_cmpuint (up_now, ==, up_count);
 }
 
-/* A router that went of its own accord isn't missed; one lost by silence is,
-   and for as long as the platform is out of reach.  */
+/* A router that closed its link itself no longer counts as known.  One whose
+   link timed out does, for as long as the platform is unreachable.  */
 static void
 test_links (void)
 {
@@ -103,17 +103,17 @@
   links_set_up (links, "r2", "a");
   links_set_up (links, "r3", "a");
   links_set_down (links, "r1", false, 0);
-  assert_count (links, 2, 2);
+  assert_counts (links, 2, 2);
   links_set_down (links, "r2", true, 0);
-  assert_count (links, 2, 1);
+  assert_counts (links, 2, 1);
   links_expire (links, false, 10 * LINKS_LOST_RETENTION_MS);
-  assert_count (links, 2, 1);
+  assert_counts (links, 2, 1);
   links_expire (links, true, 10 * LINKS_LOST_RETENTION_MS);
-  assert_count (links, 1, 1);
+  assert_counts (links, 1, 1);
   links_set_down (links, "r3", true, 0);
   links_set_up (links, "r3", "a");
   links_expire (links, true, 10 * LINKS_LOST_RETENTION_MS);
-  assert_count (links, 1, 1);
+  assert_counts (links, 1, 1);
 }
 
 static void
--- a/libcoltsfootdrum/agent/test-scene.c
+++ b/libcoltsfootdrum/agent/test-scene.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Ports on an address that only this process uses.  */
+/* Ports on a loopback address that only this process uses.  */
 typedef enum
 {
   PORT_LINK = 7001,
@@ -13,10 +13,10 @@
 } port_t;
 
 #define SECRET "secret"
-#define WAIT_MS 10000
-#define BIG_BYTES (3u * 1024 * 1024)
+#define MAX_WAIT_MS 10000
+#define LARGE_ANSWER_BYTES (3u * 1024 * 1024)
 
-/* ---- the platform and the endpoint ---- */
+/* ---- platform and endpoint ---- */
 
 /* Free with g_free.  */
 static char *
@@ -51,14 +51,14 @@
 }
 
 static void
-answer_objects (scene_t *scene, web_request_t *request)
+respond_with_objects (scene_t *scene, web_request_t *request)
 {
   g_autofree char *text = objects (scene);
 
   web_respond (request, 200, "application/json", NULL, text, strlen (text));
 }
 
-/* Whether the watch asks for what is there already.  */
+/* Whether the platform has a newer revision than the watch asks for.  */
 static bool
 is_behind (const scene_t *scene, const web_request_t *request)
 {
@@ -81,50 +81,50 @@
     web_respond (request, 200, "application/json", NULL, "{\"instances\":[]}",
                  16);
   else
-    answer_objects (scene, request);
+    respond_with_objects (scene, request);
 }
 
-/* Makes a new revision known.  */
+/* Answers the pending watch with the new revision.  */
 static void
-tell_change (scene_t *scene)
+publish_change (scene_t *scene)
 {
   if (scene->watch != NULL)
-    answer_objects (scene, scene->watch);
+    respond_with_objects (scene, scene->watch);
   scene->watch = NULL;
 }
 
 void
-scene_zone (scene_t *scene, const char *state)
+scene_set_zone_state (scene_t *scene, const char *state)
 {
   scene->zone_state = state;
   scene->revision++;
-  tell_change (scene);
+  publish_change (scene);
 }
 
 void
-scene_endpoint (scene_t *scene, const char *state)
+scene_set_endpoint_state (scene_t *scene, const char *state)
 {
   scene->endpoint_state = state;
   scene->endpoint_revision = ++scene->revision;
-  tell_change (scene);
+  publish_change (scene);
 }
 
 void
-scene_platform (scene_t *scene, bool down)
+scene_set_platform_down (scene_t *scene, bool is_down)
 {
-  scene->platform_is_down = down;
-  if (down && scene->watch != NULL)
+  scene->platform_is_down = is_down;
+  if (is_down && scene->watch != NULL)
     web_respond (scene->watch, 503, "text/plain", NULL, "", 0);
   scene->watch = NULL;
 }
 
 static void
-nothing_drained (void *user, uint64_t total)
+on_drained (void *user, uint64_t total)
 {
 }
 
 static void
-hanging_closed (void *user)
+on_hanging_closed (void *user)
 {
   ((scene_t *)user)->hanging = NULL;
 }
@@ -136,31 +136,32 @@
 
   scene->starts++;
   g_assert_null (web_header (request, "Authorization"));
-  if (scene->engine == ENGINE_MUTE || scene->engine == ENGINE_FROZEN)
+  if (scene->engine == ENGINE_DEAD_CONNECTION
+      || scene->engine == ENGINE_STOPPED)
     return;
-  web_stream_begin (request, 200, NULL, nothing_drained, scene);
+  web_stream_begin (request, 200, NULL, on_drained, scene);
   web_stream_write (request, SCENE_TOKEN, strlen (SCENE_TOKEN));
   switch (scene->engine)
     {
-    case ENGINE_WHOLE:
-      web_stream_write (request, SCENE_LAST, strlen (SCENE_LAST));
+    case ENGINE_COMPLETE:
+      web_stream_write (request, SCENE_END, strlen (SCENE_END));
       web_stream_end (request, true);
       return;
     case ENGINE_BREAKS:
     case ENGINE_BREAKS_FORGETS:
       web_stream_end (request, false);
       return;
-    case ENGINE_MUTE:
-    case ENGINE_FROZEN:
+    case ENGINE_DEAD_CONNECTION:
+    case ENGINE_STOPPED:
       return;
     case ENGINE_HANGS:
       scene->hanging = request;
-      web_on_closed (request, hanging_closed, scene);
+      web_on_closed (request, on_hanging_closed, scene);
       return;
-    case ENGINE_BIG:
-      big = g_strnfill (BIG_BYTES, '\n');
-      web_stream_write (request, big, BIG_BYTES);
-      web_stream_write (request, SCENE_LAST, strlen (SCENE_LAST));
+    case ENGINE_LARGE_ANSWER:
+      big = g_strnfill (LARGE_ANSWER_BYTES, '\n');
+      web_stream_write (request, big, LARGE_ANSWER_BYTES);
+      web_stream_write (request, SCENE_END, strlen (SCENE_END));
       web_stream_end (request, true);
       return;
     }
@@ -169,16 +170,16 @@
 static void
 on_resume (scene_t *scene, web_request_t *request)
 {
-  static const char whole[] = SCENE_TOKEN SCENE_LAST;
+  static const char full_answer[] = SCENE_TOKEN SCENE_END;
   const char *offset = web_query (request, "offset");
   size_t from = (size_t)g_ascii_strtoull (offset, NULL, 10);
 
   scene->resumes++;
-  if (scene->engine == ENGINE_BREAKS_FORGETS || from >= sizeof whole)
+  if (scene->engine == ENGINE_BREAKS_FORGETS || from >= sizeof full_answer)
     web_respond (request, 404, "text/plain", NULL, "", 0);
   else
-    web_respond (request, 200, "text/event-stream", NULL, whole + from,
-                 strlen (whole) - from);
+    web_respond (request, 200, "text/event-stream", NULL, full_answer + from,
+                 strlen (full_answer) - from);
 }
 
 static void
@@ -187,7 +188,7 @@
   scene_t *scene = user;
   const char *path = web_path (request);
 
-  if (scene->engine == ENGINE_FROZEN && scene->starts > 0)
+  if (scene->engine == ENGINE_STOPPED && scene->starts > 0)
     return;
   if (g_str_has_suffix (path, "/cancel"))
     {
@@ -196,8 +197,8 @@
     }
   else if (g_str_equal (path, "/v1/load"))
     {
-      /* Without a report the agent takes the engine for free.  */
-      scene->load_asked = true;
+      /* Without a report the agent assumes that the engine is idle.  */
+      scene->is_load_requested = true;
       web_respond (request, 404, "text/plain", NULL, "", 0);
     }
   else if (g_str_has_prefix (path, "/v1/streams/"))
@@ -206,7 +207,7 @@
     on_start (scene, request);
 }
 
-/* ---- the router ---- */
+/* ---- router ---- */
 
 void
 scene_acknowledge (scene_t *scene, const char *request, uint64_t offset,
@@ -224,7 +225,7 @@
   g_assert_cmpuint (data->offset, ==, scene->body->len);
   g_string_append_len (scene->body, (const char *)data->bytes.data,
                        (gssize)data->bytes.length);
-  if (scene->ack_data)
+  if (scene->is_acknowledging)
     scene_acknowledge (scene, data->request, scene->body->len, false);
 }
 
@@ -238,8 +239,8 @@
     {
     case MSG_GRANT:
       scene->grants++;
-      scene->grant = message->u.grant.grant;
-      scene->limit = message->u.grant.limit_vt;
+      scene->last_grant = message->u.grant.grant;
+      scene->limit_vt = message->u.grant.limit_vt;
       scene->incarnation = message->u.grant.incarnation;
       break;
     case MSG_NOT_STARTED:
@@ -253,7 +254,7 @@
       break;
     case MSG_END:
       scene->ends++;
-      scene->end = message->u.end;
+      scene->last_end = message->u.end;
       break;
     default:
       break;
@@ -263,7 +264,7 @@
 static void
 on_up (void *user, const peer_id_t *peer, cfd_time_t now)
 {
-  ((scene_t *)user)->up = true;
+  ((scene_t *)user)->is_router_up = true;
 }
 
 static void
@@ -281,16 +282,16 @@
   .message = on_message, .up = on_up, .down = on_down, .revision = on_revision
 };
 
-/* ---- the scene ---- */
+/* ---- scene ---- */
 
 static void
 on_deadline (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  ((scene_t *)timer->data)->late = true;
+  ((scene_t *)timer->data)->has_timed_out = true;
 }
 
 void
-scene_pass (scene_t *scene, int ms)
+scene_run_loop_ms (scene_t *scene, int ms)
 {
   cfd_time_t end = clock_now () + ms;
 
@@ -299,7 +300,7 @@
 }
 
 void
-scene_dial (scene_t *scene, uint64_t incarnation)
+scene_connect_router (scene_t *scene, uint64_t incarnation)
 {
   g_autofree char *link = address (PORT_LINK);
   peer_hub_options_t self = { .role = ROLE_ROUTER,
@@ -310,7 +311,7 @@
                               .secret = SECRET };
   g_autoptr (GError) error = NULL;
 
-  scene->up = false;
+  scene->is_router_up = false;
   scene->router
       = peer_hub_new (scene->loop, &self, NULL, &events, scene, &error);
   g_assert_no_error (error);
@@ -319,7 +320,7 @@
 }
 
 peer_hub_t *
-scene_other_router (scene_t *scene, struct ev_loop *loop, const char *name)
+scene_add_router (scene_t *scene, struct ev_loop *loop, const char *name)
 {
   g_autofree char *link = address (PORT_LINK);
   static const peer_events_t only_up
@@ -335,8 +336,8 @@
   g_assert_no_error (error);
   peer_hub_set_address (hub, "agent", link);
   peer_hub_hold (hub, "agent");
-  scene->up = false;
-  while (!scene->up)
+  scene->is_router_up = false;
+  while (!scene->is_router_up)
     {
       ev_run (loop, EVRUN_NOWAIT);
       ev_run (scene->loop, EVRUN_NOWAIT);
@@ -370,9 +371,9 @@
   scene->endpoint_state = "in";
   scene->endpoint_revision = 2;
   scene->revision = 3;
-  scene->ack_data = true;
+  scene->is_acknowledging = true;
   scene->body = g_string_new (NULL);
-  ev_timer_init (&scene->deadline, on_deadline, 0, WAIT_MS / 1000.0);
+  ev_timer_init (&scene->deadline, on_deadline, 0, MAX_WAIT_MS / 1000.0);
   scene->deadline.data = scene;
   scene->platform = web_server_new (scene->loop, platform, &limits,
                                     on_platform, scene, &error);
@@ -382,8 +383,9 @@
   g_assert_no_error (error);
   scene->agent = cfd_agent_new (scene->loop, &settings, &error);
   g_assert_no_error (error);
-  scene_dial (scene, 1);
-  SCENE_UNTIL (scene, scene->up && scene->watch != NULL && scene->load_asked);
+  scene_connect_router (scene, 1);
+  SCENE_RUN_UNTIL (scene, scene->is_router_up && scene->watch != NULL
+                              && scene->is_load_requested);
   return scene;
 }
 
@@ -418,7 +420,7 @@
 }
 
 void
-scene_announce_rivals (scene_t *scene, double virtual_time)
+scene_announce_two_accounts (scene_t *scene, double virtual_time)
 {
   msg_waiting_t words[]
       = { { "acct", 5, 0, 0, 0 }, { "other", 5, 0, 0, virtual_time } };
@@ -466,11 +468,11 @@
 }
 
 void
-scene_run (scene_t *scene, const char *request)
+scene_run_request (scene_t *scene, const char *request)
 {
   unsigned before = scene->grants;
 
   scene_announce (scene, 1);
-  SCENE_UNTIL (scene, scene->grants > before);
-  scene_assign (scene, request, scene->grant, scene->incarnation);
+  SCENE_RUN_UNTIL (scene, scene->grants > before);
+  scene_assign (scene, request, scene->last_grant, scene->incarnation);
 }
--- a/libcoltsfootdrum/agent/test-sse.c
+++ b/libcoltsfootdrum/agent/test-sse.c
@@ -1,5 +1,5 @@
-/* Counting tokens and usage, and measuring token times, in answers cut into
-   arbitrary pieces.  */
+/* Tests of counting tokens and usage, and of measuring token times, in answers
+   that arrive in arbitrary pieces.  */
 
 #include "agent/agent-sse.h"
 #include <string.h>
@@ -74,48 +74,51 @@
 static void
 test_times (void)
 {
-  static const int gaps[] = { 0, 20, 20, 400, 20, 20, 20, 80, 80, 80 };
-  static const int now_is[] = { 0, 0, 0, 0, 0, 20, 20, 20, 20, 80 };
+  static const int intervals_ms[] = { 0, 20, 20, 400, 20, 20, 20, 80, 80, 80 };
+  static const int medians_ms[] = { 0, 0, 0, 0, 0, 20, 20, 20, 20, 80 };
   cfd_time_t now = 1000;
   sse_t sse;
 
   sse_init (&sse, true);
-  for (size_t i = 0; i < G_N_ELEMENTS (gaps); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (intervals_ms); i++)
     {
-      now += gaps[i];
+      now += intervals_ms[i];
       sse_feed (&sse, TOKEN, strlen (TOKEN), now);
-      g_assert_cmpint ((int)sse_get_median_interval_ms (&sse), ==, now_is[i]);
+      g_assert_cmpint ((int)sse_get_median_interval_ms (&sse), ==,
+                       medians_ms[i]);
     }
   g_assert_cmpint (sse.first_token_at, ==, 1000);
   g_assert_cmpint ((int)sse_get_mean_interval_ms (&sse), ==, 740 / 9);
   sse_clear (&sse);
 }
 
-/* An engine with two requests turns cold: a token each 300 ms.  The median of
-   the newest intervals is good for three more of them; taken as proof it would
-   let new work in for a second.  The newest interval shows it at once.  */
+/* An engine with two requests turns cold, with a token every 300 ms.  The
+   median of the newest intervals is still low for three more of them; if it
+   counted as proof of a warm endpoint, new work would be accepted for another
+   second.  The newest interval shows the change at once.  */
 static void
-test_newest_gap (void)
+test_newest_interval (void)
 {
-  static const int gaps[] = { 0, 20, 20, 20, 20, 20, 300, 300 };
-  static const int newest[] = { 0, 20, 20, 20, 20, 20, 300, 300 };
+  static const int intervals_ms[] = { 0, 20, 20, 20, 20, 20, 300, 300 };
+  static const int newest_ms[] = { 0, 20, 20, 20, 20, 20, 300, 300 };
   cfd_time_t now = 1000;
   sse_t sse;
 
   sse_init (&sse, true);
-  for (size_t i = 0; i < G_N_ELEMENTS (gaps); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (intervals_ms); i++)
     {
-      now += gaps[i];
+      now += intervals_ms[i];
       sse_feed (&sse, TOKEN, strlen (TOKEN), now);
-      g_assert_cmpint ((int)sse_get_newest_interval_ms (&sse), ==, newest[i]);
+      g_assert_cmpint ((int)sse_get_newest_interval_ms (&sse), ==,
+                       newest_ms[i]);
     }
   g_assert_cmpint ((int)sse_get_median_interval_ms (&sse), ==, 20);
   sse_clear (&sse);
 }
 
-/* An endless line is passed over, not kept, and doesn't hide what follows. */
+/* An endless line is skipped, not kept, and doesn't hide what follows.  */
 static void
-test_bound (void)
+test_endless_line (void)
 {
   g_autofree char *junk = g_strnfill (SSE_MAX_LINE_BYTES / 2, 'x');
   sse_t sse;
@@ -136,7 +139,7 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/sse/table", test_table);
   g_test_add_func ("/sse/times", test_times);
-  g_test_add_func ("/sse/newest-gap", test_newest_gap);
-  g_test_add_func ("/sse/bound", test_bound);
+  g_test_add_func ("/sse/newest-interval", test_newest_interval);
+  g_test_add_func ("/sse/endless-line", test_endless_line);
   return g_test_run ();
 }
--- a/libcoltsfootdrum/agent/test-stream.c
+++ b/libcoltsfootdrum/agent/test-stream.c
@@ -1,11 +1,11 @@
-/* Offsets of a kept answer: what is sent, acknowledged, resumed.  */
+/* Tests of the answer buffer: offsets sent, acknowledged and resumed.  */
 
 #include "agent/agent-stream.h"
 #include <string.h>
 
-/* Sends all that is unsent; returns it as a string.  */
+/* Sends all unsent bytes; returns them as a string.  */
 static char *
-drain (stream_t *stream)
+send_all (stream_t *stream)
 {
   GString *text = g_string_new (NULL);
   msg_data_t data;
@@ -27,24 +27,24 @@
   RESUME
 } step_t;
 
-/* Each step, whether it is taken, and what is sent after it.  */
+/* Each step, whether it is accepted, and which bytes are sent after it.  */
 static const struct
 {
   step_t step;
   const char *bytes;
   uint64_t offset;
-  bool good;
+  bool is_accepted;
   const char *sent;
   size_t retained;
 } steps[] = {
   { APPEND, "abcdef", 0, true, "abcdef", 6 },
   { ACK, NULL, 2, true, "", 4 },
-  { ACK, NULL, 1, true, "", 4 },      /* crossed: harmless */
+  { ACK, NULL, 1, true, "", 4 },      /* arrived late: no effect */
   { ACK, NULL, 9, false, "", 4 },     /* never sent */
-  { RESUME, NULL, 4, true, "ef", 2 }, /* the rest again */
-  { RESUME, NULL, 4, true, "ef", 2 }, /* twice */
-  { RESUME, NULL, 3, false, "", 2 },  /* gone */
-  { RESUME, NULL, 7, false, "", 2 },  /* never was */
+  { RESUME, NULL, 4, true, "ef", 2 }, /* sends the rest again */
+  { RESUME, NULL, 4, true, "ef", 2 }, /* repeated */
+  { RESUME, NULL, 3, false, "", 2 },  /* dropped already */
+  { RESUME, NULL, 7, false, "", 2 },  /* not produced yet */
   { APPEND, "gh", 0, true, "gh", 4 },
   { ACK, NULL, 8, true, "", 0 },
   { RESUME, NULL, 8, true, "", 0 },
@@ -60,7 +60,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (steps); i++)
     {
       g_autofree char *sent = NULL;
-      bool good = true;
+      bool is_accepted = true;
 
       switch (steps[i].step)
         {
@@ -68,15 +68,15 @@
           stream_append (&stream, steps[i].bytes, strlen (steps[i].bytes), 0);
           break;
         case ACK:
-          good = stream_acknowledge (&stream, steps[i].offset);
+          is_accepted = stream_acknowledge (&stream, steps[i].offset);
           break;
         case RESUME:
-          good = stream_resume (&stream, steps[i].offset, false);
+          is_accepted = stream_resume (&stream, steps[i].offset, false);
           break;
         }
-      sent = drain (&stream);
+      sent = send_all (&stream);
       g_test_message ("step %zu", i);
-      g_assert_cmpint (good, ==, steps[i].good);
+      g_assert_cmpint (is_accepted, ==, steps[i].is_accepted);
       g_assert_cmpstr (sent, ==, steps[i].sent);
       g_assert_cmpuint (stream_count_retained_bytes (&stream), ==,
                         steps[i].retained);
@@ -84,8 +84,8 @@
   stream_clear (&stream);
 }
 
-/* A large answer with acknowledgements behind it stays within its bound and
-   comes out whole.  */
+/* A large answer that is acknowledged with a lag stays within its bound and
+   arrives completely.  */
 static void
 test_large (void)
 {
@@ -107,7 +107,7 @@
       stream_append (&stream, piece, PIECE, 0);
       if (i % 7 == 0)
         (void)stream_resume (&stream, stream.acked_offset, false);
-      out = drain (&stream);
+      out = send_all (&stream);
       sent = stream.sent_offset;
       if (i >= 4)
         g_assert_true (
