--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -86,7 +86,7 @@
   g_autofree char *listen = g_strdup_printf ("%s:%d", f->address, PORT);
   f->server = web_server_new (f->loop, listen, &limits, handle, f, &error);
   g_assert_no_error (error);
-  web_server_set_max_body_bytes (f->server, BODIES_MAX);
+  web_server_set_max_total_body_bytes (f->server, BODIES_MAX);
 }
 
 static void
--- a/libcoltsfootdrum/http/web.c
+++ b/libcoltsfootdrum/http/web.c
@@ -367,7 +367,7 @@
 }
 
 void
-web_server_set_max_body_bytes (web_server_t *server, size_t bytes)
+web_server_set_max_total_body_bytes (web_server_t *server, size_t bytes)
 {
   server->bodies_max = bytes;
 }
--- a/libcoltsfootdrum/http/web.h
+++ b/libcoltsfootdrum/http/web.h
@@ -31,7 +31,7 @@
                               GError **error);
 /* Bytes of bodies that all requests may hold together; a request beyond it is
    answered 503.  No limit without this call.  */
-void web_server_set_max_body_bytes (web_server_t *server, size_t bytes);
+void web_server_set_max_total_body_bytes (web_server_t *server, size_t bytes);
 /* Stops accepting; requests in progress go on.  */
 void web_server_quiesce (web_server_t *server);
 void web_server_free (web_server_t *server);
--- a/libcoltsfootdrum/router/router.c
+++ b/libcoltsfootdrum/router/router.c
@@ -299,7 +299,7 @@
                                 front_handle, router, error);
   if (router->web == NULL)
     return false;
-  web_server_set_max_body_bytes (router->web, BODIES_MAX);
+  web_server_set_max_total_body_bytes (router->web, BODIES_MAX);
   return true;
 }
 
