--- a/libcoltsfootdrum/agent/test-agent.c
+++ b/libcoltsfootdrum/agent/test-agent.c
@@ -44,7 +44,7 @@
       scene_t *scene = scene_new (runs[i].engine);
 
       g_test_message ("%s", runs[i].name);
-      scene_run_request (scene, "q");
+      scene_run (scene, "q");
       SCENE_RUN_UNTIL (scene, scene->ends == 1);
       g_assert_cmpint (scene->last_end.outcome, ==, runs[i].outcome);
       g_assert_cmpuint (scene->last_end.length, ==, strlen (runs[i].body));
@@ -76,17 +76,17 @@
   SCENE_RUN_UNTIL (scene, scene->refusals == 2);
   g_assert_cmpuint (scene->starts, ==, 0);
 
-  scene_run_request (scene, "twice");
+  scene_run (scene, "twice");
   SCENE_RUN_UNTIL (scene, scene->ends == 1);
   scene_acknowledge (scene, "twice", scene->body->len, true);
-  scene_run_request (scene, "twice");
+  scene_run (scene, "twice");
   SCENE_RUN_UNTIL (scene, scene->ends == 2);
   g_assert_cmpint (scene->last_end.outcome, ==, OUTCOME_UNKNOWN);
   g_assert_cmpuint (scene->starts, ==, 1);
 
   scene_announce (scene, 1);
   SCENE_RUN_UNTIL (scene, scene->grants == 5);
-  scene_set_zone_state (scene, "out");
+  scene_zone (scene, "out");
   SCENE_RUN_UNTIL (scene, scene->watch != NULL);
   scene_assign (scene, "out", scene->last_grant, scene->incarnation);
   SCENE_RUN_UNTIL (scene, scene->refusals == 3);
@@ -105,7 +105,7 @@
 {
   scene_t *scene = scene_new (ENGINE_COMPLETE);
 
-  scene_run_request (scene, "q");
+  scene_run (scene, "q");
   while (scene->agent->counters.started == 0)
     ev_run (scene->loop, EVRUN_ONCE);
   g_usleep (SUSPENSION_MS * 1000);
@@ -127,9 +127,9 @@
 
   scene_announce (scene, 1);
   SCENE_RUN_UNTIL (scene, scene->grants == 1);
-  scene_set_endpoint_state (scene, "leaving");
+  scene_endpoint (scene, "leaving");
   SCENE_RUN_UNTIL (scene, scene->watch != NULL);
-  scene_set_platform_down (scene, true);
+  scene_platform (scene, true);
   scene_assign (scene, "q", scene->last_grant, scene->incarnation);
   SCENE_RUN_UNTIL (scene, scene->refusals == 1);
   scene_announce (scene, 1);
@@ -137,8 +137,8 @@
   g_assert_cmpuint (scene->grants, ==, 1);
   g_assert_cmpuint (scene->starts, ==, 0);
 
-  scene_set_platform_down (scene, false);
-  scene_set_endpoint_state (scene, "in");
+  scene_platform (scene, false);
+  scene_endpoint (scene, "in");
   scene_announce (scene, 1);
   SCENE_RUN_UNTIL (scene, scene->grants == 2);
   scene_free (scene);
@@ -155,7 +155,7 @@
   scene_announce (scene, 1);
   scene_run_loop_ms (scene, 300);
   g_assert_cmpuint (scene->grants, ==, 0);
-  scene_set_zone_state (scene, "in");
+  scene_zone (scene, "in");
   SCENE_RUN_UNTIL (scene, scene->grants == 1);
   scene_free (scene);
 }
@@ -168,7 +168,7 @@
   scene_t *scene = scene_new (ENGINE_LARGE_ANSWER);
   msg_t message = { .kind = MSG_RESUME };
 
-  scene_run_request (scene, "q");
+  scene_run (scene, "q");
   SCENE_RUN_UNTIL (scene, scene->body->len > 300000);
   peer_hub_free (scene->router);
   scene_connect_router (scene, 1);
@@ -195,7 +195,7 @@
   scene_t *scene = scene_new (ENGINE_LARGE_ANSWER);
 
   scene->is_acknowledging = false;
-  scene_run_request (scene, "q");
+  scene_run (scene, "q");
   SCENE_RUN_UNTIL (scene, scene->body->len >= 1024 * 1024);
   scene_run_loop_ms (scene, 300);
   g_assert_cmpuint (scene->body->len, <, 1024 * 1024 + 300000);
@@ -212,7 +212,7 @@
   scene_t *scene = scene_new (ENGINE_HANGS);
   msg_t message = { .kind = MSG_CANCEL };
 
-  scene_run_request (scene, "q");
+  scene_run (scene, "q");
   SCENE_RUN_UNTIL (scene, scene->body->len > 0);
   message.u.cancel.request = "q";
   g_assert_true (peer_hub_send (scene->router, "agent", &message));
@@ -244,7 +244,7 @@
       = scene_add_router (scene, partition->silent_loop, "router-2");
   partition->third
       = scene_add_router (scene, partition->silent_loop, "router-3");
-  scene_set_platform_down (scene, true);
+  scene_platform (scene, true);
   scene_run_loop_ms (scene, UNTIL_CUT_OFF_MS);
   partition->grants = scene->grants;
 }
@@ -282,12 +282,12 @@
   scene = partition.scene;
   assert_nothing_granted (&partition);
 
-  scene_set_zone_state (scene, "out");
-  scene_set_platform_down (scene, false);
+  scene_zone (scene, "out");
+  scene_platform (scene, false);
   SCENE_RUN_UNTIL (scene, scene->watch != NULL);
   assert_nothing_granted (&partition);
 
-  scene_set_zone_state (scene, "in");
+  scene_zone (scene, "in");
   scene_announce (scene, 1);
   SCENE_RUN_UNTIL (scene, scene->grants > partition.grants);
   partition_end (&partition);
@@ -325,7 +325,7 @@
   scene_t *scene = scene_new (ENGINE_HANGS);
   peer_hub_t *second = scene_add_router (scene, scene->loop, "router-2");
 
-  scene_set_platform_down (scene, true);
+  scene_platform (scene, true);
   scene->router_revision = scene->revision + 1;
   scene_run_loop_ms (scene, PEER_SILENCE_TIMEOUT_MS);
   scene->router_revision = scene->revision;
@@ -342,7 +342,7 @@
 {
   scene_t *scene = scene_new (ENGINE_HANGS);
 
-  scene_set_platform_down (scene, true);
+  scene_platform (scene, true);
   scene_run_loop_ms (scene, UNTIL_CUT_OFF_MS);
   scene_announce (scene, 1);
   SCENE_RUN_UNTIL (scene, scene->grants == 1);
@@ -399,7 +399,7 @@
   ev_run (others, EVRUN_NOWAIT);
   scene_run_loop_ms (scene, 50);
   scene->router = router;
-  scene_run_request (scene, "a");
+  scene_run (scene, "a");
   SCENE_RUN_UNTIL (scene, scene->starts == 1);
 
   scene->router = silent;
--- a/libcoltsfootdrum/agent/test-scene.c
+++ b/libcoltsfootdrum/agent/test-scene.c
@@ -94,7 +94,7 @@
 }
 
 void
-scene_set_zone_state (scene_t *scene, const char *state)
+scene_zone (scene_t *scene, const char *state)
 {
   scene->zone_state = state;
   scene->revision++;
@@ -102,7 +102,7 @@
 }
 
 void
-scene_set_endpoint_state (scene_t *scene, const char *state)
+scene_endpoint (scene_t *scene, const char *state)
 {
   scene->endpoint_state = state;
   scene->endpoint_revision = ++scene->revision;
@@ -110,7 +110,7 @@
 }
 
 void
-scene_set_platform_down (scene_t *scene, bool is_down)
+scene_platform (scene_t *scene, bool is_down)
 {
   scene->platform_is_down = is_down;
   if (is_down && scene->watch != NULL)
@@ -468,7 +468,7 @@
 }
 
 void
-scene_run_request (scene_t *scene, const char *request)
+scene_run (scene_t *scene, const char *request)
 {
   unsigned before = scene->grants;
 
--- a/libcoltsfootdrum/agent/test-scene.h
+++ b/libcoltsfootdrum/agent/test-scene.h
@@ -80,11 +80,11 @@
 scene_t *scene_new (engine_t engine);
 void scene_free (scene_t *scene);
 /* Sets the state of the agent's zone at the platform, "in" or "out".  */
-void scene_set_zone_state (scene_t *scene, const char *state);
+void scene_zone (scene_t *scene, const char *state);
 /* Sets the state of the agent's endpoint there, "in" or "leaving".  */
-void scene_set_endpoint_state (scene_t *scene, const char *state);
+void scene_endpoint (scene_t *scene, const char *state);
 /* Makes the platform unreachable or reachable.  */
-void scene_set_platform_down (scene_t *scene, bool is_down);
+void scene_platform (scene_t *scene, bool is_down);
 /* Connects another router to the agent.  It goes silent when LOOP is no longer
    run.  */
 peer_hub_t *scene_add_router (scene_t *scene, struct ev_loop *loop,
@@ -101,7 +101,7 @@
 void scene_assign (scene_t *scene, const char *request, uint64_t grant,
                    uint64_t incarnation);
 /* Announces one request and assigns it to the grant that follows.  */
-void scene_run_request (scene_t *scene, const char *request);
+void scene_run (scene_t *scene, const char *request);
 void scene_acknowledge (scene_t *scene, const char *request, uint64_t offset,
                         bool done);
 /* Runs the loop for MS milliseconds.  */
