--- a/libcoltsfootdrum/agent/agent-admin.c
+++ b/libcoltsfootdrum/agent/agent-admin.c
@@ -7,13 +7,13 @@
 static void
 add_metric (GString *text, const char *name, const char *type, double value)
 {
-  g_autofree char *full = g_strconcat ("cfd_agent_", name, NULL);
+  g_autofree char *full_name = g_strconcat ("cfd_agent_", name, NULL);
 
-  prom_append_sample (text, full, type, NULL, value);
+  prom_append_sample (text, full_name, type, NULL, value);
 }
 
 static void
-add_work (GString *text, const agent_counters_t *c)
+add_request_metrics (GString *text, const agent_counters_t *c)
 {
   add_metric (text, "grants_total", "counter", (double)c->granted);
   add_metric (text, "assigned_total", "counter", (double)c->assigned);
@@ -60,7 +60,7 @@
 }
 
 static void
-add_state (GString *text, cfd_agent_t *agent, cfd_time_t now)
+add_state_metrics (GString *text, cfd_agent_t *agent, cfd_time_t now)
 {
   add_metric (text, "running", "gauge", agent->busy_slots);
   add_metric (text, "slots", "gauge", agent->lim.slots);
@@ -81,8 +81,8 @@
 {
   cfd_agent_t *agent = user;
 
-  add_work (out, &agent->counters);
-  add_state (out, agent, clock_now ());
+  add_request_metrics (out, &agent->counters);
+  add_state_metrics (out, agent, clock_now ());
 }
 
 static const char *
@@ -111,7 +111,7 @@
 bool
 agent_admin_start (cfd_agent_t *agent, const char *address, GError **error)
 {
-  static const admin_callbacks_t source
+  static const admin_callbacks_t callbacks
       = { get_not_ready_reason, write_metrics, write_status };
 
   const admin_node_t node
@@ -119,6 +119,6 @@
           agent->store,    agent->plat, agent->hub };
 
   agent->admin
-      = admin_new (agent->loop, address, &node, &source, agent, error);
+      = admin_new (agent->loop, address, &node, &callbacks, agent, error);
   return agent->admin != NULL;
 }
--- a/libcoltsfootdrum/agent/agent-links.c
+++ b/libcoltsfootdrum/agent/agent-links.c
@@ -5,7 +5,7 @@
   char *name;
   char *zone;
   cfd_time_t lost_at;
-  bool up;
+  bool is_up;
 } link_t;
 
 struct links
@@ -55,7 +55,7 @@
     }
   g_free (link->zone);
   link->zone = g_strdup (zone);
-  link->up = true;
+  link->is_up = true;
 }
 
 void
@@ -66,7 +66,7 @@
 
   if (link == NULL)
     return;
-  link->up = false;
+  link->is_up = false;
   link->lost_at = now;
   if (!has_timed_out)
     g_hash_table_remove (links->by_name, router);
@@ -85,7 +85,7 @@
     {
       const link_t *link = value;
 
-      if (!link->up && now - link->lost_at > LINKS_LOST_RETENTION_MS)
+      if (!link->is_up && now - link->lost_at > LINKS_LOST_RETENTION_MS)
         g_hash_table_iter_remove (&iter);
     }
 }
@@ -101,7 +101,7 @@
   *up_count = 0;
   g_hash_table_iter_init (&iter, links->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    *up_count += ((const link_t *)value)->up;
+    *up_count += ((const link_t *)value)->is_up;
 }
 
 unsigned
@@ -113,7 +113,7 @@
 
   g_hash_table_iter_init (&iter, links->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((link_t *)value)->up)
+    if (((link_t *)value)->is_up)
       g_hash_table_add (zones, ((link_t *)value)->zone);
   return g_hash_table_size (zones);
 }
@@ -130,7 +130,7 @@
     {
       const link_t *link = value;
 
-      if (link->up)
+      if (link->is_up)
         visit (user, link->name);
     }
 }
@@ -149,7 +149,7 @@
   nth %= up_count;
   g_hash_table_iter_init (&iter, links->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((link_t *)value)->up && nth-- == 0)
+    if (((link_t *)value)->is_up && nth-- == 0)
       return ((link_t *)value)->name;
   return NULL;
 }
--- a/libcoltsfootdrum/agent/agent-local.c
+++ b/libcoltsfootdrum/agent/agent-local.c
@@ -16,10 +16,11 @@
 
 /* Returns a waiting request to its router.  */
 static void
-refuse (cfd_agent_t *agent, run_t *run, const char *why, cfd_time_t now)
+refuse_queued (cfd_agent_t *agent, run_t *run, const char *refusal,
+               cfd_time_t now)
 {
   local_dequeue (run);
-  agent_send_not_started (agent, run->router, run->request, why, now);
+  agent_send_not_started (agent, run->router, run->request, refusal, now);
   g_hash_table_remove (agent->runs, run->request);
 }
 
@@ -62,7 +63,7 @@
 
       if (reason != GRANT_ALLOWED && reason != GRANT_EJECTED)
         {
-          refuse (agent, run, grant_reason_name (reason), now);
+          refuse_queued (agent, run, grant_reason_name (reason), now);
           continue;
         }
       if (lim_count_free_slots (&agent->lim, agent->busy_slots, now) == 0)
@@ -74,7 +75,7 @@
 }
 
 static void
-tell_load (void *user, const char *router)
+send_load (void *user, const char *router)
 {
   cfd_agent_t *agent = user;
   msg_t message = { .kind = MSG_LOAD };
@@ -90,5 +91,5 @@
 local_send_load (cfd_agent_t *agent)
 {
   if (agent->service != NULL)
-    links_for_each_up (agent->links, tell_load, agent);
+    links_for_each_up (agent->links, send_load, agent);
 }
--- a/libcoltsfootdrum/agent/agent-private.h
+++ b/libcoltsfootdrum/agent/agent-private.h
@@ -222,9 +222,9 @@
    timeout.  */
 void run_cancel_at_engine (run_t *run);
 void run_detach (run_t *run, cfd_time_t now);
-/* Handles that the router of RUN was restarted or is gone for good.  */
+/* Marks RUN as left by its router, which restarted or is gone for good.  */
 void run_mark_orphaned (run_t *run, cfd_time_t now);
-/* Handles that the process was suspended for GAP_MS.  */
+/* Adjusts the times of RUN after a suspension of GAP_MS.  */
 void run_handle_suspension (run_t *run, cfd_time_t gap_ms, cfd_time_t now);
 /* Returns true when the request can be removed.  */
 bool run_tick (run_t *run, cfd_time_t now);
--- a/libcoltsfootdrum/agent/test-scene.c
+++ b/libcoltsfootdrum/agent/test-scene.c
@@ -403,29 +403,29 @@
 }
 
 static void
-announce (scene_t *scene, const msg_waiting_t *words, unsigned count)
+announce (scene_t *scene, const msg_waiting_t *entries, unsigned count)
 {
   msg_t message = { .kind = MSG_ANNOUNCE };
 
-  message.u.announce = (msg_announce_t){ "draft", true, 3000, count, words };
+  message.u.announce = (msg_announce_t){ "draft", true, 3000, count, entries };
   g_assert_true (peer_hub_send (scene->router, "agent", &message));
 }
 
 void
 scene_announce (scene_t *scene, unsigned count)
 {
-  msg_waiting_t word = { "acct", count, 0, 0, 0 };
+  msg_waiting_t entry = { "acct", count, 0, 0, 0 };
 
-  announce (scene, &word, 1);
+  announce (scene, &entry, 1);
 }
 
 void
 scene_announce_two_accounts (scene_t *scene, double virtual_time)
 {
-  msg_waiting_t words[]
+  msg_waiting_t entries[]
       = { { "acct", 5, 0, 0, 0 }, { "other", 5, 0, 0, virtual_time } };
 
-  announce (scene, words, G_N_ELEMENTS (words));
+  announce (scene, entries, G_N_ELEMENTS (entries));
 }
 
 void
--- a/libcoltsfootdrum/once/once.c
+++ b/libcoltsfootdrum/once/once.c
@@ -41,7 +41,7 @@
   unsigned tries;
   bool may_be_written;  /* a write may have taken effect */
   bool met_other_claim; /* a write found another attempt's claim */
-  void (*done) (void *user, const once_claim_result_t *answer);
+  void (*done) (void *user, const once_claim_result_t *result);
   void *user;
 } pending_claim_t;
 
@@ -84,22 +84,22 @@
 /* ---- the claim_status ---- */
 
 static void
-finish_claim (pending_claim_t *claim, const once_claim_result_t *answer)
+finish_claim (pending_claim_t *claim, const once_claim_result_t *result)
 {
   once_t *once = claim->once;
 
-  if (answer->claim_status != ONCE_CLAIMED && claim->may_be_written)
+  if (result->claim_status != ONCE_CLAIMED && claim->may_be_written)
     once_jobs_add (&once->jobs, claim->name, claim->attempt, NULL, NULL);
-  claim->done (claim->user, answer);
+  claim->done (claim->user, result);
   pending_claim_free (claim);
 }
 
 static void
 finish_with_status (pending_claim_t *claim, once_claim_status_t claim_status)
 {
-  once_claim_result_t answer = { .claim_status = claim_status };
+  once_claim_result_t result = { .claim_status = claim_status };
 
-  finish_claim (claim, &answer);
+  finish_claim (claim, &result);
 }
 
 static void
@@ -117,14 +117,14 @@
 static void
 report_finished (pending_claim_t *claim, JsonObject *spec)
 {
-  once_claim_result_t answer = { .claim_status = ONCE_FINISHED };
+  once_claim_result_t result = { .claim_status = ONCE_FINISHED };
 
-  answer.status = (unsigned)json_object_get_int_member_with_default (
+  result.status = (unsigned)json_object_get_int_member_with_default (
       spec, "status", 200);
-  answer.type = once_get_text (spec, "type");
+  result.type = once_get_text (spec, "type");
   if (json_object_has_member (spec, "body"))
-    answer.body = once_get_text (spec, "body");
-  finish_claim (claim, &answer);
+    result.body = once_get_text (spec, "body");
+  finish_claim (claim, &result);
 }
 
 /* Decides the result by the claim that exists already.  */
@@ -214,7 +214,7 @@
 void
 once_claim (once_t *once, const char *account, const char *key,
             const char *digest,
-            void (*done) (void *user, const once_claim_result_t *answer),
+            void (*done) (void *user, const once_claim_result_t *result),
             void *user)
 {
   pending_claim_t *claim = g_new0 (pending_claim_t, 1);
--- a/libcoltsfootdrum/once/once.h
+++ b/libcoltsfootdrum/once/once.h
@@ -58,7 +58,7 @@
    the request's content (method, path, body).  */
 void once_claim (once_t *once, const char *account, const char *key,
                  const char *digest,
-                 void (*done) (void *user, const once_claim_result_t *answer),
+                 void (*done) (void *user, const once_claim_result_t *result),
                  void *user);
 /* Stores the answer of the claimed request.  */
 void once_finish (once_t *once, const char *account, const char *key,
--- a/libcoltsfootdrum/once/test-once-random.c
+++ b/libcoltsfootdrum/once/test-once-random.c
@@ -181,7 +181,7 @@
   while (sim.claim_count < CLAIMS)
     step (&sim);
   check_final_claims (&sim);
-  g_test_message ("seed %u: mine %u, finished %u of %u", seed, sim.claimed,
+  g_test_message ("seed %u: claimed %u, finished %u of %u", seed, sim.claimed,
                   sim.finished, sim.claim_count);
   for (int i = 0; i < ROUTERS; i++)
     once_free (sim.routers[i]);
--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -164,15 +164,15 @@
 {
   /* The caller's two tries arrive at two routers at the same time: exactly one
      may run.  */
-  unsigned mine;
+  unsigned claimed_count;
 
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
   once_claim (f->other, "mill", "key", "d", on_claim, &f->other_result);
   sp_test_run (&f->test, has_result, &f->result);
   sp_test_run (&f->test, has_result, &f->other_result);
-  mine = (f->result.claim_status == ONCE_CLAIMED)
-         + (f->other_result.claim_status == ONCE_CLAIMED);
-  g_assert_cmpuint (mine, ==, 1);
+  claimed_count = (f->result.claim_status == ONCE_CLAIMED)
+                  + (f->other_result.claim_status == ONCE_CLAIMED);
+  g_assert_cmpuint (claimed_count, ==, 1);
   g_assert_true (f->result.claim_status == ONCE_RUNNING
                  || f->other_result.claim_status == ONCE_RUNNING);
 }
