--- a/libcoltsfootdrum/admin/admin.c
+++ b/libcoltsfootdrum/admin/admin.c
@@ -71,9 +71,9 @@
 static void
 respond_events (const admin_t *admin, web_request_t *request)
 {
-  const char *since = web_query (request, "since");
-  const tl_filter_t filter
-      = { web_query (request, "account"), web_query (request, "request") };
+  const char *since = web_get_query (request, "since");
+  const tl_filter_t filter = { web_get_query (request, "account"),
+                               web_get_query (request, "request") };
   guint64 sequence = 0;
   g_autofree char *text = NULL;
 
@@ -94,9 +94,9 @@
 on_request (void *user, web_request_t *request)
 {
   const admin_t *admin = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
-  if (!g_str_equal (web_method (request), "GET"))
+  if (!g_str_equal (web_get_method (request), "GET"))
     web_respond_problem (request, 405, "Only GET",
                          "the admin port changes nothing", "not-run", -1);
   else if (g_str_equal (path, "/healthz"))
--- a/libcoltsfootdrum/agent/test-scene.c
+++ b/libcoltsfootdrum/agent/test-scene.c
@@ -62,7 +62,7 @@
 static bool
 is_behind (const scene_t *scene, const web_request_t *request)
 {
-  const char *after = web_query (request, "after");
+  const char *after = web_get_query (request, "after");
 
   return g_ascii_strtoull (after, NULL, 10) < scene->revision;
 }
@@ -71,7 +71,7 @@
 on_platform (void *user, web_request_t *request)
 {
   scene_t *scene = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (scene->platform_is_down)
     web_respond (request, 503, "text/plain", NULL, "", 0);
@@ -135,7 +135,7 @@
   g_autofree char *big = NULL;
 
   scene->starts++;
-  g_assert_null (web_header (request, "Authorization"));
+  g_assert_null (web_get_header (request, "Authorization"));
   if (scene->engine == ENGINE_DEAD_CONNECTION
       || scene->engine == ENGINE_STOPPED)
     return;
@@ -156,7 +156,7 @@
       return;
     case ENGINE_HANGS:
       scene->hanging = request;
-      web_on_closed (request, on_hanging_closed, scene);
+      web_set_on_closed (request, on_hanging_closed, scene);
       return;
     case ENGINE_LARGE_ANSWER:
       big = g_strnfill (LARGE_ANSWER_BYTES, '\n');
@@ -171,7 +171,7 @@
 on_resume (scene_t *scene, web_request_t *request)
 {
   static const char full_answer[] = SCENE_TOKEN SCENE_END;
-  const char *offset = web_query (request, "offset");
+  const char *offset = web_get_query (request, "offset");
   size_t from = (size_t)g_ascii_strtoull (offset, NULL, 10);
 
   scene->resumes++;
@@ -186,7 +186,7 @@
 on_endpoint (void *user, web_request_t *request)
 {
   scene_t *scene = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (scene->engine == ENGINE_STOPPED && scene->starts > 0)
     return;
--- a/libcoltsfootdrum/base/settings.c
+++ b/libcoltsfootdrum/base/settings.c
@@ -367,7 +367,7 @@
   if (given->help)
     text = g_option_context_get_help (context, TRUE, NULL);
   else if (given->help_settings)
-    text = settings_table (role);
+    text = settings_format_table (role);
   else if (given->version)
     text = g_strdup_printf ("cfd-%s %s\n", role, CFD_VERSION);
   else
@@ -446,7 +446,7 @@
 }
 
 char *
-settings_table (const char *role)
+settings_format_table (const char *role)
 {
   GString *table;
   setting_roles_t mask;
--- a/libcoltsfootdrum/base/settings.h
+++ b/libcoltsfootdrum/base/settings.h
@@ -8,6 +8,6 @@
 
 /* The settings of ROLE as a Markdown table, as --help-settings prints it; NULL
    for an unknown role.  Free with g_free.  */
-char *settings_table (const char *role);
+char *settings_format_table (const char *role);
 
 #endif
--- a/libcoltsfootdrum/base/test-settings.c
+++ b/libcoltsfootdrum/base/test-settings.c
@@ -169,14 +169,14 @@
 static void
 test_table (void)
 {
-  g_autofree char *router = settings_table ("router");
-  g_autofree char *agent = settings_table ("agent");
+  g_autofree char *router = settings_format_table ("router");
+  g_autofree char *agent = settings_format_table ("agent");
 
   g_assert_nonnull (
       strstr (router, "`--request-s SECONDS` | `CFD_REQUEST_S`"));
   g_assert_null (strstr (router, "--endpoint"));
   g_assert_nonnull (strstr (agent, "--endpoint"));
-  g_assert_null (settings_table ("server"));
+  g_assert_null (settings_format_table ("server"));
 }
 
 int
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -438,7 +438,7 @@
 }
 
 struct ev_loop *
-fetch_pool_loop (const fetch_pool_t *pool)
+fetch_pool_get_loop (const fetch_pool_t *pool)
 {
   return pool->loop;
 }
--- a/libcoltsfootdrum/http/fetch.h
+++ b/libcoltsfootdrum/http/fetch.h
@@ -52,7 +52,7 @@
 void fetch_pool_free (fetch_pool_t *pool);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (fetch_pool_t, fetch_pool_free)
 
-struct ev_loop *fetch_pool_loop (const fetch_pool_t *pool);
+struct ev_loop *fetch_pool_get_loop (const fetch_pool_t *pool);
 
 /* Never calls back before it returns.  */
 fetch_t *fetch_start (fetch_pool_t *pool, const fetch_request_t *request);
--- a/libcoltsfootdrum/http/test-web.c
+++ b/libcoltsfootdrum/http/test-web.c
@@ -52,8 +52,8 @@
 {
   fixture_t *f = user;
   size_t length;
-  const char *body = web_body (request, &length);
-  const char *path = web_path (request);
+  const char *body = web_get_body (request, &length);
+  const char *path = web_get_path (request);
 
   f->handled++;
   if (strcmp (path, "/echo") == 0)
@@ -66,7 +66,7 @@
       f->request = request;
       if (f->handled <= G_N_ELEMENTS (f->all))
         f->all[f->handled - 1] = request;
-      web_on_closed (request, on_closed, f);
+      web_set_on_closed (request, on_closed, f);
       if (strcmp (path, "/stream") == 0)
         web_stream_begin (request, 200, f->stream_headers, on_drained, f);
     }
--- a/libcoltsfootdrum/http/web-request.c
+++ b/libcoltsfootdrum/http/web-request.c
@@ -1,25 +1,25 @@
 #include "http/web-private.h"
 
 const char *
-web_method (const web_request_t *request)
+web_get_method (const web_request_t *request)
 {
   return request->method;
 }
 
 const char *
-web_target (const web_request_t *request)
+web_get_target (const web_request_t *request)
 {
   return request->target;
 }
 
 const char *
-web_path (const web_request_t *request)
+web_get_path (const web_request_t *request)
 {
   return request->path;
 }
 
 const char *
-web_query (const web_request_t *request, const char *name)
+web_get_query (const web_request_t *request, const char *name)
 {
   if (!request->connection)
     return NULL;
@@ -28,7 +28,7 @@
 }
 
 const char *
-web_header (const web_request_t *request, const char *name)
+web_get_header (const web_request_t *request, const char *name)
 {
   if (!request->connection)
     return NULL;
@@ -66,7 +66,7 @@
 }
 
 const char *
-web_body (const web_request_t *request, size_t *length)
+web_get_body (const web_request_t *request, size_t *length)
 {
   *length = request->body->len;
   return (const char *)request->body->data;
@@ -82,7 +82,8 @@
 }
 
 void
-web_on_closed (web_request_t *request, void (*closed) (void *user), void *user)
+web_set_on_closed (web_request_t *request, void (*closed) (void *user),
+                   void *user)
 {
   request->closed = closed;
   request->closed_user = user;
--- a/libcoltsfootdrum/http/web.h
+++ b/libcoltsfootdrum/http/web.h
@@ -38,27 +38,27 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (web_server_t, web_server_free)
 unsigned web_server_count_active (const web_server_t *server);
 
-const char *web_method (const web_request_t *request);
+const char *web_get_method (const web_request_t *request);
 /* The path with its query, as sent.  */
-const char *web_target (const web_request_t *request);
+const char *web_get_target (const web_request_t *request);
 /* The path alone.  */
-const char *web_path (const web_request_t *request);
+const char *web_get_path (const web_request_t *request);
 /* NULL when absent.  */
-const char *web_query (const web_request_t *request, const char *name);
-const char *web_header (const web_request_t *request, const char *name);
+const char *web_get_query (const web_request_t *request, const char *name);
+const char *web_get_header (const web_request_t *request, const char *name);
 void web_foreach_header (const web_request_t *request,
                          void (*visit) (void *user, const char *name,
                                         const char *value),
                          void *user);
-const char *web_body (const web_request_t *request, size_t *length);
+const char *web_get_body (const web_request_t *request, size_t *length);
 /* The body, which the request then no longer has; free with g_bytes_unref.  It
    counts against the server's limit until the request is answered.  */
 GBytes *web_take_body (web_request_t *request);
 
 /* CLOSED is called at most once, when the caller went away before the whole
    answer was sent; the request must not be used afterwards.  */
-void web_on_closed (web_request_t *request, void (*closed) (void *user),
-                    void *user);
+void web_set_on_closed (web_request_t *request, void (*closed) (void *user),
+                        void *user);
 
 /* Goes into the answer, whatever it is, instead of a header of the same name
    in the answer's own.  One a request; a second call replaces the first.  */
--- a/libcoltsfootdrum/once/age-sync.c
+++ b/libcoltsfootdrum/once/age-sync.c
@@ -25,7 +25,7 @@
 static void
 schedule_after (age_sync_t *sync, unsigned min_ms)
 {
-  struct ev_loop *loop = plat_loop (sync->plat);
+  struct ev_loop *loop = plat_get_loop (sync->plat);
   gint32 max_ms = (gint32)(min_ms + min_ms / 4 + 1);
   int wait_ms = g_random_int_range ((gint32)min_ms, max_ms + 1);
 
@@ -160,7 +160,7 @@
 {
   if (sync == NULL)
     return;
-  ev_timer_stop (plat_loop (sync->plat), &sync->timer);
+  ev_timer_stop (plat_get_loop (sync->plat), &sync->timer);
   plat_cancel (sync->plat, sync);
   write_ages_free (sync->ages);
   g_free (sync->version);
--- a/libcoltsfootdrum/once/once-job.c
+++ b/libcoltsfootdrum/once/once-job.c
@@ -51,7 +51,7 @@
 static void
 job_free (once_job_t *job)
 {
-  ev_timer_stop (plat_loop (job->jobs->plat), &job->timer);
+  ev_timer_stop (plat_get_loop (job->jobs->plat), &job->timer);
   list_remove (&job->node);
   job->jobs->count--;
   g_clear_pointer (&job->spec, json_object_unref);
@@ -64,7 +64,7 @@
 static void
 retry_later (once_job_t *job)
 {
-  struct ev_loop *loop = plat_loop (job->jobs->plat);
+  struct ev_loop *loop = plat_get_loop (job->jobs->plat);
   unsigned doublings = MIN (job->tries, 10u);
   unsigned max_ms = MIN (MIN_BACKOFF_MS << doublings, MAX_BACKOFF_MS);
   int delay_ms = g_random_int_range ((gint32)max_ms / 2, (gint32)max_ms + 1);
--- a/libcoltsfootdrum/once/sweep.c
+++ b/libcoltsfootdrum/once/sweep.c
@@ -57,7 +57,7 @@
 static void
 schedule_after (sweep_t *sweep, unsigned min_ms)
 {
-  struct ev_loop *loop = plat_loop (sweep->plat);
+  struct ev_loop *loop = plat_get_loop (sweep->plat);
   gint32 max_ms = (gint32)(min_ms + min_ms / 4 + 1);
   int wait_ms = g_random_int_range ((gint32)min_ms, max_ms + 1);
 
@@ -352,7 +352,7 @@
 {
   if (sweep == NULL)
     return;
-  ev_timer_stop (plat_loop (sweep->plat), &sweep->timer);
+  ev_timer_stop (plat_get_loop (sweep->plat), &sweep->timer);
   plat_cancel (sweep->plat, sweep);
   age_sync_free (sweep->sync);
   g_queue_clear_full (&sweep->removals, removal_free);
--- a/libcoltsfootdrum/platform/plat.c
+++ b/libcoltsfootdrum/platform/plat.c
@@ -163,9 +163,9 @@
 }
 
 struct ev_loop *
-plat_loop (const plat_t *plat)
+plat_get_loop (const plat_t *plat)
 {
-  return fetch_pool_loop (plat->pool);
+  return fetch_pool_get_loop (plat->pool);
 }
 
 void
--- a/libcoltsfootdrum/platform/plat.h
+++ b/libcoltsfootdrum/platform/plat.h
@@ -84,7 +84,7 @@
 /* Drops the calls made with USER: no call back comes, and whether a write took
    effect stays unknown.  */
 void plat_cancel (plat_t *plat, void *user);
-struct ev_loop *plat_loop (const plat_t *plat);
+struct ev_loop *plat_get_loop (const plat_t *plat);
 
 /* Calls made since start, for the platform budget.  */
 uint64_t plat_count_calls (const plat_t *plat);
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -28,7 +28,7 @@
 check_key (cfd_router_t *router, web_request_t *web)
 {
   static const char scheme[] = "Bearer ";
-  const char *header = web_header (web, "Authorization");
+  const char *header = web_get_header (web, "Authorization");
   const rec_t *account = NULL;
 
   if (header != NULL
@@ -47,7 +47,7 @@
 parse_body (JsonParser *parser, web_request_t *web)
 {
   size_t length;
-  const char *body = web_body (web, &length);
+  const char *body = web_get_body (web, &length);
   JsonNode *root;
 
   if (length == 0
@@ -90,7 +90,7 @@
           break;
         }
     }
-  (void)web_body (web, &length);
+  (void)web_get_body (web, &length);
   return most + (double)length / BYTES_PER_TOKEN;
 }
 
@@ -205,9 +205,9 @@
                                           service->name, call->cost)
                            : call->cost;
   request->item.class_rank = rec_service_get_class_rank (
-      &service->u.service, web_header (web, "X-Request-Class"));
+      &service->u.service, web_get_header (web, "X-Request-Class"));
   if (!request->idempotent)
-    request->key = g_strdup (web_header (web, "Idempotency-Key"));
+    request->key = g_strdup (web_get_header (web, "Idempotency-Key"));
   request->body = web_take_body (web);
   request_begin (request, now);
 }
@@ -242,11 +242,11 @@
   const rec_t *account = check_key (router, web);
   const rec_t *service;
   JsonObject *body;
-  call_t call = { .is_model = true, .path = web_target (web) };
+  call_t call = { .is_model = true, .path = web_get_target (web) };
 
   if (account == NULL)
     return;
-  if (strcmp (web_method (web), "POST") != 0)
+  if (strcmp (web_get_method (web), "POST") != 0)
     {
       refuse (router, web, REFUSED_BAD, 405, "Method not allowed", "Use POST.",
               -1);
@@ -270,7 +270,7 @@
 handle_plain (cfd_router_t *router, web_request_t *web)
 {
   const rec_t *account = check_key (router, web);
-  const char *rest = web_target (web) + strlen (SERVICES_PREFIX);
+  const char *rest = web_get_target (web) + strlen (SERVICES_PREFIX);
   g_autofree char *name = g_strndup (rest, strcspn (rest, "/?"));
   const char *path = rest + strlen (name);
   g_autofree char *whole = NULL;
@@ -290,7 +290,7 @@
 front_handle (void *user, web_request_t *web)
 {
   cfd_router_t *router = user;
-  const char *path = web_path (web);
+  const char *path = web_get_path (web);
 
   g_autofree char *name = router_name_request (router);
 
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -15,7 +15,7 @@
   request->router = router;
   request->web = web;
   request->trace = g_strdup (web_get_response_header (web));
-  request->method = g_strdup (web_method (web));
+  request->method = g_strdup (web_get_method (web));
   request->item.account = g_strdup (account);
   request->item.service = g_strdup (service);
   list_init (&request->item.node);
@@ -360,7 +360,7 @@
 {
   request->item.since = now;
   request->item.deadline = now + request->router->request_ms;
-  web_on_closed (request->web, on_closed, request);
+  web_set_on_closed (request->web, on_closed, request);
   if (request->key == NULL)
     request_event (request, REQ_EV_CLAIMED, now);
   else
--- a/libcoltsfootdrum/router/test-router-scene.c
+++ b/libcoltsfootdrum/router/test-router-scene.c
@@ -101,12 +101,12 @@
 on_platform (void *user, web_request_t *request)
 {
   scene_t *scene = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (strcmp (path, "/v1/watch") == 0)
     {
       scene->watch = request;
-      web_on_closed (request, watch_closed, scene);
+      web_set_on_closed (request, watch_closed, scene);
     }
   else if (strcmp (path, "/v1/instances") == 0)
     answer_instances (request);
--- a/tests/sp-control.c
+++ b/tests/sp-control.c
@@ -95,9 +95,9 @@
 void
 sp_control (sp_t *sp, web_request_t *request)
 {
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
   size_t length;
-  const char *body = web_body (request, &length);
+  const char *body = web_get_body (request, &length);
   g_autoptr (JsonNode) root = json_from_string (body, NULL);
   g_autofree char *calls = calls_text (sp);
   bool ok = false;
@@ -112,7 +112,7 @@
     ok = sp_instances (sp, body);
   else if (strcmp (path, "/control/faults") == 0)
     ok = control_faults (sp, root);
-  else if (strcmp (web_method (request), "DELETE") == 0)
+  else if (strcmp (web_get_method (request), "DELETE") == 0)
     ok = control_delete (sp, path);
   else if (strcmp (path, "/control/objects") == 0)
     ok = control_objects (sp, root);
--- a/tests/sp.c
+++ b/tests/sp.c
@@ -103,7 +103,7 @@
   waiter->timer.data = waiter;
   ev_now_update (sp->loop);
   ev_timer_start (sp->loop, &waiter->timer);
-  web_on_closed (request, on_closed, waiter);
+  web_set_on_closed (request, on_closed, waiter);
   return waiter;
 }
 
@@ -145,7 +145,7 @@
 static bool
 condition_holds (web_request_t *request, const sp_object_t *object)
 {
-  const char *match = web_header (request, "If-Match");
+  const char *match = web_get_header (request, "If-Match");
 
   if (match == NULL)
     return object == NULL;
@@ -166,7 +166,7 @@
 spec_of (web_request_t *request)
 {
   size_t length;
-  const char *body = web_body (request, &length);
+  const char *body = web_get_body (request, &length);
   g_autoptr (JsonNode) root = json_from_string (body, NULL);
 
   if (length > OBJECT_MAX || root == NULL || !JSON_NODE_HOLDS_OBJECT (root))
@@ -196,7 +196,7 @@
 one_object (sp_t *sp, web_request_t *request, const char *kind,
             const char *name)
 {
-  const char *method = web_method (request);
+  const char *method = web_get_method (request);
   const sp_object_t *object;
 
   if (strcmp (method, "GET") != 0)
@@ -218,7 +218,7 @@
 static uint64_t
 number_query (const web_request_t *request, const char *name)
 {
-  const char *text = web_query (request, name);
+  const char *text = web_get_query (request, name);
 
   return text == NULL ? 0 : g_ascii_strtoull (text, NULL, 10);
 }
@@ -226,8 +226,8 @@
 static void
 list_objects (sp_t *sp, web_request_t *request)
 {
-  const char *kinds = web_query (request, "kinds");
-  const char *after = web_query (request, "after");
+  const char *kinds = web_get_query (request, "kinds");
+  const char *after = web_get_query (request, "after");
   uint64_t limit = number_query (request, "limit");
 
   sp->calls[CALL_LIST]++;
@@ -272,7 +272,7 @@
 static void
 watch (sp_t *sp, web_request_t *request)
 {
-  const char *kinds = web_query (request, "kinds");
+  const char *kinds = web_get_query (request, "kinds");
   uint64_t after = number_query (request, "after");
   uint64_t wait_ms = MIN (number_query (request, "wait_ms"), 60000u);
   g_autofree char *changes = sp_model_changes (sp->model, after, kinds);
@@ -362,7 +362,7 @@
 {
   listener_t *listener = user;
   sp_t *sp = listener->sp;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
   g_autofree char *kind = NULL;
   g_autofree char *name = NULL;
 
--- a/tests/standin-engine.c
+++ b/tests/standin-engine.c
@@ -47,9 +47,9 @@
   sink->standin = standin;
   sink->run = run;
   sink->request = request;
-  sink->detached = web_header (request, "X-Stream-Keep") != NULL;
+  sink->detached = web_get_header (request, "X-Stream-Keep") != NULL;
   run->sink = sink;
-  web_on_closed (request, sink_closed, sink);
+  web_set_on_closed (request, sink_closed, sink);
   return sink;
 }
 
@@ -60,7 +60,7 @@
   engine_run_t *run = sink->run;
 
   run->sink = NULL;
-  web_on_closed (sink->request, NULL, NULL);
+  web_set_on_closed (sink->request, NULL, NULL);
   if (run->stream)
     web_stream_end (sink->request, !break_off);
   else
@@ -147,7 +147,7 @@
 {
   g_autoptr (JsonObject) body = standin_json (request);
   const char *prompt = body ? prompt_of (body) : NULL;
-  const char *id = web_header (request, "X-Request-Id");
+  const char *id = web_get_header (request, "X-Request-Id");
 
   if (prompt == NULL)
     {
@@ -166,7 +166,7 @@
   g_autofree char *made = g_uuid_string_random ();
   engine_run_t *run = engine_start (
       standin->engine, id ? id : made, prompt, stream,
-      strstr (web_path (request), "/chat/") != NULL, clock_now ());
+      strstr (web_get_path (request), "/chat/") != NULL, clock_now ());
   sink_new (standin, run, request);
   stream_begin (run, request);
   if (ev_is_active (&standin->step))
@@ -179,10 +179,10 @@
 static void
 on_stream (standin_t *standin, web_request_t *request)
 {
-  const char *name = web_path (request) + strlen ("/v1/streams/");
+  const char *name = web_get_path (request) + strlen ("/v1/streams/");
   g_autofree char *id = g_strndup (name, strcspn (name, "/"));
   engine_run_t *run = engine_find (standin->engine, id);
-  const char *text = web_query (request, "offset");
+  const char *text = web_get_query (request, "offset");
   uint64_t offset = text ? g_ascii_strtoull (text, NULL, 10) : 0;
 
   if (run == NULL || offset > run->body->len)
@@ -273,7 +273,7 @@
   add_number (reply, "last_start_ms", (double)counters->last_start);
   add_number (reply, "prompt_tokens", (double)counters->prompt_tokens);
   add_number (reply, "output_tokens", (double)counters->output_tokens);
-  if (web_query (request, "nonces") != NULL)
+  if (web_get_query (request, "nonces") != NULL)
     add_nonces (reply, engine_nonces (standin->engine));
   json_builder_end_object (reply);
   standin_reply (request, 200, reply);
@@ -315,7 +315,7 @@
 on_request (void *user, web_request_t *request)
 {
   standin_t *standin = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (strcmp (path, "/v1/chat/completions") == 0
       || strcmp (path, "/v1/completions") == 0)
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -74,7 +74,7 @@
   standin->running--;
   if (call->request != NULL)
     {
-      web_on_closed (call->request, NULL, NULL);
+      web_set_on_closed (call->request, NULL, NULL);
       if (standin->break_off)
         {
           web_stream_begin (call->request, 200, NULL, NULL, NULL);
@@ -99,10 +99,10 @@
 static char *
 nonce_of (const web_request_t *request)
 {
-  const char *given = web_header (request, "X-Nonce");
+  const char *given = web_get_header (request, "X-Nonce");
 
   if (given == NULL)
-    given = web_query (request, "nonce");
+    given = web_get_query (request, "nonce");
   if (given != NULL)
     return g_strdup (given);
   g_autoptr (JsonObject) body = standin_json (request);
@@ -127,7 +127,7 @@
   call->standin = standin;
   call->request = request;
   call->nonce = nonce_of (request);
-  call->path = g_strdup (web_path (request));
+  call->path = g_strdup (web_get_path (request));
   call->executions
       = GPOINTER_TO_UINT (g_hash_table_lookup (standin->nonces, call->nonce))
         + 1;
@@ -140,7 +140,7 @@
   standin->peak = MAX (standin->peak, standin->running);
   if (standin->running > standin->slots)
     standin->overload_count++;
-  web_on_closed (request, on_closed, call);
+  web_set_on_closed (request, on_closed, call);
   ev_timer_init (&call->due, on_due, standin->delay_ms / 1000, 0);
   call->due.data = call;
   ev_timer_start (standin->loop, &call->due);
@@ -201,7 +201,7 @@
 on_request (void *user, web_request_t *request)
 {
   standin_t *standin = user;
-  const char *path = web_path (request);
+  const char *path = web_get_path (request);
 
   if (strcmp (path, "/control/counters") == 0)
     on_counters (standin, request);
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -50,7 +50,7 @@
 standin_json (const web_request_t *request)
 {
   size_t length = 0;
-  const char *body = web_body (request, &length);
+  const char *body = web_get_body (request, &length);
   g_autoptr (JsonParser) parser = json_parser_new ();
 
   if (!json_parser_load_from_data (parser, body, (gssize)length, NULL))
