--- a/libcoltsfootdrum/once/test-once-random.c
+++ b/libcoltsfootdrum/once/test-once-random.c
@@ -112,9 +112,9 @@
 change_fault (simulation_t *sim)
 {
   sp_mode_t mode
-      = (sp_mode_t)g_rand_int_range (sim->random, SP_UP, SP_STALE + 1);
+      = (sp_mode_t)g_rand_int_range (sim->random, SP_UP, SP_STALE_READS + 1);
 
-  sp_fault (sim->test.sp, mode, 2, 0);
+  sp_set_fault (sim->test.sp, mode, 2, 0);
 }
 
 static void
@@ -146,8 +146,8 @@
 static void
 check_final_claims (simulation_t *sim)
 {
-  sp_fault (sim->test.sp, SP_UP, 0, 0);
-  sp_test_run (&sim->test, is_idle, sim);
+  sp_set_fault (sim->test.sp, SP_UP, 0, 0);
+  sp_test_run_until (&sim->test, is_idle, sim);
   sim->are_faults_over = true;
   for (int i = 0; i < KEYS; i++)
     {
@@ -157,7 +157,7 @@
       bool was_held = key->holder != NULL;
 
       claim_key (sim, key);
-      sp_test_run (&sim->test, is_idle, sim);
+      sp_test_run_until (&sim->test, is_idle, sim);
       g_assert_cmpuint (sim->finished - finished, ==, key->ran ? 1 : 0);
       g_assert_cmpuint (sim->claimed - claimed, ==,
                         key->ran || was_held ? 0 : 1);
@@ -169,7 +169,7 @@
 {
   simulation_t sim = { .random = g_rand_new_with_seed (seed) };
 
-  sp_test_begin (&sim.test);
+  sp_test_setup (&sim.test);
   for (int i = 0; i < ROUTERS; i++)
     {
       g_autofree char *owner = g_strdup_printf ("router-%d", i);
@@ -185,7 +185,7 @@
                   sim.finished, sim.claim_count);
   for (int i = 0; i < ROUTERS; i++)
     once_free (sim.routers[i]);
-  sp_test_end (&sim.test);
+  sp_test_teardown (&sim.test);
   g_rand_free (sim.random);
 }
 
--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -28,7 +28,7 @@
 static void
 set_up (fixture_t *f, gconstpointer data)
 {
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->router = once_new (f->test.plat, "router-1");
   f->other = once_new (f->test.plat, "router-2");
 }
@@ -48,7 +48,7 @@
   clear_result (&f->other_result);
   once_free (f->router);
   once_free (f->other);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static void
@@ -75,7 +75,7 @@
   clear_result (&f->result);
   once_claim (once, "mill", key, digest, on_claim, &f->result);
   g_assert_cmpuint (f->result.done, ==, 0);
-  sp_test_run (&f->test, has_result, &f->result);
+  sp_test_run_until (&f->test, has_result, &f->result);
   return f->result.claim_status;
 }
 
@@ -97,7 +97,7 @@
 static void
 wait_for_writes (fixture_t *f)
 {
-  sp_test_run (&f->test, has_no_pending_writes, f);
+  sp_test_run_until (&f->test, has_no_pending_writes, f);
 }
 
 static void
@@ -168,8 +168,8 @@
 
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
   once_claim (f->other, "mill", "key", "d", on_claim, &f->other_result);
-  sp_test_run (&f->test, has_result, &f->result);
-  sp_test_run (&f->test, has_result, &f->other_result);
+  sp_test_run_until (&f->test, has_result, &f->result);
+  sp_test_run_until (&f->test, has_result, &f->other_result);
   claimed_count = (f->result.claim_status == ONCE_CLAIMED)
                   + (f->other_result.claim_status == ONCE_CLAIMED);
   g_assert_cmpuint (claimed_count, ==, 1);
@@ -189,15 +189,15 @@
 } faults[] = {
   /* The write took effect and its reply was lost: reading the claim back tells
      whose it is.  */
-  { "lost answer", SP_LOSE_ANSWER, false, ONCE_CLAIMED, ONCE_RUNNING },
-  { "lost answer, held", SP_LOSE_ANSWER, true, ONCE_RUNNING, ONCE_RUNNING },
+  { "lost answer", SP_DROP_RESPONSE, false, ONCE_CLAIMED, ONCE_RUNNING },
+  { "lost answer, held", SP_DROP_RESPONSE, true, ONCE_RUNNING, ONCE_RUNNING },
   { "down", SP_DOWN, false, ONCE_PLATFORM_DOWN, ONCE_CLAIMED },
   { "down, held", SP_DOWN, true, ONCE_PLATFORM_DOWN, ONCE_RUNNING },
   { "slow", SP_SLOW, false, ONCE_CLAIMED, ONCE_RUNNING },
   { "slow, held", SP_SLOW, true, ONCE_RUNNING, ONCE_RUNNING },
-  { "stale", SP_STALE, false, ONCE_CLAIMED, ONCE_RUNNING },
+  { "stale", SP_STALE_READS, false, ONCE_CLAIMED, ONCE_RUNNING },
   /* The read does not return the claim that the write conflicted with.  */
-  { "stale, held", SP_STALE, true, ONCE_RUNNING, ONCE_RUNNING },
+  { "stale, held", SP_STALE_READS, true, ONCE_RUNNING, ONCE_RUNNING },
 };
 
 static void
@@ -208,14 +208,14 @@
 
   set_up (&f, NULL);
   /* The stale state is the one before the other router's claim.  */
-  if (faults[i].mode == SP_STALE)
-    sp_fault (f.test.sp, SP_STALE, 0, 0);
+  if (faults[i].mode == SP_STALE_READS)
+    sp_set_fault (f.test.sp, SP_STALE_READS, 0, 0);
   if (faults[i].is_claimed_by_other)
     g_assert_cmpint (claim (&f, f.other, "d"), ==, ONCE_CLAIMED);
-  if (faults[i].mode != SP_STALE)
-    sp_fault (f.test.sp, faults[i].mode, 20, 0);
+  if (faults[i].mode != SP_STALE_READS)
+    sp_set_fault (f.test.sp, faults[i].mode, 20, 0);
   g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].claim_status);
-  sp_fault (f.test.sp, SP_UP, 0, 0);
+  sp_set_fault (f.test.sp, SP_UP, 0, 0);
   wait_for_writes (&f);
   g_assert_cmpint (claim (&f, f.other, "d"), ==, faults[i].later_claim_status);
   tear_down (&f, NULL);
@@ -224,7 +224,7 @@
 static bool
 has_put (void *user)
 {
-  return sp_calls (((fixture_t *)user)->test.sp, "put") >= 1;
+  return sp_count_calls (((fixture_t *)user)->test.sp, "put") >= 1;
 }
 
 static void
@@ -235,13 +235,13 @@
      claim must be deleted when the platform is back; otherwise the caller
      could never succeed.  */
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
-  sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
-  sp_test_run (&f->test, has_put, f);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, has_result, &f->result);
+  sp_set_fault (f->test.sp, SP_DROP_RESPONSE, 0, 0);
+  sp_test_run_until (&f->test, has_put, f);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_test_run_until (&f->test, has_result, &f->result);
   g_assert_cmpint (f->result.claim_status, ==, ONCE_PLATFORM_DOWN);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   wait_for_writes (f);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_CLAIMED);
 }
@@ -252,13 +252,13 @@
   /* The request ran; while its answer is written, the platform is down and
      then loses replies.  The complete answer must be stored in the end.  */
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
   once_finish (f->router, "mill", "key", 201, "text/plain", "case 7");
   ev_run (f->test.loop, EVRUN_ONCE);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
-  sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
+  sp_set_fault (f->test.sp, SP_DROP_RESPONSE, 0, 0);
   wait_for_writes (f);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_FINISHED);
   g_assert_cmpstr (f->result.body, ==, "case 7");
 }
@@ -266,7 +266,7 @@
 static void
 test_refused_connection (fixture_t *f, gconstpointer data)
 {
-  sp_test_stop (&f->test);
+  sp_test_stop_platform (&f->test);
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_PLATFORM_DOWN);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 0);
 }
--- a/libcoltsfootdrum/once/test-sweep.c
+++ b/libcoltsfootdrum/once/test-sweep.c
@@ -62,7 +62,7 @@
 static void
 set_up (fixture_t *f, gconstpointer data)
 {
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->router = once_new (f->test.plat, "router-1");
   once_set_retention_s (f->router, RETENTION_S);
   f->is_age_writer[0] = true;
@@ -74,7 +74,7 @@
   for (int i = 0; i < SWEEPERS; i++)
     sweep_free (f->sweeps[i]);
   once_free (f->router);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static void
@@ -99,7 +99,7 @@
 {
   f->result_count = 0;
   once_claim (f->router, "mill", key, "d", on_claim, f);
-  sp_test_run (&f->test, has_result, f);
+  sp_test_run_until (&f->test, has_result, f);
   return f->claim_status;
 }
 
@@ -115,7 +115,7 @@
 finish (fixture_t *f, const char *key)
 {
   once_finish (f->router, "mill", key, 201, "text/plain", "case 7");
-  sp_test_run (&f->test, has_result, f);
+  sp_test_run_until (&f->test, has_result, f);
 }
 
 static const sp_object_t *
@@ -123,7 +123,7 @@
 {
   g_autofree char *name = once_make_claim_name ("mill", key);
 
-  return sp_model_newest (sp_state (f->test.sp), "claim", name);
+  return sp_model_get_latest (sp_get_model (f->test.sp), "claim", name);
 }
 
 static void
@@ -208,7 +208,7 @@
   start_sweep (f, 0, FAST_CALLS_PER_S);
   start_sweep (f, 1, FAST_CALLS_PER_S);
   fill (f, CLAIMS);
-  sp_test_run (&f->test, are_all_removed, f);
+  sp_test_run_until (&f->test, are_all_removed, f);
   g_assert_cmpint (clock_now () - start_time, >=, RETENTION_S * 1000);
   g_assert_cmpuint (count_removed (f), <=, CLAIMS);
   expect_claim (f, "key-0", ONCE_CLAIMED);
@@ -222,9 +222,9 @@
      end.  */
   fixture_t *f = user;
 
-  return sp_calls (f->test.sp, "list") == 1
-         && sp_model_newest (sp_state (f->test.sp), CLAIM_SWEEP_KIND,
-                             "cursor");
+  return sp_count_calls (f->test.sp, "list") == 1
+         && sp_model_get_latest (sp_get_model (f->test.sp), CLAIM_SWEEP_KIND,
+                                 "cursor");
 }
 
 static bool
@@ -246,10 +246,10 @@
   g_autofree char *name = once_make_claim_name ("mill", "key-0");
   start_sweep (f, 0, SWEEPERS);
   fill (f, 1);
-  sp_test_run (&f->test, has_reserved_page, f);
-  sp_test_write (&f->test, "claim", name, NULL);
+  sp_test_run_until (&f->test, has_reserved_page, f);
+  sp_test_write_object (&f->test, "claim", name, NULL);
   expect_claim (f, "key-0", ONCE_CLAIMED);
-  sp_test_run (&f->test, has_tried_removal, f);
+  sp_test_run_until (&f->test, has_tried_removal, f);
   g_assert_nonnull (get_stored (f, "key-0"));
   expect_claim (f, "key-0", ONCE_RUNNING);
 }
@@ -267,7 +267,7 @@
      and comes back.  Claims are removed in the end and not before their time:
      the ages never count a span twice when it is unknown whose write took
      effect.  */
-  static const sp_mode_t modes[] = { SP_LOSE_ANSWER, SP_DOWN };
+  static const sp_mode_t modes[] = { SP_DROP_RESPONSE, SP_DOWN };
   cfd_time_t start_time = clock_now ();
 
   fill (f, CLAIMS);
@@ -275,19 +275,19 @@
   start_sweep (f, 1, FAST_CALLS_PER_S);
   for (guint i = 0; i < G_N_ELEMENTS (modes); i++)
     {
-      uint64_t calls = sp_calls (f->test.sp, "total");
+      uint64_t calls = sp_count_calls (f->test.sp, "total");
 
-      sp_fault (f->test.sp, modes[i], 0, 0);
-      while (sp_calls (f->test.sp, "total") < calls + 20
+      sp_set_fault (f->test.sp, modes[i], 0, 0);
+      while (sp_count_calls (f->test.sp, "total") < calls + 20
              && (modes[i] != SP_DOWN || !has_failed (f)))
         ev_run (f->test.loop, EVRUN_ONCE);
     }
-  sp_fault (f->test.sp, SP_STALE, 200, 200);
-  for (uint64_t calls = sp_calls (f->test.sp, "total") + 20;
-       sp_calls (f->test.sp, "total") < calls;)
+  sp_set_fault (f->test.sp, SP_STALE_READS, 200, 200);
+  for (uint64_t calls = sp_count_calls (f->test.sp, "total") + 20;
+       sp_count_calls (f->test.sp, "total") < calls;)
     ev_run (f->test.loop, EVRUN_ONCE);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
-  sp_test_run (&f->test, are_all_removed, f);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
+  sp_test_run_until (&f->test, are_all_removed, f);
   g_assert_cmpint (clock_now () - start_time, >=, RETENTION_S * 1000);
 }
 
@@ -313,9 +313,9 @@
      and is removed at last.  */
   expect_claim (f, "key-0", ONCE_CLAIMED);
   start_sweep (f, 0, FAST_CALLS_PER_S);
-  sp_test_run (&f->test, is_unknown, f);
+  sp_test_run_until (&f->test, is_unknown, f);
   expect_claim (f, "key-0", ONCE_OUTCOME_UNKNOWN);
-  sp_test_run (&f->test, is_removed, f);
+  sp_test_run_until (&f->test, is_removed, f);
   g_assert_cmpuint (sweep_get_counters (f->sweeps[0]).marked_unknown, ==, 1);
 }
 
@@ -326,7 +326,7 @@
      replaces "unknown".  */
   expect_claim (f, "key-0", ONCE_CLAIMED);
   start_sweep (f, 0, FAST_CALLS_PER_S);
-  sp_test_run (&f->test, is_unknown, f);
+  sp_test_run_until (&f->test, is_unknown, f);
   finish (f, "key-0");
   expect_claim (f, "key-0", ONCE_FINISHED);
 }
@@ -368,7 +368,7 @@
       g_autofree char *key = g_strdup_printf ("key-%u", n);
 
       if (i % 40 == 0)
-        sp_fault (f->test.sp, i % 80 == 0 ? SP_UP : SP_SLOW, 5, 0);
+        sp_set_fault (f->test.sp, i % 80 == 0 ? SP_UP : SP_SLOW, 5, 0);
       if (claim (f, key) != ONCE_CLAIMED)
         continue;
       g_assert_true (finished[n] == 0
