--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -1,4 +1,4 @@
-/* Tests of at-most-once execution, against the platform's test double and its
+/* Tests of at-most-once execution, against the platform's stand-in and its
    faults.  */
 
 #include "base/log.h"
--- a/libcoltsfootdrum/once/test-sweep.c
+++ b/libcoltsfootdrum/once/test-sweep.c
@@ -1,5 +1,4 @@
-/* Tests of the removal of expired claims, against the platform's test
-   double.  */
+/* Tests of the removal of expired claims, against the platform's stand-in.  */
 
 #include "base/log.h"
 #include "once/age-sync.h"
