--- a/libcoltsfootdrum/agent/agent-settle.c
+++ b/libcoltsfootdrum/agent/agent-settle.c
@@ -1,37 +1,37 @@
-/* The first moments of an agent: what its former life gave the engine may run
-   on there.
+/* Settling: a new agent waits for requests that a previous agent process
+   started at the engine.
 
-   Engines keep a request whose connection broke, so that it can be resumed.
+   An engine keeps a request whose connection broke, so that it can be resumed.
    When an agent is killed and starts again, its slots look free while the
-   engine is still full; the first grant would bring it above what it bears.
-   So a new agent of a model engine waits until the engine's load report,
-   asked for after the report's lag, says that nothing runs.  The report is
-   trusted for that alone: a lying one costs what the cold start's few slots
-   add, as it would without the wait.  */
+   engine is still full, and the first grant would overload it.  So a new agent
+   of a model engine waits until the engine's load report, requested after the
+   time by which reports lag, shows no running request.  The report is trusted
+   for nothing else: a wrong one costs at most the few slots of a cold start,
+   as much as without the wait.  */
 
 #include "agent/agent-private.h"
 #include "base/log.h"
 
-/* Longer than an engine's report lags.  */
+/* Longer than the lag of an engine's report.  */
 #define REPORT_LAG_MS 1000
-#define ASK_AGAIN_MS 250
-#define ANSWER_MS 1000
-/* What still runs then is longer than nearly any answer; the engine may count
-   requests that are not ours.  */
-#define SETTLE_MOST_MS 120000
+#define POLL_INTERVAL_MS 250
+#define REPORT_TIMEOUT_MS 1000
+/* Longer than nearly any answer takes.  The engine may also count requests
+   that are not this agent's.  */
+#define MAX_SETTLE_MS 120000
 
 static void
-settled (cfd_agent_t *agent, const char *why)
+end_settling (cfd_agent_t *agent, const char *reason)
 {
-  if (!agent->settling)
+  if (!agent->is_settling)
     return;
-  agent->settling = false;
-  log_info ("agent", "The engine is free of a former life: reason=%s.", why);
+  agent->is_settling = false;
+  log_info ("agent", "Settling has ended: reason=%s.", reason);
 }
 
-/* Requests that run by the report, or -1 when TEXT is none.  */
+/* Number of running requests in the report TEXT; -1 when it is no report.  */
 static gint64
-running_by_report (const char *text)
+parse_running (const char *text)
 {
   g_autoptr (JsonNode) root
       = text != NULL ? json_from_string (text, NULL) : NULL;
@@ -47,47 +47,48 @@
            const char *body, size_t length, const char *detail)
 {
   cfd_agent_t *agent = user;
-  cfd_time_t now = agent_now (agent);
+  cfd_time_t now = agent_read_clock (agent);
   gint64 running = -1;
 
   agent->settle_fetch = NULL;
-  agent->settle_at = now + ASK_AGAIN_MS;
+  agent->settle_poll_at = now + POLL_INTERVAL_MS;
   if (result == FETCH_COMPLETE && status == 200)
-    running = running_by_report (body);
+    running = parse_running (body);
   if (running == 0)
-    settled (agent, "nothing runs there");
+    end_settling (agent, "no request is running");
   else if (running < 0 && result == FETCH_COMPLETE)
-    settled (agent, "the engine gives no report");
+    end_settling (agent, "the engine gives no report");
   else if (result == FETCH_CONNECT_FAILED)
-    settled (agent, "the engine is not reached");
-  agent_pump (agent, now);
+    end_settling (agent, "the engine is unreachable");
+  agent_fill_slots (agent, now);
 }
 
 void
 settle_begin (cfd_agent_t *agent, cfd_time_t now)
 {
-  agent->settling = true;
-  agent->settle_at = now + REPORT_LAG_MS;
-  agent->settle_until = now + SETTLE_MOST_MS;
+  agent->is_settling = true;
+  agent->settle_poll_at = now + REPORT_LAG_MS;
+  agent->settle_deadline = now + MAX_SETTLE_MS;
 }
 
 void
 settle_tick (cfd_agent_t *agent, cfd_time_t now)
 {
   g_autofree char *url = NULL;
-  fetch_request_t request = { .method = "GET", .total_timeout_ms = ANSWER_MS };
+  fetch_request_t request
+      = { .method = "GET", .total_timeout_ms = REPORT_TIMEOUT_MS };
 
-  if (!agent->settling || !agent->has_endpoint || !agent->has_service)
+  if (!agent->is_settling || !agent->has_endpoint || !agent->has_service)
     return;
   if (!agent->is_model)
     {
-      settled (agent, "a plain service");
+      end_settling (agent, "not a model engine");
       return;
     }
-  if (now >= agent->settle_until)
-    settled (agent, "waited long enough");
-  if (!agent->settling || agent->settle_fetch != NULL
-      || now < agent->settle_at)
+  if (now >= agent->settle_deadline)
+    end_settling (agent, "maximum wait reached");
+  if (!agent->is_settling || agent->settle_fetch != NULL
+      || now < agent->settle_poll_at)
     return;
   url = g_strconcat (agent->url, "/v1/load", NULL);
   request.url = url;
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -234,12 +234,13 @@
 void
 claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings)
 {
-  const sweep_options_t options = { .retention_s = settings->claims_kept_s,
-                                    .calls = (unsigned)settings->claim_calls,
-                                    .routers = count_listed_routers,
-                                    .is_age_writer = is_claim_age_writer,
-                                    .is_claim_running = has_running_claim,
-                                    .user = router };
+  const sweep_options_t options
+      = { .retention_s = settings->claims_kept_s,
+          .max_calls_per_s = (unsigned)settings->claim_calls,
+          .count_routers = count_listed_routers,
+          .is_age_writer = is_claim_age_writer,
+          .is_claim_running = has_running_claim,
+          .user = router };
 
   once_set_retention_s (router->once, settings->claims_kept_s);
   if (settings->claims_kept_s > 0)
