--- a/tests/fault-events.h
+++ b/tests/fault-events.h
@@ -9,7 +9,7 @@
 #include <json-glib/json-glib.h>
 
 /* All events of one process; they live as long as PARSER.  */
-JsonArray *fault_events (const run_t *run, fleet_sort_t sort, unsigned index,
+JsonArray *fault_events (const run_t *run, fleet_role_t sort, unsigned index,
                          JsonParser *parser);
 /* How many events of KIND an agent has.  */
 unsigned fault_agent_events (const run_t *run, unsigned agent,
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -18,7 +18,7 @@
                                   .plain_slots = 4,
                                   .cold_ms = 1500,
                                   .step_ms = 12,
-                                  .plain_ms = 30,
+                                  .plain_call_ms = 30,
                                   .zone_ms = 1.5,
                                   .caller_ms = 1,
                                   .seed = 21,
@@ -29,13 +29,13 @@
 static void
 tell_failures (const load_t *load)
 {
-  const GPtrArray *requests = load_requests (load);
+  const GPtrArray *requests = load_get_requests (load);
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->end != LOAD_RIGHT)
+      if (request->end != LOAD_CORRECT)
         g_test_message ("%s of %s at router %u: status %u, %u of %u tokens, "
                         "%.1f s, %s",
                         load_kind_name (request->kind), request->nonce,
@@ -59,19 +59,19 @@
     {
       load->kinds[LOAD_STREAM] = 4;
       load->kinds[LOAD_COMPLETION] = 2;
-      load->kinds[LOAD_WHOLE] = 1;
+      load->kinds[LOAD_NON_STREAM] = 1;
     }
   if (!it->models || it->zone_ms > 0)
     {
       load->kinds[LOAD_LOOKUP] = 2;
       load->kinds[LOAD_POST] = 2;
-      load->kinds[LOAD_POST_BARE] = 4;
+      load->kinds[LOAD_POST_UNKEYED] = 4;
     }
   load->on_ms = it->on_ms;
   load->off_ms = it->off_ms;
   load->spread = spread;
-  load->least_tokens = 16;
-  load->most_tokens = 48;
+  load->min_answer_tokens = 16;
+  load->max_answer_tokens = 48;
   return load;
 }
 
@@ -93,8 +93,8 @@
       run->stage = 2;
     }
   /* Callers may all pause in the middle; the end is when none asks again.  */
-  run->idle = load_active (run->load) > 0
-                      || load_requests (run->load)->len < it->requests
+  run->idle = load_count_active (run->load) > 0
+                      || load_get_requests (run->load)->len < it->requests
                   ? 0
                   : run->idle + 1;
   if (ms >= LIMIT_S * 1000 || (run->idle > 20 && ms > it->second_ms))
@@ -128,8 +128,8 @@
                             .answer_seed = plan.seed,
                             .routers = plan.routers,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .request_limit = run.it->requests,
                             .idle_timeout_ms = 20000,
                             .accounts = members };
@@ -150,7 +150,7 @@
   run.fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   for (unsigned i = 0; i < plan.routers; i++)
-    urls[i] = fleet_url (run.fleet, FLEET_ROUTER, i);
+    urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < run.it->accounts; i++)
     {
       load_account_t *load = account_load (&accounts[i], run.it, spread);
@@ -169,7 +169,7 @@
                   run.sum.overload_in_grace);
   tell_failures (run.load);
   run.it->judge (&run);
-  g_assert_true (collect_is_clean (&run.sum));
+  g_assert_true (collect_has_no_violation (&run.sum));
   g_assert_cmpuint (run.sum.unfinished, ==, 0);
   load_free (run.load);
   ev_loop_destroy (loop);
--- a/tests/fault-run.h
+++ b/tests/fault-run.h
@@ -19,7 +19,7 @@
   int64_t began_us;
   unsigned idle;
   unsigned stage;
-  collect_t sum;
+  collect_result_t sum;
 } run_t;
 
 struct case_s
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -53,7 +53,7 @@
 }
 
 int
-measure_routers (const char *profile)
+measure_default_routers (const char *profile)
 {
   return find_profile (profile)->routers;
 }
@@ -96,8 +96,8 @@
   g_ptr_array_add (deployment->names, account->name);
   g_ptr_array_add (deployment->names, account->key);
   account->spread = make_spread (random, deployment->fleet.routers);
-  account->least_tokens = 16;
-  account->most_tokens = 48;
+  account->min_answer_tokens = 16;
+  account->max_answer_tokens = 48;
   return account;
 }
 
@@ -155,7 +155,7 @@
       account->think_ms = 40;
       account->kinds[LOAD_LOOKUP] = 3;
       account->kinds[LOAD_POST] = 2;
-      account->kinds[LOAD_POST_BARE] = 1;
+      account->kinds[LOAD_POST_UNKEYED] = 1;
       g_ptr_array_add (deployment->load.accounts, account);
     }
 }
@@ -214,7 +214,7 @@
   fleet->plain_slots = 4;
   fleet->cold_ms = 1000;
   fleet->step_ms = 12;
-  fleet->plain_ms = 30;
+  fleet->plain_call_ms = 30;
   fleet->zone_ms = profile->zone_ms;
   fleet->regions = profile->regions;
   fleet->region_ms = profile->region_ms;
@@ -225,8 +225,8 @@
   load->answer_seed = fleet->seed;
   load->routers = fleet->routers;
   load->urls = g_new0 (char *, fleet->routers + 1);
-  load->model = FLEET_MODEL;
-  load->plain = FLEET_PLAIN;
+  load->model = FLEET_MODEL_SERVICE;
+  load->plain = FLEET_PLAIN_SERVICE;
   load->by_router = strcmp (options->event, "zone") != 0;
   load->exact_hints = options->exact_hints;
   load->idle_timeout_ms = 30000;
@@ -244,7 +244,7 @@
 deployment_connect (deployment_t *deployment, const fleet_t *fleet)
 {
   for (unsigned i = 0; i < deployment->fleet.routers; i++)
-    deployment->load.urls[i] = fleet_url (fleet, FLEET_ROUTER, i);
+    deployment->load.urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
 }
 
 void
--- a/tests/soak-faults.c
+++ b/tests/soak-faults.c
@@ -114,19 +114,20 @@
 }
 
 static void
-look_for_deaths (faults_t *faults, fleet_sort_t sort)
+look_for_deaths (faults_t *faults, fleet_role_t sort)
 {
-  for (unsigned i = 0; i < fleet_count (faults->fleet, sort); i++)
+  for (unsigned i = 0; i < fleet_count_members (faults->fleet, sort); i++)
     {
-      proc_t *proc = fleet_proc (faults->fleet, sort, i);
+      proc_t *proc = fleet_get_process (faults->fleet, sort, i);
       g_autoptr (GError) error = NULL;
 
-      if (faults_is_victim (faults, sort, i) || proc_runs (proc))
+      if (faults_is_victim (faults, sort, i) || proc_is_running (proc))
         continue;
       faults->deaths++;
       fprintf (stderr, "soak: %s ended by itself; its log is in %s\n",
-               proc->name, proc_set_folder (fleet_procs (faults->fleet)));
-      (void)proc_again (fleet_procs (faults->fleet), proc, &error);
+               proc->name,
+               proc_set_get_log_dir (fleet_get_processes (faults->fleet)));
+      (void)proc_restart (fleet_get_processes (faults->fleet), proc, &error);
     }
 }
 
--- a/tests/soak-kinds.c
+++ b/tests/soak-kinds.c
@@ -16,7 +16,7 @@
 }
 
 bool
-faults_is_victim (const faults_t *faults, fleet_sort_t sort, unsigned index)
+faults_is_victim (const faults_t *faults, fleet_role_t sort, unsigned index)
 {
   for (guint i = 0; i < faults->running->len; i++)
     {
@@ -33,10 +33,10 @@
 }
 
 static bool
-choose_victim (faults_t *faults, running_t *running, fleet_sort_t sort)
+choose_victim (faults_t *faults, running_t *running, fleet_role_t sort)
 {
   running->sort = sort;
-  running->victim = choose (faults, fleet_count (faults->fleet, sort));
+  running->victim = choose (faults, fleet_count_members (faults->fleet, sort));
   return !faults_is_victim (faults, sort, running->victim);
 }
 
@@ -45,8 +45,9 @@
 static bool
 kill_victim (faults_t *faults, running_t *running)
 {
-  return proc_stop (fleet_proc (faults->fleet, running->sort, running->victim),
-                    SIGKILL, 2000);
+  return proc_stop (
+      fleet_get_process (faults->fleet, running->sort, running->victim),
+      SIGKILL, 2000);
 }
 
 static bool
@@ -61,9 +62,10 @@
 {
   g_autoptr (GError) error = NULL;
 
-  if (!proc_again (fleet_procs (faults->fleet),
-                   fleet_proc (faults->fleet, running->sort, running->victim),
-                   &error))
+  if (!proc_restart (
+          fleet_get_processes (faults->fleet),
+          fleet_get_process (faults->fleet, running->sort, running->victim),
+          &error))
     fprintf (stderr, "soak: %s\n", error->message);
 }
 
@@ -72,16 +74,18 @@
 {
   if (!choose_victim (faults, running, running->fault->sort))
     return false;
-  (void)proc_stop (fleet_proc (faults->fleet, running->sort, running->victim),
-                   SIGSTOP, 0);
+  (void)proc_stop (
+      fleet_get_process (faults->fleet, running->sort, running->victim),
+      SIGSTOP, 0);
   return true;
 }
 
 static void
 thaw (faults_t *faults, running_t *running)
 {
-  (void)proc_stop (fleet_proc (faults->fleet, running->sort, running->victim),
-                   SIGCONT, 0);
+  (void)proc_stop (
+      fleet_get_process (faults->fleet, running->sort, running->victim),
+      SIGCONT, 0);
 }
 
 /* ---- a rack ---- */
@@ -90,7 +94,7 @@
 static void
 silence_zone (faults_t *faults, unsigned zone, const char *mode)
 {
-  unsigned zones = fleet_plan (faults->fleet)->zones;
+  unsigned zones = fleet_get_plan (faults->fleet)->zones;
 
   for (unsigned other = 0; other < zones; other++)
     {
@@ -99,8 +103,8 @@
 
       if (other == zone)
         continue;
-      (void)fleet_relay (faults->fleet, out, mode);
-      (void)fleet_relay (faults->fleet, in, mode);
+      (void)fleet_set_relay_mode (faults->fleet, out, mode);
+      (void)fleet_set_relay_mode (faults->fleet, in, mode);
     }
 }
 
@@ -113,13 +117,14 @@
     return false;
   /* The router of that number is in that zone.  */
   running->partner
-      = fleet_zone_of (faults->fleet, FLEET_AGENT, running->victim);
+      = fleet_get_zone (faults->fleet, FLEET_AGENT, running->victim);
   if (faults_is_victim (faults, FLEET_ROUTER, running->partner))
     return false;
   running->has_partner = true;
   silence_zone (faults, running->partner, "silent");
-  (void)proc_stop (fleet_proc (faults->fleet, FLEET_ROUTER, running->partner),
-                   SIGKILL, 2000);
+  (void)proc_stop (
+      fleet_get_process (faults->fleet, FLEET_ROUTER, running->partner),
+      SIGKILL, 2000);
   return kill_victim (faults, running);
 }
 
@@ -130,9 +135,10 @@
 
   silence_zone (faults, running->partner, "pass");
   start_again (faults, running);
-  if (!proc_again (fleet_procs (faults->fleet),
-                   fleet_proc (faults->fleet, FLEET_ROUTER, running->partner),
-                   &error))
+  if (!proc_restart (
+          fleet_get_processes (faults->fleet),
+          fleet_get_process (faults->fleet, FLEET_ROUTER, running->partner),
+          &error))
     fprintf (stderr, "soak: %s\n", error->message);
 }
 
@@ -141,7 +147,7 @@
 static bool
 choose_group (faults_t *faults, running_t *running)
 {
-  unsigned zones = fleet_plan (faults->fleet)->zones;
+  unsigned zones = fleet_get_plan (faults->fleet)->zones;
   unsigned from = choose (faults, zones);
   unsigned to = (from + 1 + choose (faults, zones - 1)) % zones;
 
@@ -153,27 +159,28 @@
 spoil_link (faults_t *faults, running_t *running)
 {
   return choose_group (faults, running)
-         && fleet_relay (faults->fleet, running->group, running->fault->spec);
+         && fleet_set_relay_mode (faults->fleet, running->group,
+                                  running->fault->spec);
 }
 
 static void
 pass_link (faults_t *faults, running_t *running)
 {
-  (void)fleet_relay (faults->fleet, running->group, "pass");
+  (void)fleet_set_relay_mode (faults->fleet, running->group, "pass");
 }
 
 /* ---- the platform ---- */
 
 /* Tells a stand-in how to behave.  */
 static bool
-control (const faults_t *faults, fleet_sort_t sort, unsigned index,
+control (const faults_t *faults, fleet_role_t sort, unsigned index,
          const char *path, const char *spec)
 {
-  g_autofree char *base = fleet_url (faults->fleet, sort, index);
+  g_autofree char *base = fleet_get_url (faults->fleet, sort, index);
   g_autofree char *url = g_strconcat (base, path, NULL);
   long status = 0;
 
-  g_free (proc_ask ("PUT", url, NULL, spec, &status));
+  g_free (proc_send_http ("PUT", url, NULL, spec, &status));
   return status == 200;
 }
 
@@ -214,7 +221,7 @@
 choose_engine (faults_t *faults, running_t *running)
 {
   running->sort = FLEET_ENDPOINT;
-  running->victim = choose (faults, fleet_plan (faults->fleet)->models);
+  running->victim = choose (faults, fleet_get_plan (faults->fleet)->models);
   return !faults_is_victim (faults, FLEET_ENDPOINT, running->victim);
 }
 
@@ -254,7 +261,8 @@
       "{\"schema\":2,\"state\":\"%s\",\"region\":\"r\"}", state);
   g_autoptr (GError) error = NULL;
 
-  return fleet_put (faults->fleet, "availability-zone", name, spec, &error);
+  return fleet_put_object (faults->fleet, "availability-zone", name, spec,
+                           &error);
 }
 
 /* At most one zone is out, so that others can serve.  */
@@ -270,18 +278,19 @@
     }
   if (faults->platform_faulty)
     return false;
-  running->sort = FLEET_SORTS;
-  running->victim = choose (faults, fleet_plan (faults->fleet)->zones);
+  running->sort = FLEET_ROLE_COUNT;
+  running->victim = choose (faults, fleet_get_plan (faults->fleet)->zones);
   return put_zone (faults, running->victim, "out");
 }
 
 static double
 last_start (faults_t *faults, unsigned endpoint)
 {
-  g_autofree char *base = fleet_url (faults->fleet, FLEET_ENDPOINT, endpoint);
+  g_autofree char *base
+      = fleet_get_url (faults->fleet, FLEET_ENDPOINT, endpoint);
   g_autofree char *url = g_strconcat (base, "/control/counters", NULL);
   long status = 0;
-  g_autofree char *body = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *body = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) node = NULL;
 
   if (status == 200)
@@ -297,13 +306,13 @@
 static void
 zone_in (faults_t *faults, running_t *running)
 {
-  unsigned count = fleet_count (faults->fleet, FLEET_ENDPOINT);
+  unsigned count = fleet_count_members (faults->fleet, FLEET_ENDPOINT);
 
   for (unsigned i = 0; i < count; i++)
     {
       double start;
 
-      if (fleet_zone_of (faults->fleet, FLEET_ENDPOINT, i) != running->victim)
+      if (fleet_get_zone (faults->fleet, FLEET_ENDPOINT, i) != running->victim)
         continue;
       start = last_start (faults, i);
       if (start <= (double)(running->began + ZONE_GRACE_MS))
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -29,7 +29,7 @@
                                    .plain_slots = 4,
                                    .cold_ms = 800,
                                    .step_ms = 12,
-                                   .plain_ms = 30,
+                                   .plain_call_ms = 30,
                                    .zone_ms = 1.5,
                                    .caller_ms = 1,
                                    .seed = 23,
@@ -73,15 +73,15 @@
   if (light)
     load->outstanding = index == 0 ? 4 : 2;
   load->kinds[LOAD_STREAM] = 5;
-  load->kinds[LOAD_WHOLE] = 2;
+  load->kinds[LOAD_NON_STREAM] = 2;
   load->kinds[LOAD_COMPLETION] = 1;
   load->kinds[LOAD_LOOKUP] = 2;
   load->kinds[LOAD_POST] = 3;
-  load->kinds[LOAD_POST_BARE] = 2;
+  load->kinds[LOAD_POST_UNKEYED] = 2;
   load->think_ms = light ? 100 : 20;
   load->spread = spread;
-  load->least_tokens = 8;
-  load->most_tokens = 80;
+  load->min_answer_tokens = 8;
+  load->max_answer_tokens = 80;
   return load;
 }
 
@@ -103,7 +103,7 @@
       now = clock_now ();
       soak->load_until = now + QUIET_S * 1000;
       soak->until = now + (QUIET_S + SETTLE_S) * 1000;
-      soak->quiet_from = load_requests (soak->load)->len;
+      soak->quiet_from = load_get_requests (soak->load)->len;
       return;
     }
   if (now < soak->load_until)
@@ -113,7 +113,7 @@
       soak->stopped = true;
       load_stop (soak->load);
     }
-  if (load_active (soak->load) == 0 || now >= soak->until)
+  if (load_count_active (soak->load) == 0 || now >= soak->until)
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -121,7 +121,7 @@
 static unsigned
 starved (const soak_t *soak)
 {
-  const GPtrArray *requests = load_requests (soak->load);
+  const GPtrArray *requests = load_get_requests (soak->load);
   unsigned right[G_N_ELEMENTS (accounts)] = { 0 };
   unsigned count = 0;
 
@@ -129,7 +129,7 @@
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->end == LOAD_RIGHT)
+      if (request->end == LOAD_CORRECT)
         right[request->account]++;
     }
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
@@ -146,14 +146,14 @@
 static double
 invariant_count (const fleet_t *fleet)
 {
-  static const fleet_sort_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
   double sum = 0;
 
   for (unsigned s = 0; s < G_N_ELEMENTS (sorts); s++)
-    for (unsigned i = 0; i < fleet_count (fleet, sorts[s]); i++)
+    for (unsigned i = 0; i < fleet_count_members (fleet, sorts[s]); i++)
       {
-        double value = fleet_metric (fleet, sorts[s], i,
-                                     "cfd_invariant_failures_total");
+        double value = fleet_sum_metric (fleet, sorts[s], i,
+                                         "cfd_invariant_failures_total");
 
         sum += value < 0 ? 1 : value;
       }
@@ -171,7 +171,7 @@
 static bool
 verdict (const soak_t *soak, const fleet_t *fleet)
 {
-  collect_t sum;
+  collect_result_t sum;
   unsigned total = 9;
   unsigned failed = 0;
 
@@ -186,8 +186,8 @@
   failed += judge ("every answer is whole and the caller's own",
                    sum.wrong_answers);
   failed += judge ("a refusal that says not run is true", sum.false_not_run);
-  failed
-      += judge ("a non-idempotent request runs at most once", sum.double_runs);
+  failed += judge ("a non-idempotent request runs at most once",
+                   sum.duplicate_runs);
   failed += judge ("no endpoint gets more than it bears", sum.overload_count);
   failed += judge ("a zone that is out gets no new work",
                    faults_zone_violations (soak->faults));
@@ -213,8 +213,8 @@
                             .answer_seed = plan.seed,
                             .routers = ROUTERS,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 30000,
                             .accounts = members };
   soak_t soak = { .loop = loop };
@@ -222,7 +222,7 @@
   bool good;
 
   for (unsigned i = 0; i < ROUTERS; i++)
-    urls[i] = fleet_url (fleet, FLEET_ROUTER, i);
+    urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
     g_ptr_array_add (members,
                      soak_account (&accounts[i], i, options->light, spread));
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -13,10 +13,10 @@
 static void
 control_engine (const run_t *run, unsigned index, const char *body)
 {
-  g_autofree char *base = fleet_url (run->fleet, FLEET_ENDPOINT, index);
+  g_autofree char *base = fleet_get_url (run->fleet, FLEET_ENDPOINT, index);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
   g_assert_cmpint (status, ==, 200);
 }
@@ -41,7 +41,7 @@
   for (unsigned i = 0; i < fault_plan.models; i++)
     g_test_message (
         "agent %u offered %g slots before", i,
-        fleet_metric (run->fleet, FLEET_AGENT, i, "cfd_agent_slots"));
+        fleet_sum_metric (run->fleet, FLEET_AGENT, i, "cfd_agent_slots"));
   control_engines (run, "{\"cold\":true}");
 }
 
@@ -66,13 +66,13 @@
 static void
 freeze_engine (run_t *run)
 {
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, 0), SIGSTOP, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, 0), SIGSTOP, 0);
 }
 
 static void
 thaw_engine (run_t *run)
 {
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, 0), SIGCONT, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, 0), SIGCONT, 0);
 }
 
 /* The agents of one zone: one of a model engine, one of a plain service.  */
@@ -81,9 +81,9 @@
 {
   int wait_ms = number == SIGSTOP || number == SIGCONT ? 0 : STOP_MS;
 
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, 0), number, wait_ms);
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, fault_plan.models), number,
-             wait_ms);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, 0), number, wait_ms);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, fault_plan.models),
+             number, wait_ms);
 }
 
 static void
@@ -115,12 +115,14 @@
 start_agents (run_t *run)
 {
   g_autoptr (GError) error = NULL;
-  proc_set_t *procs = fleet_procs (run->fleet);
+  proc_set_t *procs = fleet_get_processes (run->fleet);
 
-  (void)proc_again (procs, fleet_proc (run->fleet, FLEET_AGENT, 0), &error);
+  (void)proc_restart (procs, fleet_get_process (run->fleet, FLEET_AGENT, 0),
+                      &error);
   g_assert_no_error (error);
-  (void)proc_again (
-      procs, fleet_proc (run->fleet, FLEET_AGENT, fault_plan.models), &error);
+  (void)proc_restart (
+      procs, fleet_get_process (run->fleet, FLEET_AGENT, fault_plan.models),
+      &error);
   g_assert_no_error (error);
 }
 
@@ -136,8 +138,8 @@
 static void
 judge_ejected (run_t *run)
 {
-  double broken
-      = fleet_metric (run->fleet, FLEET_AGENT, 0, "cfd_agent_broken_total");
+  double broken = fleet_sum_metric (run->fleet, FLEET_AGENT, 0,
+                                    "cfd_agent_broken_total");
 
   g_test_message ("%g requests were turned away", broken);
   g_assert_cmpuint (fault_agent_events (run, 0, "eject"), >=, 2);
@@ -171,8 +173,8 @@
 judge_engine_frozen (run_t *run)
 {
   g_assert_cmpfloat (
-      fleet_metric (run->fleet, FLEET_AGENT, 0, "cfd_agent_broken_total"), >=,
-      3);
+      fleet_sum_metric (run->fleet, FLEET_AGENT, 0, "cfd_agent_broken_total"),
+      >=, 3);
   judge_ejected (run);
   judge_elsewhere (run);
 }
@@ -208,11 +210,11 @@
     }
   g_test_message ("agent %u after waking: %u grants, %u starts, %g refused",
                   agent, grants, starts,
-                  fleet_metric (run->fleet, FLEET_AGENT, agent,
-                                "cfd_agent_not_started_total"));
-  g_assert_cmpfloat (
-      fleet_metric (run->fleet, FLEET_AGENT, agent, "cfd_agent_woken_total"),
-      >=, 1);
+                  fleet_sum_metric (run->fleet, FLEET_AGENT, agent,
+                                    "cfd_agent_not_started_total"));
+  g_assert_cmpfloat (fleet_sum_metric (run->fleet, FLEET_AGENT, agent,
+                                       "cfd_agent_woken_total"),
+                     >=, 1);
   g_assert_cmpuint (grants, >, 0);
 }
 
@@ -223,8 +225,9 @@
 judge_frozen (run_t *run)
 {
   judge_starts (run, fault_plan.models);
-  g_assert_cmpfloat (fleet_metric (run->fleet, FLEET_AGENT, fault_plan.models,
-                                   "cfd_agent_not_started_total"),
+  g_assert_cmpfloat (fleet_sum_metric (run->fleet, FLEET_AGENT,
+                                       fault_plan.models,
+                                       "cfd_agent_not_started_total"),
                      >, 0);
   judge_mostly (run);
 }
--- a/tests/test-cfdctl.c
+++ b/tests/test-cfdctl.c
@@ -32,7 +32,7 @@
                                      .slots_cold = 8,
                                      .plain_slots = 4,
                                      .step_ms = 4,
-                                     .plain_ms = 10,
+                                     .plain_call_ms = 10,
                                      .zone_ms = 1,
                                      .caller_ms = 1,
                                      .seed = 3,
@@ -40,13 +40,13 @@
                                      .account_count = 1,
                                      .accounts = &account };
   g_autoptr (GError) error = NULL;
-  g_autofree char *build = proc_build_folder ();
+  g_autofree char *build = proc_get_build_dir ();
   desk_t *desk = g_new0 (desk_t, 1);
 
   desk->fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   desk->program = g_build_filename (build, "cli", "cfdctl", NULL);
-  desk->platform = fleet_url (desk->fleet, FLEET_PLATFORM, 0);
+  desk->platform = fleet_get_url (desk->fleet, FLEET_PLATFORM, 0);
   return desk;
 }
 
@@ -181,7 +181,7 @@
 test_zone (void)
 {
   desk_t *desk = desk_new ();
-  proc_t *agent = fleet_proc (desk->fleet, FLEET_AGENT, 0);
+  proc_t *agent = fleet_get_process (desk->fleet, FLEET_AGENT, 0);
 
   check (desk, "zone out zone-9", 2, NULL);
   check (desk, "zone off zone-1", 1, "out|in");
@@ -189,11 +189,14 @@
   for (unsigned i = 0; i < ZONES; i++)
     {
       g_assert_cmpfloat (
-          fleet_metric (desk->fleet, FLEET_ROUTER, i, "cfd_zones_out"), ==, 1);
+          fleet_sum_metric (desk->fleet, FLEET_ROUTER, i, "cfd_zones_out"), ==,
+          1);
       g_assert_cmpfloat (
-          fleet_metric (desk->fleet, FLEET_AGENT, i, "cfd_zones_out"), ==, 1);
+          fleet_sum_metric (desk->fleet, FLEET_AGENT, i, "cfd_zones_out"), ==,
+          1);
       g_assert_cmpfloat (
-          fleet_metric (desk->fleet, FLEET_AGENT, i, "cfd_ready"), ==, i == 0);
+          fleet_sum_metric (desk->fleet, FLEET_AGENT, i, "cfd_ready"), ==,
+          i == 0);
     }
   check (desk, "status", 0, "why-not=zone-out");
   check (desk, "--output json zone in zone-1", 0, "\"instances\":4");
@@ -223,15 +226,15 @@
 static char *
 serve_one (desk_t *desk)
 {
-  g_autofree char *url = fleet_direct_url (desk->fleet, 0);
+  g_autofree char *url = fleet_get_direct_url (desk->fleet, 0);
   g_autoptr (call_t) call
       = call_start (url, "POST", "/v1/chat/completions", KEY,
                     "X-Request-Id: the-callers-own\r\n",
                     "{\"model\":\"draft\",\"max_tokens\":5,\"messages\":"
                     "[{\"role\":\"user\",\"content\":\"hello\"}]}");
 
-  g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (call), ==, 200);
+  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (call), ==, 200);
   return header_of (call, "X-Request-Id");
 }
 
@@ -301,7 +304,7 @@
 signal_endpoints (desk_t *desk, int number)
 {
   for (unsigned i = 0; i < ZONES; i++)
-    proc_stop (fleet_proc (desk->fleet, FLEET_ENDPOINT, i), number, 0);
+    proc_stop (fleet_get_process (desk->fleet, FLEET_ENDPOINT, i), number, 0);
 }
 
 /* A refused caller also has a name by which to ask.  */
@@ -309,14 +312,14 @@
 test_refused (void)
 {
   desk_t *desk = desk_new ();
-  g_autofree char *url = fleet_direct_url (desk->fleet, 1);
+  g_autofree char *url = fleet_get_direct_url (desk->fleet, 1);
   g_autoptr (call_t) call
       = call_start (url, "POST", "/v1/completions", "not-a-key", NULL, "{}");
   g_autofree char *id = NULL;
   g_autofree char *explain = NULL;
 
-  g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (call), ==, 401);
+  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (call), ==, 401);
   id = header_of (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
   check (desk, explain, 0, "Unknown key");
@@ -331,7 +334,7 @@
 test_retried (void)
 {
   desk_t *desk = desk_new ();
-  g_autofree char *url = fleet_direct_url (desk->fleet, 0);
+  g_autofree char *url = fleet_get_direct_url (desk->fleet, 0);
   g_autoptr (call_t) call = NULL;
   g_autofree char *id = NULL;
   g_autofree char *explain = NULL;
@@ -342,7 +345,7 @@
                      "{\"model\":\"draft\",\"max_tokens\":400,\"messages\":"
                      "[{\"role\":\"user\",\"content\":\"hello\"}]}");
   for (unsigned i = 0; i < WAIT_MS / 10; i++)
-    if (fleet_metric (desk->fleet, FLEET_ROUTER, 0, "cfd_router_in_flight")
+    if (fleet_sum_metric (desk->fleet, FLEET_ROUTER, 0, "cfd_router_in_flight")
         > 0)
       break;
     else
@@ -350,11 +353,11 @@
   check (desk, "status", 0, "in_flight=1");
   lost = line_with (desk->out, "agent-0", "in_flight=1") >= 0 ? "agent-0"
                                                               : "agent-1";
-  proc_stop (fleet_proc (desk->fleet, FLEET_AGENT, lost[6] - '0'), SIGKILL,
-             2000);
+  proc_stop (fleet_get_process (desk->fleet, FLEET_AGENT, lost[6] - '0'),
+             SIGKILL, 2000);
   signal_endpoints (desk, SIGCONT);
-  g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (call), ==, 200);
+  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (call), ==, 200);
   id = header_of (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
   check (desk, explain, 0, lost);
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -5,12 +5,12 @@
 
 /* "NAME TYPE" of each metric that a process shows.  */
 static void
-add_shown (const fleet_t *fleet, fleet_sort_t sort, GHashTable *shown)
+add_shown (const fleet_t *fleet, fleet_role_t sort, GHashTable *shown)
 {
-  g_autofree char *base = fleet_admin_url (fleet, sort, 0);
+  g_autofree char *base = fleet_get_admin_url (fleet, sort, 0);
   g_autofree char *url = g_strconcat (base, "/metrics", NULL);
   long status = 0;
-  g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
   g_auto (GStrv) lines = NULL;
 
   g_assert_cmpint (status, ==, 200);
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -14,7 +14,7 @@
 #define LIMIT_MS 50000
 #define STOP_MS 10000
 /* Service is looked at over windows of so many samples: a second.  */
-#define WINDOW (1000u / LOAD_SAMPLE_MS)
+#define WINDOW (1000u / LOAD_SAMPLE_INTERVAL_MS)
 
 static const fleet_account_t accounts[] = { { "lampang", "key-1", 2 },
                                             { "trang", "key-2", 1 },
@@ -30,7 +30,7 @@
                                    .plain_slots = 4,
                                    .cold_ms = 1500,
                                    .step_ms = 12,
-                                   .plain_ms = 30,
+                                   .plain_call_ms = 30,
                                    .zone_ms = 1.5,
                                    .caller_ms = 1,
                                    .seed = 21,
@@ -55,7 +55,7 @@
   int64_t back_us;
   double doubted; /* agents that each router doubts, or more, at BACK_US */
   bool ended;
-  collect_t sum;
+  collect_result_t sum;
 } run_t;
 
 /* ---- the rack: all endpoints of zone 0, with their agents ---- */
@@ -75,27 +75,29 @@
 {
   int number = run->it->number;
 
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, index), SIGSTOP, 0);
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, index), number,
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGSTOP,
+             0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, index), number,
              number == SIGSTOP ? 0 : STOP_MS);
 }
 
 static void
 bring_back (run_t *run, unsigned index)
 {
-  proc_t *agent = fleet_proc (run->fleet, FLEET_AGENT, index);
-  g_autofree char *base = fleet_url (run->fleet, FLEET_ENDPOINT, index);
+  proc_t *agent = fleet_get_process (run->fleet, FLEET_AGENT, index);
+  g_autofree char *base = fleet_get_url (run->fleet, FLEET_ENDPOINT, index);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   g_autoptr (GError) error = NULL;
   long status = 200;
 
   if (run->it->number == SIGSTOP)
     proc_stop (agent, SIGKILL, STOP_MS);
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, index), SIGCONT, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGCONT,
+             0);
   if (index < MODELS)
-    g_free (proc_ask ("PUT", url, NULL, "{\"cold\":true}", &status));
+    g_free (proc_send_http ("PUT", url, NULL, "{\"cold\":true}", &status));
   g_assert_cmpint (status, ==, 200);
-  (void)proc_again (fleet_procs (run->fleet), agent, &error);
+  (void)proc_restart (fleet_get_processes (run->fleet), agent, &error);
   g_assert_no_error (error);
 }
 
@@ -106,8 +108,8 @@
 
   for (unsigned i = 0; i < plan.routers; i++)
     {
-      double doubted = fleet_metric (run->fleet, FLEET_ROUTER, i,
-                                     "cfd_router_agents_doubted");
+      double doubted = fleet_sum_metric (run->fleet, FLEET_ROUTER, i,
+                                         "cfd_router_agents_doubted");
 
       least = MIN (least, doubted);
     }
@@ -137,7 +139,7 @@
       run->ended = true;
       load_stop (run->load);
     }
-  if (ms >= LIMIT_MS || (run->ended && load_active (run->load) == 0))
+  if (ms >= LIMIT_MS || (run->ended && load_count_active (run->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -193,7 +195,7 @@
   double sum = 0;
 
   for (unsigned i = 0; i < plan.routers; i++)
-    sum += fleet_metric (run->fleet, FLEET_ROUTER, i, name);
+    sum += fleet_sum_metric (run->fleet, FLEET_ROUTER, i, name);
   return sum;
 }
 
@@ -202,7 +204,7 @@
 static double
 longest_without_end (const run_t *run)
 {
-  const GPtrArray *requests = load_requests (run->load);
+  const GPtrArray *requests = load_get_requests (run->load);
   double longest = 0;
 
   for (guint i = 0; i < requests->len; i++)
@@ -210,7 +212,7 @@
       const load_request_t *request = requests->pdata[i];
       int64_t from = MAX (request->started_us, run->lost_us);
 
-      if (request->end == LOAD_BROKEN || request->end == LOAD_REFUSED)
+      if (request->end == LOAD_INCOMPLETE || request->end == LOAD_REFUSED)
         longest = MAX (longest, (double)(request->last_us - from) / 1e6);
     }
   return longest;
@@ -219,7 +221,7 @@
 static void
 judge (run_t *run)
 {
-  const GPtrArray *samples = load_samples (run->load);
+  const GPtrArray *samples = load_get_samples (run->load);
   double before = mean_rate (samples, run->lost_us - 2000000, run->lost_us);
   double share = before * (ZONES - 1) / ZONES;
   double gone
@@ -262,7 +264,7 @@
   g_assert_cmpuint (run->sum.refused + run->sum.broken, <=,
                     MODELS / ZONES * plan.slots
                         + PLAINS / ZONES * plan.plain_slots);
-  g_assert_true (collect_is_clean (&run->sum));
+  g_assert_true (collect_has_no_violation (&run->sum));
   g_assert_cmpuint (run->sum.unfinished, ==, 0);
 }
 
@@ -281,8 +283,8 @@
                                 .outstanding = 24,
                                 .kinds = { 6, 1, 2, 2, 1, 1 },
                                 .spread = spread,
-                                .least_tokens = 16,
-                                .most_tokens = 48 };
+                                .min_answer_tokens = 16,
+                                .max_answer_tokens = 48 };
       g_ptr_array_add (members, load);
     }
 }
@@ -299,8 +301,8 @@
                             .answer_seed = plan.seed,
                             .routers = ZONES,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 20000,
                             .accounts = members };
   struct ev_loop *loop = ev_loop_new (0);
@@ -309,7 +311,7 @@
   run.fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   for (unsigned i = 0; i < ZONES; i++)
-    urls[i] = fleet_url (run.fleet, FLEET_ROUTER, i);
+    urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
   add_accounts (members, spread);
   run.load = load_new (loop, &load_plan);
   ev_timer_init (&check, on_check, 0.02, 0.02);
