--- a/tests/collect.c
+++ b/tests/collect.c
@@ -125,7 +125,7 @@
       = request->kind == LOAD_POST || request->kind == LOAD_POST_UNKEYED;
 
   sum->requests++;
-  sum->right += request->end == LOAD_CORRECT;
+  sum->correct += request->end == LOAD_CORRECT;
   sum->refused += request->end == LOAD_REFUSED;
   sum->broken += request->end == LOAD_INCOMPLETE;
   sum->unfinished += request->end == LOAD_RUNNING;
--- a/tests/collect.h
+++ b/tests/collect.h
@@ -10,7 +10,7 @@
 typedef struct
 {
   unsigned requests;
-  unsigned right;
+  unsigned correct;
   unsigned refused;
   unsigned broken;
   unsigned unfinished;
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -1,6 +1,6 @@
 /* The demo: a small fleet of real processes serves a short mixed load and
    prints what was served, for whom, and where.  Exits with 0 only if every
-   answer was whole and right.  */
+   answer was whole and correct.  */
 
 #include "collect.h"
 #include <ev.h>
@@ -33,7 +33,7 @@
                                    .accounts = accounts };
 
 static load_account_t *
-demo_account (const fleet_account_t *account, double *spread)
+demo_account (const fleet_account_t *account, double *router_shares)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -47,7 +47,7 @@
   load->kinds[LOAD_LOOKUP] = 2;
   load->kinds[LOAD_POST] = 2;
   load->kinds[LOAD_POST_UNKEYED] = 1;
-  load->spread = spread;
+  load->router_shares = router_shares;
   load->min_answer_tokens = 8;
   load->max_answer_tokens = 40;
   return load;
@@ -91,7 +91,7 @@
 static bool
 demo (struct ev_loop *loop, fleet_t *fleet)
 {
-  double spread[] = { 0.6, 0.3, 0.1 };
+  double router_shares[] = { 0.6, 0.3, 0.1 };
   char *urls[3];
   collect_result_t sum;
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
@@ -108,7 +108,7 @@
   for (unsigned i = 0; i < plan.routers; i++)
     urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
-    g_ptr_array_add (members, demo_account (&accounts[i], spread));
+    g_ptr_array_add (members, demo_account (&accounts[i], router_shares));
   load_t *load = load_new (loop, &load_plan);
   run_load (loop, load);
   collect_print_tables (fleet, load);
@@ -116,13 +116,13 @@
   printf ("\n%u requests: %u whole and right, %u refused, %u broken, %u "
           "unfinished; %u wrong answers, %u ran twice, %u not run but ran, "
           "%u overloads\n",
-          sum.requests, sum.right, sum.refused, sum.broken, sum.unfinished,
+          sum.requests, sum.correct, sum.refused, sum.broken, sum.unfinished,
           sum.wrong_answers, sum.duplicate_runs, sum.false_not_run,
           sum.overload_count);
   load_free (load);
   for (unsigned i = 0; i < plan.routers; i++)
     g_free (urls[i]);
-  return asked && sum.requests == DEMO_REQUESTS && sum.right == sum.requests
+  return asked && sum.requests == DEMO_REQUESTS && sum.correct == sum.requests
          && collect_has_no_violation (&sum);
 }
 
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -47,7 +47,8 @@
 }
 
 static load_account_t *
-account_load (const fleet_account_t *account, const case_t *it, double *spread)
+account_load (const fleet_account_t *account, const case_t *it,
+              double *router_shares)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -69,7 +70,7 @@
     }
   load->on_ms = it->on_ms;
   load->off_ms = it->off_ms;
-  load->spread = spread;
+  load->router_shares = router_shares;
   load->min_answer_tokens = 16;
   load->max_answer_tokens = 48;
   return load;
@@ -120,7 +121,7 @@
 {
   run_t run = { .it = data };
   fleet_plan_t plan = fault_plan;
-  double spread[] = { 0.5, 0.5 };
+  double router_shares[] = { 0.5, 0.5 };
   char *urls[2];
   g_autoptr (GError) error = NULL;
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
@@ -138,8 +139,8 @@
   if (run.it->zone_ms > 0)
     {
       plan.zone_ms = run.it->zone_ms;
-      spread[0] = 0;
-      spread[1] = 1;
+      router_shares[0] = 0;
+      router_shares[1] = 1;
     }
   if (run.it->slots > 0)
     {
@@ -153,7 +154,8 @@
     urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < run.it->accounts; i++)
     {
-      load_account_t *load = account_load (&accounts[i], run.it, spread);
+      load_account_t *load
+          = account_load (&accounts[i], run.it, router_shares);
 
       if (run.it->flood > 0)
         load->outstanding = i == 0 ? run.it->flood : 1;
@@ -164,7 +166,7 @@
   g_assert_true (collect (run.fleet, run.load, &run.sum));
   g_test_message ("%u requests: %u right, %u refused, %u broken, "
                   "%u unfinished, %u overloads, %u in grace",
-                  run.sum.requests, run.sum.right, run.sum.refused,
+                  run.sum.requests, run.sum.correct, run.sum.refused,
                   run.sum.broken, run.sum.unfinished, run.sum.overload_count,
                   run.sum.overload_in_grace);
   tell_failures (run.load);
--- a/tests/load-make.c
+++ b/tests/load-make.c
@@ -10,7 +10,7 @@
 
   for (unsigned i = 0; i < plan->routers; i++)
     {
-      left -= account->spread[i];
+      left -= account->router_shares[i];
       if (left < 0)
         return i;
     }
--- a/tests/load.c
+++ b/tests/load.c
@@ -131,7 +131,7 @@
   const char *started = strstr (line, "\"started\":");
 
   if (started != NULL)
-    request->engine_us
+    request->engine_start_us
         = g_ascii_strtoll (strchr (started, ':') + 1, NULL, 10) * 1000;
 }
 
--- a/tests/load.h
+++ b/tests/load.h
@@ -41,7 +41,7 @@
   double think_ms;                 /* pause before each request */
   double on_ms; /* works and pauses in turn when both are set */
   double off_ms;
-  double *spread;             /* share of each router */
+  double *router_shares;      /* share of each router */
   unsigned min_answer_tokens; /* length of the answers */
   unsigned max_answer_tokens;
 } load_account_t;
@@ -78,8 +78,8 @@
   unsigned length; /* expected tokens */
   unsigned tokens;
   int64_t started_us;
-  int64_t engine_us;     /* when the engine got it; 0: not known */
-  int64_t first_byte_us; /* 0 while nothing came */
+  int64_t engine_start_us; /* when the engine got it; 0: not known */
+  int64_t first_byte_us;   /* 0 while nothing came */
   int64_t last_us;
   char *detail;
 } load_request_t;
--- a/tests/measure-config.c
+++ b/tests/measure-config.c
@@ -1,8 +1,8 @@
-/* How the platform's load and the spread of a configuration change grow with
-   the fleet: without work, when hardly any links are open and those that learn
-   from peers hear the least, and with some.
+/* How the platform's load and the router_shares of a configuration change grow
+   with the fleet: without work, when hardly any links are open and those that
+   learn from peers hear the least, and with some.
 
-     measure-config [ROW]     the spread, all rows or one
+     measure-config [ROW]     the router_shares, all rows or one
      measure-config memory    the memory by accounts  */
 
 #include "base/clock.h"
@@ -159,11 +159,11 @@
   account->think_ms = 500;
   account->min_answer_tokens = 5;
   account->max_answer_tokens = 20;
-  account->spread = g_new (double, size->routers);
+  account->router_shares = g_new (double, size->routers);
   traffic->urls = g_new0 (char *, size->routers + 1);
   for (unsigned i = 0; i < size->routers; i++)
     {
-      account->spread[i] = 1.0 / size->routers;
+      account->router_shares[i] = 1.0 / size->routers;
       traffic->urls[i] = fleet_get_direct_url (fleet, i);
     }
   traffic->accounts = g_ptr_array_new ();
@@ -186,7 +186,7 @@
   load_free (traffic->load);
   g_ptr_array_unref (traffic->accounts);
   g_strfreev (traffic->urls);
-  g_free (traffic->account.spread);
+  g_free (traffic->account.router_shares);
   g_free (traffic);
 }
 
--- a/tests/measure-path.c
+++ b/tests/measure-path.c
@@ -40,7 +40,7 @@
   double delay_p95; /* and 95 of 100 */
   double requests_per_s;
   double tokens_per_s;
-  unsigned right;
+  unsigned correct;
   unsigned open;
   unsigned bad;
 } flow_result_t;
@@ -92,7 +92,7 @@
   const GPtrArray *requests = load_get_requests (load);
   g_autoptr (GArray) first = g_array_new (FALSE, FALSE, sizeof (float));
   g_autoptr (GArray) delays = g_array_new (FALSE, FALSE, sizeof (float));
-  unsigned right = 0;
+  unsigned correct = 0;
   unsigned tokens = 0;
 
   for (guint i = 0; i < requests->len; i++)
@@ -100,7 +100,7 @@
       const load_request_t *request = requests->pdata[i];
       float ms = (float)(request->first_byte_us - request->started_us) / 1000;
       tokens += request->tokens;
-      right += request->end == LOAD_CORRECT;
+      correct += request->end == LOAD_CORRECT;
       result->bad
           += request->end != LOAD_CORRECT && request->end != LOAD_RUNNING;
       if (request->first_byte_us != 0)
@@ -111,8 +111,8 @@
   result->first_ms = fair_quantile (first, 0.5);
   result->delay_ms = fair_quantile (delays, 0.5);
   result->delay_p95 = fair_quantile (delays, 0.95);
-  result->right = right;
-  result->requests_per_s = right / seconds;
+  result->correct = correct;
+  result->requests_per_s = correct / seconds;
   result->tokens_per_s = tokens / seconds;
   result->open = count_open (load);
 }
@@ -123,13 +123,13 @@
           void (*held) (void *user), void *user)
 {
   struct ev_loop *loop = ev_default_loop (0);
-  double spread[] = { 1 };
+  double router_shares[] = { 1 };
   char *urls[] = { (char *)url };
   load_account_t caller = { .name = (char *)account.name,
                             .key = (char *)account.key,
                             .weight = 1,
                             .outstanding = flow->outstanding,
-                            .spread = spread,
+                            .router_shares = router_shares,
                             .min_answer_tokens = flow->tokens,
                             .max_answer_tokens = flow->tokens };
   g_autoptr (GPtrArray) accounts = g_ptr_array_new ();
@@ -346,9 +346,9 @@
           (after.router_peak - before.router_peak) / 1e3 / SLOW_STREAMS,
           before.agent_peak / 1e6, after.agent_peak / 1e6,
           (after.agent_peak - before.agent_peak) / 1e3 / SLOW_STREAMS,
-          result.right, SLOW_STREAMS, result.bad);
+          result.correct, SLOW_STREAMS, result.bad);
   fleet_free (fleet, false);
-  return result.right == SLOW_STREAMS && result.bad == 0;
+  return result.correct == SLOW_STREAMS && result.bad == 0;
 }
 
 /* Times and rates, with one fleet.  */
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -63,27 +63,27 @@
 static double *
 make_spread (GRand *random, unsigned routers)
 {
-  double *spread = g_new0 (double, routers);
+  double *router_shares = g_new0 (double, routers);
   unsigned favourite = (unsigned)g_rand_int_range (random, 0, (gint32)routers);
   double total = 0;
 
   switch (g_rand_int_range (random, 0, 4))
     {
     case 0:
-      spread[favourite] = 1;
-      return spread;
+      router_shares[favourite] = 1;
+      return router_shares;
     case 1:
-      spread[favourite] += 0.8;
-      spread[(favourite + 1) % routers] += 0.2;
-      return spread;
+      router_shares[favourite] += 0.8;
+      router_shares[(favourite + 1) % routers] += 0.2;
+      return router_shares;
     default:
       break;
     }
   for (unsigned i = 0; i < routers; i++)
     total += 1.0 / (i + 1);
   for (unsigned i = 0; i < routers; i++)
-    spread[(favourite + i) % routers] = 1.0 / (i + 1) / total;
-  return spread;
+    router_shares[(favourite + i) % routers] = 1.0 / (i + 1) / total;
+  return router_shares;
 }
 
 static load_account_t *
@@ -95,7 +95,7 @@
   account->key = g_strdup_printf ("key-of-account-%u", number);
   g_ptr_array_add (deployment->names, account->name);
   g_ptr_array_add (deployment->names, account->key);
-  account->spread = make_spread (random, deployment->fleet.routers);
+  account->router_shares = make_spread (random, deployment->fleet.routers);
   account->min_answer_tokens = 16;
   account->max_answer_tokens = 48;
   return account;
@@ -189,7 +189,7 @@
 {
   load_account_t *account = data;
 
-  g_free (account->spread);
+  g_free (account->router_shares);
   g_free (account);
 }
 
--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -41,16 +41,17 @@
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      if (request->engine_us == 0 || request->end != LOAD_CORRECT
+      if (request->engine_start_us == 0 || request->end != LOAD_CORRECT
           || request->last_us < from_us || request->last_us >= to_us)
         continue;
-      const stream_t stream
-          = { .at_slow = g_hash_table_contains (slow, request->nonce),
-              .wait = ms_between (request->started_us, request->engine_us),
-              .first = ms_between (request->engine_us, request->first_byte_us),
-              .whole = ms_between (request->engine_us, request->last_us),
-              .prompt = request->prompt_tokens,
-              .tokens = request->tokens };
+      const stream_t stream = {
+        .at_slow = g_hash_table_contains (slow, request->nonce),
+        .wait = ms_between (request->started_us, request->engine_start_us),
+        .first = ms_between (request->engine_start_us, request->first_byte_us),
+        .whole = ms_between (request->engine_start_us, request->last_us),
+        .prompt = request->prompt_tokens,
+        .tokens = request->tokens
+      };
       g_array_append_val (streams, stream);
     }
   return streams;
@@ -65,9 +66,9 @@
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      int64_t begin = MAX (request->engine_us, from_us);
+      int64_t begin = MAX (request->engine_start_us, from_us);
       int64_t end = MIN (request->last_us, to_us);
-      if (request->engine_us > 0 && end > begin)
+      if (request->engine_start_us > 0 && end > begin)
         busy_us += (double)(end - begin);
     }
   return busy_us / (double)(to_us - from_us);
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -47,7 +47,7 @@
                                      .key = (char *)SCENE_KEY,
                                      .weight = 1,
                                      .outstanding = plan->outstanding,
-                                     .spread = even,
+                                     .router_shares = even,
                                      .min_answer_tokens = plan->tokens,
                                      .max_answer_tokens = plan->tokens };
   for (unsigned i = 0; i < LOAD_KIND_COUNT; i++)
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -62,7 +62,7 @@
 
 static load_account_t *
 soak_account (const fleet_account_t *account, unsigned index, bool light,
-              double *spread)
+              double *router_shares)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -79,7 +79,7 @@
   load->kinds[LOAD_POST] = 3;
   load->kinds[LOAD_POST_UNKEYED] = 2;
   load->think_ms = light ? 100 : 20;
-  load->spread = spread;
+  load->router_shares = router_shares;
   load->min_answer_tokens = 8;
   load->max_answer_tokens = 80;
   return load;
@@ -117,12 +117,12 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Accounts without one right answer among the requests of the quiet time.  */
+/* Accounts without one correct answer among the requests of the quiet time. */
 static unsigned
 starved (const soak_t *soak)
 {
   const GPtrArray *requests = load_get_requests (soak->load);
-  unsigned right[G_N_ELEMENTS (accounts)] = { 0 };
+  unsigned correct[G_N_ELEMENTS (accounts)] = { 0 };
   unsigned count = 0;
 
   for (guint i = soak->quiet_from; i < requests->len; i++)
@@ -130,10 +130,10 @@
       const load_request_t *request = g_ptr_array_index (requests, i);
 
       if (request->end == LOAD_CORRECT)
-        right[request->account]++;
+        correct[request->account]++;
     }
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
-    if (right[i] == 0)
+    if (correct[i] == 0)
       {
         fprintf (stderr, "soak: %s got no answer after the faults\n",
                  accounts[i].name);
@@ -182,7 +182,7 @@
     }
   faults_print (soak->faults);
   printf ("%u requests: %u right, %u refused, %u broken, %u unfinished\n",
-          sum.requests, sum.right, sum.refused, sum.broken, sum.unfinished);
+          sum.requests, sum.correct, sum.refused, sum.broken, sum.unfinished);
   failed += judge ("every answer is whole and the caller's own",
                    sum.wrong_answers);
   failed += judge ("a refusal that says not run is true", sum.false_not_run);
@@ -206,7 +206,7 @@
 run (fleet_t *fleet, const options_t *options)
 {
   struct ev_loop *loop = ev_default_loop (0);
-  double spread[ROUTERS] = { 0.5, 0.25, 0.15, 0.1 };
+  double router_shares[ROUTERS] = { 0.5, 0.25, 0.15, 0.1 };
   char *urls[ROUTERS];
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = (uint64_t)options->seed,
@@ -224,8 +224,8 @@
   for (unsigned i = 0; i < ROUTERS; i++)
     urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
-    g_ptr_array_add (members,
-                     soak_account (&accounts[i], i, options->light, spread));
+    g_ptr_array_add (members, soak_account (&accounts[i], i, options->light,
+                                            router_shares));
   soak.load = load_new (loop, &load_plan);
   soak.faults = faults_new (fleet, (uint64_t)options->seed, options->only,
                             (unsigned)options->kinds);
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -131,7 +131,7 @@
 static void
 judge_whole (run_t *run)
 {
-  g_assert_cmpuint (run->sum.right, ==, run->sum.requests);
+  g_assert_cmpuint (run->sum.correct, ==, run->sum.requests);
 }
 
 /* Out and back: two events.  Few requests are lost on a refusing engine.  */
@@ -184,7 +184,7 @@
 static void
 judge_mostly (run_t *run)
 {
-  g_assert_cmpuint (run->sum.right, >=, run->sum.requests / 2);
+  g_assert_cmpuint (run->sum.correct, >=, run->sum.requests / 2);
 }
 
 /* Of what the woken agent did, each start must follow a grant made after the
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -74,7 +74,7 @@
                                              .key = (char *)accounts[i].key,
                                              .weight = accounts[i].weight,
                                              .outstanding = 30,
-                                             .spread = spreads[i],
+                                             .router_shares = spreads[i],
                                              .min_answer_tokens = 16,
                                              .max_answer_tokens = 48 };
       scene->accounts[i].kinds[LOAD_STREAM] = 1;
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -271,7 +271,7 @@
 /* ---- a run ---- */
 
 static void
-add_accounts (GPtrArray *members, double *spread)
+add_accounts (GPtrArray *members, double *router_shares)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
@@ -282,7 +282,7 @@
                                 .weight = accounts[i].weight,
                                 .outstanding = 24,
                                 .kinds = { 6, 1, 2, 2, 1, 1 },
-                                .spread = spread,
+                                .router_shares = router_shares,
                                 .min_answer_tokens = 16,
                                 .max_answer_tokens = 48 };
       g_ptr_array_add (members, load);
@@ -293,7 +293,7 @@
 run_rack (gconstpointer data)
 {
   run_t run = { .it = data };
-  double spread[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
+  double router_shares[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
   char *urls[ZONES];
   g_autoptr (GError) error = NULL;
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
@@ -312,7 +312,7 @@
   g_assert_no_error (error);
   for (unsigned i = 0; i < ZONES; i++)
     urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
-  add_accounts (members, spread);
+  add_accounts (members, router_shares);
   run.load = load_new (loop, &load_plan);
   ev_timer_init (&check, on_check, 0.02, 0.02);
   check.data = &run;
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -419,14 +419,14 @@
 {
   fleet_t *fleet = start (10, 60, 2);
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
-  double spread[] = { 0.5, 0.5 };
+  double router_shares[] = { 0.5, 0.5 };
   load_account_t account = { .name = (char *)"a",
                              .key = (char *)KEY,
                              .weight = 1,
                              .outstanding = 24,
                              .kinds = { 4, 2, 1, 2, 2, 1 },
                              .think_ms = 5,
-                             .spread = spread,
+                             .router_shares = router_shares,
                              .min_answer_tokens = 5,
                              .max_answer_tokens = 30 };
   g_autoptr (GPtrArray) all = g_ptr_array_new ();
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -17,7 +17,7 @@
                                .prompt_tokens = 20,
                                .tokens = 11,
                                .length = 11,
-                               .engine_us = 10 * MS,
+                               .engine_start_us = 10 * MS,
                                .first_byte_us = (10 + first_ms) * MS,
                                .last_us = (10 + whole_ms) * MS };
   g_ptr_array_add (requests, request);
@@ -117,7 +117,7 @@
   add (requests, "broken", 100, 290);
   ((load_request_t *)requests->pdata[3])->end = LOAD_INCOMPLETE;
   add (requests, "unknown", 100, 290);
-  ((load_request_t *)requests->pdata[4])->engine_us = 0;
+  ((load_request_t *)requests->pdata[4])->engine_start_us = 0;
   slow_span_t span = slow_summarize_span (requests, slow, 250 * MS, 350 * MS);
   g_assert_cmpuint (span.count, ==, 1);
   g_assert_cmpfloat (span.tokens, ==, 31);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -140,7 +140,7 @@
   g_assert_nonnull (strstr (account, "\"schema\":1"));
   g_assert_nonnull (strstr (account, "\"weight\":2"));
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
 static void
--- a/tests/test-whole.c
+++ b/tests/test-whole.c
@@ -103,7 +103,7 @@
   scene_run (scene, 300);
   g_assert_false (proc_stop (proc, SIGTERM, 0));
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 4);
+  g_assert_cmpuint (scene->sum.correct, ==, 4);
   for (unsigned i = 0; proc_is_running (proc) && i < LIMIT_MS / 20; i++)
     g_usleep (20000);
   g_assert_false (proc_is_running (proc));
@@ -155,7 +155,7 @@
   g_assert_cmpint (status, ==, 200);
   scene_run (scene, 3000);
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
   g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 1);
 }
 
@@ -183,7 +183,7 @@
   g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==, then);
   g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), >, other);
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
 static void
@@ -235,7 +235,7 @@
       fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "silent"));
   scene_run (scene, 1000);
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 16);
+  g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
 /* The same, but the links are closed: the router dials at once.  */
@@ -248,7 +248,7 @@
   scene_run (scene, 500);
   g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "pass"));
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 16);
+  g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
 /* ---- the platform ---- */
@@ -293,7 +293,7 @@
   g_assert_cmpint (status, ==, 200);
   g_assert_nonnull (strstr (again, "\"executions\":1"));
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
 int
--- a/tests/test-withdrawn.c
+++ b/tests/test-withdrawn.c
@@ -194,7 +194,7 @@
   g_assert_false (proc_stop (router, SIGTERM, 0));
   g_assert_false (proc_stop (agent, SIGTERM, 0));
   scene_finish (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 30);
+  g_assert_cmpuint (scene->sum.correct, ==, 30);
   for (unsigned i = 0; i < LIMIT_MS / 20; i++)
     if (proc_is_running (router) || proc_is_running (agent))
       g_usleep (20000);
