--- a/tests/bench-claims.c
+++ b/tests/bench-claims.c
@@ -9,10 +9,11 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define ROUTERS_MOST 64
-#define KEPT_S 256
-#define AGES "{\"schema\":1,\"marks\":[{\"revision\":%u,\"age_ms\":1000000}]}"
-#define SPEC                                                                  \
+#define MAX_ROUTERS 64
+#define KEEP_S 256
+#define AGES_SPEC                                                             \
+  "{\"schema\":1,\"marks\":[{\"revision\":%u,\"age_ms\":1000000}]}"
+#define CLAIM_SPEC                                                            \
   "{\"schema\":1,\"account\":\"mill\",\"attempt\":\"gone/1\",\"digest\":"     \
   "\"d\",\"state\":\"finished\",\"status\":201,\"type\":\"text/plain\","      \
   "\"body\":\"case 7\"}"
@@ -20,25 +21,25 @@
 typedef struct
 {
   unsigned routers;
-  sweep_t *sweeps[ROUTERS_MOST];
+  sweep_t *sweeps[MAX_ROUTERS];
 } fleet_t;
 
 typedef struct
 {
   fleet_t *fleet;
   unsigned index;
-} place_t;
+} router_context_t;
 
 static unsigned
-routers (void *user)
+get_router_count (void *user)
 {
-  return ((place_t *)user)->fleet->routers;
+  return ((router_context_t *)user)->fleet->routers;
 }
 
 static bool
-keeps_ages (void *user)
+is_age_keeper (void *user)
 {
-  return ((place_t *)user)->index == 0;
+  return ((router_context_t *)user)->index == 0;
 }
 
 static bool
@@ -48,7 +49,7 @@
 }
 
 static uint64_t
-removed (const fleet_t *fleet)
+count_removed (const fleet_t *fleet)
 {
   uint64_t sum = 0;
 
@@ -58,13 +59,14 @@
 }
 
 static unsigned
-argument (int argc, char **argv, int i, unsigned standard)
+parse_argument (int argc, char **argv, int i, unsigned standard)
 {
   return argc > i ? (unsigned)strtoul (argv[i], NULL, 10) : standard;
 }
 
 static void
-report (const sp_t *sp, unsigned claims, cfd_time_t first, cfd_time_t last)
+print_report (const sp_t *sp, unsigned claims, cfd_time_t first,
+              cfd_time_t last)
 {
   static const char *const kinds[] = { "get", "list", "put", "delete" };
   double seconds = (double)(last - first) / 1000;
@@ -80,11 +82,11 @@
 int
 main (int argc, char **argv)
 {
-  unsigned claims = argument (argc, argv, 1, 1000);
-  unsigned calls = argument (argc, argv, 3, 50);
-  fleet_t fleet = { .routers = MIN (argument (argc, argv, 2, 8),
-                                    (unsigned)ROUTERS_MOST) };
-  place_t places[ROUTERS_MOST];
+  unsigned claims = parse_argument (argc, argv, 1, 1000);
+  unsigned calls = parse_argument (argc, argv, 3, 50);
+  fleet_t fleet = { .routers = MIN (parse_argument (argc, argv, 2, 8),
+                                    (unsigned)MAX_ROUTERS) };
+  router_context_t contexts[MAX_ROUTERS];
   sp_test_t test;
   cfd_time_t begun;
   cfd_time_t first = 0;
@@ -95,30 +97,30 @@
     {
       g_autofree char *name = g_strdup_printf ("%032x", i * 2654435761u);
 
-      sp_test_write_object (&test, "claim", name, SPEC);
+      sp_test_write_object (&test, "claim", name, CLAIM_SPEC);
     }
   {
-    g_autofree char *ages = g_strdup_printf (AGES, claims);
+    g_autofree char *ages = g_strdup_printf (AGES_SPEC, claims);
 
     sp_test_write_object (&test, "claim-sweep", "ages", ages);
   }
   for (unsigned i = 0; i < fleet.routers; i++)
     {
-      const sweep_options_t setup
-          = { KEPT_S, calls, routers, keeps_ages, is_held, &places[i] };
+      const sweep_options_t setup = { KEEP_S,        calls,   get_router_count,
+                                      is_age_keeper, is_held, &contexts[i] };
 
-      places[i] = (place_t){ &fleet, i };
+      contexts[i] = (router_context_t){ &fleet, i };
       fleet.sweeps[i] = sweep_new (test.plat, &setup);
     }
   begun = clock_now ();
-  while (removed (&fleet) < claims)
+  while (count_removed (&fleet) < claims)
     {
       ev_run (test.loop, EVRUN_ONCE);
       if (first == 0 && sp_count_calls (test.sp, "list") > 0)
         first = clock_now ();
     }
   printf ("first page after %.1f s\n", (double)(first - begun) / 1000);
-  report (test.sp, claims, first, clock_now ());
+  print_report (test.sp, claims, first, clock_now ());
   for (unsigned i = 0; i < fleet.routers; i++)
     sweep_free (fleet.sweeps[i]);
   sp_test_teardown (&test);
--- a/tests/bench-link.c
+++ b/tests/bench-link.c
@@ -13,10 +13,10 @@
 #include <time.h>
 #include <unistd.h>
 
-#define AGENTS 200u
-#define BURST 50u
-#define FRAMES 50000u
-#define IDLE_S 5.0
+#define AGENT_COUNT 200u
+#define BURST_FRAMES 50u
+#define TOTAL_FRAMES 50000u
+#define IDLE_DURATION_S 5.0
 #define ROUTER "r1"
 #define SECRET "the secret of the bench"
 
@@ -24,15 +24,15 @@
 {
   struct ev_loop *loop;
   peer_hub_t *router;
-  peer_hub_t *agents[AGENTS];
+  peer_hub_t *agents[AGENT_COUNT];
   char address[32];
   unsigned up;
-  unsigned answered;
-  unsigned wanted;
+  unsigned received;
+  unsigned expected;
 } bench_t;
 
 static double
-cpu_us (void)
+read_cpu_us (void)
 {
   struct timespec t;
 
@@ -41,7 +41,7 @@
 }
 
 static double
-resident_kb (void)
+read_resident_kb (void)
 {
   g_autofree char *text = NULL;
   long pages = 0;
@@ -57,7 +57,7 @@
 {
   bench_t *bench = user;
 
-  if (++bench->up == bench->wanted)
+  if (++bench->up == bench->expected)
     ev_break (bench->loop, EVBREAK_ALL);
 }
 
@@ -67,7 +67,7 @@
 {
   bench_t *bench = user;
 
-  if (++bench->answered == bench->wanted)
+  if (++bench->received == bench->expected)
     ev_break (bench->loop, EVBREAK_ALL);
 }
 
@@ -108,46 +108,46 @@
 {
   double memory;
 
-  for (unsigned i = 0; i < AGENTS; i++)
+  for (unsigned i = 0; i < AGENT_COUNT; i++)
     {
       g_autofree char *name = g_strdup_printf ("agent-%u", i);
 
       bench->agents[i] = start_hub (bench, ROLE_AGENT, name, 8000 + i);
       peer_hub_set_address (bench->router, name, bench->address);
     }
-  memory = resident_kb ();
-  for (unsigned i = 0; i < AGENTS; i++)
+  memory = read_resident_kb ();
+  for (unsigned i = 0; i < AGENT_COUNT; i++)
     {
       g_autofree char *name = g_strdup_printf ("agent-%u", i);
 
       peer_hub_hold (bench->router, name);
     }
-  bench->wanted = AGENTS;
+  bench->expected = AGENT_COUNT;
   ev_run (bench->loop, 0);
-  printf ("%u links, both ends: %.1f KB a link\n", AGENTS,
-          (resident_kb () - memory) / AGENTS);
+  printf ("%u links, both ends: %.1f KB a link\n", AGENT_COUNT,
+          (read_resident_kb () - memory) / AGENT_COUNT);
 }
 
-/* Sends FRAMES in bursts, each answered by one frame.  */
+/* Sends TOTAL_FRAMES in bursts, each received by one frame.  */
 static void
-exchange (bench_t *bench, unsigned burst)
+measure_exchange (bench_t *bench, unsigned burst)
 {
   msg_t cancel = { .kind = MSG_CANCEL, .u.cancel = { "7f3a9c51d2e84b06" } };
-  double start = cpu_us ();
+  double start = read_cpu_us ();
   int64_t wall = clock_now_us ();
 
-  for (unsigned sent = 0; sent < FRAMES; sent += burst)
+  for (unsigned sent = 0; sent < TOTAL_FRAMES; sent += burst)
     {
-      bench->answered = 0;
-      bench->wanted = burst;
+      bench->received = 0;
+      bench->expected = burst;
       for (unsigned i = 0; i < burst; i++)
         (void)peer_hub_send (bench->router, "agent-0", &cancel);
       ev_run (bench->loop, 0);
     }
   printf ("bursts of %2u: %.2f us of CPU a frame, both ends; round trip %.1f "
           "us\n",
-          burst, (cpu_us () - start) / FRAMES / 2,
-          (double)(clock_now_us () - wall) / FRAMES * burst);
+          burst, (read_cpu_us () - start) / TOTAL_FRAMES / 2,
+          (double)(clock_now_us () - wall) / TOTAL_FRAMES * burst);
 }
 
 static void
@@ -157,15 +157,15 @@
 }
 
 static void
-idle (bench_t *bench)
+measure_idle (bench_t *bench)
 {
   peer_counters_t before;
   peer_counters_t after;
-  double start = cpu_us ();
+  double start = read_cpu_us ();
   ev_timer end;
 
   peer_hub_get_counters (bench->router, &before);
-  ev_timer_init (&end, on_idle_end, IDLE_S, 0);
+  ev_timer_init (&end, on_idle_end, IDLE_DURATION_S, 0);
   ev_timer_start (bench->loop, &end);
   ev_run (bench->loop, 0);
   peer_hub_get_counters (bench->router, &after);
@@ -174,10 +174,10 @@
       "link, both ends\n",
       (peer_sum_control_bytes (after.out)
        - peer_sum_control_bytes (before.out))
-          / IDLE_S / AGENTS,
+          / IDLE_DURATION_S / AGENT_COUNT,
       (peer_sum_control_bytes (after.in) - peer_sum_control_bytes (before.in))
-          / IDLE_S / AGENTS,
-      (cpu_us () - start) / IDLE_S / AGENTS);
+          / IDLE_DURATION_S / AGENT_COUNT,
+      (read_cpu_us () - start) / IDLE_DURATION_S / AGENT_COUNT);
 }
 
 int
@@ -188,11 +188,11 @@
   log_setup ("bench", LOG_WARN, false);
   bench.router = start_hub (&bench, ROLE_ROUTER, ROUTER, 7999);
   connect_agents (&bench);
-  exchange (&bench, 1);
-  exchange (&bench, BURST);
-  idle (&bench);
+  measure_exchange (&bench, 1);
+  measure_exchange (&bench, BURST_FRAMES);
+  measure_idle (&bench);
   peer_hub_free (bench.router);
-  for (unsigned i = 0; i < AGENTS; i++)
+  for (unsigned i = 0; i < AGENT_COUNT; i++)
     peer_hub_free (bench.agents[i]);
   ev_loop_destroy (bench.loop);
   return 0;
--- a/tests/bench-pick.c
+++ b/tests/bench-pick.c
@@ -9,7 +9,7 @@
 #define ROUTERS 3u
 #define ROUNDS 20u
 #define GRANTS 200u
-#define LIFE_MS 3000
+#define ANNOUNCE_LIFE_MS 3000
 
 static char names[ACCOUNTS][24];
 static const char *const routers[ROUTERS] = { "r-0", "r-1", "r-2" };
@@ -17,19 +17,20 @@
 static void
 announce (pick_t *pick, unsigned router, unsigned round, cfd_time_t now)
 {
-  static msg_waiting_t words[ACCOUNTS];
+  static msg_waiting_t entries_buffer[ACCOUNTS];
   msg_announce_t message = { .service = "draft",
                              .full = true,
-                             .life_ms = LIFE_MS,
+                             .life_ms = ANNOUNCE_LIFE_MS,
                              .count = ACCOUNTS,
-                             .entries = words };
+                             .entries = entries_buffer };
 
   for (unsigned i = 0; i < ACCOUNTS; i++)
-    words[i] = (msg_waiting_t){ .account = names[i],
-                                .count = 4,
-                                .class_rank = i % 2,
-                                .oldest_ms = i % 700,
-                                .virtual_time = (i * 7919 + round) % 5003 };
+    entries_buffer[i]
+        = (msg_waiting_t){ .account = names[i],
+                           .count = 4,
+                           .class_rank = i % 2,
+                           .oldest_ms = i % 700,
+                           .virtual_time = (i * 7919 + round) % 5003 };
   pick_apply_announcement (pick, routers[router], &message, now);
 }
 
@@ -37,8 +38,8 @@
 main (void)
 {
   g_autoptr (pick_t) pick = pick_new ();
-  int64_t announcing = 0;
-  int64_t choosing = 0;
+  int64_t announce_us = 0;
+  int64_t choose_us = 0;
   cfd_time_t now = 0;
 
   for (unsigned i = 0; i < ACCOUNTS; i++)
@@ -49,27 +50,27 @@
 
       for (unsigned router = 0; router < ROUTERS; router++)
         announce (pick, router, round, now);
-      announcing += clock_now_us () - start;
+      announce_us += clock_now_us () - start;
       start = clock_now_us ();
       for (unsigned i = 0; i < GRANTS; i++)
         {
           pick_choice_t choice;
-          unsigned flying = pick_expire_grants (pick, now);
+          unsigned in_flight = pick_expire_grants (pick, now);
           uint64_t grant = pick_make_grant (pick, now, &choice);
           msg_waiting_t left = { choice.account, 3, 0, 10, 6000 + i };
           g_autofree char *account = g_strdup (choice.account);
 
-          g_assert (flying == 0);
+          g_assert (in_flight == 0);
           left.account = account;
           (void)pick_complete_grant (pick, grant, now);
           pick_update_waiting (pick, choice.router, &left, now);
         }
-      choosing += clock_now_us () - start;
+      choose_us += clock_now_us () - start;
     }
   printf ("accounts %u routers %u\n", ACCOUNTS, ROUTERS);
   printf ("expiry, grant, answer and news of it: %.1f us\n",
-          (double)choosing / (ROUNDS * GRANTS));
+          (double)choose_us / (ROUNDS * GRANTS));
   printf ("entry of a whole announcement: %.2f us\n",
-          (double)announcing / (ROUNDS * ROUTERS * ACCOUNTS));
+          (double)announce_us / (ROUNDS * ROUTERS * ACCOUNTS));
   return 0;
 }
--- a/tests/bench-state.c
+++ b/tests/bench-state.c
@@ -22,15 +22,15 @@
 #include <unistd.h>
 
 #define ACCOUNTS 18000u
-#define BATCH 500u
-#define ASKS_MAX 200u
-#define PREFIX 4u
+#define BATCH_ACCOUNTS 500u
+#define MAX_ASKS 200u
+#define PREFIX_BYTES 4u
 /* A process that hangs ends by this.  */
-#define LIMIT_S 60
+#define TIMEOUT_S 60
 
 /* Kilobytes by the line FIELD of this process's status, or -1.  */
 static long
-status_kb (const char *field)
+read_status_kb (const char *field)
 {
   g_autofree char *text = NULL;
   const char *line;
@@ -54,7 +54,7 @@
 }
 
 static void
-add_account (GString *text, unsigned number)
+append_account (GString *text, unsigned number)
 {
   g_autofree char *key = g_strdup_printf ("key-%u", number);
   g_autofree char *hash = rec_hash_key_to_hex (key);
@@ -70,17 +70,17 @@
 
 /* All accounts, in batches, so that nothing large is freed before.  */
 static void
-fill (store_t *store, unsigned accounts)
+fill_store (store_t *store, unsigned accounts)
 {
-  for (unsigned from = 0; from < accounts; from += BATCH)
+  for (unsigned from = 0; from < accounts; from += BATCH_ACCOUNTS)
     {
-      unsigned up_to = MIN (from + BATCH, accounts);
+      unsigned up_to = MIN (from + BATCH_ACCOUNTS, accounts);
       g_autoptr (GString) text = g_string_new (NULL);
       g_autoptr (JsonNode) root = NULL;
 
       g_string_printf (text, "{\"revision\":%u,\"objects\":[", up_to);
       for (unsigned i = from; i < up_to; i++)
-        add_account (text, i);
+        append_account (text, i);
       g_string_append (text, "]}");
       root = json_from_string (text->str, NULL);
       store_apply_objects (store, json_node_get_object (root), 1000);
@@ -124,7 +124,7 @@
 static msg_t *
 read_frame (int fd)
 {
-  uint8_t prefix[PREFIX];
+  uint8_t prefix[PREFIX_BYTES];
   g_autofree uint8_t *payload = NULL;
   uint32_t length;
   size_t used;
@@ -140,7 +140,7 @@
 
 /* Answers asks until the receiver goes.  */
 static void
-give (int fd, unsigned accounts)
+serve_parts (int fd, unsigned accounts)
 {
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   size_t largest = 0;
@@ -148,12 +148,12 @@
   double cpu = 0;
   long before;
 
-  fill (store, accounts);
+  fill_store (store, accounts);
   /* Its first list ended after the last change at the receiver.  */
   store->revision = accounts + 1;
   store->deletions_known_from = accounts + 1;
   reset_peak ();
-  before = status_kb ("VmRSS:");
+  before = read_status_kb ("VmRSS:");
   for (;;)
     {
       g_autoptr (msg_t) ask = read_frame (fd);
@@ -173,12 +173,12 @@
   printf ("  sender:   %u parts, largest %.0f KB, longest turn %.1f ms of"
           " processor, MB before %.1f, most %.1f\n",
           frames - 1, (double)largest / 1e3, cpu, (double)before / 1e3,
-          (double)status_kb ("VmHWM:") / 1e3);
+          (double)read_status_kb ("VmHWM:") / 1e3);
 }
 
 /* One ask and its part.  */
 static bool
-take_one (int fd, store_t *store, uint64_t have)
+request_part (int fd, store_t *store, uint64_t have)
 {
   msg_t ask = { .kind = MSG_CONFIG_ASK };
   g_autoptr (msg_t) part = NULL;
@@ -196,7 +196,7 @@
 }
 
 static void
-take_all (int fd, bool is_full, unsigned accounts)
+receive_all (int fd, bool is_full, unsigned accounts)
 {
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   unsigned asks = 0;
@@ -204,26 +204,26 @@
   long before;
 
   if (is_full)
-    fill (store, accounts);
+    fill_store (store, accounts);
   /* Waits until the sender is ready.  */
-  (void)take_one (fd, store, accounts + 1);
+  (void)request_part (fd, store, accounts + 1);
   reset_peak ();
-  before = status_kb ("VmRSS:");
+  before = read_status_kb ("VmRSS:");
   start = clock_now ();
-  while (store->revision <= accounts && asks++ < ASKS_MAX
-         && take_one (fd, store, store->revision))
+  while (store->revision <= accounts && asks++ < MAX_ASKS
+         && request_part (fd, store, store->revision))
     ;
   printf ("  receiver: revision %u, %u accounts, %ld ms, MB before %.1f, most"
           " %.1f, after %.1f\n",
           (unsigned)store->revision,
           g_hash_table_size (store->entries[REC_ACCOUNT]),
           (long)(clock_now () - start), (double)before / 1e3,
-          (double)status_kb ("VmHWM:") / 1e3,
-          (double)status_kb ("VmRSS:") / 1e3);
+          (double)read_status_kb ("VmHWM:") / 1e3,
+          (double)read_status_kb ("VmRSS:") / 1e3);
 }
 
 static void
-measure (bool is_full, unsigned accounts)
+measure_row (bool is_full, unsigned accounts)
 {
   int fds[2];
   pid_t sender;
@@ -234,12 +234,12 @@
   if (socketpair (AF_UNIX, SOCK_STREAM, 0, fds) != 0)
     return;
   sender = fork ();
-  alarm (LIMIT_S);
+  alarm (TIMEOUT_S);
   close (fds[sender == 0 ? 1 : 0]);
   if (sender == 0)
-    give (fds[0], accounts);
+    serve_parts (fds[0], accounts);
   else
-    take_all (fds[1], is_full, accounts);
+    receive_all (fds[1], is_full, accounts);
   fflush (stdout);
   if (sender == 0)
     _exit (0);
@@ -261,7 +261,7 @@
 
       if (row == 0)
         {
-          measure (is_full == 1, accounts);
+          measure_row (is_full == 1, accounts);
           _exit (0);
         }
       waitpid (row, NULL, 0);
--- a/tests/bench-wire.c
+++ b/tests/bench-wire.c
@@ -17,15 +17,15 @@
 #define STAMP 0x019376c5a1b20003ull
 #define REVISION 123456u
 #define INCARNATION 0xc0ffee0ddba11aadull
-#define BATCH 20
+#define BATCH_ENTRIES 20
 
 static const char service[] = "draft-commentary";
 static const char account[] = "branch-0123";
 static const char request[] = "7f3a9c51d2e84b06";
 
-static msg_waiting_t waiting[BATCH];
-static msg_report_entry_t reports[BATCH];
-static msg_share_entry_t shares[BATCH];
+static msg_waiting_t waiting[BATCH_ENTRIES];
+static msg_report_entry_t reports[BATCH_ENTRIES];
+static msg_share_entry_t shares[BATCH_ENTRIES];
 static uint8_t chunk[1024];
 static const char *const header_lines[] = { "Content-Type: application/json" };
 
@@ -36,9 +36,9 @@
 } bench_case_t;
 
 static void
-fill_rows (void)
+fill_entries (void)
 {
-  for (int i = 0; i < BATCH; i++)
+  for (int i = 0; i < BATCH_ENTRIES; i++)
     {
       waiting[i] = (msg_waiting_t){ account, 3, 1, 250, 1234567.75 + i };
       reports[i]
@@ -50,7 +50,7 @@
 }
 
 static double
-cpu_us (void)
+read_cpu_us (void)
 {
   struct timespec t;
 
@@ -61,8 +61,8 @@
 /* The frame that ROW is once its names are known at the other end; both
    states stay as they are then.  */
 static GByteArray *
-short_frame (const bench_case_t *row, msg_state_t *sender,
-             msg_state_t *receiver)
+encode_short_frame (const bench_case_t *row, msg_state_t *sender,
+                    msg_state_t *receiver)
 {
   GByteArray *frame = NULL;
 
@@ -80,26 +80,26 @@
 }
 
 static void
-measure (const bench_case_t *row)
+measure_case (const bench_case_t *row)
 {
   msg_state_t sender = { 0 };
   msg_state_t receiver = { 0 };
   g_autoptr (GByteArray) whole = msg_encode (&row->message, NULL);
-  g_autoptr (GByteArray) frame = short_frame (row, &sender, &receiver);
+  g_autoptr (GByteArray) frame = encode_short_frame (row, &sender, &receiver);
   size_t prefix;
   uint32_t length;
-  double start = cpu_us ();
+  double start = read_cpu_us ();
   double encoded;
 
   (void)msg_parse_length (frame->data, frame->len, true, &length, &prefix);
   for (int i = 0; i < ROUNDS; i++)
     g_byte_array_unref (msg_encode (&row->message, &sender));
-  encoded = cpu_us ();
+  encoded = read_cpu_us ();
   for (int i = 0; i < ROUNDS; i++)
     msg_free (msg_decode (frame->data + prefix, length, &receiver, NULL));
   printf ("%-24s %6u bytes, whole %6u  encode %6.2f us  decode %6.2f us\n",
           row->name, frame->len, whole->len, (encoded - start) / ROUNDS,
-          (cpu_us () - encoded) / ROUNDS);
+          (read_cpu_us () - encoded) / ROUNDS);
   msg_state_clear (&sender);
   msg_state_clear (&receiver);
 }
@@ -152,7 +152,7 @@
         .u.announce = { service, false, 3000, 1, waiting } } },
     { "ANNOUNCE of 20",
       { .kind = MSG_ANNOUNCE,
-        .u.announce = { service, true, 3000, BATCH, waiting } } },
+        .u.announce = { service, true, 3000, BATCH_ENTRIES, waiting } } },
     { "HEAD",
       { .kind = MSG_HEAD, .u.head = { request, 200, 1, header_lines } } },
     { "DATA of 100",
@@ -163,20 +163,22 @@
         .u.end = { request, OUTCOME_COMPLETE, 65000, 800, 300, "" } } },
     { "ACK", { .kind = MSG_ACK, .u.ack = { request, 65000, false } } },
     { "REPORT of 1", { .kind = MSG_REPORT, .u.report = { 1, reports } } },
-    { "REPORT of 20", { .kind = MSG_REPORT, .u.report = { BATCH, reports } } },
+    { "REPORT of 20",
+      { .kind = MSG_REPORT, .u.report = { BATCH_ENTRIES, reports } } },
     { "SHARE of 1", { .kind = MSG_SHARE, .u.share = { 1, shares } } },
-    { "SHARE of 20", { .kind = MSG_SHARE, .u.share = { BATCH, shares } } },
+    { "SHARE of 20",
+      { .kind = MSG_SHARE, .u.share = { BATCH_ENTRIES, shares } } },
     { "LOAD", { .kind = MSG_LOAD, .u.load = { service, 7, 8, 3 } } },
   };
 
-  fill_rows ();
+  fill_entries ();
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       bench_case_t row = cases[i];
 
       row.message.stamp = STAMP;
       row.message.revision = REVISION;
-      measure (&row);
+      measure_case (&row);
     }
   return 0;
 }
--- a/tests/call.c
+++ b/tests/call.c
@@ -22,7 +22,7 @@
 }
 
 static int
-dial (const char *base)
+connect_to (const char *base)
 {
   addr_t addr;
   int fd;
@@ -48,7 +48,7 @@
       body ? body : "");
 
   call->text = g_string_new (NULL);
-  call->fd = dial (base);
+  call->fd = connect_to (base);
   if (call->fd >= 0)
     send_all (call->fd, text);
   return call;
@@ -72,7 +72,7 @@
 }
 
 static gboolean
-is_whole (const call_t *call)
+is_complete (const call_t *call)
 {
   const char *body = strstr (call->text->str, "\r\n\r\n");
   const char *length = strstr (call->text->str, "Content-Length: ");
@@ -85,33 +85,33 @@
   return g_str_has_suffix (call->text->str, "\r\n0\r\n\r\n");
 }
 
-/* Reads what comes until UNTIL; false at the end of the connection.  */
+/* Reads what comes deadline UNTIL; false at the end of the connection.  */
 static gboolean
-read_some (call_t *call, cfd_time_t until)
+read_available (call_t *call, cfd_time_t deadline)
 {
   struct pollfd poll_fd = { .fd = call->fd, .events = POLLIN };
-  cfd_time_t left = until - clock_now ();
-  char part[16384];
-  ssize_t got;
+  cfd_time_t left = deadline - clock_now ();
+  char buffer[16384];
+  ssize_t received;
 
   if (call->fd < 0)
     return FALSE;
   if (poll (&poll_fd, 1, (int)MAX (left, 0)) == 0)
     return TRUE;
-  got = recv (call->fd, part, sizeof part, 0);
-  if (got <= 0)
+  received = recv (call->fd, buffer, sizeof buffer, 0);
+  if (received <= 0)
     return FALSE;
-  g_string_append_len (call->text, part, got);
+  g_string_append_len (call->text, buffer, received);
   return TRUE;
 }
 
 gboolean
 call_read_until (call_t *call, const char *text, int wait_ms)
 {
-  cfd_time_t until = clock_now () + wait_ms;
+  cfd_time_t deadline = clock_now () + wait_ms;
 
   while (strstr (call->text->str, text) == NULL)
-    if (clock_now () >= until || !read_some (call, until))
+    if (clock_now () >= deadline || !read_available (call, deadline))
       return FALSE;
   return TRUE;
 }
@@ -119,13 +119,13 @@
 call_result_t
 call_read_to_end (call_t *call, int wait_ms)
 {
-  cfd_time_t until = clock_now () + wait_ms;
+  cfd_time_t deadline = clock_now () + wait_ms;
 
-  while (!is_whole (call))
+  while (!is_complete (call))
     {
-      if (!read_some (call, until))
+      if (!read_available (call, deadline))
         return CALL_INCOMPLETE;
-      if (clock_now () >= until && !is_whole (call))
+      if (clock_now () >= deadline && !is_complete (call))
         return CALL_TIMED_OUT;
     }
   return CALL_COMPLETE;
--- a/tests/collect.c
+++ b/tests/collect.c
@@ -8,13 +8,13 @@
 /* Where a nonce was started.  */
 typedef struct
 {
-  unsigned times;
-  unsigned endpoint; /* the last */
-} place_t;
+  unsigned start_count;
+  unsigned last_endpoint; /* the last */
+} execution_t;
 
-/* The counters of one endpoint as a JSON object, or NULL.  */
+/* The counters of one last_endpoint as a JSON object, or NULL.  */
 static JsonObject *
-ask_counters (const fleet_t *fleet, unsigned index)
+fetch_counters (const fleet_t *fleet, unsigned index)
 {
   g_autofree char *base = fleet_get_url (fleet, FLEET_ENDPOINT, index);
   g_autofree char *url
@@ -30,7 +30,8 @@
 }
 
 static void
-take_nonces (GHashTable *places, JsonObject *counters, unsigned endpoint)
+add_nonces (GHashTable *executions, JsonObject *counters,
+            unsigned last_endpoint)
 {
   JsonObject *nonces = json_object_get_object_member (counters, "nonces");
   JsonObjectIter iter;
@@ -42,73 +43,76 @@
   json_object_iter_init (&iter, nonces);
   while (json_object_iter_next (&iter, &name, &node))
     {
-      place_t *place = g_hash_table_lookup (places, name);
-      if (place == NULL)
+      execution_t *execution = g_hash_table_lookup (executions, name);
+      if (execution == NULL)
         {
-          place = g_new0 (place_t, 1);
-          g_hash_table_insert (places, g_strdup (name), place);
+          execution = g_new0 (execution_t, 1);
+          g_hash_table_insert (executions, g_strdup (name), execution);
         }
-      place->times += (unsigned)json_node_get_double (node);
-      place->endpoint = endpoint;
+      execution->start_count += (unsigned)json_node_get_double (node);
+      execution->last_endpoint = last_endpoint;
     }
 }
 
 static double
-count_of (JsonObject *counters, const char *name)
+get_count (JsonObject *counters, const char *name)
 {
   return json_object_get_double_member_with_default (counters, name, 0);
 }
 
 static void
-take_overloads (collect_result_t *sum, JsonObject *counters, unsigned endpoint)
+add_overloads (collect_result_t *sum, JsonObject *counters,
+               unsigned last_endpoint)
 {
-  unsigned count = (unsigned)count_of (counters, "overload_count");
+  unsigned count = (unsigned)get_count (counters, "overload_count");
 
   sum->overload_count += count;
-  sum->overload_in_grace += (unsigned)count_of (counters, "overload_in_grace");
+  sum->overload_in_grace
+      += (unsigned)get_count (counters, "overload_in_grace");
   if (count > 0)
     fprintf (stderr,
              "overload: endpoint-%u, %u times; at the last %g ran and %g were "
              "bearable, %g ms after it turned cold\n",
-             endpoint, count, count_of (counters, "overload_running"),
-             count_of (counters, "overload_bearable"),
-             count_of (counters, "overload_cold_ms"));
+             last_endpoint, count, get_count (counters, "overload_running"),
+             get_count (counters, "overload_bearable"),
+             get_count (counters, "overload_cold_ms"));
 }
 
-/* All nonces by place; SUM, when set, gets the overload counts.  */
+/* All nonces router_list execution; SUM, when set, gets the overload counts.
+ */
 static GHashTable *
-ask_places (const fleet_t *fleet, collect_result_t *sum)
+fetch_executions (const fleet_t *fleet, collect_result_t *sum)
 {
-  g_autoptr (GHashTable) places
+  g_autoptr (GHashTable) executions
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 
   for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ENDPOINT); i++)
     {
-      g_autoptr (JsonObject) counters = ask_counters (fleet, i);
+      g_autoptr (JsonObject) counters = fetch_counters (fleet, i);
       if (counters == NULL)
         return NULL;
-      take_nonces (places, counters, i);
+      add_nonces (executions, counters, i);
       if (sum != NULL)
-        take_overloads (sum, counters, i);
+        add_overloads (sum, counters, i);
     }
-  return g_steal_pointer (&places);
+  return g_steal_pointer (&executions);
 }
 
 GHashTable *
 collect_started_nonces (const fleet_t *fleet, unsigned index)
 {
-  g_autoptr (JsonObject) counters = ask_counters (fleet, index);
-  GHashTable *places;
+  g_autoptr (JsonObject) counters = fetch_counters (fleet, index);
+  GHashTable *executions;
 
   if (counters == NULL)
     return NULL;
-  places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  take_nonces (places, counters, index);
-  return places;
+  executions = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  add_nonces (executions, counters, index);
+  return executions;
 }
 
 static void
-complain (const char *what, const load_request_t *request)
+print_violation (const char *what, const load_request_t *request)
 {
   fprintf (stderr,
            "%s: %s %s at router-%u, status %u, %u of %u tokens: %.200s\n",
@@ -118,10 +122,10 @@
 }
 
 static void
-judge (collect_result_t *sum, const load_request_t *request,
-       const place_t *place)
+count_request (collect_result_t *sum, const load_request_t *request,
+               const execution_t *execution)
 {
-  bool must_not_repeat
+  bool must_run_once
       = request->kind == LOAD_POST || request->kind == LOAD_POST_UNKEYED;
 
   sum->requests++;
@@ -130,20 +134,20 @@
   sum->broken += request->end == LOAD_INCOMPLETE;
   sum->unfinished += request->end == LOAD_RUNNING;
   if (request->end == LOAD_INCORRECT
-      || (request->end == LOAD_CORRECT && place == NULL))
+      || (request->end == LOAD_CORRECT && execution == NULL))
     {
       sum->wrong_answers++;
-      complain ("wrong answer", request);
+      print_violation ("wrong answer", request);
     }
-  if (must_not_repeat && place != NULL && place->times > 1)
+  if (must_run_once && execution != NULL && execution->start_count > 1)
     {
       sum->duplicate_runs++;
-      complain ("ran twice", request);
+      print_violation ("ran twice", request);
     }
-  if (request->end == LOAD_REFUSED && request->not_run && place != NULL)
+  if (request->end == LOAD_REFUSED && request->not_run && execution != NULL)
     {
       sum->false_not_run++;
-      complain ("ran after all", request);
+      print_violation ("ran after all", request);
     }
 }
 
@@ -151,15 +155,16 @@
 collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum)
 {
   memset (sum, 0, sizeof *sum);
-  g_autoptr (GHashTable) places = ask_places (fleet, sum);
+  g_autoptr (GHashTable) executions = fetch_executions (fleet, sum);
   const GPtrArray *requests = load_get_requests (load);
 
-  if (places == NULL)
+  if (executions == NULL)
     return false;
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      judge (sum, request, g_hash_table_lookup (places, request->nonce));
+      count_request (sum, request,
+                     g_hash_table_lookup (executions, request->nonce));
     }
   return true;
 }
@@ -181,7 +186,7 @@
   unsigned tokens = 0;
   unsigned other = 0;
   bool routers[FLEET_MAX_MEMBERS] = { false };
-  g_autoptr (GString) by = g_string_new (NULL);
+  g_autoptr (GString) router_list = g_string_new (NULL);
 
   for (guint i = 0; i < requests->len; i++)
     {
@@ -200,17 +205,18 @@
     }
   for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ROUTER); i++)
     if (routers[i])
-      g_string_append_printf (by, " %u", i);
+      g_string_append_printf (router_list, " %u", i);
   printf ("%-12s %6g %7u %7u %11u %7u %6u %10u %7u %6u %s\n",
           fleet_get_plan (fleet)->accounts[account].name,
           fleet_get_plan (fleet)->accounts[account].weight, kinds[LOAD_STREAM],
           kinds[LOAD_NON_STREAM], kinds[LOAD_COMPLETION], kinds[LOAD_LOOKUP],
-          kinds[LOAD_POST], kinds[LOAD_POST_UNKEYED], tokens, other, by->str);
+          kinds[LOAD_POST], kinds[LOAD_POST_UNKEYED], tokens, other,
+          router_list->str);
 }
 
 static void
 print_endpoints (const fleet_t *fleet, const GPtrArray *requests,
-                 GHashTable *places)
+                 GHashTable *executions)
 {
   const fleet_plan_t *plan = fleet_get_plan (fleet);
   unsigned count = fleet_count_members (fleet, FLEET_ENDPOINT);
@@ -220,12 +226,14 @@
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      const place_t *place = g_hash_table_lookup (places, request->nonce);
-      if (place == NULL || request->end != LOAD_CORRECT)
+      const execution_t *execution
+          = g_hash_table_lookup (executions, request->nonce);
+      if (execution == NULL || request->end != LOAD_CORRECT)
         continue;
-      served[place->endpoint]++;
+      served[execution->last_endpoint]++;
       if (load_kind_is_model (request->kind))
-        tokens[place->endpoint] += request->prompt_tokens + request->tokens;
+        tokens[execution->last_endpoint]
+            += request->prompt_tokens + request->tokens;
     }
   printf ("\n%-12s %-10s %-8s %8s %8s\n", "endpoint", "service", "zone",
           "served", "tokens");
@@ -240,15 +248,15 @@
 void
 collect_print_tables (const fleet_t *fleet, const load_t *load)
 {
-  g_autoptr (GHashTable) places = ask_places (fleet, NULL);
+  g_autoptr (GHashTable) executions = fetch_executions (fleet, NULL);
   const GPtrArray *requests = load_get_requests (load);
 
-  if (places == NULL)
+  if (executions == NULL)
     return;
   printf ("%-12s %6s %7s %7s %11s %7s %6s %10s %7s %6s %s\n", "account",
           "weight", "streams", "wholes", "completions", "lookups", "posts",
           "bare-posts", "tokens", "other", "by routers");
   for (unsigned i = 0; i < fleet_get_plan (fleet)->account_count; i++)
     print_account (fleet, requests, i);
-  print_endpoints (fleet, requests, places);
+  print_endpoints (fleet, requests, executions);
 }
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 
 #define DEMO_REQUESTS 300
-#define DEMO_LIMIT_S 40
+#define DEMO_TIMEOUT_S 40
 
 static const fleet_account_t accounts[]
     = { { "chiang-mai", "key-of-chiang-mai", 2 },
@@ -57,17 +57,18 @@
 {
   load_t *load;
   int64_t end_us;
-  unsigned idle; /* checks in a row without a request running */
-} watch_t;
+  unsigned idle_checks; /* checks in a row without a request running */
+} idle_watch_t;
 
 static void
 on_check (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  watch_t *watch = watcher->data;
+  idle_watch_t *watch = watcher->data;
   bool late = clock_now_us () >= watch->end_us;
 
-  watch->idle = load_count_active (watch->load) > 0 ? 0 : watch->idle + 1;
-  if (late || watch->idle > 4)
+  watch->idle_checks
+      = load_count_active (watch->load) > 0 ? 0 : watch->idle_checks + 1;
+  if (late || watch->idle_checks > 4)
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -75,9 +76,10 @@
 static void
 run_load (struct ev_loop *loop, load_t *load)
 {
-  watch_t watch
+  idle_watch_t watch
       = { .load = load,
-          .end_us = clock_now_us () + (int64_t)DEMO_LIMIT_S * G_USEC_PER_SEC };
+          .end_us
+          = clock_now_us () + (int64_t)DEMO_TIMEOUT_S * G_USEC_PER_SEC };
   ev_timer check;
 
   ev_timer_init (&check, on_check, 0.5, 0.1);
--- a/tests/engine.c
+++ b/tests/engine.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 #define PREFILL_BASE_MS 4.0
-#define PREFILL_TOKEN_MS 0.05
-#define COLD_FACTOR 4.0
-#define PAD_MAX 16384
+#define PREFILL_MS_PER_TOKEN 0.05
+#define COLD_STEP_FACTOR 4.0
+#define MAX_PADDING_BYTES 16384
 
 struct engine
 {
@@ -15,8 +15,8 @@
   engine_counters_t counters;
   cfd_time_t cold_until;
   cfd_time_t grace_until;
-  cfd_time_t accounted;
-  double slowness; /* factor of each step's length */
+  cfd_time_t accounted_until;
+  double step_factor; /* factor of each step's length */
   unsigned running;
   list_node_t runs;
   GHashTable *nonces;
@@ -29,8 +29,8 @@
 
   engine->settings = *settings;
   engine->cold_until = now + settings->cold_ms;
-  engine->accounted = now;
-  engine->slowness = 1;
+  engine->accounted_until = now;
+  engine->step_factor = 1;
   engine->nonces
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   list_init (&engine->runs);
@@ -73,18 +73,18 @@
 static void
 account_time (engine_t *engine, cfd_time_t now)
 {
-  double span = (double)(now - engine->accounted);
+  double span = (double)(now - engine->accounted_until);
 
   engine->counters.busy_ms += span * engine->running;
-  if (engine->running > engine_get_capacity (engine, engine->accounted))
+  if (engine->running > engine_get_capacity (engine, engine->accounted_until))
     engine->counters.overload_ms += span;
-  engine->accounted = now;
+  engine->accounted_until = now;
 }
 
 void
 engine_set_step_factor (engine_t *engine, double factor)
 {
-  engine->slowness = factor;
+  engine->step_factor = factor;
 }
 
 void
@@ -96,7 +96,7 @@
 }
 
 static void
-count_start (engine_t *engine, const char *nonce, cfd_time_t now)
+count_execution (engine_t *engine, const char *nonce, cfd_time_t now)
 {
   engine_counters_t *counters = &engine->counters;
   gpointer times = g_hash_table_lookup (engine->nonces, nonce);
@@ -126,7 +126,7 @@
               bool stream, bool chat, cfd_time_t now)
 {
   g_autofree char *length = standin_parse_field (prompt, "length");
-  g_autofree char *pad = standin_parse_field (prompt, "pad");
+  g_autofree char *padding = standin_parse_field (prompt, "pad");
   engine_run_t *run = g_new0 (engine_run_t, 1);
 
   account_time (engine, now);
@@ -139,23 +139,23 @@
   run->prompt_tokens = (unsigned)(strlen (prompt) / 4 + 1);
   run->length = length ? (unsigned)g_ascii_strtoull (length, NULL, 10) : 16;
   run->length = CLAMP (run->length, 1, 100000);
-  run->pad = pad ? (unsigned)g_ascii_strtoull (pad, NULL, 10) : 0;
-  run->pad = MIN (run->pad, PAD_MAX);
+  run->padding = padding ? (unsigned)g_ascii_strtoull (padding, NULL, 10) : 0;
+  run->padding = MIN (run->padding, MAX_PADDING_BYTES);
   run->ended = CFD_TIME_NEVER;
   run->started = now;
   run->prefilled = now
                    + (cfd_time_t)(PREFILL_BASE_MS
-                                  + PREFILL_TOKEN_MS * run->prompt_tokens);
+                                  + PREFILL_MS_PER_TOKEN * run->prompt_tokens);
   run->body = g_string_new (NULL);
   list_append (&engine->runs, &run->node);
   engine->running++;
   engine->counters.prompt_tokens += run->prompt_tokens;
-  count_start (engine, run->nonce, now);
+  count_execution (engine, run->nonce, now);
   return run;
 }
 
 static void
-run_end (engine_t *engine, engine_run_t *run, cfd_time_t now)
+run_finish (engine_t *engine, engine_run_t *run, cfd_time_t now)
 {
   account_time (engine, now);
   run->ended = now;
@@ -166,7 +166,7 @@
 engine_cancel (engine_t *engine, engine_run_t *run, cfd_time_t now)
 {
   if (run->ended == CFD_TIME_NEVER)
-    run_end (engine, run, now);
+    run_finish (engine, run, now);
   run->sink = NULL;
 }
 
@@ -186,7 +186,7 @@
    in microseconds since boot: the caller, on the same machine, can tell how
    long it was on its way.  */
 static void
-append_event (GString *text, const engine_run_t *run, const char *word)
+append_event (GString *text, const engine_run_t *run, const char *token)
 {
   g_string_append_printf (text,
                           "data: {\"id\":\"%s\",\"t\":%" G_GINT64_FORMAT ",",
@@ -196,12 +196,12 @@
                             "\"object\":\"chat.completion.chunk\","
                             "\"choices\":[{\"index\":0,\"delta\":{"
                             "\"content\":\"%s\"}}]}\n\n",
-                            word);
+                            token);
   else
     g_string_append_printf (text,
                             "\"object\":\"text_completion\",\"choices\":"
                             "[{\"index\":0,\"text\":\"%s\"}]}\n\n",
-                            word);
+                            token);
 }
 
 static void
@@ -216,7 +216,7 @@
 
 /* The whole answer of a request that doesn't stream.  */
 static void
-append_whole (engine_t *engine, GString *text, const engine_run_t *run)
+append_full_answer (engine_t *engine, GString *text, const engine_run_t *run)
 {
   g_autofree char *answer
       = standin_format_answer (engine->settings.seed, run->nonce, run->length);
@@ -240,21 +240,21 @@
 /* Gives RUN its next token; the piece of its body that came of it is what was
    added to it.  */
 static void
-run_give (engine_t *engine, engine_run_t *run, cfd_time_t now)
+run_emit_token (engine_t *engine, engine_run_t *run, cfd_time_t now)
 {
-  char word[STANDIN_MAX_TOKEN_BYTES];
+  char token[STANDIN_MAX_TOKEN_BYTES];
 
-  standin_format_token (word, engine->settings.seed, run->nonce, run->given);
+  standin_format_token (token, engine->settings.seed, run->nonce, run->given);
   run->given++;
   engine->counters.output_tokens++;
   if (run->stream)
-    append_event (run->body, run, word);
+    append_event (run->body, run, token);
   if (run->given < run->length)
     return;
-  run_end (engine, run, now);
+  run_finish (engine, run, now);
   if (!run->stream)
     {
-      append_whole (engine, run->body, run);
+      append_full_answer (engine, run->body, run);
       return;
     }
   g_string_append_printf (run->body,
@@ -266,16 +266,16 @@
 }
 
 static double
-step_length (const engine_t *engine, cfd_time_t now)
+get_step_ms (const engine_t *engine, cfd_time_t now)
 {
-  unsigned bearable = engine_get_capacity (engine, now);
-  double load = (double)engine->running / bearable;
-  double length = engine->settings.step_ms * engine->slowness
+  unsigned capacity = engine_get_capacity (engine, now);
+  double load = (double)engine->running / capacity;
+  double length = engine->settings.step_ms * engine->step_factor
                   * (1 + 0.5 * MIN (load, 1));
 
   if (load > 1)
     length *= load * load;
-  return engine_is_cold (engine, now) ? length * COLD_FACTOR : length;
+  return engine_is_cold (engine, now) ? length * COLD_STEP_FACTOR : length;
 }
 
 double
@@ -296,10 +296,10 @@
       if (now < run->prefilled)
         continue;
       size_t before = run->body->len;
-      run_give (engine, run, now);
+      run_emit_token (engine, run, now);
       given (user, run, run->body->str + before, run->body->len - before);
     }
-  return step_length (engine, now);
+  return get_step_ms (engine, now);
 }
 
 unsigned
--- a/tests/engine.h
+++ b/tests/engine.h
@@ -14,13 +14,13 @@
 typedef struct
 {
   uint64_t seed;
-  unsigned slots;      /* bearable when warm */
+  unsigned slots;      /* capacity when warm */
   unsigned slots_cold; /* and in cold start */
   unsigned cold_ms;    /* length of a cold start */
   double step_ms;      /* step with one request */
 } engine_settings_t;
 
-/* Starts above what is bearable don't count for so long after the engine
+/* Starts above what is capacity don't count for so long after the engine
    turned cold by itself: nobody can know yet.  */
 #define ENGINE_OVERLOAD_GRACE_MS 500
 /* A finished stream can be resumed for so long.  */
@@ -38,13 +38,13 @@
   bool chat;
   bool usage_sent;
   unsigned prompt_tokens;
-  unsigned length; /* tokens of the answer */
-  unsigned given;  /* tokens given */
-  unsigned pad;    /* more bytes in each event */
+  unsigned length;  /* tokens of the answer */
+  unsigned given;   /* tokens given */
+  unsigned padding; /* more bytes in each event */
   cfd_time_t started;
   cfd_time_t prefilled;
   cfd_time_t ended; /* CFD_TIME_NEVER while it runs */
-  bool silent;      /* its connection went silent */
+  bool stalled;     /* its connection went stalled */
   GString *body;    /* what was given, for resuming */
   void *sink;
 } engine_run_t;
@@ -52,11 +52,11 @@
 typedef struct
 {
   uint64_t requests;
-  uint64_t overload_count;    /* starts above what was bearable */
+  uint64_t overload_count;    /* starts above what was capacity */
   uint64_t overload_in_grace; /* the same, soon after turning cold */
-  double overload_ms;         /* time above what was bearable */
+  double overload_ms;         /* time above what was capacity */
   unsigned overload_running;  /* at the last start that was counted ... */
-  unsigned overload_bearable; /* ... what was bearable ... */
+  unsigned overload_bearable; /* ... what was capacity ... */
   cfd_time_t overload_cold;   /* ... and how long ago it turned cold; 0: never
                                */
   double busy_ms;             /* sum over time of the running requests */
--- a/tests/fleet-control.c
+++ b/tests/fleet-control.c
@@ -6,11 +6,11 @@
 #include <json-glib/json-glib.h>
 #include <string.h>
 
-#define PUT_TRIES 5
+#define MAX_PUT_ATTEMPTS 5
 
 /* The version of an object, or NULL when it is not there.  */
 static char *
-object_version (const char *url)
+read_object_version (const char *url)
 {
   long status = 0;
   g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
@@ -35,9 +35,9 @@
   g_autofree char *body = g_strdup_printf ("{\"spec\":%s}", spec);
   long status = 0;
 
-  for (unsigned i = 0; i < PUT_TRIES; i++)
+  for (unsigned i = 0; i < MAX_PUT_ATTEMPTS; i++)
     {
-      g_autofree char *version = object_version (url);
+      g_autofree char *version = read_object_version (url);
       g_autofree char *condition
           = version != NULL ? g_strdup_printf ("If-Match: %s", version)
                             : g_strdup ("If-None-Match: *");
@@ -60,11 +60,11 @@
 
 /* Adds, for each other zone, the relayed address at which it sees a peer.  */
 static void
-add_views (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t sort,
-           unsigned index)
+add_zone_views (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t role,
+                unsigned index)
 {
-  unsigned own = fleet_get_zone (fleet, sort, index);
-  unsigned view = sort == FLEET_ROUTER ? PORT_ROUTER_VIEW : PORT_AGENT_VIEW;
+  unsigned own = fleet_get_zone (fleet, role, index);
+  unsigned view = role == FLEET_ROUTER ? PORT_ROUTER_VIEW : PORT_AGENT_VIEW;
 
   json_builder_set_member_name (builder, "views");
   json_builder_begin_object (builder);
@@ -82,7 +82,7 @@
 }
 
 static void
-add_text (JsonBuilder *builder, const char *name, char *value)
+add_string (JsonBuilder *builder, const char *name, char *value)
 {
   json_builder_set_member_name (builder, name);
   json_builder_add_string_value (builder, value);
@@ -90,43 +90,45 @@
 }
 
 static void
-add_instance (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t sort,
+add_instance (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t role,
               unsigned index, const char *state)
 {
-  bool router = sort == FLEET_ROUTER;
+  bool router = role == FLEET_ROUTER;
 
   json_builder_begin_object (builder);
-  add_text (builder, "name",
-            g_strdup_printf ("%s-%u", router ? "router" : "agent", index));
-  add_text (builder, "role", g_strdup (router ? "router" : "agent"));
-  add_text (builder, "zone",
-            g_strdup_printf ("zone-%u", fleet_get_zone (fleet, sort, index)));
-  add_text (builder, "address",
-            fleet_format_address (
-                fleet, index, router ? PORT_ROUTER_PEER : PORT_AGENT_PEER));
-  add_text (builder, "admin",
-            fleet_format_address (
-                fleet, index, router ? PORT_ROUTER_ADMIN : PORT_AGENT_ADMIN));
-  add_text (builder, "state", g_strdup (state));
-  add_views (fleet, builder, sort, index);
+  add_string (builder, "name",
+              g_strdup_printf ("%s-%u", router ? "router" : "agent", index));
+  add_string (builder, "role", g_strdup (router ? "router" : "agent"));
+  add_string (
+      builder, "zone",
+      g_strdup_printf ("zone-%u", fleet_get_zone (fleet, role, index)));
+  add_string (builder, "address",
+              fleet_format_address (
+                  fleet, index, router ? PORT_ROUTER_PEER : PORT_AGENT_PEER));
+  add_string (
+      builder, "admin",
+      fleet_format_address (fleet, index,
+                            router ? PORT_ROUTER_ADMIN : PORT_AGENT_ADMIN));
+  add_string (builder, "state", g_strdup (state));
+  add_zone_views (fleet, builder, role, index);
   json_builder_end_object (builder);
 }
 
 /* The whole list; the platform takes no less.  */
 static char *
-list_text (const fleet_t *fleet)
+format_instances (const fleet_t *fleet)
 {
   g_autoptr (JsonBuilder) builder = json_builder_new ();
 
   json_builder_begin_array (builder);
   for (unsigned i = 0; i < FLEET_MAX_MEMBERS; i++)
     {
-      if (fleet->listed[FLEET_ROUTER][i] != NULL)
+      if (fleet->instance_states[FLEET_ROUTER][i] != NULL)
         add_instance (fleet, builder, FLEET_ROUTER, i,
-                      fleet->listed[FLEET_ROUTER][i]);
-      if (fleet->listed[FLEET_AGENT][i] != NULL)
+                      fleet->instance_states[FLEET_ROUTER][i]);
+      if (fleet->instance_states[FLEET_AGENT][i] != NULL)
         add_instance (fleet, builder, FLEET_AGENT, i,
-                      fleet->listed[FLEET_AGENT][i]);
+                      fleet->instance_states[FLEET_AGENT][i]);
     }
   json_builder_end_array (builder);
   g_autoptr (JsonNode) root = json_builder_get_root (builder);
@@ -138,7 +140,7 @@
 {
   g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/instances", NULL);
-  g_autofree char *body = list_text (fleet);
+  g_autofree char *body = format_instances (fleet);
   long status = 0;
   g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
@@ -151,10 +153,10 @@
 }
 
 bool
-fleet_set_instance_state (fleet_t *fleet, fleet_role_t sort, unsigned index,
+fleet_set_instance_state (fleet_t *fleet, fleet_role_t role, unsigned index,
                           const char *state, GError **error)
 {
-  fleet->listed[sort][index] = state;
+  fleet->instance_states[role][index] = state;
   return fleet_publish_instances (fleet, error);
 }
 
@@ -172,15 +174,16 @@
 }
 
 static bool
-set_passage (fleet_t *fleet, unsigned zone, const char *target, bool apart)
+set_zone_relay_mode (fleet_t *fleet, unsigned zone, const char *target,
+                     bool partitioned)
 {
   g_autofree char *group = g_strdup_printf ("zone-%u>%s", zone, target);
 
-  return fleet_set_relay_mode (fleet, group, apart ? "hole" : "pass");
+  return fleet_set_relay_mode (fleet, group, partitioned ? "hole" : "pass");
 }
 
 bool
-fleet_set_partition (fleet_t *fleet, const unsigned *sides, bool apart)
+fleet_set_partition (fleet_t *fleet, const unsigned *sides, bool partitioned)
 {
   bool good = true;
 
@@ -189,28 +192,30 @@
       {
         g_autofree char *target = g_strdup_printf ("zone-%u", to);
         if (sides[from] != sides[to])
-          good = set_passage (fleet, from, target, apart) && good;
+          good
+              = set_zone_relay_mode (fleet, from, target, partitioned) && good;
       }
   return good;
 }
 
 bool
 fleet_set_platform_partition (fleet_t *fleet, const unsigned *sides,
-                              unsigned side, bool apart)
+                              unsigned side, bool partitioned)
 {
   bool good = true;
 
   for (unsigned zone = 0; zone < fleet->plan.zones; zone++)
     if (sides[zone] == side)
-      good = set_passage (fleet, zone, "platform", apart) && good;
+      good
+          = set_zone_relay_mode (fleet, zone, "platform", partitioned) && good;
   return good;
 }
 
 double
-fleet_sum_metric (const fleet_t *fleet, fleet_role_t sort, unsigned index,
+fleet_sum_metric (const fleet_t *fleet, fleet_role_t role, unsigned index,
                   const char *name)
 {
-  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, role, index);
   g_autofree char *url = g_strconcat (base, "/metrics", NULL);
   long status = 0;
   g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
--- a/tests/fleet-private.h
+++ b/tests/fleet-private.h
@@ -30,11 +30,11 @@
   fleet_plan_t plan;
   proc_set_t *procs;
   char *build;
-  char *net; /* "127.x.y" */
-  int lock;  /* socket that keeps the addresses ours */
+  char *network_prefix; /* "127.x.y" */
+  int lock_fd;          /* socket that keeps the addresses ours */
   GPtrArray *sorts[FLEET_ROLE_COUNT];
   /* What the platform's list says of each router and agent; NULL: nothing.  */
-  const char *listed[FLEET_ROLE_COUNT][FLEET_MAX_MEMBERS];
+  const char *instance_states[FLEET_ROLE_COUNT][FLEET_MAX_MEMBERS];
 };
 
 /* "127.x.y.N:PORT" of the member INDEX.  */
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -3,7 +3,7 @@
 
    Zones are "zone-0"..., routers "router-0"..., agents "agent-0"...; agent I
    serves the endpoint "endpoint-I": first those of the model service "draft",
-   then those of the plain service "register".  Member I of each sort is in
+   then those of the plain service "register".  Member I of each role is in
    zone I modulo the number of zones.  Traffic between zones, to the platform
    and from callers goes through the relay, in the groups "zone-A>zone-B",
    "zone-A>platform" and "callers".  */
@@ -22,7 +22,7 @@
 #define FLEET_NEW_ROUTER "cli/cfd-router"
 #define FLEET_NEW_AGENT "cli/cfd-agent"
 #define FLEET_SECRET "secret-of-a-test-fleet"
-/* The last octet of an address numbers the members of a sort.  */
+/* The last octet of an address numbers the members of a role.  */
 #define FLEET_MAX_MEMBERS 250
 /* Requests that an account may have waiting at one router.  */
 #define FLEET_MAX_QUEUED 4000u
@@ -81,20 +81,20 @@
 void fleet_free (fleet_t *fleet, bool keep);
 
 const fleet_plan_t *fleet_get_plan (const fleet_t *fleet);
-unsigned fleet_count_members (const fleet_t *fleet, fleet_role_t sort);
-proc_t *fleet_get_process (const fleet_t *fleet, fleet_role_t sort,
+unsigned fleet_count_members (const fleet_t *fleet, fleet_role_t role);
+proc_t *fleet_get_process (const fleet_t *fleet, fleet_role_t role,
                            unsigned index);
 proc_set_t *fleet_get_processes (const fleet_t *fleet);
-unsigned fleet_get_zone (const fleet_t *fleet, fleet_role_t sort,
+unsigned fleet_get_zone (const fleet_t *fleet, fleet_role_t role,
                          unsigned index);
 
 /* Base URLs; free with g_free.  FLEET_ROUTER is the callers' port, through
    the relay.  */
-char *fleet_get_url (const fleet_t *fleet, fleet_role_t sort, unsigned index);
+char *fleet_get_url (const fleet_t *fleet, fleet_role_t role, unsigned index);
 /* Callers' port without the relay.  */
 char *fleet_get_direct_url (const fleet_t *fleet, unsigned router);
 /* Admin port of a router or an agent.  */
-char *fleet_get_admin_url (const fleet_t *fleet, fleet_role_t sort,
+char *fleet_get_admin_url (const fleet_t *fleet, fleet_role_t role,
                            unsigned index);
 
 /* Writes an object with a conditional update on what is there now.  */
@@ -102,26 +102,27 @@
                        const char *spec, GError **error);
 /* Tells the platform's list of instances what it shows of one: "live",
    "leaving", or NULL for nothing.  STATE is not copied.  */
-bool fleet_set_instance_state (fleet_t *fleet, fleet_role_t sort,
+bool fleet_set_instance_state (fleet_t *fleet, fleet_role_t role,
                                unsigned index, const char *state,
                                GError **error);
 unsigned fleet_get_region (const fleet_t *fleet, unsigned zone);
 
 /* Cuts the zones of different sides off from each other, both ways, or joins
    them again.  SIDES has a number for each zone.  */
-bool fleet_set_partition (fleet_t *fleet, const unsigned *sides, bool apart);
+bool fleet_set_partition (fleet_t *fleet, const unsigned *sides,
+                          bool partitioned);
 /* Cuts the zones of SIDE off from the platform, or joins them again.  */
 bool fleet_set_platform_partition (fleet_t *fleet, const unsigned *sides,
-                                   unsigned side, bool apart);
+                                   unsigned side, bool partitioned);
 /* Sets MODE for a group of the relay.  */
 bool fleet_set_relay_mode (fleet_t *fleet, const char *group,
                            const char *mode);
 /* Adds up a metric over the samples of one process; -1 when absent.  */
-double fleet_sum_metric (const fleet_t *fleet, fleet_role_t sort,
+double fleet_sum_metric (const fleet_t *fleet, fleet_role_t role,
                          unsigned index, const char *name);
 
 /* Starts a spare router, or a spare agent with its endpoint, and lists it.  */
-bool fleet_start_spare (fleet_t *fleet, fleet_role_t sort, unsigned index,
+bool fleet_start_spare (fleet_t *fleet, fleet_role_t role, unsigned index,
                         GError **error);
 
 #endif
--- a/tests/load-make.c
+++ b/tests/load-make.c
@@ -3,8 +3,8 @@
 #include "load-make.h"
 
 unsigned
-make_router (const load_plan_t *plan, GRand *random,
-             const load_account_t *account)
+load_choose_router (const load_plan_t *plan, GRand *random,
+                    const load_account_t *account)
 {
   double left = g_rand_double (random);
 
@@ -18,7 +18,7 @@
 }
 
 load_kind_t
-make_kind (GRand *random, const load_account_t *account)
+load_choose_kind (GRand *random, const load_account_t *account)
 {
   unsigned total = 0;
 
@@ -35,7 +35,8 @@
 }
 
 char *
-make_body (const load_plan_t *plan, GRand *random, load_request_t *request)
+load_build_body (const load_plan_t *plan, GRand *random,
+                 load_request_t *request)
 {
   if (!load_kind_is_model (request->kind))
     return request->kind == LOAD_LOOKUP
@@ -50,8 +51,8 @@
 
   g_string_append_printf (prompt, "nonce=%s length=%u", request->nonce,
                           request->length);
-  if (plan->pad > 0)
-    g_string_append_printf (prompt, " pad=%u", plan->pad);
+  if (plan->event_padding > 0)
+    g_string_append_printf (prompt, " pad=%u", plan->event_padding);
   for (unsigned i = 0; i < words; i++)
     g_string_append (prompt, " ledger");
   request->prompt_tokens = (unsigned)(prompt->len / 4 + 1);
@@ -70,7 +71,7 @@
 }
 
 char *
-make_url (const load_plan_t *plan, const load_request_t *request)
+load_build_url (const load_plan_t *plan, const load_request_t *request)
 {
   const char *base = plan->urls[request->router];
 
--- a/tests/load-make.h
+++ b/tests/load-make.h
@@ -6,13 +6,13 @@
 
 #include "load.h"
 
-unsigned make_router (const load_plan_t *plan, GRand *random,
-                      const load_account_t *account);
-load_kind_t make_kind (GRand *random, const load_account_t *account);
+unsigned load_choose_router (const load_plan_t *plan, GRand *random,
+                             const load_account_t *account);
+load_kind_t load_choose_kind (GRand *random, const load_account_t *account);
 /* The body, NULL when there is none; the hint of a model request's length is
    rough.  Sets the prompt's tokens.  */
-char *make_body (const load_plan_t *plan, GRand *random,
-                 load_request_t *request);
-char *make_url (const load_plan_t *plan, const load_request_t *request);
+char *load_build_body (const load_plan_t *plan, GRand *random,
+                       load_request_t *request);
+char *load_build_url (const load_plan_t *plan, const load_request_t *request);
 
 #endif
--- a/tests/load.c
+++ b/tests/load.c
@@ -7,7 +7,7 @@
 #include "standin.h"
 #include <string.h>
 
-#define RETRY_MS 250
+#define RETRY_DELAY_MS 250
 
 struct load
 {
@@ -37,8 +37,8 @@
   fetch_t *fetch;
   bool has_paused;
   GString *line; /* of the answer, not yet whole */
-  bool said_done;
-  bool wrong;
+  bool received_done;
+  bool has_wrong_content;
 } caller_t;
 
 static const char *const kind_names[]
@@ -57,7 +57,7 @@
 }
 
 static const load_account_t *
-account_of (const caller_t *caller)
+get_account (const caller_t *caller)
 {
   return caller->load->plan->accounts->pdata[caller->account];
 }
@@ -83,7 +83,7 @@
 
 /* The first byte of the answer's content came.  */
 static void
-note_first (caller_t *caller, int64_t now_us)
+record_first_byte (caller_t *caller, int64_t now_us)
 {
   load_t *load = caller->load;
   load_request_t *request = caller->request;
@@ -96,12 +96,12 @@
 }
 
 static void
-note_tokens (caller_t *caller, unsigned count, int64_t now_us)
+record_tokens (caller_t *caller, unsigned count, int64_t now_us)
 {
   load_t *load = caller->load;
   load_request_t *request = caller->request;
 
-  note_first (caller, now_us);
+  record_first_byte (caller, now_us);
   if (request->tokens > 0 && count == 1)
     {
       float interval = (float)(now_us - request->last_us) / 1000;
@@ -114,19 +114,19 @@
 
 /* The line tells when the engine gave its token.  */
 static void
-note_delay (load_t *load, const char *line, int64_t now_us)
+record_delay (load_t *load, const char *line, int64_t now_us)
 {
-  const char *given = strstr (line, "\"t\":");
+  const char *stamp = strstr (line, "\"t\":");
 
-  if (given == NULL)
+  if (stamp == NULL)
     return;
-  float delay = (float)(now_us - g_ascii_strtoll (given + 4, NULL, 10)) / 1000;
+  float delay = (float)(now_us - g_ascii_strtoll (stamp + 4, NULL, 10)) / 1000;
   g_array_append_val (load->delays, delay);
 }
 
 /* The last event of a stream tells when the engine got the request.  */
 static void
-note_engine (load_request_t *request, const char *line)
+record_engine_start (load_request_t *request, const char *line)
 {
   const char *started = strstr (line, "\"started\":");
 
@@ -137,7 +137,7 @@
 
 /* One "data: " line of a stream.  */
 static void
-take_line (caller_t *caller, const char *line, int64_t now_us)
+parse_event_line (caller_t *caller, const char *line, int64_t now_us)
 {
   load_request_t *request = caller->request;
   const char *mark
@@ -146,19 +146,19 @@
   char word[STANDIN_MAX_TOKEN_BYTES];
 
   if (strcmp (line, "data: [DONE]") == 0)
-    caller->said_done = true;
+    caller->received_done = true;
   if (mark == NULL)
     {
-      note_engine (request, line);
+      record_engine_start (request, line);
       return;
     }
   mark = strchr (mark, ':') + 2;
   standin_format_token (word, caller->load->plan->answer_seed, request->nonce,
                         request->tokens);
   if (strncmp (mark, word, strlen (word)) != 0 || mark[strlen (word)] != '"')
-    caller->wrong = true;
-  note_delay (caller->load, line, now_us);
-  note_tokens (caller, 1, now_us);
+    caller->has_wrong_content = true;
+  record_delay (caller->load, line, now_us);
+  record_tokens (caller, 1, now_us);
 }
 
 static void
@@ -173,13 +173,13 @@
 static void
 pause_reading (caller_t *caller)
 {
-  unsigned pause_ms = caller->load->plan->pause_ms;
+  unsigned read_pause_ms = caller->load->plan->read_pause_ms;
 
-  if (pause_ms == 0 || caller->has_paused)
+  if (read_pause_ms == 0 || caller->has_paused)
     return;
   caller->has_paused = true;
   fetch_pause (caller->fetch, true);
-  schedule (caller, pause_ms);
+  schedule (caller, read_pause_ms);
 }
 
 static void
@@ -198,7 +198,7 @@
   for (char *end; (end = strchr (start, '\n')) != NULL; start = end + 1)
     {
       *end = '\0';
-      take_line (caller, start, now_us);
+      parse_event_line (caller, start, now_us);
     }
   g_string_erase (caller->line, 0, start - caller->line->str);
 }
@@ -213,7 +213,7 @@
 
 /* Whether an answer in one piece is whole and its own.  */
 static bool
-whole_is_right (caller_t *caller, int64_t now_us)
+is_body_correct (caller_t *caller, int64_t now_us)
 {
   load_request_t *request = caller->request;
   const char *text = caller->line->str;
@@ -226,34 +226,34 @@
           = g_strconcat ("\"content\":\"", answer, "\"", NULL);
       if (strstr (text, content) == NULL)
         return false;
-      note_tokens (caller, request->length, now_us);
+      record_tokens (caller, request->length, now_us);
       return true;
     }
   g_autofree char *nonce
       = g_strconcat ("\"nonce\":\"", request->nonce, "\"", NULL);
-  note_first (caller, now_us);
+  record_first_byte (caller, now_us);
   return strstr (text, nonce) != NULL;
 }
 
 static load_outcome_t
-judge (caller_t *caller, fetch_result_t result)
+classify_outcome (caller_t *caller, fetch_result_t result)
 {
   load_request_t *request = caller->request;
 
   if (result != FETCH_COMPLETE)
-    return caller->wrong ? LOAD_INCORRECT : LOAD_INCOMPLETE;
+    return caller->has_wrong_content ? LOAD_INCORRECT : LOAD_INCOMPLETE;
   if (request->status >= 300)
     {
       request->not_run = strstr (caller->line->str, "\"not-run\"") != NULL;
       return LOAD_REFUSED;
     }
   if (request->kind == LOAD_STREAM || request->kind == LOAD_COMPLETION)
-    return caller->said_done && !caller->wrong
+    return caller->received_done && !caller->has_wrong_content
                    && request->tokens == request->length
                ? LOAD_CORRECT
                : LOAD_INCORRECT;
-  return whole_is_right (caller, clock_now_us ()) ? LOAD_CORRECT
-                                                  : LOAD_INCORRECT;
+  return is_body_correct (caller, clock_now_us ()) ? LOAD_CORRECT
+                                                   : LOAD_INCORRECT;
 }
 
 static void
@@ -265,7 +265,7 @@
   load_request_t *request = caller->request;
 
   request->status = status;
-  request->end = judge (caller, result);
+  request->end = classify_outcome (caller, result);
   request->last_us = clock_now_us ();
   if (request->end != LOAD_CORRECT)
     request->detail
@@ -275,20 +275,20 @@
   load->active--;
   caller->request = NULL;
   schedule (caller, request->end == LOAD_CORRECT
-                        ? account_of (caller)->think_ms
-                        : RETRY_MS);
+                        ? get_account (caller)->think_ms
+                        : RETRY_DELAY_MS);
 }
 
 static load_request_t *
 request_new (caller_t *caller)
 {
   load_t *load = caller->load;
-  const load_account_t *account = account_of (caller);
+  const load_account_t *account = get_account (caller);
   load_request_t *request = g_new0 (load_request_t, 1);
 
   request->account = caller->account;
-  request->kind = make_kind (load->random, account);
-  request->router = make_router (load->plan, load->random, account);
+  request->kind = load_choose_kind (load->random, account);
+  request->router = load_choose_router (load->plan, load->random, account);
   request->length = (unsigned)g_rand_int_range (
       load->random, (gint32)account->min_answer_tokens,
       (gint32)account->max_answer_tokens + 1);
@@ -304,13 +304,13 @@
 {
   load_t *load = caller->load;
   load_request_t *request = request_new (caller);
-  const load_account_t *account = account_of (caller);
+  const load_account_t *account = get_account (caller);
   g_autofree char *key
       = g_strconcat ("Authorization: Bearer ", account->key, NULL);
   g_autofree char *once
       = g_strconcat ("Idempotency-Key: ", request->nonce, NULL);
-  g_autofree char *url = make_url (load->plan, request);
-  g_autofree char *body = make_body (load->plan, load->random, request);
+  g_autofree char *url = load_build_url (load->plan, request);
+  g_autofree char *body = load_build_body (load->plan, load->random, request);
   const char *headers[] = { key, "Content-Type: application/json",
                             request->kind == LOAD_POST ? once : NULL, NULL };
   const fetch_request_t fetch
@@ -328,8 +328,8 @@
           .user = caller };
 
   caller->request = request;
-  caller->said_done = false;
-  caller->wrong = false;
+  caller->received_done = false;
+  caller->has_wrong_content = false;
   g_string_truncate (caller->line, 0);
   if (load_kind_is_model (request->kind))
     load_tally_add_waiting (load->tally, request);
@@ -340,16 +340,18 @@
 
 /* Milliseconds that an account which works in turns still pauses.  */
 static double
-pause_left (const caller_t *caller)
+get_off_time_left_ms (const caller_t *caller)
 {
-  const load_account_t *account = account_of (caller);
-  double turn = account->on_ms + account->off_ms;
+  const load_account_t *account = get_account (caller);
+  double period_ms = account->on_ms + account->off_ms;
 
   if (account->off_ms <= 0)
     return 0;
-  double passed = (double)(clock_now_us () - caller->load->began_us) / 1000;
-  double into = passed - turn * (double)(int64_t)(passed / turn);
-  return into < account->on_ms ? 0 : turn - into;
+  double elapsed_ms
+      = (double)(clock_now_us () - caller->load->began_us) / 1000;
+  double in_period_ms
+      = elapsed_ms - period_ms * (double)(int64_t)(elapsed_ms / period_ms);
+  return in_period_ms < account->on_ms ? 0 : period_ms - in_period_ms;
 }
 
 static void
@@ -358,7 +360,7 @@
   caller_t *caller = watcher->data;
   load_t *load = caller->load;
   unsigned limit = load->plan->request_limit;
-  double wait = pause_left (caller);
+  double wait = get_off_time_left_ms (caller);
 
   if (caller->request != NULL)
     {
--- a/tests/load.h
+++ b/tests/load.h
@@ -58,10 +58,10 @@
   unsigned request_limit;   /* stops by itself after so many; 0: none */
   unsigned idle_timeout_ms; /* a caller gives up after such a silence */
   bool exact_hints;         /* max_tokens is the answer's length */
-  unsigned pad;             /* bytes that engines add to each event */
-  unsigned pause_ms;   /* a caller reads nothing for so long after the first
-                          bytes; 0: reads at once */
-  GPtrArray *accounts; /* of load_account_t */
+  unsigned event_padding;   /* bytes that engines add to each event */
+  unsigned read_pause_ms; /* a caller reads nothing for so long after the first
+                        bytes; 0: reads at once */
+  GPtrArray *accounts;    /* of load_account_t */
 } load_plan_t;
 
 /* One request as its caller saw it.  */
--- a/tests/measure-config.c
+++ b/tests/measure-config.c
@@ -1,9 +1,9 @@
-/* How the platform's load and the router_shares of a configuration change grow
-   with the fleet: without work, when hardly any links are open and those that
-   learn from peers hear the least, and with some.
+/* How the platform's load and the router_shares of a configuration
+   measure_change grow with the fleet: without work, when hardly any links are
+   open and those that learn from peers hear the least, and with some.
 
-     measure-config [ROW]     the router_shares, all rows or one
-     measure-config memory    the memory by accounts  */
+     measure_size-config [ROW]     the router_shares, all rows or one
+     measure_size-config memory    the memory by accounts  */
 
 #include "base/clock.h"
 #include "load.h"
@@ -14,11 +14,11 @@
 #include <string.h>
 
 #define SETTLE_S 33 /* links close after 30 s without use */
-#define WATCH_S 15
-#define CHANGES 7
-#define PATIENCE_MS 15000
-#define ROUND_S 0.02
-#define GAP_S 0.3 /* grows between two changes */
+#define OBSERVATION_S 15
+#define CHANGE_COUNT 7
+#define CHANGE_TIMEOUT_MS 15000
+#define POLL_INTERVAL_S 0.02
+#define CHANGE_GAP_S 0.3 /* grows between two changes */
 
 typedef struct
 {
@@ -31,12 +31,12 @@
 };
 static const unsigned memory_sizes[] = { 16, 6000, 18000 };
 
-static const char *const kinds[]
+static const char *const call_kinds[]
     = { "list", "watch", "instances", "get", "put", "total" };
 
 /* Adds SIGN times the platform's call counts to CALLS.  */
 static void
-add_calls (const fleet_t *fleet, double sign, double *calls)
+add_call_counts (const fleet_t *fleet, double sign, double *calls)
 {
   g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/calls", NULL);
@@ -45,46 +45,46 @@
   g_autoptr (JsonNode) root
       = text == NULL ? NULL : json_from_string (text, NULL);
 
-  for (unsigned i = 0; root != NULL && i < G_N_ELEMENTS (kinds); i++)
+  for (unsigned i = 0; root != NULL && i < G_N_ELEMENTS (call_kinds); i++)
     calls[i] += sign
                 * (double)json_object_get_int_member (
-                    json_node_get_object (root), kinds[i]);
+                    json_node_get_object (root), call_kinds[i]);
 }
 
 static double
-revision_of (const fleet_t *fleet, fleet_role_t sort, unsigned index)
+read_revision (const fleet_t *fleet, fleet_role_t role, unsigned index)
 {
-  return fleet_sum_metric (fleet, sort, index, "cfd_config_revision");
+  return fleet_sum_metric (fleet, role, index, "cfd_config_revision");
 }
 
 /* Whether all processes of SORT have REVISION; DONE counts the first ones that
    are known to, which are not asked again.  */
 static bool
-all_have (const fleet_t *fleet, fleet_role_t sort, double revision,
-          unsigned *done)
+have_all_revision (const fleet_t *fleet, fleet_role_t role, double revision,
+                   unsigned *done)
 {
-  while (*done < fleet_count_members (fleet, sort)
-         && revision_of (fleet, sort, *done) >= revision)
+  while (*done < fleet_count_members (fleet, role)
+         && read_revision (fleet, role, *done) >= revision)
     (*done)++;
-  return *done == fleet_count_members (fleet, sort);
+  return *done == fleet_count_members (fleet, role);
 }
 
 /* Control bytes in and out of all routers and agents so far.  */
 static double
-control_bytes (const fleet_t *fleet)
+sum_control_bytes (const fleet_t *fleet)
 {
-  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t roles[] = { FLEET_ROUTER, FLEET_AGENT };
   double sum = 0;
 
-  for (unsigned i = 0; i < G_N_ELEMENTS (sorts); i++)
-    for (unsigned j = 0; j < fleet_count_members (fleet, sorts[i]); j++)
-      sum += fleet_sum_metric (fleet, sorts[i], j,
+  for (unsigned i = 0; i < G_N_ELEMENTS (roles); i++)
+    for (unsigned j = 0; j < fleet_count_members (fleet, roles[i]); j++)
+      sum += fleet_sum_metric (fleet, roles[i], j,
                                "cfd_peer_control_bytes_total");
   return sum;
 }
 
 static int
-compare_times (gconstpointer a, gconstpointer b)
+compare_durations (gconstpointer a, gconstpointer b)
 {
   double first = *(const double *)a;
   double second = *(const double *)b;
@@ -100,7 +100,7 @@
 
 /* Lets the load go on for so long.  */
 static void
-pass (struct ev_loop *loop, double seconds)
+run_loop_for (struct ev_loop *loop, double seconds)
 {
   ev_timer timer;
 
@@ -110,28 +110,28 @@
   ev_run (loop, 0);
 }
 
-/* Milliseconds until a change was in force everywhere, PATIENCE_MS when it
-   took longer.  */
+/* Milliseconds until a measure_change was in force everywhere,
+   CHANGE_TIMEOUT_MS when it took longer.  */
 static double
-change (fleet_t *fleet, struct ev_loop *loop, unsigned number)
+measure_change (fleet_t *fleet, struct ev_loop *loop, unsigned number)
 {
   g_autofree char *spec = g_strdup_printf (
       "{\"schema\":2,\"state\":\"in\",\"region\":\"r%u\"}", number);
-  double before = revision_of (fleet, FLEET_ROUTER, 0);
+  double before = read_revision (fleet, FLEET_ROUTER, 0);
   unsigned routers = 0;
   unsigned agents = 0;
   cfd_time_t start = clock_now ();
 
   if (!fleet_put_object (fleet, "availability-zone", "zone-0", spec, NULL))
-    return PATIENCE_MS;
-  while (clock_now () - start < PATIENCE_MS)
+    return CHANGE_TIMEOUT_MS;
+  while (clock_now () - start < CHANGE_TIMEOUT_MS)
     {
-      if (all_have (fleet, FLEET_ROUTER, before + 1, &routers)
-          && all_have (fleet, FLEET_AGENT, before + 1, &agents))
+      if (have_all_revision (fleet, FLEET_ROUTER, before + 1, &routers)
+          && have_all_revision (fleet, FLEET_AGENT, before + 1, &agents))
         return (double)(clock_now () - start);
-      pass (loop, ROUND_S);
+      run_loop_for (loop, POLL_INTERVAL_S);
     }
-  return PATIENCE_MS;
+  return CHANGE_TIMEOUT_MS;
 }
 
 /* A load with all that it is made of.  */
@@ -191,39 +191,40 @@
 }
 
 static void
-measure_fleet_of (fleet_t *fleet, struct ev_loop *loop, const size_row_t *size)
+measure_fleet_under_load (fleet_t *fleet, struct ev_loop *loop,
+                          const size_row_t *size)
 {
   traffic_t *traffic = traffic_new (fleet, loop, size);
   unsigned nodes = size->routers + size->models;
-  double calls[G_N_ELEMENTS (kinds)] = { 0 };
-  double times[CHANGES];
+  double calls[G_N_ELEMENTS (call_kinds)] = { 0 };
+  double times[CHANGE_COUNT];
   double bytes;
 
-  pass (loop, SETTLE_S);
-  add_calls (fleet, -1, calls);
-  bytes = -control_bytes (fleet);
-  pass (loop, WATCH_S);
-  add_calls (fleet, 1, calls);
-  bytes += control_bytes (fleet);
-  for (unsigned i = 0; i < CHANGES; i++)
+  run_loop_for (loop, SETTLE_S);
+  add_call_counts (fleet, -1, calls);
+  bytes = -sum_control_bytes (fleet);
+  run_loop_for (loop, OBSERVATION_S);
+  add_call_counts (fleet, 1, calls);
+  bytes += sum_control_bytes (fleet);
+  for (unsigned i = 0; i < CHANGE_COUNT; i++)
     {
-      times[i] = change (fleet, loop, i);
+      times[i] = measure_change (fleet, loop, i);
       /* The next one at another moment of the peers' cycles.  */
-      pass (loop, GAP_S * (i + 1));
+      run_loop_for (loop, CHANGE_GAP_S * (i + 1));
     }
-  qsort (times, CHANGES, sizeof *times, compare_times);
+  qsort (times, CHANGE_COUNT, sizeof *times, compare_durations);
   printf ("%9u %7u", nodes, size->callers);
-  for (unsigned i = 0; i < G_N_ELEMENTS (kinds); i++)
-    printf (" %9.2f", calls[i] / WATCH_S);
-  printf (" %9.0f %9.0f %9.0f %9u\n", bytes / WATCH_S / nodes,
-          times[CHANGES / 2], times[CHANGES - 1],
+  for (unsigned i = 0; i < G_N_ELEMENTS (call_kinds); i++)
+    printf (" %9.2f", calls[i] / OBSERVATION_S);
+  printf (" %9.0f %9.0f %9.0f %9u\n", bytes / OBSERVATION_S / nodes,
+          times[CHANGE_COUNT / 2], times[CHANGE_COUNT - 1],
           load_get_requests (traffic->load)->len);
   fflush (stdout);
   traffic_free (traffic);
 }
 
 static bool
-measure (const size_row_t *size)
+measure_size (const size_row_t *size)
 {
   const fleet_account_t account = { "account", "key", 1 };
   fleet_plan_t plan = { .zones = 4,
@@ -246,7 +247,7 @@
       return false;
     }
   loop = ev_loop_new (EVFLAG_AUTO);
-  measure_fleet_of (fleet, loop, size);
+  measure_fleet_under_load (fleet, loop, size);
   ev_loop_destroy (loop);
   fleet_free (fleet, false);
   return true;
@@ -274,12 +275,12 @@
   printf ("calls a second, control bytes a node and second, and milliseconds "
           "until a change was in force\n"
           "instances callers");
-  for (unsigned i = 0; i < G_N_ELEMENTS (kinds); i++)
-    printf (" %9s", kinds[i]);
+  for (unsigned i = 0; i < G_N_ELEMENTS (call_kinds); i++)
+    printf (" %9s", call_kinds[i]);
   printf (" %9s %9s %9s %9s\n", "bytes", "ms median", "ms most", "requests");
   fflush (stdout);
   for (unsigned i = 0; good && i < G_N_ELEMENTS (sizes); i++)
     if (argc < 2 || (guint64)i == g_ascii_strtoull (argv[1], NULL, 10))
-      good = measure (&sizes[i]);
+      good = measure_size (&sizes[i]);
   return good ? 0 : 1;
 }
--- a/tests/measure-event.c
+++ b/tests/measure-event.c
@@ -11,8 +11,8 @@
 #define EVENT_ZONE_INDEX 1u
 #define CUT_SIDE 1u
 /* Routers that are killed: one in so many, at least one.  */
-#define KILLED_PART 4u
-#define KILL_MS 2000
+#define KILLED_DIVISOR 4u
+#define KILL_TIMEOUT_MS 2000
 #define SLOW_ENDPOINT 1u
 
 struct event
@@ -23,14 +23,14 @@
   unsigned *routers; /* side of each */
 };
 
-static const char *const names[]
+static const char *const event_names[]
     = { "zone", "partition", "region", "home", "platform", "slow" };
 
 bool
 measure_event_parse (const char *name, event_kind_t *kind)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (names); i++)
-    if (strcmp (name, names[i]) == 0)
+  for (unsigned i = 0; i < G_N_ELEMENTS (event_names); i++)
+    if (strcmp (name, event_names[i]) == 0)
       {
         *kind = (event_kind_t)i;
         return true;
@@ -78,7 +78,7 @@
 }
 
 static bool
-set_zone (const event_t *event, const char *state)
+put_zone_state (const event_t *event, const char *state)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *name = g_strdup_printf ("zone-%u", EVENT_ZONE_INDEX);
@@ -94,17 +94,19 @@
 /* ---- partitions ---- */
 
 static bool
-set_apart (const event_t *event, bool apart)
+set_partition (const event_t *event, bool partitioned)
 {
-  bool parted = fleet_set_partition (event->fleet, event->zones, apart);
+  bool zones_ok
+      = fleet_set_partition (event->fleet, event->zones, partitioned);
 
   return fleet_set_platform_partition (event->fleet, event->zones, CUT_SIDE,
-                                       apart)
-         && parted;
+                                       partitioned)
+         && zones_ok;
 }
 
 static bool
-cut_off (event_t *event, bool (*is_cut) (const event_t *, unsigned zone))
+begin_partition (event_t *event,
+                 bool (*is_cut) (const event_t *, unsigned zone))
 {
   for (unsigned i = 0; i < fleet_get_plan (event->fleet)->zones; i++)
     event->zones[i] = is_cut (event, i) ? CUT_SIDE : 0;
@@ -112,7 +114,7 @@
        i++)
     event->routers[i]
         = event->zones[fleet_get_zone (event->fleet, FLEET_ROUTER, i)];
-  return set_apart (event, true);
+  return set_partition (event, true);
 }
 
 static bool
@@ -130,19 +132,19 @@
 /* ---- homes ---- */
 
 static unsigned
-greatest_home (const event_t *event)
+find_largest_home (const event_t *event)
 {
   unsigned found = 0;
-  double most = -1;
+  double max_gap = -1;
 
   for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
        i++)
     {
       double homed = fleet_sum_metric (event->fleet, FLEET_ROUTER, i,
                                        "cfd_router_accounts{side=\"home\"}");
-      if (event->routers[i] == CUT_SIDE || homed <= most)
+      if (event->routers[i] == CUT_SIDE || homed <= max_gap)
         continue;
-      most = homed;
+      max_gap = homed;
       found = i;
     }
   return found;
@@ -153,19 +155,19 @@
 {
   unsigned routers = fleet_count_members (event->fleet, FLEET_ROUTER);
 
-  for (unsigned i = 0; i < MAX (routers / KILLED_PART, 1); i++)
+  for (unsigned i = 0; i < MAX (routers / KILLED_DIVISOR, 1); i++)
     {
-      unsigned victim = greatest_home (event);
+      unsigned victim = find_largest_home (event);
       event->routers[victim] = CUT_SIDE;
       if (!proc_stop (fleet_get_process (event->fleet, FLEET_ROUTER, victim),
-                      SIGKILL, KILL_MS))
+                      SIGKILL, KILL_TIMEOUT_MS))
         return false;
     }
   return true;
 }
 
 static bool
-start_homes (const event_t *event)
+restart_homes (const event_t *event)
 {
   g_autoptr (GError) error = NULL;
 
@@ -186,7 +188,7 @@
 /* ---- the platform ---- */
 
 static bool
-set_platform (const event_t *event, const char *spec)
+put_platform_faults (const event_t *event, const char *spec)
 {
   g_autofree char *base = fleet_get_url (event->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/faults", NULL);
@@ -199,7 +201,7 @@
 /* ---- a slow engine ---- */
 
 static bool
-set_slow (const event_t *event, const char *spec)
+put_engine_control (const event_t *event, const char *spec)
 {
   g_autofree char *base
       = fleet_get_url (event->fleet, FLEET_ENDPOINT, SLOW_ENDPOINT);
@@ -224,17 +226,17 @@
   switch (event->kind)
     {
     case EVENT_ZONE:
-      return set_zone (event, "out");
+      return put_zone_state (event, "out");
     case EVENT_PARTITION:
-      return cut_off (event, is_event_zone);
+      return begin_partition (event, is_event_zone);
     case EVENT_REGION:
-      return cut_off (event, is_second_region);
+      return begin_partition (event, is_second_region);
     case EVENT_HOME:
       return kill_homes (event);
     case EVENT_PLATFORM:
-      return set_platform (event, "{\"mode\":\"down\"}");
+      return put_platform_faults (event, "{\"mode\":\"down\"}");
     case EVENT_SLOW:
-      return set_slow (event, "{\"slow\":4}");
+      return put_engine_control (event, "{\"slow\":4}");
     }
   return false;
 }
@@ -245,16 +247,16 @@
   switch (event->kind)
     {
     case EVENT_ZONE:
-      return set_zone (event, "in");
+      return put_zone_state (event, "in");
     case EVENT_PARTITION:
     case EVENT_REGION:
-      return set_apart (event, false);
+      return set_partition (event, false);
     case EVENT_HOME:
-      return start_homes (event);
+      return restart_homes (event);
     case EVENT_PLATFORM:
-      return set_platform (event, "{\"mode\":\"up\"}");
+      return put_platform_faults (event, "{\"mode\":\"up\"}");
     case EVENT_SLOW:
-      return set_slow (event, "{\"slow\":1}");
+      return put_engine_control (event, "{\"slow\":1}");
     }
   return false;
 }
@@ -263,7 +265,7 @@
 event_max_gap (const event_t *event, const GPtrArray *samples,
                unsigned accounts, int64_t from_us, int64_t to_us)
 {
-  double most = 0;
+  double max_gap = 0;
 
   for (unsigned side = 0; side <= CUT_SIDE; side++)
     {
@@ -273,7 +275,7 @@
           = fair_gap (part, FAIR_RECEIVED, accounts, from_us, to_us);
       fprintf (stderr, "gap within side %u: %.0f, account-%u and account-%u\n",
                side, gap.tokens, gap.a, gap.b);
-      most = MAX (most, gap.tokens);
+      max_gap = MAX (max_gap, gap.tokens);
     }
-  return most;
+  return max_gap;
 }
--- a/tests/measure-fair.c
+++ b/tests/measure-fair.c
@@ -8,31 +8,31 @@
 /* Range of the difference in service between one pair of accounts.  */
 typedef struct
 {
-  bool open; /* both are backlogged */
-  double least;
+  bool is_backlogged; /* both are backlogged */
+  double min;
   double most;
-} pair_range_t;
+} difference_range_t;
 
 static void
-range_add (pair_range_t *range, double difference)
+range_add (difference_range_t *range, double difference)
 {
-  if (!range->open)
+  if (!range->is_backlogged)
     {
-      range->open = true;
-      range->least = difference;
+      range->is_backlogged = true;
+      range->min = difference;
       range->most = difference;
     }
-  range->least = MIN (range->least, difference);
+  range->min = MIN (range->min, difference);
   range->most = MAX (range->most, difference);
 }
 
 /* The gap of one pair: the difference is a running one, so its range within a
    span is the greatest difference over any part of the span.  */
 static fair_gap_t
-pair_gap (const GPtrArray *samples, fair_metric_t what, unsigned a, unsigned b,
-          int64_t from_us, int64_t to_us)
+compute_pair_gap (const GPtrArray *samples, fair_metric_t what, unsigned a,
+                  unsigned b, int64_t from_us, int64_t to_us)
 {
-  pair_range_t range = { 0 };
+  difference_range_t range = { 0 };
   fair_gap_t gap = { .a = a, .b = b };
 
   for (guint i = 0; i < samples->len; i++)
@@ -42,15 +42,15 @@
         continue;
       if (sample->waiting[a] == 0 || sample->waiting[b] == 0)
         {
-          range.open = false;
+          range.is_backlogged = false;
           continue;
         }
       const double *service
           = what == FAIR_STARTED ? sample->started : sample->service;
       range_add (&range, service[a] - service[b]);
-      if (range.most - range.least <= gap.tokens)
+      if (range.most - range.min <= gap.tokens)
         continue;
-      gap.tokens = range.most - range.least;
+      gap.tokens = range.most - range.min;
       gap.at_us = sample->at_us;
     }
   return gap;
@@ -65,7 +65,8 @@
   for (unsigned a = 0; a < accounts; a++)
     for (unsigned b = a + 1; b < accounts; b++)
       {
-        fair_gap_t gap = pair_gap (samples, what, a, b, from_us, to_us);
+        fair_gap_t gap
+            = compute_pair_gap (samples, what, a, b, from_us, to_us);
         if (gap.tokens > most.tokens)
           most = gap;
       }
@@ -74,7 +75,8 @@
 
 /* Adds what went through one router to what a side got.  */
 static void
-add_router (load_sample_t *sum, const load_sample_t *part, unsigned accounts)
+add_router_sample (load_sample_t *sum, const load_sample_t *part,
+                   unsigned accounts)
 {
   for (unsigned i = 0; i < accounts; i++)
     {
@@ -102,15 +104,15 @@
       sum->waiting = g_new0 (unsigned, accounts);
       for (unsigned router = 0; router < sample->routers; router++)
         if (sides[router] == side)
-          add_router (sum, &sample->by_router[router], accounts);
+          add_router_sample (sum, &sample->by_router[router], accounts);
       g_ptr_array_add (found, sum);
     }
   return found;
 }
 
 static unsigned
-side_waiting (const load_sample_t *sample, const unsigned *sides,
-              unsigned side, unsigned accounts)
+count_waiting_on_side (const load_sample_t *sample, const unsigned *sides,
+                       unsigned side, unsigned accounts)
 {
   unsigned waiting = 0;
 
@@ -126,14 +128,14 @@
 fair_min_waiting (const GPtrArray *samples, const unsigned *sides,
                   unsigned side, unsigned accounts, guint count)
 {
-  unsigned least = G_MAXUINT;
+  unsigned min = G_MAXUINT;
 
   if (samples->len < count || count == 0)
     return 0;
   for (guint i = samples->len - count; i < samples->len; i++)
-    least
-        = MIN (least, side_waiting (samples->pdata[i], sides, side, accounts));
-  return least;
+    min = MIN (
+        min, count_waiting_on_side (samples->pdata[i], sides, side, accounts));
+  return min;
 }
 
 double
@@ -193,7 +195,7 @@
 }
 
 static gint
-compare (gconstpointer a, gconstpointer b)
+compare_floats (gconstpointer a, gconstpointer b)
 {
   float left = *(const float *)a;
   float right = *(const float *)b;
@@ -206,7 +208,7 @@
 {
   if (values->len == 0)
     return 0;
-  g_array_sort (values, compare);
+  g_array_sort (values, compare_floats);
   guint index = (guint)(share * (values->len - 1) + 0.5);
   return (double)g_array_index (values, float, index);
 }
--- a/tests/measure-jobs.c
+++ b/tests/measure-jobs.c
@@ -5,13 +5,13 @@
 #include <stdio.h>
 #include <string.h>
 
-#define POLL_US 50000
+#define POLL_INTERVAL_US 50000
 
-static void add (GPtrArray *argv, const char *format, ...)
+static void add_argument (GPtrArray *argv, const char *format, ...)
     G_GNUC_PRINTF (2, 3);
 
 static void
-add (GPtrArray *argv, const char *format, ...)
+add_argument (GPtrArray *argv, const char *format, ...)
 {
   va_list arguments;
 
@@ -29,27 +29,27 @@
   g_autoptr (GPtrArray) argv = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GError) error = NULL;
 
-  add (argv, "%s", self);
-  add (argv, "--one");
-  add (argv, "--profile=%s", options->profile);
-  add (argv, "--policy=%s", options->policy);
-  add (argv, "--event=%s", options->event);
-  add (argv, "--seed=%d", (int)options->seed);
-  add (argv, "--routers=%d", options->routers);
-  add (argv, "--models=%d", options->models);
-  add (argv, "--accounts=%d", options->accounts);
-  add (argv, "--idle=%d", options->idle);
-  add (argv, "--seconds=%d", options->seconds);
-  add (argv, "--warm=%d", options->warm);
-  add (argv, "--held=%d", options->held);
+  add_argument (argv, "%s", self);
+  add_argument (argv, "--one");
+  add_argument (argv, "--profile=%s", options->profile);
+  add_argument (argv, "--policy=%s", options->policy);
+  add_argument (argv, "--event=%s", options->event);
+  add_argument (argv, "--seed=%d", (int)options->seed);
+  add_argument (argv, "--routers=%d", options->routers);
+  add_argument (argv, "--models=%d", options->models);
+  add_argument (argv, "--accounts=%d", options->accounts);
+  add_argument (argv, "--idle=%d", options->idle);
+  add_argument (argv, "--seconds=%d", options->seconds);
+  add_argument (argv, "--warm=%d", options->warm);
+  add_argument (argv, "--held=%d", options->held);
   if (options->keep)
-    add (argv, "--keep");
+    add_argument (argv, "--keep");
   if (options->exact_hints)
-    add (argv, "--exact-hints");
+    add_argument (argv, "--exact-hints");
   if (options->cold_again)
-    add (argv, "--cold-again");
+    add_argument (argv, "--cold-again");
   if (options->counters)
-    add (argv, "--counters");
+    add_argument (argv, "--counters");
   g_ptr_array_add (argv, NULL);
   proc_t *proc
       = proc_start (procs, name, (const char *const *)argv->pdata, &error);
@@ -59,7 +59,7 @@
 }
 
 static void
-take_figures (job_t *job, JsonObject *object)
+read_figures (job_t *job, JsonObject *object)
 {
   for (int i = 0; i < FIGURE_COUNT; i++)
     job->figures[i]
@@ -69,7 +69,7 @@
 
 /* Reads the output of a run that ended: one line of JSON, and complaints.  */
 static void
-job_read (const proc_set_t *procs, job_t *job)
+job_read_output (const proc_set_t *procs, job_t *job)
 {
   g_autofree char *path = g_strdup_printf (
       "%s/%s.log", proc_set_get_log_dir (procs), job->proc->name);
@@ -83,7 +83,7 @@
       g_autoptr (JsonNode) root
           = lines[i][0] == '{' ? json_from_string (lines[i], NULL) : NULL;
       if (root != NULL)
-        take_figures (job, json_node_get_object (root));
+        read_figures (job, json_node_get_object (root));
       else if (lines[i][0] != '\0')
         fprintf (stderr, "%s seed %d: %s\n", job->options.policy,
                  (int)job->options.seed, lines[i]);
@@ -94,7 +94,7 @@
 }
 
 unsigned
-jobs_run_all (job_t *jobs, unsigned count, unsigned at_once)
+jobs_run_all (job_t *jobs, unsigned count, unsigned max_running)
 {
   proc_set_t *procs = proc_set_new ();
   unsigned started = 0;
@@ -109,16 +109,16 @@
             continue;
           jobs[i].done = true;
           if (jobs[i].proc != NULL)
-            job_read (procs, &jobs[i]);
+            job_read_output (procs, &jobs[i]);
           good += jobs[i].good;
           ended++;
         }
-      while (started < count && started - ended < MAX (at_once, 1))
+      while (started < count && started - ended < MAX (max_running, 1))
         {
           jobs[started].proc = job_start (procs, &jobs[started], started);
           started++;
         }
-      g_usleep (POLL_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   proc_set_free (procs, false);
   return good;
--- a/tests/measure-memory.c
+++ b/tests/measure-memory.c
@@ -9,14 +9,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define BATCH 2000u
-#define PATIENCE_MS 30000
-#define LOOK_US 50000
+#define BATCH_ACCOUNTS 2000u
+#define REVISION_TIMEOUT_MS 30000
+#define POLL_INTERVAL_US 50000
 #define SETTLE_S 5
-#define STOP_MS 5000
+#define STOP_TIMEOUT_MS 5000
 
 static void
-add_account (GString *body, unsigned number)
+append_account (GString *body, unsigned number)
 {
   g_autofree char *key = g_strdup_printf ("key-%u", number);
   g_autofree char *hash = rec_hash_key_to_hex (key);
@@ -39,7 +39,7 @@
   long status = 0;
 
   for (unsigned i = from; i < up_to; i++)
-    add_account (body, i);
+    append_account (body, i);
   g_string_append_c (body, ']');
   g_free (proc_send_http ("POST", url, NULL, body->str, &status));
   g_string_free (body, TRUE);
@@ -49,34 +49,34 @@
 static bool
 write_accounts (const fleet_t *fleet, unsigned accounts)
 {
-  for (unsigned from = 0; from < accounts; from += BATCH)
-    if (!write_batch (fleet, from, MIN (from + BATCH, accounts)))
+  for (unsigned from = 0; from < accounts; from += BATCH_ACCOUNTS)
+    if (!write_batch (fleet, from, MIN (from + BATCH_ACCOUNTS, accounts)))
       return false;
   return true;
 }
 
 /* Starts a member anew and waits until it has REVISION.  */
 static bool
-start_anew (fleet_t *fleet, fleet_role_t sort, double revision)
+restart_member (fleet_t *fleet, fleet_role_t role, double revision)
 {
-  proc_t *proc = fleet_get_process (fleet, sort, 0);
+  proc_t *proc = fleet_get_process (fleet, role, 0);
   cfd_time_t start = clock_now ();
 
-  proc_stop (proc, SIGTERM, STOP_MS);
+  proc_stop (proc, SIGTERM, STOP_TIMEOUT_MS);
   if (!proc_restart (fleet_get_processes (fleet), proc, NULL))
     return false;
-  while (fleet_sum_metric (fleet, sort, 0, "cfd_config_revision") < revision)
+  while (fleet_sum_metric (fleet, role, 0, "cfd_config_revision") < revision)
     {
-      if (clock_now () - start > PATIENCE_MS)
+      if (clock_now () - start > REVISION_TIMEOUT_MS)
         return false;
-      g_usleep (LOOK_US);
+      g_usleep (POLL_INTERVAL_US);
     }
   return true;
 }
 
 /* Megabytes by the line FIELD of the process's status, or -1.  */
 static double
-status_mb (const proc_t *proc, const char *field)
+read_status_mb (const proc_t *proc, const char *field)
 {
   g_autofree char *path = g_strdup_printf ("/proc/%d/status", (int)proc->pid);
   g_autofree char *text = NULL;
@@ -96,8 +96,8 @@
   const proc_t *agent = fleet_get_process (fleet, FLEET_AGENT, 0);
 
   printf ("%8u %9.1f %9.1f %9.1f %9.1f\n", accounts,
-          status_mb (router, "VmRSS:"), status_mb (router, "VmHWM:"),
-          status_mb (agent, "VmRSS:"), status_mb (agent, "VmHWM:"));
+          read_status_mb (router, "VmRSS:"), read_status_mb (router, "VmHWM:"),
+          read_status_mb (agent, "VmRSS:"), read_status_mb (agent, "VmHWM:"));
   fflush (stdout);
 }
 
@@ -122,8 +122,8 @@
     }
   revision = fleet_sum_metric (fleet, FLEET_ROUTER, 0, "cfd_config_revision");
   good = write_accounts (fleet, accounts)
-         && start_anew (fleet, FLEET_ROUTER, revision + accounts)
-         && start_anew (fleet, FLEET_AGENT, revision + accounts);
+         && restart_member (fleet, FLEET_ROUTER, revision + accounts)
+         && restart_member (fleet, FLEET_AGENT, revision + accounts);
   if (good)
     {
       g_usleep (SETTLE_S * G_USEC_PER_SEC);
--- a/tests/measure-path.c
+++ b/tests/measure-path.c
@@ -1,24 +1,24 @@
-/* The data path: what the way through router and agent adds over going
-   straight to the engine.  */
+/* The data path: what the way routed_result router and agent adds over going
+   direct_result to the engine.  */
 
 #include "measure.h"
 #include <ev.h>
 #include <stdio.h>
 #include <string.h>
 
-#define SEQUENTIAL 300
-#define FLOW_S 5
-#define HOLD_LIMIT_S 25
+#define SEQUENTIAL_REQUESTS 300
+#define FLOW_DURATION_S 5
+#define HOLD_TIMEOUT_S 25
 /* An answer of a slow reader has some 25 MB, more than the system's socket
-   buffers and ours together may hold.  */
+   buffers and ours together may until_all_streaming.  */
 #define SLOW_STREAMS 5u
 #define SLOW_TOKENS 6000
-#define SLOW_PAD 4096
+#define SLOW_EVENT_PADDING 4096
 #define SLOW_PAUSE_MS 15000
-#define SLOW_LIMIT_S 50
+#define SLOW_TIMEOUT_S 50
 
 static const fleet_account_t account = { "account", "key-of-account", 1 };
-static const unsigned holds[] = { 100, 1000, 3000 };
+static const unsigned held_stream_counts[] = { 100, 1000, 3000 };
 
 /* One load on one address.  */
 typedef struct
@@ -26,11 +26,11 @@
   unsigned outstanding;
   load_kind_t kind;
   unsigned tokens;
-  unsigned requests; /* ends after so many, or after */
-  double seconds;    /* so many seconds */
-  unsigned pad;      /* more bytes in each event */
-  unsigned pause_ms; /* each reader stops reading for so long */
-  bool hold;         /* ends when each has its first byte */
+  unsigned requests;        /* ends after so many, or after */
+  double seconds;           /* so many seconds */
+  unsigned event_padding;   /* more bytes in each event */
+  unsigned read_pause_ms;   /* each reader stops reading for so long */
+  bool until_all_streaming; /* ends when each has its first byte */
 } flow_t;
 
 typedef struct
@@ -41,8 +41,8 @@
   double requests_per_s;
   double tokens_per_s;
   unsigned correct;
-  unsigned open;
-  unsigned bad;
+  unsigned open_streams;
+  unsigned failed;
 } flow_result_t;
 
 typedef struct
@@ -50,8 +50,8 @@
   const flow_t *flow;
   load_t *load;
   int64_t end_us;
-  /* Called when a held flow is complete, before its end.  */
-  void (*held) (void *user);
+  /* Called when a on_all_streaming flow is complete, before its end.  */
+  void (*on_all_streaming) (void *user);
   void *user;
 } flow_state_t;
 
@@ -59,14 +59,15 @@
 count_open (const load_t *load)
 {
   const GPtrArray *requests = load_get_requests (load);
-  unsigned open = 0;
+  unsigned open_streams = 0;
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      open += request->first_byte_us != 0 && request->end == LOAD_RUNNING;
+      open_streams
+          += request->first_byte_us != 0 && request->end == LOAD_RUNNING;
     }
-  return open;
+  return open_streams;
 }
 
 static void
@@ -80,7 +81,8 @@
       && load_get_requests (state->load)->len >= flow->requests
       && load_count_active (state->load) == 0)
     over = true;
-  if (flow->hold && count_open (state->load) >= flow->outstanding)
+  if (flow->until_all_streaming
+      && count_open (state->load) >= flow->outstanding)
     over = true;
   if (over)
     ev_break (loop, EVBREAK_ALL);
@@ -101,7 +103,7 @@
       float ms = (float)(request->first_byte_us - request->started_us) / 1000;
       tokens += request->tokens;
       correct += request->end == LOAD_CORRECT;
-      result->bad
+      result->failed
           += request->end != LOAD_CORRECT && request->end != LOAD_RUNNING;
       if (request->first_byte_us != 0)
         g_array_append_val (first, ms);
@@ -114,13 +116,13 @@
   result->correct = correct;
   result->requests_per_s = correct / seconds;
   result->tokens_per_s = tokens / seconds;
-  result->open = count_open (load);
+  result->open_streams = count_open (load);
 }
 
 /* Runs FLOW against URL; HELD is called before the requests are let go.  */
 static void
 run_flow (const char *url, const flow_t *flow, flow_result_t *result,
-          void (*held) (void *user), void *user)
+          void (*on_all_streaming) (void *user), void *user)
 {
   struct ev_loop *loop = ev_default_loop (0);
   double router_shares[] = { 1 };
@@ -141,8 +143,8 @@
                              .plain = FLEET_PLAIN_SERVICE,
                              .request_limit = flow->requests,
                              .idle_timeout_ms = 60000,
-                             .pad = flow->pad,
-                             .pause_ms = flow->pause_ms,
+                             .event_padding = flow->event_padding,
+                             .read_pause_ms = flow->read_pause_ms,
                              .accounts = accounts };
   int64_t began_us = clock_now_us ();
   flow_state_t state
@@ -162,13 +164,13 @@
   ev_timer_stop (loop, &check);
   summarise (state.load, (double)(clock_now_us () - began_us) / G_USEC_PER_SEC,
              result);
-  if (held != NULL)
-    held (user);
+  if (on_all_streaming != NULL)
+    on_all_streaming (user);
   load_free (state.load);
 }
 
 static fleet_t *
-path_fleet (double step_ms, GError **error)
+start_fleet (double step_ms, GError **error)
 {
   const fleet_plan_t plan = { .zones = 1,
                               .routers = 1,
@@ -195,7 +197,8 @@
           name, direct->first_ms, routed->first_ms,
           routed->first_ms - direct->first_ms, direct->delay_ms,
           routed->delay_ms, routed->delay_ms - direct->delay_ms,
-          direct->delay_p95, routed->delay_p95, direct->bad + routed->bad);
+          direct->delay_p95, routed->delay_p95,
+          direct->failed + routed->failed);
 }
 
 /* Time added, at several numbers of streams at once.  */
@@ -203,22 +206,22 @@
 measure_times (const char *direct, const char *routed)
 {
   static const flow_t flows[]
-      = { { 1, LOAD_STREAM, 20, SEQUENTIAL, 30, 0, 0, false },
-          { 8, LOAD_STREAM, 50, 0, FLOW_S, 0, 0, false },
-          { 100, LOAD_STREAM, 50, 0, FLOW_S, 0, 0, false } };
+      = { { 1, LOAD_STREAM, 20, SEQUENTIAL_REQUESTS, 30, 0, 0, false },
+          { 8, LOAD_STREAM, 50, 0, FLOW_DURATION_S, 0, 0, false },
+          { 100, LOAD_STREAM, 50, 0, FLOW_DURATION_S, 0, 0, false } };
   bool good = true;
 
   for (unsigned i = 0; i < G_N_ELEMENTS (flows); i++)
     {
-      flow_result_t straight;
-      flow_result_t through;
+      flow_result_t direct_result;
+      flow_result_t routed_result;
       g_autofree char *name
           = g_strdup_printf ("%u stream%s at once", flows[i].outstanding,
                              flows[i].outstanding == 1 ? "" : "s");
-      run_flow (direct, &flows[i], &straight, NULL, NULL);
-      run_flow (routed, &flows[i], &through, NULL, NULL);
-      print_flow (name, &straight, &through);
-      good = good && straight.bad + through.bad == 0;
+      run_flow (direct, &flows[i], &direct_result, NULL, NULL);
+      run_flow (routed, &flows[i], &routed_result, NULL, NULL);
+      print_flow (name, &direct_result, &routed_result);
+      good = good && direct_result.failed + routed_result.failed == 0;
     }
   return good;
 }
@@ -228,8 +231,8 @@
 measure_rate (const fleet_t *fleet, const char *routed)
 {
   static const flow_t flows[]
-      = { { 64, LOAD_NON_STREAM, 1, 0, FLOW_S, 0, 0, false },
-          { 64, LOAD_STREAM, 50, 0, FLOW_S, 0, 0, false } };
+      = { { 64, LOAD_NON_STREAM, 1, 0, FLOW_DURATION_S, 0, 0, false },
+          { 64, LOAD_STREAM, 50, 0, FLOW_DURATION_S, 0, 0, false } };
   bool good = true;
 
   for (unsigned i = 0; i < G_N_ELEMENTS (flows); i++)
@@ -250,8 +253,8 @@
               result.requests_per_s, result.tokens_per_s, router * 100,
               agent * 100, result.requests_per_s / router,
               result.tokens_per_s / router, result.requests_per_s / agent,
-              result.tokens_per_s / agent, result.bad);
-      good = good && result.bad == 0;
+              result.tokens_per_s / agent, result.failed);
+      good = good && result.failed == 0;
     }
   return good;
 }
@@ -260,31 +263,31 @@
 {
   const fleet_t *fleet;
   node_sum_t nodes;
-} hold_t;
+} node_query_t;
 
 static void
-on_held (void *user)
+query_nodes_when_streaming (void *user)
 {
-  hold_t *hold = user;
+  node_query_t *until_all_streaming = user;
 
-  watch_query_nodes (hold->fleet, &hold->nodes);
+  watch_query_nodes (until_all_streaming->fleet, &until_all_streaming->nodes);
 }
 
-/* Resident bytes for each open stream.  */
+/* Resident bytes for each open_streams stream.  */
 static bool
 measure_resident (void)
 {
   bool good = true;
 
-  for (unsigned i = 0; i < G_N_ELEMENTS (holds); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (held_stream_counts); i++)
     {
-      const flow_t flow
-          = { holds[i], LOAD_STREAM, 200, 0, HOLD_LIMIT_S, 0, 0, true };
+      const flow_t flow = { held_stream_counts[i], LOAD_STREAM, 200, 0,
+                            HOLD_TIMEOUT_S,        0,           0,   true };
       g_autoptr (GError) error = NULL;
-      fleet_t *fleet = path_fleet (400, &error);
+      fleet_t *fleet = start_fleet (400, &error);
       flow_result_t result;
       node_sum_t before;
-      hold_t hold = { .fleet = fleet };
+      node_query_t until_all_streaming = { .fleet = fleet };
 
       if (fleet == NULL)
         {
@@ -293,19 +296,24 @@
         }
       g_autofree char *routed = fleet_get_direct_url (fleet, 0);
       watch_query_nodes (fleet, &before);
-      run_flow (routed, &flow, &result, on_held, &hold);
-      printf ("%-4u streams held, %4u open: router %.1f -> %.1f MB, %.1f kB "
-              "a stream; agent %.1f -> %.1f MB, %.1f kB a stream; %u bad\n",
-              holds[i], result.open, before.router_resident / 1e6,
-              hold.nodes.router_resident / 1e6,
-              (hold.nodes.router_resident - before.router_resident) / 1e3
-                  / MAX (result.open, 1),
-              before.agent_resident / 1e6, hold.nodes.agent_resident / 1e6,
-              (hold.nodes.agent_resident - before.agent_resident) / 1e3
-                  / MAX (result.open, 1),
-              result.bad);
+      run_flow (routed, &flow, &result, query_nodes_when_streaming,
+                &until_all_streaming);
+      printf (
+          "%-4u streams held, %4u open: router %.1f -> %.1f MB, %.1f kB "
+          "a stream; agent %.1f -> %.1f MB, %.1f kB a stream; %u bad\n",
+          held_stream_counts[i], result.open_streams,
+          before.router_resident / 1e6,
+          until_all_streaming.nodes.router_resident / 1e6,
+          (until_all_streaming.nodes.router_resident - before.router_resident)
+              / 1e3 / MAX (result.open_streams, 1),
+          before.agent_resident / 1e6,
+          until_all_streaming.nodes.agent_resident / 1e6,
+          (until_all_streaming.nodes.agent_resident - before.agent_resident)
+              / 1e3 / MAX (result.open_streams, 1),
+          result.failed);
       fflush (stdout);
-      good = good && result.open == holds[i] && result.bad == 0;
+      good = good && result.open_streams == held_stream_counts[i]
+             && result.failed == 0;
       fleet_free (fleet, false);
     }
   return good;
@@ -320,11 +328,11 @@
                                .kind = LOAD_STREAM,
                                .tokens = SLOW_TOKENS,
                                .requests = SLOW_STREAMS,
-                               .seconds = SLOW_LIMIT_S,
-                               .pad = SLOW_PAD,
-                               .pause_ms = SLOW_PAUSE_MS };
+                               .seconds = SLOW_TIMEOUT_S,
+                               .event_padding = SLOW_EVENT_PADDING,
+                               .read_pause_ms = SLOW_PAUSE_MS };
   g_autoptr (GError) error = NULL;
-  fleet_t *fleet = path_fleet (0.5, &error);
+  fleet_t *fleet = start_fleet (0.5, &error);
   flow_result_t result;
   node_sum_t before;
   node_sum_t after;
@@ -346,9 +354,9 @@
           (after.router_peak - before.router_peak) / 1e3 / SLOW_STREAMS,
           before.agent_peak / 1e6, after.agent_peak / 1e6,
           (after.agent_peak - before.agent_peak) / 1e3 / SLOW_STREAMS,
-          result.correct, SLOW_STREAMS, result.bad);
+          result.correct, SLOW_STREAMS, result.failed);
   fleet_free (fleet, false);
-  return result.correct == SLOW_STREAMS && result.bad == 0;
+  return result.correct == SLOW_STREAMS && result.failed == 0;
 }
 
 /* Times and rates, with one fleet.  */
@@ -356,7 +364,7 @@
 measure_speed (bool keep)
 {
   g_autoptr (GError) error = NULL;
-  fleet_t *fleet = path_fleet (4, &error);
+  fleet_t *fleet = start_fleet (4, &error);
 
   if (fleet == NULL)
     {
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -31,16 +31,16 @@
   double weight;
   unsigned outstanding;
   double think_ms;
-  double turn_ms;
-} sort_t;
+  double on_off_ms;
+} account_class_t;
 
-static const sort_t sorts[] = { { 2, 4, 40, 0, 0 },
-                                { 1, 4, 120, 0, 0 },
-                                { 9, 1, 14, 0, 0 },
-                                { 2, 1, 1, 50, 0 },
-                                { 2, 1, 14, 0, 1500 } };
+static const account_class_t account_classes[] = { { 2, 4, 40, 0, 0 },
+                                                   { 1, 4, 120, 0, 0 },
+                                                   { 9, 1, 14, 0, 0 },
+                                                   { 2, 1, 1, 50, 0 },
+                                                   { 2, 1, 14, 0, 1500 } };
 
-#define SORT_SINGLE 3
+#define CLASS_SINGLE 3
 #define PLAIN_CALLERS 6
 
 static const profile_t *
@@ -61,7 +61,7 @@
 /* Shares of the routers for one account: all of it at one router, most of it
    at one of two, or falling from a favourite on.  */
 static double *
-make_spread (GRand *random, unsigned routers)
+choose_router_shares (GRand *random, unsigned routers)
 {
   double *router_shares = g_new0 (double, routers);
   unsigned favourite = (unsigned)g_rand_int_range (random, 0, (gint32)routers);
@@ -95,7 +95,8 @@
   account->key = g_strdup_printf ("key-of-account-%u", number);
   g_ptr_array_add (deployment->names, account->name);
   g_ptr_array_add (deployment->names, account->key);
-  account->router_shares = make_spread (random, deployment->fleet.routers);
+  account->router_shares
+      = choose_router_shares (random, deployment->fleet.routers);
   account->min_answer_tokens = 16;
   account->max_answer_tokens = 48;
   return account;
@@ -104,42 +105,44 @@
 /* Requests that an account of SORT holds at once, so that the load as a whole
    stays the same by endpoint whatever the number of accounts.  */
 static unsigned
-outstanding_of (const deployment_t *deployment, const sort_t *sort,
-                unsigned scale, unsigned usual_models, unsigned held_percent)
+scale_outstanding (const deployment_t *deployment,
+                   const account_class_t *class, unsigned scale,
+                   unsigned profile_models, unsigned held_percent)
 {
-  unsigned held = sort->outstanding;
+  unsigned held = class->outstanding;
 
   if (held > 1)
     held = held * deployment->fleet.models * held_percent
-           / (usual_models * scale * 100);
+           / (profile_models * scale * 100);
   return MAX (held, 1);
 }
 
 static void
 add_model_accounts (deployment_t *deployment, unsigned scale,
-                    unsigned usual_models, unsigned held_percent,
+                    unsigned profile_models, unsigned held_percent,
                     GRand *random)
 {
-  for (unsigned i = 0; i < G_N_ELEMENTS (sorts); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (account_classes); i++)
     {
-      if (i == SORT_SINGLE)
+      if (i == CLASS_SINGLE)
         deployment->single_first = deployment->load.accounts->len;
-      for (unsigned j = 0; j < sorts[i].count * scale; j++)
+      for (unsigned j = 0; j < account_classes[i].count * scale; j++)
         {
           load_account_t *account = account_new (
               deployment, deployment->load.accounts->len, random);
-          account->weight = sorts[i].weight;
-          account->outstanding = outstanding_of (deployment, &sorts[i], scale,
-                                                 usual_models, held_percent);
-          account->think_ms = sorts[i].think_ms;
-          account->on_ms = sorts[i].turn_ms;
-          account->off_ms = sorts[i].turn_ms;
+          account->weight = account_classes[i].weight;
+          account->outstanding
+              = scale_outstanding (deployment, &account_classes[i], scale,
+                                   profile_models, held_percent);
+          account->think_ms = account_classes[i].think_ms;
+          account->on_ms = account_classes[i].on_off_ms;
+          account->off_ms = account_classes[i].on_off_ms;
           account->kinds[LOAD_STREAM] = 7;
           account->kinds[LOAD_COMPLETION] = 3;
           g_ptr_array_add (deployment->load.accounts, account);
         }
     }
-  deployment->single_count = sorts[SORT_SINGLE].count * scale;
+  deployment->single_count = account_classes[CLASS_SINGLE].count * scale;
   deployment->model_accounts = deployment->load.accounts->len;
 }
 
@@ -162,7 +165,7 @@
 
 /* All accounts that get records: those of the load, then idle ones.  */
 static void
-list_accounts (deployment_t *deployment, unsigned idle)
+build_fleet_accounts (deployment_t *deployment, unsigned idle)
 {
   unsigned count = deployment->model_accounts;
   fleet_account_t *accounts = g_new0 (fleet_account_t, count + idle);
@@ -235,7 +238,7 @@
                       profile->models, (unsigned)MAX (options->held, 1),
                       random);
   add_plain_callers (deployment, random);
-  list_accounts (deployment, (unsigned)MAX (options->idle, 0));
+  build_fleet_accounts (deployment, (unsigned)MAX (options->idle, 0));
   g_rand_free (random);
   return deployment;
 }
--- a/tests/measure-run.c
+++ b/tests/measure-run.c
@@ -9,28 +9,28 @@
 
 /* Parts of the measured time after which an event begins, and ends.  What cuts
    the fleet apart needs longer to be over.  */
-#define OUT_PART 0.5
-#define BACK_PART 0.75
-#define CUT_PART 0.3
-#define JOIN_PART 0.6
+#define ZONE_BEGIN_SHARE 0.5
+#define ZONE_END_SHARE 0.75
+#define CUT_BEGIN_SHARE 0.3
+#define CUT_END_SHARE 0.6
 /* A slow engine: the middle third.  */
-#define SLOW_PART (1 / 3.0)
-#define QUICK_PART (2 / 3.0)
-#define COLD_PART 0.1
+#define SLOW_BEGIN_SHARE (1 / 3.0)
+#define SLOW_END_SHARE (2 / 3.0)
+#define COLD_BEGIN_SHARE 0.1
 /* Rates are taken from so long after a change on.  */
-#define SETTLE_US (1 * G_USEC_PER_SEC)
+#define RATE_SETTLE_US (1 * G_USEC_PER_SEC)
 /* The gap after an event counts from so long after its end on.  */
-#define AFTER_US (2 * G_USEC_PER_SEC)
+#define GAP_SETTLE_US (2 * G_USEC_PER_SEC)
 /* A gap under so many times the steady one has recovered.  */
-#define RECOVERED 2
-#define DRAIN_S 10
+#define RECOVERED_GAP_FACTOR 2
+#define DRAIN_TIMEOUT_S 10
 
 typedef enum
 {
-  PHASE_WARM,
+  PHASE_WARMUP,
   PHASE_STEADY,
-  PHASE_OUT,
-  PHASE_BACK,
+  PHASE_EVENT,
+  PHASE_AFTER,
   PHASE_DRAIN
 } phase_t;
 
@@ -52,10 +52,10 @@
   node_sum_t after;
   GHashTable *counters;
   int64_t steady_us; /* begin of each phase */
-  int64_t out_us;
-  int64_t back_us;
+  int64_t event_begin_us;
+  int64_t event_end_us;
   int64_t end_us;
-  cfd_time_t out_at;
+  cfd_time_t event_began_at;
   cfd_time_t last_start;
   unsigned drain_checks;
   bool failed;
@@ -81,7 +81,7 @@
 /* Engines 0 and 1 turn cold while all their slots are busy; 0 reports no load
    from then on.  */
 static void
-on_cold (struct ev_loop *loop, ev_timer *watcher, int events)
+on_cold_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   const running_t *running = watcher->data;
 
@@ -99,8 +99,8 @@
     running->counters = watch_sum_counters (running->fleet);
   if (running->run->options.cold_again)
     {
-      ev_timer_set (&running->cold, running->run->options.seconds * COLD_PART,
-                    0);
+      ev_timer_set (&running->cold,
+                    running->run->options.seconds * COLD_BEGIN_SHARE, 0);
       ev_timer_start (running->loop, &running->cold);
     }
   running->steady_us = clock_now_us ();
@@ -119,9 +119,9 @@
 }
 
 static void
-begin_out (running_t *running)
+begin_event (running_t *running)
 {
-  watch_begin_span (running->watch, PHASE_OUT - 1);
+  watch_begin_span (running->watch, PHASE_EVENT - 1);
   watch_query_nodes (running->fleet, &running->after);
   print_counters (running);
   if (!event_begin (running->event))
@@ -130,20 +130,20 @@
     watch_set_partition (running->watch,
                          event_get_router_sides (running->event),
                          event_get_zone_sides (running->event));
-  running->out_us = clock_now_us ();
-  running->out_at = clock_now ();
+  running->event_begin_us = clock_now_us ();
+  running->event_began_at = clock_now ();
 }
 
 static void
-begin_back (running_t *running)
+end_event (running_t *running)
 {
   running->last_start
       = watch_get_last_start (running->watch, event_get_zone (running->event));
-  watch_begin_span (running->watch, PHASE_BACK - 1);
+  watch_begin_span (running->watch, PHASE_AFTER - 1);
   watch_set_partition (running->watch, NULL, NULL);
   if (!event_end (running->event))
     running->failed = true;
-  running->back_us = clock_now_us ();
+  running->event_end_us = clock_now_us ();
 }
 
 static void
@@ -156,17 +156,17 @@
 
 /* Leaves both as they are for an event that cuts the fleet apart.  */
 static void
-event_parts (event_kind_t kind, double *out, double *back)
+get_event_shares (event_kind_t kind, double *begin, double *end)
 {
   if (kind == EVENT_ZONE)
     {
-      *out = OUT_PART;
-      *back = BACK_PART;
+      *begin = ZONE_BEGIN_SHARE;
+      *end = ZONE_END_SHARE;
     }
   if (kind == EVENT_SLOW)
     {
-      *out = SLOW_PART;
-      *back = QUICK_PART;
+      *begin = SLOW_BEGIN_SHARE;
+      *end = SLOW_END_SHARE;
     }
 }
 
@@ -175,32 +175,32 @@
 {
   running_t *running = watcher->data;
   double seconds = running->run->options.seconds;
-  double out = CUT_PART;
-  double back = JOIN_PART;
+  double begin = CUT_BEGIN_SHARE;
+  double end = CUT_END_SHARE;
 
-  event_parts (running->kind, &out, &back);
+  get_event_shares (running->kind, &begin, &end);
   switch (running->phase)
     {
-    case PHASE_WARM:
+    case PHASE_WARMUP:
       begin_steady (running);
-      schedule (running, seconds * out);
+      schedule (running, seconds * begin);
       break;
     case PHASE_STEADY:
-      begin_out (running);
-      schedule (running, seconds * (back - out));
+      begin_event (running);
+      schedule (running, seconds * (end - begin));
       break;
-    case PHASE_OUT:
-      begin_back (running);
-      schedule (running, seconds * (1 - back));
+    case PHASE_EVENT:
+      end_event (running);
+      schedule (running, seconds * (1 - end));
       break;
-    case PHASE_BACK:
+    case PHASE_AFTER:
       begin_drain (running);
       schedule (running, 0.2);
       break;
     case PHASE_DRAIN:
       running->drain_checks++;
       if (load_count_active (running->load) == 0
-          || running->drain_checks > DRAIN_S * 5)
+          || running->drain_checks > DRAIN_TIMEOUT_S * 5)
         ev_break (loop, EVBREAK_ALL);
       else
         schedule (running, 0.2);
@@ -211,7 +211,8 @@
 
 /* Times to the first token of requests that began in the measured part.  */
 static GArray *
-first_tokens (const running_t *running, unsigned from, unsigned count)
+collect_first_token_times (const running_t *running, unsigned from,
+                           unsigned count)
 {
   GArray *times = g_array_new (FALSE, FALSE, sizeof (float));
   const GPtrArray *requests = load_get_requests (running->load);
@@ -231,14 +232,14 @@
 }
 
 static void
-put_latencies (const running_t *running, double *figures)
+set_latency_figures (const running_t *running, double *figures)
 {
   const deployment_t *deployment = running->deployment;
   const GArray *all = load_get_intervals (running->load);
-  g_autoptr (GArray) single = first_tokens (running, deployment->single_first,
-                                            deployment->single_count);
+  g_autoptr (GArray) single = collect_first_token_times (
+      running, deployment->single_first, deployment->single_count);
   g_autoptr (GArray) every
-      = first_tokens (running, 0, deployment->model_accounts);
+      = collect_first_token_times (running, 0, deployment->model_accounts);
   g_autoptr (GArray) intervals = g_array_new (FALSE, FALSE, sizeof (float));
 
   if (all->len > running->first_interval)
@@ -251,7 +252,7 @@
 }
 
 static void
-put_costs (const running_t *running, double *figures)
+set_cost_figures (const running_t *running, double *figures)
 {
   const node_sum_t *before = &running->before;
   const node_sum_t *after = &running->after;
@@ -280,7 +281,7 @@
 
 /* Part of the model slots outside a zone that an operator takes out.  */
 static double
-capacity_left (const running_t *running)
+get_remaining_capacity_share (const running_t *running)
 {
   unsigned models = fleet_get_plan (running->fleet)->models;
   unsigned left = 0;
@@ -294,17 +295,18 @@
 }
 
 static void
-put_service (const running_t *running, double *figures)
+set_service_figures (const running_t *running, double *figures)
 {
   const GPtrArray *samples = load_get_samples (running->load);
   const GPtrArray *requests = load_get_requests (running->load);
   unsigned accounts = running->deployment->model_accounts;
-  double before
-      = fair_token_rate (samples, running->steady_us, running->out_us);
-  double out = fair_token_rate (samples, running->out_us + SETTLE_US,
-                                running->back_us);
-  double back = fair_token_rate (samples, running->back_us + SETTLE_US,
-                                 running->end_us);
+  double before_rate
+      = fair_token_rate (samples, running->steady_us, running->event_begin_us);
+  double during_rate
+      = fair_token_rate (samples, running->event_begin_us + RATE_SETTLE_US,
+                         running->event_end_us);
+  double after_rate = fair_token_rate (
+      samples, running->event_end_us + RATE_SETTLE_US, running->end_us);
 
   for (guint i = 0; i < requests->len; i++)
     {
@@ -317,9 +319,10 @@
   fair_gap_t gap = fair_gap (samples, FAIR_RECEIVED, accounts,
                              running->steady_us, running->end_us);
   figures[FIGURE_FAIRNESS_GAP] = gap.tokens;
-  figures[FIGURE_STEADY_GAP] = fair_gap (samples, FAIR_RECEIVED, accounts,
-                                         running->steady_us, running->out_us)
-                                   .tokens;
+  figures[FIGURE_STEADY_GAP]
+      = fair_gap (samples, FAIR_RECEIVED, accounts, running->steady_us,
+                  running->event_begin_us)
+            .tokens;
   if (running->run->options.samples != NULL)
     fair_write_samples (samples, accounts, running->steady_us,
                         running->run->options.samples);
@@ -329,43 +332,47 @@
   fprintf (stderr, "greatest gap: account-%u and account-%u after %.2f s\n",
            gap.a, gap.b,
            (double)(gap.at_us - running->steady_us) / G_USEC_PER_SEC);
-  figures[FIGURE_TOKENS] = before;
+  figures[FIGURE_TOKENS] = before_rate;
   figures[FIGURE_UTILISATION] = watch_get_utilisation (running->watch, 0);
-  figures[FIGURE_OUT_LAST_NEW]
-      = MAX ((double)(running->last_start - running->out_at) / 1000, 0);
+  figures[FIGURE_OUT_LAST_NEW] = MAX (
+      (double)(running->last_start - running->event_began_at) / 1000, 0);
   figures[FIGURE_OUT_RATIO]
-      = before > 0 ? out / before / capacity_left (running) : 0;
-  figures[FIGURE_BACK_RATIO] = before > 0 ? back / before : 0;
+      = before_rate > 0 ? during_rate / before_rate
+                              / get_remaining_capacity_share (running)
+                        : 0;
+  figures[FIGURE_BACK_RATIO] = before_rate > 0 ? after_rate / before_rate : 0;
 }
 
 /* Before, during and after the event.  */
 static void
-put_event (const running_t *running, double *figures)
+set_event_figures (const running_t *running, double *figures)
 {
   const GPtrArray *samples = load_get_samples (running->load);
   unsigned accounts = running->deployment->model_accounts;
-  fair_gap_t after = fair_gap (samples, FAIR_RECEIVED, accounts,
-                               running->back_us + AFTER_US, running->end_us);
+  fair_gap_t after
+      = fair_gap (samples, FAIR_RECEIVED, accounts,
+                  running->event_end_us + GAP_SETTLE_US, running->end_us);
 
-  figures[FIGURE_DURING_GAP] = event_max_gap (
-      running->event, samples, accounts, running->out_us, running->back_us);
+  figures[FIGURE_DURING_GAP]
+      = event_max_gap (running->event, samples, accounts,
+                       running->event_begin_us, running->event_end_us);
   figures[FIGURE_AFTER_GAP] = after.tokens;
   fprintf (stderr, "gap after: account-%u and account-%u after %.2f s\n",
            after.a, after.b,
-           (double)(after.at_us - running->back_us) / G_USEC_PER_SEC);
+           (double)(after.at_us - running->event_end_us) / G_USEC_PER_SEC);
   figures[FIGURE_RECOVERY] = fair_recovery_time_s (
-      samples, accounts, running->back_us, running->end_us,
-      figures[FIGURE_STEADY_GAP] * RECOVERED);
+      samples, accounts, running->event_end_us, running->end_us,
+      figures[FIGURE_STEADY_GAP] * RECOVERED_GAP_FACTOR);
   figures[FIGURE_DURING_UTILISATION]
       = watch_get_utilisation (running->watch, 1);
   figures[FIGURE_DURING_COUNTED] = watch_get_counted_share (running->watch, 1);
   figures[FIGURE_DURING_BUSY] = watch_get_busy_share (running->watch, 1);
   figures[FIGURE_AFTER_UTILISATION]
       = watch_get_utilisation (running->watch, 2);
-  figures[FIGURE_DURING_TOKENS]
-      = fair_token_rate (samples, running->out_us, running->back_us);
+  figures[FIGURE_DURING_TOKENS] = fair_token_rate (
+      samples, running->event_begin_us, running->event_end_us);
   figures[FIGURE_AFTER_TOKENS]
-      = fair_token_rate (samples, running->back_us, running->end_us);
+      = fair_token_rate (samples, running->event_end_us, running->end_us);
 }
 
 static void
@@ -373,8 +380,8 @@
 {
   const fleet_plan_t *plan = fleet_get_plan (running->fleet);
   const GPtrArray *requests = load_get_requests (running->load);
-  const int64_t times_us[] = { running->steady_us, running->out_us,
-                               running->back_us, running->end_us };
+  const int64_t times_us[] = { running->steady_us, running->event_begin_us,
+                               running->event_end_us, running->end_us };
   g_autoptr (GHashTable) slow = collect_started_nonces (
       running->fleet, event_get_slow_endpoint (running->event));
 
@@ -389,7 +396,7 @@
 }
 
 static bool
-put_verdict (const running_t *running, double *figures)
+set_verification_figures (const running_t *running, double *figures)
 {
   collect_result_t sum;
 
@@ -416,21 +423,21 @@
   running->watch = watch_new (running->loop, running->fleet, running->load);
   ev_timer_init (&running->timer, on_phase_over, 0, 0);
   running->timer.data = running;
-  ev_timer_init (&running->cold, on_cold, 0, 0);
+  ev_timer_init (&running->cold, on_cold_timer, 0, 0);
   running->cold.data = running;
   schedule (running, running->run->options.warm);
   load_start (running->load);
   ev_run (running->loop, 0);
-  put_latencies (running, figures);
-  put_costs (running, figures);
-  put_service (running, figures);
-  put_event (running, figures);
+  set_latency_figures (running, figures);
+  set_cost_figures (running, figures);
+  set_service_figures (running, figures);
+  set_event_figures (running, figures);
   if (running->kind == EVENT_SLOW)
     print_slow (running);
-  bool judged = put_verdict (running, figures);
+  bool verified = set_verification_figures (running, figures);
   watch_free (running->watch);
   load_free (running->load);
-  return judged && !running->failed;
+  return verified && !running->failed;
 }
 
 bool
--- a/tests/measure-scale.c
+++ b/tests/measure-scale.c
@@ -6,7 +6,7 @@
 
 typedef struct
 {
-  const char *varies;
+  const char *varied;
   int routers;
   int models;
   int accounts;
@@ -23,7 +23,7 @@
         { "backlogged", 8, 12, 128, 0 } };
 
 /* Fleets of the scale run are large: two side by side.  */
-#define AT_ONCE 2
+#define MAX_RUNNING 2
 
 bool
 measure_run_scale (const measure_options_t *options)
@@ -39,7 +39,7 @@
       jobs[i].options.accounts = points[i].accounts;
       jobs[i].options.idle = points[i].idle;
     }
-  unsigned good = jobs_run_all (jobs, G_N_ELEMENTS (points), AT_ONCE);
+  unsigned good = jobs_run_all (jobs, G_N_ELEMENTS (points), MAX_RUNNING);
   printf ("%-10s %7s %9s %8s %5s | %9s %9s %8s %8s %9s %9s %9s %8s %6s\n",
           "varies", "routers", "endpoints", "accounts", "idle", "B/node/s",
           "B/request", "router%", "agent%", "router MB", "agent MB", "calls/s",
@@ -50,7 +50,7 @@
       printf (
           "%-10s %7d %9d %8d %5d | %9.0f %9.0f %8.2f %8.2f %9.1f %9.1f %9.1f "
           "%8.0f %6.3f\n",
-          points[i].varies, points[i].routers, points[i].models,
+          points[i].varied, points[i].routers, points[i].models,
           points[i].accounts, points[i].idle, figures[FIGURE_CONTROL_BYTES],
           figures[FIGURE_CONTROL_REQUEST], figures[FIGURE_CONTROL_CPU],
           figures[FIGURE_AGENT_CPU], figures[FIGURE_ROUTER_RESIDENT] / 1e6,
--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -1,10 +1,11 @@
-/* What a slow engine costs the callers, and what a hedge could gain.  */
+/* What a slow engine costs the callers, and what a simulate_hedge could gain.
+ */
 
 #include "measure-slow.h"
 #include "measure.h"
 #include <stdio.h>
 
-#define LATE_SHARE 0.95
+#define LATE_QUANTILE 0.95
 
 /* One stream; times in milliseconds.  */
 typedef struct
@@ -24,7 +25,7 @@
   double interval;
   double first_late;
   double whole_late;
-} usual_t;
+} typical_t;
 
 static double
 ms_between (int64_t from_us, int64_t to_us)
@@ -33,8 +34,8 @@
 }
 
 static GArray *
-streams_of (const GPtrArray *requests, GHashTable *slow, int64_t from_us,
-            int64_t to_us)
+collect_streams (const GPtrArray *requests, GHashTable *slow, int64_t from_us,
+                 int64_t to_us)
 {
   GArray *streams = g_array_new (FALSE, FALSE, sizeof (stream_t));
 
@@ -59,7 +60,7 @@
 
 /* Slots that ran a request, mean over the span.  */
 static double
-busy_slots (const GPtrArray *requests, int64_t from_us, int64_t to_us)
+get_mean_busy_slots (const GPtrArray *requests, int64_t from_us, int64_t to_us)
 {
   double busy_us = 0;
 
@@ -75,15 +76,15 @@
 }
 
 static double
-interval_of (const stream_t *stream)
+get_token_interval_ms (const stream_t *stream)
 {
   return stream->tokens > 1
              ? (stream->whole - stream->first) / (stream->tokens - 1)
              : 0;
 }
 
-static usual_t
-usual_of (const GArray *streams)
+static typical_t
+get_typical (const GArray *streams)
 {
   g_autoptr (GArray) first = g_array_new (FALSE, FALSE, sizeof (float));
   g_autoptr (GArray) whole = g_array_new (FALSE, FALSE, sizeof (float));
@@ -93,31 +94,31 @@
     {
       const stream_t *stream = &g_array_index (streams, stream_t, i);
       float times[] = { (float)stream->first, (float)stream->whole,
-                        (float)interval_of (stream) };
+                        (float)get_token_interval_ms (stream) };
       if (stream->at_slow)
         continue;
       g_array_append_val (first, times[0]);
       g_array_append_val (whole, times[1]);
       g_array_append_val (intervals, times[2]);
     }
-  return (usual_t){ .first = fair_quantile (first, 0.5),
-                    .interval = fair_quantile (intervals, 0.5),
-                    .first_late = fair_quantile (first, LATE_SHARE),
-                    .whole_late = fair_quantile (whole, LATE_SHARE) };
+  return (typical_t){ .first = fair_quantile (first, 0.5),
+                      .interval = fair_quantile (intervals, 0.5),
+                      .first_late = fair_quantile (first, LATE_QUANTILE),
+                      .whole_late = fair_quantile (whole, LATE_QUANTILE) };
 }
 
 static slow_percentiles_t
-times_of (GArray *values)
+get_percentiles (GArray *values)
 {
   return (slow_percentiles_t){ .p50 = fair_quantile (values, 0.5),
                                .p95 = fair_quantile (values, 0.95),
                                .p99 = fair_quantile (values, 0.99),
-                               .most = fair_quantile (values, 1) };
+                               .max = fair_quantile (values, 1) };
 }
 
 /* Time until STREAM comes so far, the whole or the first token.  */
 static double
-time_of (const stream_t *stream, bool whole)
+get_completion_ms (const stream_t *stream, bool whole)
 {
   return whole ? stream->whole : stream->first;
 }
@@ -125,51 +126,55 @@
 /* Tokens that the second attempt takes when it runs for LENGTH; the engine
    takes the whole prompt in any case.  */
 static double
-tokens_in (const stream_t *stream, const usual_t *usual, double length)
+count_hedge_tokens (const stream_t *stream, const typical_t *typical,
+                    double length)
 {
-  double given = length < usual->first
-                     ? 0
-                     : 1 + (length - usual->first) / MAX (usual->interval, 1);
+  double given
+      = length < typical->first
+            ? 0
+            : 1 + (length - typical->first) / MAX (typical->interval, 1);
 
   return stream->prompt + MIN (given, stream->tokens);
 }
 
 /* Tokens that STREAM's first attempt had taken when it had run for LENGTH.  */
 static double
-tokens_before (const stream_t *stream, double length)
+count_first_attempt_tokens (const stream_t *stream, double length)
 {
-  double given
-      = length < stream->first
-            ? 0
-            : 1 + (length - stream->first) / MAX (interval_of (stream), 1);
+  double given = length < stream->first
+                     ? 0
+                     : 1
+                           + (length - stream->first)
+                                 / MAX (get_token_interval_ms (stream), 1);
 
   return stream->prompt + MIN (given, stream->tokens);
 }
 
 static slow_hedge_t
-hedge (const GArray *streams, const usual_t *usual, bool whole)
+simulate_hedge (const GArray *streams, const typical_t *typical, bool whole)
 {
   slow_hedge_t found
-      = { .after_ms = whole ? usual->whole_late : usual->first_late };
+      = { .after_ms = whole ? typical->whole_late : typical->first_late };
   g_autoptr (GArray) ends = g_array_new (FALSE, FALSE, sizeof (float));
 
   for (guint i = 0; i < streams->len; i++)
     {
       const stream_t *stream = &g_array_index (streams, stream_t, i);
-      double time = time_of (stream, whole);
-      double second = found.after_ms + usual->first
-                      + (whole ? (stream->tokens - 1) * usual->interval : 0);
+      double time = get_completion_ms (stream, whole);
+      double second = found.after_ms + typical->first
+                      + (whole ? (stream->tokens - 1) * typical->interval : 0);
       float end = (float)(stream->wait + MIN (time, second));
       g_array_append_val (ends, end);
       if (time <= found.after_ms)
         continue;
       found.late++;
       found.won += second < time;
-      found.tokens += second < time
-                          ? tokens_before (stream, second)
-                          : tokens_in (stream, usual, time - found.after_ms);
+      found.tokens
+          += second < time
+                 ? count_first_attempt_tokens (stream, second)
+                 : count_hedge_tokens (stream, typical, time - found.after_ms);
     }
-  found.end = times_of (ends);
+  found.end = get_percentiles (ends);
   return found;
 }
 
@@ -177,13 +182,15 @@
 slow_summarize_span (const GPtrArray *requests, GHashTable *slow,
                      int64_t from_us, int64_t to_us)
 {
-  g_autoptr (GArray) streams = streams_of (requests, slow, from_us, to_us);
+  g_autoptr (GArray) streams
+      = collect_streams (requests, slow, from_us, to_us);
   g_autoptr (GArray) wait = g_array_new (FALSE, FALSE, sizeof (float));
   g_autoptr (GArray) first = g_array_new (FALSE, FALSE, sizeof (float));
   g_autoptr (GArray) whole = g_array_new (FALSE, FALSE, sizeof (float));
-  usual_t usual = usual_of (streams);
-  slow_span_t span = { .count = streams->len,
-                       .busy = busy_slots (requests, from_us, to_us) };
+  typical_t typical = get_typical (streams);
+  slow_span_t span
+      = { .count = streams->len,
+          .busy = get_mean_busy_slots (requests, from_us, to_us) };
 
   for (guint i = 0; i < streams->len; i++)
     {
@@ -197,11 +204,11 @@
       g_array_append_val (first, times[1]);
       g_array_append_val (whole, times[2]);
     }
-  span.wait = times_of (wait);
-  span.first = times_of (first);
-  span.whole = times_of (whole);
-  span.hedge_first = hedge (streams, &usual, false);
-  span.hedge_whole = hedge (streams, &usual, true);
+  span.wait = get_percentiles (wait);
+  span.first = get_percentiles (first);
+  span.whole = get_percentiles (whole);
+  span.hedge_first = simulate_hedge (streams, &typical, false);
+  span.hedge_whole = simulate_hedge (streams, &typical, true);
   return span;
 }
 
@@ -209,7 +216,7 @@
 print_times (const char *what, const slow_percentiles_t *times)
 {
   fprintf (stderr, "slow:   %s p50 %.0f, p95 %.0f, p99 %.0f, most %.0f ms\n",
-           what, times->p50, times->p95, times->p99, times->most);
+           what, times->p50, times->p95, times->p99, times->max);
 }
 
 static void
@@ -221,7 +228,7 @@
            "most %.0f ms\n",
            it->after_ms, what, it->late, it->won,
            tokens > 0 ? 100 * it->tokens / tokens : 0, it->end.p50,
-           it->end.p95, it->end.p99, it->end.most);
+           it->end.p95, it->end.p99, it->end.max);
 }
 
 void
--- a/tests/measure-slow.h
+++ b/tests/measure-slow.h
@@ -1,7 +1,7 @@
 /* The event "slow": what callers saw while one engine decodes slower than the
-   others, and the most that a second attempt beside the first (a hedge) could
-   have gained.  Pure but for the printing.  docs/MEASURES.md defines the
-   figures.  */
+   others, and the max that a second attempt beside the first (a
+   simulate_hedge) could have gained.  Pure but for the printing.
+   docs/MEASURES.md defines the figures.  */
 
 #ifndef TESTS_MEASURE_SLOW_H
 #define TESTS_MEASURE_SLOW_H
@@ -14,7 +14,7 @@
   double p50;
   double p95;
   double p99;
-  double most;
+  double max;
 } slow_percentiles_t;
 
 /* A policy of hedging, reckoned: each request whose first attempt has not come
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -7,18 +7,18 @@
 #include <stdio.h>
 #include <string.h>
 
-#define POLL_S 0.2
+#define POLL_INTERVAL_S 0.2
 /* With fewer waiting requests than this part of the slots, all of them may be
    on their way.  */
-#define WAITING_PART 0.25
+#define MIN_WAITING_SHARE 0.25
 
 typedef struct
 {
   watch_t *watch;
   unsigned index;
   char *url;
-  bool asked;
-  bool known;
+  bool is_pending;
+  bool has_counters;
   double busy_ms;
   double now_ms;
   double last_start_ms;
@@ -37,14 +37,14 @@
   const unsigned *zone_sides;
   double busy_ms[WATCH_SPANS]; /* while enough work waited */
   double slot_ms[WATCH_SPANS];
-  double all_busy_ms[WATCH_SPANS];
-  double all_slot_ms[WATCH_SPANS];
+  double total_busy_ms[WATCH_SPANS];
+  double total_slot_ms[WATCH_SPANS];
 };
 
 /* Whether so much work waited since the last poll that ENDPOINT's slots should
    have been full.  Work on the other side of a cut can't use them.  */
 static bool
-had_work (const endpoint_t *endpoint)
+had_enough_work (const endpoint_t *endpoint)
 {
   const watch_t *watch = endpoint->watch;
   const fleet_plan_t *plan = fleet_get_plan (watch->fleet);
@@ -57,11 +57,11 @@
         += watch->zone_sides == NULL
            || watch->zone_sides[fleet_get_zone (watch->fleet, FLEET_AGENT, i)]
                   == side;
-  return fair_min_waiting (load_get_samples (watch->load), watch->router_sides,
-                           side, load_accounts (watch->load),
-                           (guint)(POLL_S * 1000 / LOAD_SAMPLE_INTERVAL_MS)
-                               + 2)
-         >= WAITING_PART * plan->slots * models;
+  return fair_min_waiting (
+             load_get_samples (watch->load), watch->router_sides, side,
+             load_accounts (watch->load),
+             (guint)(POLL_INTERVAL_S * 1000 / LOAD_SAMPLE_INTERVAL_MS) + 2)
+         >= MIN_WAITING_SHARE * plan->slots * models;
 }
 
 /* Adds ENDPOINT's time since its last poll to the present span.  */
@@ -70,19 +70,19 @@
 {
   watch_t *watch = endpoint->watch;
 
-  if (!endpoint->known || watch->span >= WATCH_SPANS
+  if (!endpoint->has_counters || watch->span >= WATCH_SPANS
       || endpoint->index >= fleet_get_plan (watch->fleet)->models)
     return;
-  watch->all_busy_ms[watch->span] += busy_ms;
-  watch->all_slot_ms[watch->span] += slot_ms;
-  if (!had_work (endpoint))
+  watch->total_busy_ms[watch->span] += busy_ms;
+  watch->total_slot_ms[watch->span] += slot_ms;
+  if (!had_enough_work (endpoint))
     return;
   watch->busy_ms[watch->span] += busy_ms;
   watch->slot_ms[watch->span] += slot_ms;
 }
 
 static void
-take_counters (endpoint_t *endpoint, JsonObject *counters)
+update_counters (endpoint_t *endpoint, JsonObject *counters)
 {
   const fleet_plan_t *plan = fleet_get_plan (endpoint->watch->fleet);
   double busy_ms = json_object_get_double_member (counters, "busy_ms");
@@ -90,7 +90,7 @@
 
   add_time (endpoint, busy_ms - endpoint->busy_ms,
             (now_ms - endpoint->now_ms) * plan->slots);
-  endpoint->known = true;
+  endpoint->has_counters = true;
   endpoint->busy_ms = busy_ms;
   endpoint->now_ms = now_ms;
   endpoint->last_start_ms
@@ -104,11 +104,11 @@
   endpoint_t *endpoint = user;
   g_autoptr (JsonNode) root = NULL;
 
-  endpoint->asked = false;
+  endpoint->is_pending = false;
   if (result == FETCH_COMPLETE && status == 200)
     root = json_from_string (body, NULL);
   if (root != NULL && JSON_NODE_HOLDS_OBJECT (root))
-    take_counters (endpoint, json_node_get_object (root));
+    update_counters (endpoint, json_node_get_object (root));
 }
 
 static void
@@ -124,9 +124,9 @@
                                         .total_timeout_ms = 5000,
                                         .done = on_counters,
                                         .user = endpoint };
-      if (endpoint->asked)
+      if (endpoint->is_pending)
         continue;
-      endpoint->asked = true;
+      endpoint->is_pending = true;
       fetch_start (watch->pool, &request);
     }
 }
@@ -160,7 +160,7 @@
       endpoint->url = g_strconcat (base, "/control/counters", NULL);
       g_ptr_array_add (watch->endpoints, endpoint);
     }
-  ev_timer_init (&watch->poll, on_poll, POLL_S, POLL_S);
+  ev_timer_init (&watch->poll, on_poll, POLL_INTERVAL_S, POLL_INTERVAL_S);
   watch->poll.data = watch;
   ev_timer_start (loop, &watch->poll);
   return watch;
@@ -190,7 +190,7 @@
 }
 
 static double
-part_of (double part, double whole)
+divide_or_zero (double part, double whole)
 {
   return whole > 0 ? part / whole : 0;
 }
@@ -198,19 +198,20 @@
 double
 watch_get_utilisation (const watch_t *watch, unsigned span)
 {
-  return part_of (watch->busy_ms[span], watch->slot_ms[span]);
+  return divide_or_zero (watch->busy_ms[span], watch->slot_ms[span]);
 }
 
 double
 watch_get_counted_share (const watch_t *watch, unsigned span)
 {
-  return part_of (watch->slot_ms[span], watch->all_slot_ms[span]);
+  return divide_or_zero (watch->slot_ms[span], watch->total_slot_ms[span]);
 }
 
 double
 watch_get_busy_share (const watch_t *watch, unsigned span)
 {
-  return part_of (watch->all_busy_ms[span], watch->all_slot_ms[span]);
+  return divide_or_zero (watch->total_busy_ms[span],
+                         watch->total_slot_ms[span]);
 }
 
 cfd_time_t
@@ -255,12 +256,12 @@
   GHashTable *sums
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 
-  for (int sort = FLEET_ROUTER; sort <= FLEET_AGENT; sort++)
-    for (unsigned i = 0; i < fleet_count_members (fleet, (fleet_role_t)sort);
+  for (int role = FLEET_ROUTER; role <= FLEET_AGENT; role++)
+    for (unsigned i = 0; i < fleet_count_members (fleet, (fleet_role_t)role);
          i++)
       {
         g_autofree char *base
-            = fleet_get_admin_url (fleet, (fleet_role_t)sort, i);
+            = fleet_get_admin_url (fleet, (fleet_role_t)role, i);
         g_autofree char *url = g_strconcat (base, "/metrics", NULL);
         long status = 0;
         g_autofree char *text
@@ -289,7 +290,7 @@
 
 /* Greatest resident set of PROC since its start.  */
 static double
-peak_of (const proc_t *proc)
+read_peak_resident (const proc_t *proc)
 {
   g_autofree char *path = g_strdup_printf ("/proc/%d/status", (int)proc->pid);
   g_autofree char *text = NULL;
@@ -301,23 +302,23 @@
 }
 
 static void
-add_node (const fleet_t *fleet, fleet_role_t sort, unsigned index,
-          node_sum_t *sum)
+add_node_usage (const fleet_t *fleet, fleet_role_t role, unsigned index,
+                node_sum_t *sum)
 {
-  const proc_t *proc = fleet_get_process (fleet, sort, index);
-  double peak = peak_of (proc);
+  const proc_t *proc = fleet_get_process (fleet, role, index);
+  double peak = read_peak_resident (proc);
   double cpu_s = 0;
   double resident = 0;
 
   sum->control_bytes += MAX (
-      fleet_sum_metric (fleet, sort, index, "cfd_peer_control_bytes_total"),
+      fleet_sum_metric (fleet, role, index, "cfd_peer_control_bytes_total"),
       0);
-  if (sort == FLEET_AGENT)
+  if (role == FLEET_AGENT)
     sum->completed += MAX (
-        fleet_sum_metric (fleet, sort, index, "cfd_agent_completed_total"), 0);
+        fleet_sum_metric (fleet, role, index, "cfd_agent_completed_total"), 0);
   if (!proc_read_usage (proc, &cpu_s, &resident))
     return;
-  if (sort == FLEET_ROUTER)
+  if (role == FLEET_ROUTER)
     {
       sum->router_cpu_s += cpu_s;
       sum->router_peak = MAX (sum->router_peak, peak);
@@ -332,7 +333,7 @@
 /* Calls as the platform counts them; a claim is the only object that nodes
    put while they run.  */
 static void
-add_calls (const fleet_t *fleet, node_sum_t *sum)
+add_platform_calls (const fleet_t *fleet, node_sum_t *sum)
 {
   g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/calls", NULL);
@@ -356,9 +357,9 @@
 {
   memset (sum, 0, sizeof *sum);
   for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ROUTER); i++)
-    add_node (fleet, FLEET_ROUTER, i, sum);
+    add_node_usage (fleet, FLEET_ROUTER, i, sum);
   for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_AGENT); i++)
-    add_node (fleet, FLEET_AGENT, i, sum);
-  add_calls (fleet, sum);
+    add_node_usage (fleet, FLEET_AGENT, i, sum);
+  add_platform_calls (fleet, sum);
   sum->at_us = clock_now_us ();
 }
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -8,9 +8,9 @@
 #include <sys/prctl.h>
 #include <signal.h>
 
-#define RUNS_MAX 512
+#define MAX_RUNS 512
 
-static const char *const names[FIGURE_COUNT]
+static const char *const figure_names[FIGURE_COUNT]
     = { [FIGURE_FAIRNESS_GAP] = "fairness_gap_tokens",
         [FIGURE_STEADY_GAP] = "fairness_gap_steady_tokens",
         [FIGURE_STARTED_GAP] = "fairness_gap_started_tokens",
@@ -54,7 +54,7 @@
 const char *
 figure_name (figure_t figure)
 {
-  return names[figure];
+  return figure_names[figure];
 }
 
 /* ---- one run in this process ---- */
@@ -70,13 +70,13 @@
           options->profile, options->event, (int)options->seed,
           one ? "fleet" : options->policy, one ? 1 : options->routers);
   for (int i = 0; i < FIGURE_COUNT; i++)
-    printf (",\"%s\":%.6g", names[i], run->figures[i]);
+    printf (",\"%s\":%.6g", figure_names[i], run->figures[i]);
   printf ("}\n");
   fflush (stdout);
 }
 
 static int
-run_one (const measure_options_t *options)
+run_single (const measure_options_t *options)
 {
   measure_run_t run = { .options = *options };
 
@@ -100,19 +100,19 @@
 /* Median and greatest of FIGURE over the good runs of POLICY.  */
 static double
 median (const job_t *jobs, unsigned count, const char *policy, int figure,
-        double *most)
+        double *max)
 {
-  double values[RUNS_MAX];
+  double values[MAX_RUNS];
   size_t found = 0;
 
   for (unsigned i = 0; i < count; i++)
     if (jobs[i].good && strcmp (jobs[i].options.policy, policy) == 0)
       values[found++] = jobs[i].figures[figure];
-  *most = 0;
+  *max = 0;
   if (found == 0)
     return 0;
   qsort (values, found, sizeof *values, compare);
-  *most = values[found - 1];
+  *max = values[found - 1];
   return found % 2 == 1 ? values[found / 2]
                         : (values[found / 2 - 1] + values[found / 2]) / 2;
 }
@@ -135,13 +135,12 @@
   printf ("\n");
   for (int figure = 0; figure < FIGURE_COUNT; figure++)
     {
-      printf ("%-30s", names[figure]);
+      printf ("%-30s", figure_names[figure]);
       for (unsigned i = 0; i < G_N_ELEMENTS (policies); i++)
         {
-          double most;
-          double middle = median (jobs, count, policies[i], figure, &most);
-          g_autofree char *text
-              = g_strdup_printf ("%.5g (%.5g)", middle, most);
+          double max;
+          double middle = median (jobs, count, policies[i], figure, &max);
+          g_autofree char *text = g_strdup_printf ("%.5g (%.5g)", middle, max);
           printf (" %22s", text);
         }
       printf ("\n");
@@ -151,11 +150,11 @@
 static int
 run_many (const measure_options_t *options)
 {
-  static job_t jobs[RUNS_MAX];
+  static job_t jobs[MAX_RUNS];
   unsigned count = 0;
 
   for (int seed = 0; seed < options->seeds; seed++)
-    for (unsigned i = 0; i < G_N_ELEMENTS (policies) && count < RUNS_MAX; i++)
+    for (unsigned i = 0; i < G_N_ELEMENTS (policies) && count < MAX_RUNS; i++)
       if (strcmp (options->policy, "all") == 0
           || strcmp (options->policy, policies[i]) == 0)
         {
@@ -253,5 +252,5 @@
     return measure_run_path (&options) ? 0 : 1;
   if (strcmp (options.profile, "scale") == 0 && !options.one)
     return measure_run_scale (&options) ? 0 : 1;
-  return options.one ? run_one (&options) : run_many (&options);
+  return options.one ? run_single (&options) : run_many (&options);
 }
--- a/tests/proc.c
+++ b/tests/proc.c
@@ -14,7 +14,7 @@
 
 struct proc_set
 {
-  char *folder;
+  char *log_dir;
   GPtrArray *procs; /* of proc_t, in the order of their start */
 };
 
@@ -33,7 +33,7 @@
 {
   proc_set_t *set = g_new0 (proc_set_t, 1);
 
-  set->folder = g_dir_make_tmp ("cfd-XXXXXX", NULL);
+  set->log_dir = g_dir_make_tmp ("cfd-XXXXXX", NULL);
   set->procs = g_ptr_array_new_with_free_func (proc_free);
   return set;
 }
@@ -41,23 +41,23 @@
 const char *
 proc_set_get_log_dir (const proc_set_t *set)
 {
-  return set->folder;
+  return set->log_dir;
 }
 
 static void
-remove_folder (const char *folder)
+remove_dir (const char *log_dir)
 {
-  GDir *dir = g_dir_open (folder, 0, NULL);
+  GDir *dir = g_dir_open (log_dir, 0, NULL);
   const char *name;
 
   while (dir != NULL && (name = g_dir_read_name (dir)) != NULL)
     {
-      g_autofree char *path = g_build_filename (folder, name, NULL);
+      g_autofree char *path = g_build_filename (log_dir, name, NULL);
       g_unlink (path);
     }
   if (dir != NULL)
     g_dir_close (dir);
-  g_rmdir (folder);
+  g_rmdir (log_dir);
 }
 
 void
@@ -67,10 +67,10 @@
     proc_stop (set->procs->pdata[i], SIGKILL, 0);
   for (guint i = 0; i < set->procs->len; i++)
     proc_stop (set->procs->pdata[i], SIGKILL, 5000);
-  if (!keep && set->folder != NULL)
-    remove_folder (set->folder);
+  if (!keep && set->log_dir != NULL)
+    remove_dir (set->log_dir);
   g_ptr_array_unref (set->procs);
-  g_free (set->folder);
+  g_free (set->log_dir);
   g_free (set);
 }
 
@@ -89,7 +89,7 @@
 proc_restart (proc_set_t *set, proc_t *proc, GError **error)
 {
   g_autofree char *path
-      = g_strdup_printf ("%s/%s.log", set->folder, proc->name);
+      = g_strdup_printf ("%s/%s.log", set->log_dir, proc->name);
   int output = open (path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
 
   if (output < 0)
@@ -171,17 +171,17 @@
 char *
 proc_get_build_dir (void)
 {
-  const char *given = g_getenv ("CFD_BUILD");
+  const char *env_dir = g_getenv ("CFD_BUILD");
   g_autofree char *self = g_file_read_link ("/proc/self/exe", NULL);
 
-  if (given != NULL || self == NULL)
-    return g_strdup (given ? given : "build");
+  if (env_dir != NULL || self == NULL)
+    return g_strdup (env_dir ? env_dir : "build");
   g_autofree char *tests = g_path_get_dirname (self);
   return g_path_get_dirname (tests);
 }
 
 static size_t
-collect (char *bytes, size_t size, size_t count, void *user)
+append_body (char *bytes, size_t size, size_t count, void *user)
 {
   g_string_append_len (user, bytes, (gssize)(size * count));
   return size * count;
@@ -203,7 +203,7 @@
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, headers);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, 5000L);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, collect);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, answer);
   if (body != NULL)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -11,15 +11,15 @@
 #include <sys/timerfd.h>
 #include <unistd.h>
 
-#define CHUNK (64 * 1024)
-#define QUEUE_MAX (1024 * 1024)
+#define CHUNK_BYTES (64 * 1024)
+#define MAX_QUEUED_BYTES (1024 * 1024)
 
-/* All bytes with the same delay, first in first out.  Its timer is a
+/* All bytes with the same delay, first in first out.  Its timer_fd is a
    descriptor, because epoll's own time limit is in whole milliseconds.  */
-struct lane
+struct delay_line
 {
   int64_t delay_us;
-  int timer;
+  int timer_fd;
   ev_io expired;
   list_node_t chunks;
 };
@@ -30,7 +30,7 @@
 typedef struct
 {
   list_node_t node;
-  list_node_t in_lane; /* unlinked when due */
+  list_node_t in_delay_line; /* unlinked when due */
   flow_t *flow;
   int64_t due_us;
   size_t length;
@@ -41,23 +41,23 @@
 /* One direction of a connection.  */
 struct flow
 {
-  pair_t *pair;
+  relay_conn_t *relay_conn;
   int from;
   int to;
   ev_io readable;
   ev_io writable;
   list_node_t queue;
-  size_t queued;
-  bool ended;  /* FROM sent its last byte */
-  bool closed; /* and TO was told */
+  size_t queued_bytes;
+  bool input_ended;   /* FROM sent its last byte */
+  bool output_closed; /* and TO was told */
 };
 
-struct pair
+struct relay_conn
 {
   list_node_t node;
   struct ev_loop *loop;
-  lane_t *lane;
-  bool silent;
+  delay_line_t *delay_line;
+  bool stalled;
   flow_t flows[2];
 };
 
@@ -69,56 +69,58 @@
   list_for_each_safe (node, &flow->queue)
     {
       chunk_t *chunk = list_entry (node, chunk_t, node);
-      list_remove (&chunk->in_lane);
+      list_remove (&chunk->in_delay_line);
       list_remove (node);
       g_free (chunk);
     }
 }
 
 static void
-pair_free (pair_t *pair)
+relay_conn_free (relay_conn_t *relay_conn)
 {
-  struct ev_loop *loop = pair->loop;
-
-  flow_clear (loop, &pair->flows[0]);
-  flow_clear (loop, &pair->flows[1]);
-  close (pair->flows[0].from);
-  close (pair->flows[0].to);
-  list_remove (&pair->node);
-  g_free (pair);
+  struct ev_loop *loop = relay_conn->loop;
+
+  flow_clear (loop, &relay_conn->flows[0]);
+  flow_clear (loop, &relay_conn->flows[1]);
+  close (relay_conn->flows[0].from);
+  close (relay_conn->flows[0].to);
+  list_remove (&relay_conn->node);
+  g_free (relay_conn);
 }
 
 /* Tells the other side of the end when all before it has left; true when
-   both directions are over and the pair was freed.  */
+   both directions are over and the relay_conn was freed.  */
 static bool
-flow_finish (flow_t *flow)
+flow_forward_end (flow_t *flow)
 {
-  pair_t *pair = flow->pair;
+  relay_conn_t *relay_conn = flow->relay_conn;
 
-  if (!flow->ended || flow->closed || !list_is_empty (&flow->queue))
+  if (!flow->input_ended || flow->output_closed
+      || !list_is_empty (&flow->queue))
     return false;
-  flow->closed = true;
+  flow->output_closed = true;
   shutdown (flow->to, SHUT_WR);
-  if (!pair->flows[0].closed || !pair->flows[1].closed)
+  if (!relay_conn->flows[0].output_closed
+      || !relay_conn->flows[1].output_closed)
     return false;
-  pair_free (pair);
+  relay_conn_free (relay_conn);
   return true;
 }
 
 /* Writes what is due.  */
 static void
-flow_write (struct ev_loop *loop, flow_t *flow)
+flow_write_due (struct ev_loop *loop, flow_t *flow)
 {
   list_for_each_safe (node, &flow->queue)
     {
       chunk_t *chunk = list_entry (node, chunk_t, node);
-      if (list_is_linked (&chunk->in_lane))
+      if (list_is_linked (&chunk->in_delay_line))
         return;
       ssize_t count = write (flow->to, chunk->bytes + chunk->sent,
                              chunk->length - chunk->sent);
       if (count < 0 && errno != EAGAIN)
         {
-          pair_free (flow->pair);
+          relay_conn_free (flow->relay_conn);
           return;
         }
       chunk->sent += (size_t)MAX (count, 0);
@@ -127,99 +129,103 @@
           ev_io_start (loop, &flow->writable);
           return;
         }
-      flow->queued -= chunk->length;
+      flow->queued_bytes -= chunk->length;
       list_remove (&chunk->node);
       g_free (chunk);
     }
   ev_io_stop (loop, &flow->writable);
-  if (flow_finish (flow))
+  if (flow_forward_end (flow))
     return;
-  if (!flow->ended && !flow->pair->silent)
+  if (!flow->input_ended && !flow->relay_conn->stalled)
     ev_io_start (loop, &flow->readable);
 }
 
 static void
-lane_arm (lane_t *lane)
+delay_line_arm_timer (delay_line_t *delay_line)
 {
   struct itimerspec when = { 0 };
 
-  if (list_is_empty (&lane->chunks))
+  if (list_is_empty (&delay_line->chunks))
     return;
-  int64_t due = list_entry (lane->chunks.next, chunk_t, in_lane)->due_us;
+  int64_t due
+      = list_entry (delay_line->chunks.next, chunk_t, in_delay_line)->due_us;
   when.it_value.tv_sec = due / G_USEC_PER_SEC;
   when.it_value.tv_nsec = due % G_USEC_PER_SEC * 1000 + 1;
-  timerfd_settime (lane->timer, TFD_TIMER_ABSTIME, &when, NULL);
+  timerfd_settime (delay_line->timer_fd, TFD_TIMER_ABSTIME, &when, NULL);
 }
 
 static void
-on_expired (struct ev_loop *loop, ev_io *watcher, int events)
+on_delay_timer (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  lane_t *lane = watcher->data;
+  delay_line_t *delay_line = watcher->data;
   uint64_t count;
   int64_t now = clock_now_us ();
 
-  if (read (lane->timer, &count, sizeof count) < 0)
+  if (read (delay_line->timer_fd, &count, sizeof count) < 0)
     return;
-  while (!list_is_empty (&lane->chunks))
+  while (!list_is_empty (&delay_line->chunks))
     {
-      chunk_t *chunk = list_entry (lane->chunks.next, chunk_t, in_lane);
+      chunk_t *chunk
+          = list_entry (delay_line->chunks.next, chunk_t, in_delay_line);
       if (chunk->due_us > now)
         break;
-      list_remove (&chunk->in_lane);
-      flow_write (loop, chunk->flow);
+      list_remove (&chunk->in_delay_line);
+      flow_write_due (loop, chunk->flow);
     }
-  lane_arm (lane);
+  delay_line_arm_timer (delay_line);
 }
 
-static lane_t *
-lane_new (struct ev_loop *loop, int64_t delay_us)
+static delay_line_t *
+delay_line_new (struct ev_loop *loop, int64_t delay_us)
 {
-  lane_t *lane = g_new0 (lane_t, 1);
-
-  lane->delay_us = delay_us;
-  lane->timer = timerfd_create (CLOCK_BOOTTIME, TFD_NONBLOCK | TFD_CLOEXEC);
-  list_init (&lane->chunks);
-  ev_io_init (&lane->expired, on_expired, lane->timer, EV_READ);
-  lane->expired.data = lane;
-  ev_io_start (loop, &lane->expired);
-  return lane;
+  delay_line_t *delay_line = g_new0 (delay_line_t, 1);
+
+  delay_line->delay_us = delay_us;
+  delay_line->timer_fd
+      = timerfd_create (CLOCK_BOOTTIME, TFD_NONBLOCK | TFD_CLOEXEC);
+  list_init (&delay_line->chunks);
+  ev_io_init (&delay_line->expired, on_delay_timer, delay_line->timer_fd,
+              EV_READ);
+  delay_line->expired.data = delay_line;
+  ev_io_start (loop, &delay_line->expired);
+  return delay_line;
 }
 
-lane_t *
-lane_get (struct ev_loop *loop, GPtrArray *lanes, int64_t delay_us)
+delay_line_t *
+delay_line_get (struct ev_loop *loop, GPtrArray *delay_lines, int64_t delay_us)
 {
-  for (guint i = 0; i < lanes->len; i++)
+  for (guint i = 0; i < delay_lines->len; i++)
     {
-      lane_t *lane = lanes->pdata[i];
-      if (lane->delay_us == delay_us)
-        return lane;
+      delay_line_t *delay_line = delay_lines->pdata[i];
+      if (delay_line->delay_us == delay_us)
+        return delay_line;
     }
-  lane_t *lane = lane_new (loop, delay_us);
-  g_ptr_array_add (lanes, lane);
-  return lane;
+  delay_line_t *delay_line = delay_line_new (loop, delay_us);
+  g_ptr_array_add (delay_lines, delay_line);
+  return delay_line;
 }
 
 static void
-lane_add (lane_t *lane, chunk_t *chunk)
+delay_line_add (delay_line_t *delay_line, chunk_t *chunk)
 {
-  bool first = list_is_empty (&lane->chunks);
+  bool first = list_is_empty (&delay_line->chunks);
 
-  chunk->due_us = clock_now_us () + lane->delay_us;
-  list_append (&lane->chunks, &chunk->in_lane);
+  chunk->due_us = clock_now_us () + delay_line->delay_us;
+  list_append (&delay_line->chunks, &chunk->in_delay_line);
   if (first)
-    lane_arm (lane);
+    delay_line_arm_timer (delay_line);
 }
 
 static void
 on_writable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  flow_write (loop, watcher->data);
+  flow_write_due (loop, watcher->data);
 }
 
 static void
 on_readable (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  static char buffer[CHUNK];
+  static char buffer[CHUNK_BYTES];
   flow_t *flow = watcher->data;
   ssize_t count = read (flow->from, buffer, sizeof buffer);
 
@@ -227,15 +233,15 @@
     return;
   if (count < 0)
     {
-      pair_free (flow->pair);
+      relay_conn_free (flow->relay_conn);
       return;
     }
   if (count == 0)
     {
       ev_io_stop (loop, &flow->readable);
-      flow->ended = true;
+      flow->input_ended = true;
       if (list_is_empty (&flow->queue))
-        flow_finish (flow);
+        flow_forward_end (flow);
       return;
     }
   chunk_t *chunk = g_malloc (sizeof *chunk + (size_t)count);
@@ -243,23 +249,23 @@
   chunk->length = (size_t)count;
   chunk->sent = 0;
   chunk->flow = flow;
-  list_init (&chunk->in_lane);
+  list_init (&chunk->in_delay_line);
   list_append (&flow->queue, &chunk->node);
-  flow->queued += chunk->length;
-  if (flow->queued >= QUEUE_MAX)
+  flow->queued_bytes += chunk->length;
+  if (flow->queued_bytes >= MAX_QUEUED_BYTES)
     ev_io_stop (loop, &flow->readable);
-  if (flow->pair->lane->delay_us > 0)
-    lane_add (flow->pair->lane, chunk);
+  if (flow->relay_conn->delay_line->delay_us > 0)
+    delay_line_add (flow->relay_conn->delay_line, chunk);
   else
-    flow_write (loop, flow);
+    flow_write_due (loop, flow);
 }
 
 static void
-flow_start (pair_t *pair, flow_t *flow, int from, int to)
+flow_start (relay_conn_t *relay_conn, flow_t *flow, int from, int to)
 {
-  struct ev_loop *loop = pair->loop;
+  struct ev_loop *loop = relay_conn->loop;
 
-  flow->pair = pair;
+  flow->relay_conn = relay_conn;
   flow->from = from;
   flow->to = to;
   list_init (&flow->queue);
@@ -267,12 +273,12 @@
   ev_io_init (&flow->writable, on_writable, to, EV_WRITE);
   flow->readable.data = flow;
   flow->writable.data = flow;
-  if (!pair->silent)
+  if (!relay_conn->stalled)
     ev_io_start (loop, &flow->readable);
 }
 
 static void
-set_options (int fd)
+set_socket_options (int fd)
 {
   int on = 1;
 
@@ -281,49 +287,50 @@
 }
 
 void
-pair_start (struct ev_loop *loop, lane_t *lane, int near,
-            const struct sockaddr_in *target, bool silent, list_node_t *list)
+relay_conn_start (struct ev_loop *loop, delay_line_t *delay_line,
+                  int accepted_fd, const struct sockaddr_in *target,
+                  bool stalled, list_node_t *list)
 {
-  int far = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  int target_fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
-  if (far < 0)
+  if (target_fd < 0)
     {
-      close (near);
+      close (accepted_fd);
       return;
     }
-  set_options (near);
-  set_options (far);
-  if (connect (far, (const struct sockaddr *)target, sizeof *target) < 0
+  set_socket_options (accepted_fd);
+  set_socket_options (target_fd);
+  if (connect (target_fd, (const struct sockaddr *)target, sizeof *target) < 0
       && errno != EINPROGRESS)
     {
-      close (near);
-      close (far);
+      close (accepted_fd);
+      close (target_fd);
       return;
     }
-  pair_t *pair = g_new0 (pair_t, 1);
-  pair->loop = loop;
-  pair->lane = lane;
-  pair->silent = silent;
-  list_append (list, &pair->node);
-  flow_start (pair, &pair->flows[0], near, far);
-  flow_start (pair, &pair->flows[1], far, near);
+  relay_conn_t *relay_conn = g_new0 (relay_conn_t, 1);
+  relay_conn->loop = loop;
+  relay_conn->delay_line = delay_line;
+  relay_conn->stalled = stalled;
+  list_append (list, &relay_conn->node);
+  flow_start (relay_conn, &relay_conn->flows[0], accepted_fd, target_fd);
+  flow_start (relay_conn, &relay_conn->flows[1], target_fd, accepted_fd);
 }
 
 void
-pair_cut_all (list_node_t *list)
+relay_conn_close_all (list_node_t *list)
 {
   list_for_each_safe (node, list)
-    pair_free (list_entry (node, pair_t, node));
+    relay_conn_free (list_entry (node, relay_conn_t, node));
 }
 
 void
-pair_silence_all (list_node_t *list)
+relay_conn_stall_all (list_node_t *list)
 {
   list_for_each (node, list)
     {
-      pair_t *pair = list_entry (node, pair_t, node);
-      pair->silent = true;
-      flow_clear (pair->loop, &pair->flows[0]);
-      flow_clear (pair->loop, &pair->flows[1]);
+      relay_conn_t *relay_conn = list_entry (node, relay_conn_t, node);
+      relay_conn->stalled = true;
+      flow_clear (relay_conn->loop, &relay_conn->flows[0]);
+      flow_clear (relay_conn->loop, &relay_conn->flows[1]);
     }
 }
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -3,10 +3,10 @@
 #include "scene.h"
 #include <json-glib/json-glib.h>
 
-#define CHECK_S 0.02
+#define CHECK_INTERVAL_S 0.02
 
 static const fleet_account_t account = { "branch", SCENE_KEY, 1 };
-static double even[] = { 1, 0, 0, 0 };
+static double all_to_first_router[] = { 1, 0, 0, 0 };
 
 scene_plan_t
 scene_default_plan (void)
@@ -47,7 +47,7 @@
                                      .key = (char *)SCENE_KEY,
                                      .weight = 1,
                                      .outstanding = plan->outstanding,
-                                     .router_shares = even,
+                                     .router_shares = all_to_first_router,
                                      .min_answer_tokens = plan->tokens,
                                      .max_answer_tokens = plan->tokens };
   for (unsigned i = 0; i < LOAD_KIND_COUNT; i++)
@@ -83,36 +83,37 @@
 typedef struct
 {
   const scene_t *scene;
-  bool (*done) (const scene_t *scene);
+  bool (*condition) (const scene_t *scene);
   int64_t end_us;
-  bool is_done;
-} wait_t;
+  bool is_met;
+} condition_wait_t;
 
 static void
 on_check (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  wait_t *wait = watcher->data;
+  condition_wait_t *wait = watcher->data;
 
-  wait->is_done = wait->done != NULL && wait->done (wait->scene);
-  if (wait->is_done || clock_now_us () >= wait->end_us)
+  wait->is_met = wait->condition != NULL && wait->condition (wait->scene);
+  if (wait->is_met || clock_now_us () >= wait->end_us)
     ev_break (loop, EVBREAK_ALL);
 }
 
 static bool
-run_until (scene_t *scene, bool (*done) (const scene_t *scene),
+run_until (scene_t *scene, bool (*condition) (const scene_t *scene),
            unsigned limit_ms)
 {
-  wait_t wait = { .scene = scene,
-                  .done = done,
-                  .end_us = clock_now_us () + (int64_t)limit_ms * 1000 };
+  condition_wait_t wait
+      = { .scene = scene,
+          .condition = condition,
+          .end_us = clock_now_us () + (int64_t)limit_ms * 1000 };
   ev_timer check;
 
-  ev_timer_init (&check, on_check, CHECK_S, CHECK_S);
+  ev_timer_init (&check, on_check, CHECK_INTERVAL_S, CHECK_INTERVAL_S);
   check.data = &wait;
   ev_timer_start (scene->loop, &check);
   ev_run (scene->loop, 0);
   ev_timer_stop (scene->loop, &check);
-  return wait.is_done;
+  return wait.is_met;
 }
 
 void
@@ -122,10 +123,10 @@
 }
 
 void
-scene_run_until (scene_t *scene, bool (*done) (const scene_t *scene),
+scene_run_until (scene_t *scene, bool (*condition) (const scene_t *scene),
                  unsigned limit_ms)
 {
-  g_assert_true (run_until (scene, done, limit_ms));
+  g_assert_true (run_until (scene, condition, limit_ms));
 }
 
 void
@@ -172,10 +173,10 @@
 }
 
 void
-scene_put_control (const scene_t *scene, fleet_role_t sort, unsigned index,
+scene_put_control (const scene_t *scene, fleet_role_t role, unsigned index,
                    const char *path, const char *body)
 {
-  g_autofree char *base = fleet_get_url (scene->fleet, sort, index);
+  g_autofree char *base = fleet_get_url (scene->fleet, role, index);
   g_autofree char *url = g_strconcat (base, path, NULL);
   long status = 0;
   g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -40,7 +40,7 @@
 /* Lets the load run for so long.  */
 void scene_run (scene_t *scene, unsigned ms);
 /* Until DONE says so; fails the test after LIMIT_MS.  */
-void scene_run_until (scene_t *scene, bool (*done) (const scene_t *scene),
+void scene_run_until (scene_t *scene, bool (*condition) (const scene_t *scene),
                       unsigned limit_ms);
 /* Ends the load, waits for what runs, and takes the verdict; no promise may
    be broken.  */
@@ -54,7 +54,7 @@
 double scene_read_counter (const scene_t *scene, unsigned endpoint,
                            const char *name);
 /* PUT of JSON to a stand-in's control path.  */
-void scene_put_control (const scene_t *scene, fleet_role_t sort,
+void scene_put_control (const scene_t *scene, fleet_role_t role,
                         unsigned index, const char *path, const char *body);
 
 #endif
--- a/tests/sp-control.c
+++ b/tests/sp-control.c
@@ -22,7 +22,7 @@
 }
 
 static bool
-control_faults (sp_t *sp, JsonNode *root)
+apply_faults (sp_t *sp, JsonNode *root)
 {
   JsonObject *object;
   const char *name;
@@ -45,7 +45,7 @@
 }
 
 static bool
-control_objects (sp_t *sp, JsonNode *root)
+write_objects (sp_t *sp, JsonNode *root)
 {
   JsonArray *list;
 
@@ -66,7 +66,7 @@
 }
 
 static bool
-control_delete (sp_t *sp, const char *path)
+delete_object (sp_t *sp, const char *path)
 {
   g_autofree char *kind = NULL;
   g_autofree char *name = NULL;
@@ -79,7 +79,7 @@
 }
 
 static char *
-calls_text (const sp_t *sp)
+format_calls (const sp_t *sp)
 {
   static const char *const names[]
       = { "get", "list", "put", "delete", "watch", "instances" };
@@ -100,7 +100,7 @@
   size_t length;
   const char *body = web_body (request, &length);
   g_autoptr (JsonNode) root = json_from_string (body, NULL);
-  g_autofree char *calls = calls_text (sp);
+  g_autofree char *calls = format_calls (sp);
   bool ok = false;
 
   if (strcmp (path, "/control/calls") == 0)
@@ -112,10 +112,10 @@
   if (strcmp (path, "/control/instances") == 0)
     ok = sp_set_instances (sp, body);
   else if (strcmp (path, "/control/faults") == 0)
-    ok = control_faults (sp, root);
+    ok = apply_faults (sp, root);
   else if (strcmp (web_method (request), "DELETE") == 0)
-    ok = control_delete (sp, path);
+    ok = delete_object (sp, path);
   else if (strcmp (path, "/control/objects") == 0)
-    ok = control_objects (sp, root);
+    ok = write_objects (sp, root);
   web_respond (request, ok ? 200 : 400, "application/json", NULL, "{}", 2);
 }
--- a/tests/sp-list.c
+++ b/tests/sp-list.c
@@ -5,14 +5,14 @@
 /* A list that does not show yet.  */
 typedef struct
 {
-  cfd_time_t since;
+  cfd_time_t set_at;
   JsonArray *list;
-} later_t;
+} delayed_list_t;
 
 struct sp_list
 {
-  JsonArray *shown;
-  GQueue coming; /* of later_t, oldest first */
+  JsonArray *visible;
+  GQueue delayed_lists; /* of delayed_list_t, oldest first */
 };
 
 sp_list_t *
@@ -20,25 +20,25 @@
 {
   sp_list_t *list = g_new0 (sp_list_t, 1);
 
-  list->shown = json_array_new ();
-  g_queue_init (&list->coming);
+  list->visible = json_array_new ();
+  g_queue_init (&list->delayed_lists);
   return list;
 }
 
 static void
-later_free (gpointer pointer)
+delayed_free (gpointer pointer)
 {
-  later_t *later = pointer;
+  delayed_list_t *delayed = pointer;
 
-  json_array_unref (later->list);
-  g_free (later);
+  json_array_unref (delayed->list);
+  g_free (delayed);
 }
 
 void
 sp_list_free (sp_list_t *list)
 {
-  g_queue_clear_full (&list->coming, later_free);
-  json_array_unref (list->shown);
+  g_queue_clear_full (&list->delayed_lists, delayed_free);
+  json_array_unref (list->visible);
   g_free (list);
 }
 
@@ -46,29 +46,29 @@
 sp_list_set (sp_list_t *list, const char *text, cfd_time_t now)
 {
   g_autoptr (JsonNode) root = json_from_string (text, NULL);
-  later_t *later;
+  delayed_list_t *delayed;
 
   if (root == NULL || !JSON_NODE_HOLDS_ARRAY (root))
     return false;
-  later = g_new0 (later_t, 1);
-  later->since = now;
-  later->list = json_array_ref (json_node_get_array (root));
-  g_queue_push_tail (&list->coming, later);
+  delayed = g_new0 (delayed_list_t, 1);
+  delayed->set_at = now;
+  delayed->list = json_array_ref (json_node_get_array (root));
+  g_queue_push_tail (&list->delayed_lists, delayed);
   return true;
 }
 
 static void
-show_due (sp_list_t *list, unsigned lag_ms, cfd_time_t now)
+publish_due (sp_list_t *list, unsigned lag_ms, cfd_time_t now)
 {
-  later_t *later;
+  delayed_list_t *delayed;
 
-  while ((later = g_queue_peek_head (&list->coming)) != NULL
-         && now - later->since >= (cfd_time_t)lag_ms)
+  while ((delayed = g_queue_peek_head (&list->delayed_lists)) != NULL
+         && now - delayed->set_at >= (cfd_time_t)lag_ms)
     {
-      g_queue_pop_head (&list->coming);
-      json_array_unref (list->shown);
-      list->shown = later->list;
-      g_free (later);
+      g_queue_pop_head (&list->delayed_lists);
+      json_array_unref (list->visible);
+      list->visible = delayed->list;
+      g_free (delayed);
     }
 }
 
@@ -98,14 +98,15 @@
 {
   g_autoptr (JsonNode) root = json_node_new (JSON_NODE_OBJECT);
   JsonObject *object = json_object_new ();
-  JsonArray *seen = json_array_new ();
+  JsonArray *zone_view = json_array_new ();
 
-  show_due (list, lag_ms, now);
-  for (guint i = 0; i < json_array_get_length (list->shown); i++)
+  publish_due (list, lag_ms, now);
+  for (guint i = 0; i < json_array_get_length (list->visible); i++)
     json_array_add_object_element (
-        seen,
-        copy_for_zone (json_array_get_object_element (list->shown, i), zone));
-  json_object_set_array_member (object, "instances", seen);
+        zone_view,
+        copy_for_zone (json_array_get_object_element (list->visible, i),
+                       zone));
+  json_object_set_array_member (object, "instances", zone_view);
   json_node_take_object (root, object);
   return json_to_string (root, FALSE);
 }
--- a/tests/sp-model.c
+++ b/tests/sp-model.c
@@ -9,7 +9,7 @@
   cfd_time_t when;
   sp_object_t *before; /* NULL: was never there */
   sp_object_t *after;
-} event_t;
+} change_t;
 
 struct sp_model
 {
@@ -17,9 +17,10 @@
   GHashTable *frozen;  /* the same at an earlier time, or NULL */
   uint64_t revision;
   uint64_t frozen_revision;
-  GQueue history; /* of event_t, oldest first */
-  unsigned history_max;
-  GHashTable *floors; /* uint64 by kind: the newest forgotten write */
+  GQueue history; /* of change_t, oldest first */
+  unsigned max_history;
+  GHashTable
+      *forgotten_revisions; /* uint64 by kind: the newest forgotten write */
 };
 
 static void
@@ -41,13 +42,13 @@
 }
 
 static void
-event_free (gpointer pointer)
+change_free (gpointer pointer)
 {
-  event_t *event = pointer;
+  change_t *change = pointer;
 
-  object_unref (event->before);
-  object_unref (event->after);
-  g_free (event);
+  object_unref (change->before);
+  object_unref (change->after);
+  g_free (change);
 }
 
 sp_model_t *
@@ -57,9 +58,9 @@
 
   model->objects
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, object_unref);
-  model->floors
+  model->forgotten_revisions
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  model->history_max = history;
+  model->max_history = history;
   g_queue_init (&model->history);
   return model;
 }
@@ -68,14 +69,14 @@
 sp_model_free (sp_model_t *model)
 {
   sp_model_unfreeze (model);
-  g_queue_clear_full (&model->history, event_free);
+  g_queue_clear_full (&model->history, change_free);
   g_hash_table_unref (model->objects);
-  g_hash_table_unref (model->floors);
+  g_hash_table_unref (model->forgotten_revisions);
   g_free (model);
 }
 
 static GHashTable *
-readable (const sp_model_t *model)
+get_readable_objects (const sp_model_t *model)
 {
   return model->frozen != NULL ? model->frozen : model->objects;
 }
@@ -84,7 +85,8 @@
 sp_model_get (const sp_model_t *model, const char *kind, const char *name)
 {
   g_autofree char *key = g_strconcat (kind, "/", name, NULL);
-  const sp_object_t *object = g_hash_table_lookup (readable (model), key);
+  const sp_object_t *object
+      = g_hash_table_lookup (get_readable_objects (model), key);
 
   return object == NULL || object->deleted ? NULL : object;
 }
@@ -100,7 +102,7 @@
 }
 
 static char *
-object_text (const sp_object_t *object, JsonNode *spec)
+format_object (const sp_object_t *object, JsonNode *spec)
 {
   g_autoptr (JsonNode) root = json_node_new (JSON_NODE_OBJECT);
   JsonObject *json = json_object_new ();
@@ -120,11 +122,12 @@
 static void
 forget_oldest (sp_model_t *model)
 {
-  event_t *event = g_queue_pop_head (&model->history);
+  change_t *change = g_queue_pop_head (&model->history);
 
-  g_hash_table_replace (model->floors, g_strdup (event->after->kind),
-                        g_memdup2 (&event->revision, sizeof event->revision));
-  event_free (event);
+  g_hash_table_replace (
+      model->forgotten_revisions, g_strdup (change->after->kind),
+      g_memdup2 (&change->revision, sizeof change->revision));
+  change_free (change);
 }
 
 const sp_object_t *
@@ -134,21 +137,21 @@
   g_autofree char *key = g_strconcat (kind, "/", name, NULL);
   sp_object_t *object = g_rc_box_new0 (sp_object_t);
   sp_object_t *before = g_hash_table_lookup (model->objects, key);
-  event_t *event = g_new0 (event_t, 1);
+  change_t *change = g_new0 (change_t, 1);
 
   object->kind = g_strdup (kind);
   object->name = g_strdup (name);
   object->revision = ++model->revision;
   object->version = g_strdup_printf ("%08x", g_random_int ());
   object->deleted = spec == NULL;
-  object->text = object_text (object, spec);
-  event->revision = object->revision;
-  event->when = now;
-  event->before = before == NULL ? NULL : g_rc_box_acquire (before);
-  event->after = g_rc_box_acquire (object);
-  g_queue_push_tail (&model->history, event);
+  object->text = format_object (object, spec);
+  change->revision = object->revision;
+  change->when = now;
+  change->before = before == NULL ? NULL : g_rc_box_acquire (before);
+  change->after = g_rc_box_acquire (object);
+  g_queue_push_tail (&model->history, change);
   g_hash_table_replace (model->objects, g_steal_pointer (&key), object);
-  if (model->history.length > model->history_max)
+  if (model->history.length > model->max_history)
     forget_oldest (model);
   return object;
 }
@@ -161,12 +164,13 @@
 
 /* Puts back what EVENT replaced.  */
 static void
-undo (GHashTable *objects, const event_t *event)
+revert_change (GHashTable *objects, const change_t *change)
 {
-  char *key = g_strconcat (event->after->kind, "/", event->after->name, NULL);
+  char *key
+      = g_strconcat (change->after->kind, "/", change->after->name, NULL);
 
-  if (event->before != NULL)
-    g_hash_table_replace (objects, key, g_rc_box_acquire (event->before));
+  if (change->before != NULL)
+    g_hash_table_replace (objects, key, g_rc_box_acquire (change->before));
   else
     {
       g_hash_table_remove (objects, key);
@@ -191,18 +195,18 @@
   model->frozen_revision = model->revision;
   for (GList *link = model->history.tail; link != NULL; link = link->prev)
     {
-      const event_t *event = link->data;
+      const change_t *change = link->data;
 
-      if (event->when <= when)
+      if (change->when <= when)
         break;
-      undo (model->frozen, event);
-      model->frozen_revision = event->revision - 1;
+      revert_change (model->frozen, change);
+      model->frozen_revision = change->revision - 1;
     }
 }
 
 /* Whether KIND is in the comma-separated KINDS.  */
 static bool
-kind_in (const char *kind, const char *kinds)
+kind_matches (const char *kind, const char *kinds)
 {
   size_t length = strlen (kind);
 
@@ -230,25 +234,25 @@
     return model->frozen != NULL ? model->frozen_revision : model->revision;
   for (GList *link = model->history.tail; link != NULL; link = link->prev)
     {
-      const event_t *event = link->data;
+      const change_t *change = link->data;
 
-      if (event->revision <= sp_model_get_revision (model, NULL)
-          && kind_in (event->after->kind, kinds))
-        return event->revision;
+      if (change->revision <= sp_model_get_revision (model, NULL)
+          && kind_matches (change->after->kind, kinds))
+        return change->revision;
     }
-  g_hash_table_iter_init (&iter, readable (model));
+  g_hash_table_iter_init (&iter, get_readable_objects (model));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const sp_object_t *object = value;
 
-      if (object->revision > newest && kind_in (object->kind, kinds))
+      if (object->revision > newest && kind_matches (object->kind, kinds))
         newest = object->revision;
     }
   return newest;
 }
 
 static GString *
-begin_answer (const sp_model_t *model, const char *kinds)
+begin_list (const sp_model_t *model, const char *kinds)
 {
   GString *text = g_string_new (NULL);
 
@@ -258,7 +262,7 @@
 }
 
 static void
-add_object (GString *text, const sp_object_t *object)
+append_object (GString *text, const sp_object_t *object)
 {
   if (text->str[text->len - 1] != '[')
     g_string_append_c (text, ',');
@@ -268,17 +272,17 @@
 char *
 sp_model_list (const sp_model_t *model, const char *kinds)
 {
-  GString *text = begin_answer (model, kinds);
+  GString *text = begin_list (model, kinds);
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, readable (model));
+  g_hash_table_iter_init (&iter, get_readable_objects (model));
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const sp_object_t *object = value;
 
-      if (!object->deleted && kind_in (object->kind, kinds))
-        add_object (text, object);
+      if (!object->deleted && kind_matches (object->kind, kinds))
+        append_object (text, object);
     }
   g_string_append (text, "]}");
   return g_string_free (text, FALSE);
@@ -294,8 +298,8 @@
 sp_model_list_page (const sp_model_t *model, const char *kinds,
                     const char *after, unsigned limit)
 {
-  GHashTable *objects = readable (model);
-  GString *text = begin_answer (model, kinds);
+  GHashTable *objects = get_readable_objects (model);
+  GString *text = begin_list (model, kinds);
   g_autofree gpointer *keys = NULL;
   guint count;
   guint i;
@@ -306,10 +310,10 @@
     {
       const sp_object_t *object = g_hash_table_lookup (objects, keys[i]);
 
-      if (object->deleted || !kind_in (object->kind, kinds)
+      if (object->deleted || !kind_matches (object->kind, kinds)
           || strcmp (keys[i], after) <= 0)
         continue;
-      add_object (text, object);
+      append_object (text, object);
       limit--;
     }
   g_string_append_c (text, ']');
@@ -321,15 +325,15 @@
 
 /* Whether a write of KINDS after AFTER was forgotten.  */
 static bool
-is_gone (const sp_model_t *model, uint64_t after, const char *kinds)
+is_history_lost (const sp_model_t *model, uint64_t after, const char *kinds)
 {
   GHashTableIter iter;
   gpointer kind;
-  gpointer floor;
+  gpointer forgotten;
 
-  g_hash_table_iter_init (&iter, model->floors);
-  while (g_hash_table_iter_next (&iter, &kind, &floor))
-    if (after < *(uint64_t *)floor && kind_in (kind, kinds))
+  g_hash_table_iter_init (&iter, model->forgotten_revisions);
+  while (g_hash_table_iter_next (&iter, &kind, &forgotten))
+    if (after < *(uint64_t *)forgotten && kind_matches (kind, kinds))
       return true;
   return false;
 }
@@ -338,27 +342,28 @@
 sp_model_list_changes (const sp_model_t *model, uint64_t after,
                        const char *kinds)
 {
-  uint64_t up_to = sp_model_get_revision (model, NULL);
-  g_autoptr (GHashTable) seen = g_hash_table_new (NULL, NULL);
+  uint64_t last_revision = sp_model_get_revision (model, NULL);
+  g_autoptr (GHashTable) added = g_hash_table_new (NULL, NULL);
   GString *text;
 
-  if (is_gone (model, after, kinds))
+  if (is_history_lost (model, after, kinds))
     return NULL;
-  text = begin_answer (model, kinds);
+  text = begin_list (model, kinds);
   for (GList *link = model->history.tail; link != NULL; link = link->prev)
     {
-      const event_t *event = link->data;
-      const sp_object_t *object = event->after;
+      const change_t *change = link->data;
+      const sp_object_t *object = change->after;
       g_autofree char *key = NULL;
 
-      if (event->revision <= after)
+      if (change->revision <= after)
         break;
-      if (event->revision > up_to || !kind_in (object->kind, kinds))
+      if (change->revision > last_revision
+          || !kind_matches (object->kind, kinds))
         continue;
       key = g_strconcat (object->kind, "/", object->name, NULL);
-      object = g_hash_table_lookup (readable (model), key);
-      if (g_hash_table_add (seen, (gpointer)object))
-        add_object (text, object);
+      object = g_hash_table_lookup (get_readable_objects (model), key);
+      if (g_hash_table_add (added, (gpointer)object))
+        append_object (text, object);
     }
   g_string_append (text, "]}");
   return g_string_free (text, FALSE);
--- a/tests/sp-test.c
+++ b/tests/sp-test.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <unistd.h>
 
-#define PATIENCE_S 30.0
+#define RUN_TIMEOUT_S 30.0
 
 void
 sp_test_setup (sp_test_t *test)
@@ -41,18 +41,18 @@
 static void
 on_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  g_error ("the awaited did not come within %g s", PATIENCE_S);
+  g_error ("the awaited did not come within %g s", RUN_TIMEOUT_S);
 }
 
 void
-sp_test_run_until (sp_test_t *test, bool (*holds) (void *user), void *user)
+sp_test_run_until (sp_test_t *test, bool (*condition) (void *user), void *user)
 {
   ev_timer timeout;
 
-  ev_timer_init (&timeout, on_timeout, PATIENCE_S, 0.0);
+  ev_timer_init (&timeout, on_timeout, RUN_TIMEOUT_S, 0.0);
   ev_now_update (test->loop);
   ev_timer_start (test->loop, &timeout);
-  while (!holds (user))
+  while (!condition (user))
     ev_run (test->loop, EVRUN_ONCE);
   ev_timer_stop (test->loop, &timeout);
 }
--- a/tests/sp-test.h
+++ b/tests/sp-test.h
@@ -24,7 +24,7 @@
 void sp_test_stop_platform (sp_test_t *test);
 
 /* Runs the loop until HOLDS says true; fails the test after 30 s.  */
-void sp_test_run_until (sp_test_t *test, bool (*holds) (void *user),
+void sp_test_run_until (sp_test_t *test, bool (*condition) (void *user),
                         void *user);
 
 /* Writes SPEC, JSON text, or deletes when SPEC is NULL, whatever the fault. */
