--- a/tests/sp.c
+++ b/tests/sp.c
@@ -5,11 +5,11 @@
 
 #include <string.h>
 
-#define OBJECT_MAX ((size_t)1024 * 1024)
-#define BODY_MAX ((size_t)64 * 1024 * 1024)
-#define CONNECTIONS 4096
-#define IDLE_S 120
-#define OBJECTS "/v1/objects"
+#define MAX_OBJECT_BYTES ((size_t)1024 * 1024)
+#define MAX_BODY_BYTES ((size_t)64 * 1024 * 1024)
+#define MAX_CONNECTIONS 4096
+#define IDLE_TIMEOUT_S 120
+#define OBJECTS_PATH "/v1/objects"
 
 static const char *const call_names[]
     = { "get", "list", "put", "delete", "watch", "instances" };
@@ -35,7 +35,7 @@
   uint64_t calls[CALL_COUNT];
   GPtrArray *listeners; /* of listener_t */
   sp_list_t *instances;
-  list_node_t waiting; /* of waiter_t */
+  list_node_t pending_responses; /* of pending_response_t */
 };
 
 typedef struct
@@ -45,7 +45,7 @@
   web_server_t *server;
 } listener_t;
 
-/* A watch that waits, or an answer that is held back.  */
+/* A handle_watch that waits, or an respond_with_fault that is held back.  */
 typedef struct
 {
   list_node_t node;
@@ -57,7 +57,7 @@
   char *kinds;
   unsigned status;
   char *text;
-} waiter_t;
+} pending_response_t;
 
 /* ---- answers ---- */
 
@@ -68,59 +68,60 @@
 }
 
 static void
-break_off (web_request_t *request)
+abort_response (web_request_t *request)
 {
   web_stream_begin (request, 500, NULL, NULL, NULL);
   web_stream_end (request, false);
 }
 
 static void
-waiter_free (waiter_t *waiter)
+pending_free (pending_response_t *pending)
 {
-  ev_timer_stop (waiter->sp->loop, &waiter->timer);
-  list_remove (&waiter->node);
-  g_free (waiter->kinds);
-  g_free (waiter->text);
-  g_free (waiter);
+  ev_timer_stop (pending->sp->loop, &pending->timer);
+  list_remove (&pending->node);
+  g_free (pending->kinds);
+  g_free (pending->text);
+  g_free (pending);
 }
 
 static void
 on_closed (void *user)
 {
-  waiter_free (user);
+  pending_free (user);
 }
 
-static waiter_t *
-wait_for (sp_t *sp, web_request_t *request, unsigned wait_ms,
-          void (*due) (struct ev_loop *, ev_timer *, int))
+static pending_response_t *
+defer_response (sp_t *sp, web_request_t *request, unsigned wait_ms,
+                void (*on_timer) (struct ev_loop *, ev_timer *, int))
 {
-  waiter_t *waiter = g_new0 (waiter_t, 1);
+  pending_response_t *pending = g_new0 (pending_response_t, 1);
 
-  waiter->sp = sp;
-  waiter->request = request;
-  list_append (&sp->waiting, &waiter->node);
-  ev_timer_init (&waiter->timer, due, (double)wait_ms / 1000.0, 0.0);
-  waiter->timer.data = waiter;
+  pending->sp = sp;
+  pending->request = request;
+  list_append (&sp->pending_responses, &pending->node);
+  ev_timer_init (&pending->timer, on_timer, (double)wait_ms / 1000.0, 0.0);
+  pending->timer.data = pending;
   ev_now_update (sp->loop);
-  ev_timer_start (sp->loop, &waiter->timer);
-  web_on_closed (request, on_closed, waiter);
-  return waiter;
+  ev_timer_start (sp->loop, &pending->timer);
+  web_on_closed (request, on_closed, pending);
+  return pending;
 }
 
 static void
-on_delay (struct ev_loop *loop, ev_timer *timer, int revents)
+on_delay_over (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  waiter_t *waiter = timer->data;
+  pending_response_t *pending = timer->data;
 
-  respond (waiter->request, waiter->status, waiter->text);
-  waiter_free (waiter);
+  respond (pending->request, pending->status, pending->text);
+  pending_free (pending);
 }
 
 /* Answers a call as the fault in force wants it; frees TEXT.  */
 static void
-answer (sp_t *sp, web_request_t *request, unsigned status, char *text)
+respond_with_fault (sp_t *sp, web_request_t *request, unsigned status,
+                    char *text)
 {
-  waiter_t *waiter;
+  pending_response_t *pending;
 
   if (sp->mode != SP_SLOW)
     {
@@ -128,13 +129,13 @@
       g_free (text);
       return;
     }
-  waiter = wait_for (sp, request, sp->delay_ms, on_delay);
-  waiter->status = status;
-  waiter->text = text;
+  pending = defer_response (sp, request, sp->delay_ms, on_delay_over);
+  pending->status = status;
+  pending->text = text;
 }
 
 static char *
-error_text (const char *reason)
+format_error (const char *reason)
 {
   return g_strdup_printf ("{\"error\":\"%s\"}", reason);
 }
@@ -143,7 +144,7 @@
 
 /* Whether the conditions of a write hold for the newest state.  */
 static bool
-condition_holds (web_request_t *request, const sp_object_t *object)
+matches_condition (web_request_t *request, const sp_object_t *object)
 {
   const char *match = web_header (request, "If-Match");
 
@@ -156,20 +157,21 @@
 finish_write (sp_t *sp, web_request_t *request, const sp_object_t *object)
 {
   if (sp->mode == SP_DROP_RESPONSE)
-    break_off (request);
+    abort_response (request);
   else
-    answer (sp, request, 200, g_strdup (object->text));
+    respond_with_fault (sp, request, 200, g_strdup (object->text));
   sp_notify_watches (sp);
 }
 
 static JsonNode *
-spec_of (web_request_t *request)
+parse_spec (web_request_t *request)
 {
   size_t length;
   const char *body = web_body (request, &length);
   g_autoptr (JsonNode) root = json_from_string (body, NULL);
 
-  if (length > OBJECT_MAX || root == NULL || !JSON_NODE_HOLDS_OBJECT (root))
+  if (length > MAX_OBJECT_BYTES || root == NULL
+      || !JSON_NODE_HOLDS_OBJECT (root))
     return NULL;
   return json_object_dup_member (json_node_get_object (root), "spec");
 }
@@ -179,22 +181,24 @@
               const char *name, bool is_delete)
 {
   const sp_object_t *object = sp_model_get_latest (sp->model, kind, name);
-  g_autoptr (JsonNode) spec = is_delete ? NULL : spec_of (request);
+  g_autoptr (JsonNode) spec = is_delete ? NULL : parse_spec (request);
 
   if (!is_delete && spec == NULL)
-    answer (sp, request, 400, error_text ("no spec, or over 1 MiB"));
+    respond_with_fault (sp, request, 400,
+                        format_error ("no spec, or over 1 MiB"));
   else if (is_delete && object == NULL)
-    answer (sp, request, 404, error_text ("not there"));
-  else if (!condition_holds (request, object))
-    answer (sp, request, 409, error_text ("another version is in force"));
+    respond_with_fault (sp, request, 404, format_error ("not there"));
+  else if (!matches_condition (request, object))
+    respond_with_fault (sp, request, 409,
+                        format_error ("another version is in force"));
   else
     finish_write (sp, request,
                   sp_model_write (sp->model, kind, name, spec, clock_now ()));
 }
 
 static void
-one_object (sp_t *sp, web_request_t *request, const char *kind,
-            const char *name)
+handle_object (sp_t *sp, web_request_t *request, const char *kind,
+               const char *name)
 {
   const char *method = web_method (request);
   const sp_object_t *object;
@@ -210,13 +214,13 @@
   sp->calls[CALL_GET]++;
   object = sp_model_get (sp->model, kind, name);
   if (object == NULL)
-    answer (sp, request, 404, error_text ("not there"));
+    respond_with_fault (sp, request, 404, format_error ("not there"));
   else
-    answer (sp, request, 200, g_strdup (object->text));
+    respond_with_fault (sp, request, 200, g_strdup (object->text));
 }
 
 static uint64_t
-number_query (const web_request_t *request, const char *name)
+parse_number_query (const web_request_t *request, const char *name)
 {
   const char *text = web_query (request, name);
 
@@ -224,92 +228,97 @@
 }
 
 static void
-list_objects (sp_t *sp, web_request_t *request)
+handle_list (sp_t *sp, web_request_t *request)
 {
   const char *kinds = web_query (request, "kinds");
   const char *after = web_query (request, "after");
-  uint64_t limit = number_query (request, "limit");
+  uint64_t limit = parse_number_query (request, "limit");
 
   sp->calls[CALL_LIST]++;
   if (sp_model_get_revision (sp->model, kinds)
-      < number_query (request, "revision_least"))
-    answer (sp, request, 503, error_text ("not caught up yet"));
+      < parse_number_query (request, "revision_least"))
+    respond_with_fault (sp, request, 503, format_error ("not caught up yet"));
   else if (limit > 0)
-    answer (sp, request, 200,
-            sp_model_list_page (sp->model, kinds, after == NULL ? "" : after,
-                                (unsigned)limit));
+    respond_with_fault (sp, request, 200,
+                        sp_model_list_page (sp->model, kinds,
+                                            after == NULL ? "" : after,
+                                            (unsigned)limit));
   else
-    answer (sp, request, 200, sp_model_list (sp->model, kinds));
+    respond_with_fault (sp, request, 200, sp_model_list (sp->model, kinds));
 }
 
 /* ---- watches ---- */
 
 static void
-answer_watch (sp_t *sp, web_request_t *request, uint64_t after,
-              const char *kinds)
+respond_to_watch (sp_t *sp, web_request_t *request, uint64_t after,
+                  const char *kinds)
 {
   char *text = sp_model_list_changes (sp->model, after, kinds);
 
   if (text != NULL)
-    answer (sp, request, 200, text);
+    respond_with_fault (sp, request, 200, text);
   else
-    answer (sp, request, 410, error_text ("too far back"));
+    respond_with_fault (sp, request, 410, format_error ("too far back"));
 }
 
 static void
-end_watch (waiter_t *waiter)
+complete_watch (pending_response_t *pending)
 {
-  answer_watch (waiter->sp, waiter->request, waiter->after, waiter->kinds);
-  waiter_free (waiter);
+  respond_to_watch (pending->sp, pending->request, pending->after,
+                    pending->kinds);
+  pending_free (pending);
 }
 
 static void
-on_watch_end (struct ev_loop *loop, ev_timer *timer, int revents)
+on_watch_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  end_watch (timer->data);
+  complete_watch (timer->data);
 }
 
 static void
-watch (sp_t *sp, web_request_t *request)
+handle_watch (sp_t *sp, web_request_t *request)
 {
   const char *kinds = web_query (request, "kinds");
-  uint64_t after = number_query (request, "after");
-  uint64_t wait_ms = MIN (number_query (request, "wait_ms"), 60000u);
+  uint64_t after = parse_number_query (request, "after");
+  uint64_t wait_ms = MIN (parse_number_query (request, "wait_ms"), 60000u);
   g_autofree char *changes = sp_model_list_changes (sp->model, after, kinds);
-  waiter_t *waiter;
+  pending_response_t *pending;
 
   sp->calls[CALL_WATCH]++;
   if (wait_ms == 0 || changes == NULL
       || sp_model_get_revision (sp->model, kinds) > after)
     {
-      answer_watch (sp, request, after, kinds);
+      respond_to_watch (sp, request, after, kinds);
       return;
     }
-  waiter = wait_for (sp, request, (unsigned)wait_ms, on_watch_end);
-  waiter->is_watch = true;
-  waiter->after = after;
-  waiter->kinds = g_strdup (kinds);
+  pending = defer_response (sp, request, (unsigned)wait_ms, on_watch_timeout);
+  pending->is_watch = true;
+  pending->after = after;
+  pending->kinds = g_strdup (kinds);
 }
 
 void
 sp_notify_watches (sp_t *sp)
 {
-  list_for_each_safe (node, &sp->waiting)
+  list_for_each_safe (node, &sp->pending_responses)
     {
-      waiter_t *waiter = list_entry (node, waiter_t, node);
+      pending_response_t *pending
+          = list_entry (node, pending_response_t, node);
 
-      if (waiter->is_watch
-          && sp_model_get_revision (sp->model, waiter->kinds) > waiter->after)
-        end_watch (waiter);
+      if (pending->is_watch
+          && sp_model_get_revision (sp->model, pending->kinds)
+                 > pending->after)
+        complete_watch (pending);
     }
 }
 
 static void
-list_instances (sp_t *sp, web_request_t *request, const char *zone)
+handle_instances (sp_t *sp, web_request_t *request, const char *zone)
 {
   sp->calls[CALL_INSTANCES]++;
-  answer (sp, request, 200,
-          sp_list_format (sp->instances, zone, sp->lag_ms, clock_now ()));
+  respond_with_fault (
+      sp, request, 200,
+      sp_list_format (sp->instances, zone, sp->lag_ms, clock_now ()));
 }
 
 bool
@@ -332,12 +341,13 @@
     sp_model_unfreeze (sp->model);
   if (mode != SP_DOWN)
     return;
-  list_for_each_safe (node, &sp->waiting)
+  list_for_each_safe (node, &sp->pending_responses)
     {
-      waiter_t *waiter = list_entry (node, waiter_t, node);
+      pending_response_t *pending
+          = list_entry (node, pending_response_t, node);
 
-      break_off (waiter->request);
-      waiter_free (waiter);
+      abort_response (pending->request);
+      pending_free (pending);
     }
 }
 
@@ -358,7 +368,7 @@
 /* ---- serving ---- */
 
 static void
-handle (void *user, web_request_t *request)
+handle_request (void *user, web_request_t *request)
 {
   listener_t *listener = user;
   sp_t *sp = listener->sp;
@@ -369,15 +379,15 @@
   if (g_str_has_prefix (path, "/control/"))
     sp_handle_control (sp, request);
   else if (sp->mode == SP_DOWN)
-    break_off (request);
-  else if (strcmp (path, OBJECTS) == 0)
-    list_objects (sp, request);
+    abort_response (request);
+  else if (strcmp (path, OBJECTS_PATH) == 0)
+    handle_list (sp, request);
   else if (strcmp (path, "/v1/watch") == 0)
-    watch (sp, request);
+    handle_watch (sp, request);
   else if (strcmp (path, "/v1/instances") == 0)
-    list_instances (sp, request, listener->zone);
-  else if (sp_parse_object_path (path, OBJECTS, &kind, &name))
-    one_object (sp, request, kind, name);
+    handle_instances (sp, request, listener->zone);
+  else if (sp_parse_object_path (path, OBJECTS_PATH, &kind, &name))
+    handle_object (sp, request, kind, name);
   else
     respond (request, 404, "{\"error\":\"no such path\"}");
 }
@@ -401,7 +411,7 @@
   sp->model = sp_model_new (history);
   sp->listeners = g_ptr_array_new_with_free_func (listener_free);
   sp->instances = sp_list_new ();
-  list_init (&sp->waiting);
+  list_init (&sp->pending_responses);
   return sp;
 }
 
@@ -411,8 +421,8 @@
   if (sp == NULL)
     return;
   g_ptr_array_unref (sp->listeners);
-  list_for_each_safe (node, &sp->waiting)
-    waiter_free (list_entry (node, waiter_t, node));
+  list_for_each_safe (node, &sp->pending_responses)
+    pending_free (list_entry (node, pending_response_t, node));
   sp_list_free (sp->instances);
   sp_model_free (sp->model);
   g_free (sp);
@@ -421,13 +431,13 @@
 bool
 sp_listen (sp_t *sp, const char *address, const char *zone, GError **error)
 {
-  web_limits_t limits = { BODY_MAX, CONNECTIONS, IDLE_S };
+  web_limits_t limits = { MAX_BODY_BYTES, MAX_CONNECTIONS, IDLE_TIMEOUT_S };
   listener_t *listener = g_new0 (listener_t, 1);
 
   listener->sp = sp;
   listener->zone = g_strdup (zone);
-  listener->server
-      = web_server_new (sp->loop, address, &limits, handle, listener, error);
+  listener->server = web_server_new (sp->loop, address, &limits,
+                                     handle_request, listener, error);
   if (listener->server == NULL)
     {
       g_free (listener->zone);
--- a/tests/standin-engine.c
+++ b/tests/standin-engine.c
@@ -11,10 +11,10 @@
   struct ev_loop *loop;
   ev_timer step;
   ev_timer report;
-  unsigned reported; /* running requests as told, with a lag */
-  bool refuse;
-  bool break_off;
-  bool lie;
+  unsigned reported_running; /* running requests as told, with a lag */
+  bool refuse_requests;
+  bool abort_answers;
+  bool report_no_load;
 } standin_t;
 
 /* The connection to which a run's answer goes.  */
@@ -27,7 +27,7 @@
 } sink_t;
 
 static void
-sink_closed (void *user)
+on_sink_closed (void *user)
 {
   sink_t *sink = user;
 
@@ -49,20 +49,20 @@
   sink->request = request;
   sink->detached = web_header (request, "X-Stream-Keep") != NULL;
   run->sink = sink;
-  web_on_closed (request, sink_closed, sink);
+  web_on_closed (request, on_sink_closed, sink);
   return sink;
 }
 
 /* Ends the answer of SINK; BREAK_OFF leaves it incomplete.  */
 static void
-sink_end (sink_t *sink, bool break_off)
+sink_end (sink_t *sink, bool abort_answers)
 {
   engine_run_t *run = sink->run;
 
   run->sink = NULL;
   web_on_closed (sink->request, NULL, NULL);
   if (run->stream)
-    web_stream_end (sink->request, !break_off);
+    web_stream_end (sink->request, !abort_answers);
   else
     web_respond (sink->request, 200, "application/json", NULL, run->body->str,
                  run->body->len);
@@ -70,14 +70,14 @@
 }
 
 static void
-on_given (void *user, engine_run_t *run, const char *bytes, size_t length)
+on_output (void *user, engine_run_t *run, const char *bytes, size_t length)
 {
   standin_t *standin = user;
   sink_t *sink = run->sink;
 
-  if (sink == NULL || run->silent)
+  if (sink == NULL || run->stalled)
     return;
-  if (standin->break_off && run->given > 2)
+  if (standin->abort_answers && run->given > 2)
     {
       run->stream = true;
       engine_cancel (standin->engine, run, clock_now ());
@@ -92,10 +92,11 @@
 }
 
 static void
-on_step (struct ev_loop *loop, ev_timer *watcher, int events)
+on_step_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   standin_t *standin = watcher->data;
-  double wait = engine_step (standin->engine, clock_now (), on_given, standin);
+  double wait
+      = engine_step (standin->engine, clock_now (), on_output, standin);
 
   if (engine_count_running (standin->engine) == 0)
     return;
@@ -104,16 +105,16 @@
 }
 
 static void
-on_report (struct ev_loop *loop, ev_timer *watcher, int events)
+on_report_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   standin_t *standin = watcher->data;
 
-  standin->reported = engine_count_running (standin->engine);
+  standin->reported_running = engine_count_running (standin->engine);
 }
 
 /* The last message's content, or the prompt of a plain completion.  */
 static const char *
-prompt_of (JsonObject *body)
+get_prompt (JsonObject *body)
 {
   if (json_object_has_member (body, "prompt"))
     return json_object_get_string_member_with_default (body, "prompt", "");
@@ -146,7 +147,7 @@
 on_completion (standin_t *standin, web_request_t *request)
 {
   g_autoptr (JsonObject) body = standin_parse_body (request);
-  const char *prompt = body ? prompt_of (body) : NULL;
+  const char *prompt = body ? get_prompt (body) : NULL;
   const char *id = web_header (request, "X-Request-Id");
 
   if (prompt == NULL)
@@ -155,7 +156,7 @@
                            "Give messages or a prompt.", "not-run", -1);
       return;
     }
-  if (standin->refuse)
+  if (standin->refuse_requests)
     {
       web_respond_problem (request, 503, "Not taking work", "Told to refuse.",
                            "not-run", 1);
@@ -163,9 +164,9 @@
     }
   bool stream
       = json_object_get_boolean_member_with_default (body, "stream", FALSE);
-  g_autofree char *made = g_uuid_string_random ();
+  g_autofree char *generated_id = g_uuid_string_random ();
   engine_run_t *run = engine_start (
-      standin->engine, id ? id : made, prompt, stream,
+      standin->engine, id ? id : generated_id, prompt, stream,
       strstr (web_path (request), "/chat/") != NULL, clock_now ());
   sink_new (standin, run, request);
   stream_begin (run, request);
@@ -196,7 +197,7 @@
       sink_t *sink = run->sink;
       engine_cancel (standin->engine, run, clock_now ());
       run->sink = sink;
-      if (sink != NULL && !run->silent)
+      if (sink != NULL && !run->stalled)
         {
           run->stream = true;
           sink_end (sink, true);
@@ -207,7 +208,7 @@
   /* The connection of before, if any, is given up for this one.  */
   if (run->sink != NULL)
     ((sink_t *)run->sink)->run = NULL;
-  run->silent = false;
+  run->stalled = false;
   sink_t *sink = sink_new (standin, run, request);
   stream_begin (run, request);
   if (run->stream)
@@ -230,7 +231,8 @@
   g_autoptr (JsonBuilder) reply = json_builder_new ();
 
   json_builder_begin_object (reply);
-  add_number (reply, "running", standin->lie ? 0 : standin->reported);
+  add_number (reply, "running",
+              standin->report_no_load ? 0 : standin->reported_running);
   json_builder_end_object (reply);
   standin_respond (request, 200, reply);
 }
@@ -291,12 +293,12 @@
                            "not-run", -1);
       return;
     }
-  standin->refuse = json_object_get_boolean_member_with_default (
-      order, "refuse", standin->refuse);
-  standin->break_off = json_object_get_boolean_member_with_default (
-      order, "break", standin->break_off);
-  standin->lie = json_object_get_boolean_member_with_default (order, "lie",
-                                                              standin->lie);
+  standin->refuse_requests = json_object_get_boolean_member_with_default (
+      order, "refuse", standin->refuse_requests);
+  standin->abort_answers = json_object_get_boolean_member_with_default (
+      order, "break", standin->abort_answers);
+  standin->report_no_load = json_object_get_boolean_member_with_default (
+      order, "lie", standin->report_no_load);
   double factor
       = json_object_get_double_member_with_default (order, "slow", 0);
   if (factor > 0)
@@ -307,7 +309,7 @@
     list_for_each (node, engine_get_runs (standin->engine))
       {
         engine_run_t *run = list_entry (node, engine_run_t, node);
-        run->silent = run->silent || run->sink != NULL;
+        run->stalled = run->stalled || run->sink != NULL;
       }
   web_respond (request, 200, "application/json", NULL, "{}", 2);
 }
@@ -379,9 +381,10 @@
                                 .connections = 8000,
                                 .idle_timeout_s = 600 };
   standin.engine = engine;
-  ev_timer_init (&standin.step, on_step, 0, 0);
+  ev_timer_init (&standin.step, on_step_timer, 0, 0);
   standin.step.data = &standin;
-  ev_timer_init (&standin.report, on_report, lag_ms / 1000.0, lag_ms / 1000.0);
+  ev_timer_init (&standin.report, on_report_timer, lag_ms / 1000.0,
+                 lag_ms / 1000.0);
   standin.report.data = &standin;
   ev_timer_start (standin.loop, &standin.report);
   g_autoptr (web_server_t) server = web_server_new (
--- a/tests/standin-relay.c
+++ b/tests/standin-relay.c
@@ -1,14 +1,14 @@
-/* Relay between pairs of addresses: adds a one-way delay to the bytes of TCP
+/* Relay between conns of addresses: adds a one-way delay to the bytes of TCP
    connections and breaks them on demand.  One process serves many mappings,
    each of a named group.
 
-     --map GROUP,LISTEN,TARGET,DELAY_MS   may be repeated
+     --mapping GROUP,LISTEN,TARGET,DELAY_MS   may be repeated
      --control IP:PORT
-     PUT /control {"group": NAME, "mode": "pass"|"cut"|"silent"|"hole"}
+     PUT /control {"group": NAME, "mode": "pass"|"cut"|"stalled"|"blackhole"}
 
-   "cut" closes open connections and each new one at once; "silent" lets open
-   connections go silent for good while new ones work; "hole" is silent for
-   new ones too, until "pass".  */
+   "cut" closes open connections and each new one at once; "stalled" lets open
+   connections go stalled for good while new ones work; "blackhole" is stalled
+   for new ones too, until "pass".  */
 
 #include "relay.h"
 #include "standin.h"
@@ -23,36 +23,37 @@
 {
   MODE_PASS,
   MODE_CUT,
-  MODE_SILENT,
-  MODE_HOLE
+  MODE_STALL,
+  MODE_BLACKHOLE
 } relay_mode_t;
 
 typedef struct
 {
   char *group;
   struct sockaddr_in target;
-  lane_t *lane;
-  bool hole;
+  delay_line_t *delay_line;
+  bool blackhole;
   bool cut;
   ev_io accept;
-  list_node_t pairs;
+  list_node_t conns;
   struct ev_loop *loop;
-} map_t;
+} mapping_t;
 
 static void
 on_accept (struct ev_loop *loop, ev_io *watcher, int events)
 {
-  map_t *map = watcher->data;
-  int near = accept (watcher->fd, NULL, NULL);
+  mapping_t *mapping = watcher->data;
+  int accepted_fd = accept (watcher->fd, NULL, NULL);
 
-  if (near < 0)
+  if (accepted_fd < 0)
     return;
-  if (map->cut)
+  if (mapping->cut)
     {
-      close (near);
+      close (accepted_fd);
       return;
     }
-  pair_start (loop, map->lane, near, &map->target, map->hole, &map->pairs);
+  relay_conn_start (loop, mapping->delay_line, accepted_fd, &mapping->target,
+                    mapping->blackhole, &mapping->conns);
 }
 
 static bool
@@ -69,8 +70,8 @@
   return true;
 }
 
-static map_t *
-map_new (struct ev_loop *loop, GPtrArray *lanes, const char *text)
+static mapping_t *
+mapping_new (struct ev_loop *loop, GPtrArray *delay_lines, const char *text)
 {
   g_auto (GStrv) parts = g_strsplit (text, ",", 4);
   struct sockaddr_in listen_on;
@@ -78,40 +79,40 @@
 
   if (g_strv_length (parts) != 4 || !parse_address (parts[1], &listen_on))
     return NULL;
-  map_t *map = g_new0 (map_t, 1);
-  map->loop = loop;
-  map->group = g_strdup (parts[0]);
-  map->lane = lane_get (loop, lanes,
-                        (int64_t)(g_ascii_strtod (parts[3], NULL) * 1000));
-  list_init (&map->pairs);
+  mapping_t *mapping = g_new0 (mapping_t, 1);
+  mapping->loop = loop;
+  mapping->group = g_strdup (parts[0]);
+  mapping->delay_line = delay_line_get (
+      loop, delay_lines, (int64_t)(g_ascii_strtod (parts[3], NULL) * 1000));
+  list_init (&mapping->conns);
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (fd < 0 || !parse_address (parts[2], &map->target)
+  if (fd < 0 || !parse_address (parts[2], &mapping->target)
       || setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) < 0
       || bind (fd, (struct sockaddr *)&listen_on, sizeof listen_on) < 0
       || listen (fd, 1024) < 0)
     {
       if (fd >= 0)
         close (fd);
-      g_free (map->group);
-      g_free (map);
+      g_free (mapping->group);
+      g_free (mapping);
       return NULL;
     }
   fcntl (fd, F_SETFL, fcntl (fd, F_GETFL) | O_NONBLOCK);
-  ev_io_init (&map->accept, on_accept, fd, EV_READ);
-  map->accept.data = map;
-  ev_io_start (loop, &map->accept);
-  return map;
+  ev_io_init (&mapping->accept, on_accept, fd, EV_READ);
+  mapping->accept.data = mapping;
+  ev_io_start (loop, &mapping->accept);
+  return mapping;
 }
 
 static void
-map_set_mode (map_t *map, relay_mode_t mode)
+mapping_set_mode (mapping_t *mapping, relay_mode_t mode)
 {
-  map->cut = mode == MODE_CUT;
-  map->hole = mode == MODE_HOLE;
+  mapping->cut = mode == MODE_CUT;
+  mapping->blackhole = mode == MODE_BLACKHOLE;
   if (mode == MODE_CUT)
-    pair_cut_all (&map->pairs);
+    relay_conn_close_all (&mapping->conns);
   else if (mode != MODE_PASS)
-    pair_silence_all (&map->pairs);
+    relay_conn_stall_all (&mapping->conns);
 }
 
 static bool
@@ -131,7 +132,7 @@
 static void
 on_control (void *user, web_request_t *request)
 {
-  GPtrArray *maps = user;
+  GPtrArray *mappings = user;
   g_autoptr (JsonObject) order = standin_parse_body (request);
   g_autoptr (JsonBuilder) reply = json_builder_new ();
   relay_mode_t mode = MODE_PASS;
@@ -144,12 +145,12 @@
       && parse_mode (
           json_object_get_string_member_with_default (order, "mode", ""),
           &mode))
-    for (guint i = 0; i < maps->len; i++)
+    for (guint i = 0; i < mappings->len; i++)
       {
-        map_t *map = maps->pdata[i];
-        if (strcmp (map->group, group) != 0)
+        mapping_t *mapping = mappings->pdata[i];
+        if (strcmp (mapping->group, group) != 0)
           continue;
-        map_set_mode (map, mode);
+        mapping_set_mode (mapping, mode);
         matched++;
       }
   json_builder_begin_object (reply);
@@ -172,8 +173,8 @@
           { NULL } };
   g_autoptr (GError) error = NULL;
   g_autoptr (GOptionContext) context = g_option_context_new (NULL);
-  g_autoptr (GPtrArray) maps = g_ptr_array_new ();
-  g_autoptr (GPtrArray) lanes = g_ptr_array_new ();
+  g_autoptr (GPtrArray) mappings = g_ptr_array_new ();
+  g_autoptr (GPtrArray) delay_lines = g_ptr_array_new ();
   struct ev_loop *loop = ev_default_loop (0);
 
   g_option_context_add_main_entries (context, entries, NULL);
@@ -185,18 +186,18 @@
     }
   for (unsigned i = 0; texts != NULL && texts[i] != NULL; i++)
     {
-      map_t *map = map_new (loop, lanes, texts[i]);
-      if (map == NULL)
+      mapping_t *mapping = mapping_new (loop, delay_lines, texts[i]);
+      if (mapping == NULL)
         {
           g_printerr ("relay: can't use the mapping %s\n", texts[i]);
           return 2;
         }
-      g_ptr_array_add (maps, map);
+      g_ptr_array_add (mappings, mapping);
     }
   const web_limits_t limits
       = { .max_body_bytes = 65536, .connections = 100, .idle_timeout_s = 600 };
   g_autoptr (web_server_t) server
-      = web_server_new (loop, control, &limits, on_control, maps, &error);
+      = web_server_new (loop, control, &limits, on_control, mappings, &error);
   if (server == NULL)
     {
       g_printerr ("relay: %s\n", error->message);
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -2,12 +2,12 @@
    nonce (header X-Nonce or a "nonce" member or query).
 
      any method, any path         200 {"nonce", "path", "executions"}
-     PUT  /control                {"refuse"|"break": bool, "delay_ms": n}
-     GET  /control/counters       {"requests", "running", "peak", "busy_ms",
+     PUT  /control                {"refuse_requests"|"break": bool, "delay_ms":
+   n} GET  /control/counters       {"requests", "running", "peak", "busy_ms",
                                    "overload_count", "last_start_ms", "nonces"}
 
-   "refuse" answers 503 without execution; "break" executes and then breaks
-   the connection off, so that the caller can't know.  */
+   "refuse_requests" answers 503 without execution; "break" executes and then
+   breaks the connection off, so that the caller can't know.  */
 
 #include "base/list.h"
 #include "standin.h"
@@ -20,14 +20,14 @@
   GHashTable *nonces;
   unsigned slots;
   double delay_ms;
-  bool refuse;
-  bool break_off;
+  bool refuse_requests;
+  bool abort_answers;
   unsigned running;
   unsigned peak;
   uint64_t requests;
   uint64_t overload_count;
   double busy_ms;
-  cfd_time_t accounted;
+  cfd_time_t accounted_until;
   cfd_time_t last_start;
 } standin_t;
 
@@ -38,18 +38,19 @@
   char *nonce;
   char *path;
   unsigned executions;
-  ev_timer due;
+  ev_timer timer;
 } call_t;
 
 static void
 account_time (standin_t *standin, cfd_time_t now)
 {
-  standin->busy_ms += (double)(now - standin->accounted) * standin->running;
-  standin->accounted = now;
+  standin->busy_ms
+      += (double)(now - standin->accounted_until) * standin->running;
+  standin->accounted_until = now;
 }
 
 static void
-call_answer (call_t *call)
+call_respond (call_t *call)
 {
   g_autoptr (JsonBuilder) reply = json_builder_new ();
 
@@ -65,7 +66,7 @@
 }
 
 static void
-on_due (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   call_t *call = watcher->data;
   standin_t *standin = call->standin;
@@ -75,13 +76,13 @@
   if (call->request != NULL)
     {
       web_on_closed (call->request, NULL, NULL);
-      if (standin->break_off)
+      if (standin->abort_answers)
         {
           web_stream_begin (call->request, 200, NULL, NULL, NULL);
           web_stream_end (call->request, false);
         }
       else
-        call_answer (call);
+        call_respond (call);
     }
   g_free (call->nonce);
   g_free (call->path);
@@ -97,7 +98,7 @@
 }
 
 static char *
-nonce_of (const web_request_t *request)
+get_nonce (const web_request_t *request)
 {
   const char *given = web_header (request, "X-Nonce");
 
@@ -117,7 +118,7 @@
 {
   cfd_time_t now = clock_now ();
 
-  if (standin->refuse)
+  if (standin->refuse_requests)
     {
       web_respond_problem (request, 503, "Not taking work", "Told to refuse.",
                            "not-run", 1);
@@ -126,7 +127,7 @@
   call_t *call = g_new0 (call_t, 1);
   call->standin = standin;
   call->request = request;
-  call->nonce = nonce_of (request);
+  call->nonce = get_nonce (request);
   call->path = g_strdup (web_path (request));
   call->executions
       = GPOINTER_TO_UINT (g_hash_table_lookup (standin->nonces, call->nonce))
@@ -141,9 +142,9 @@
   if (standin->running > standin->slots)
     standin->overload_count++;
   web_on_closed (request, on_closed, call);
-  ev_timer_init (&call->due, on_due, standin->delay_ms / 1000, 0);
-  call->due.data = call;
-  ev_timer_start (standin->loop, &call->due);
+  ev_timer_init (&call->timer, on_timer, standin->delay_ms / 1000, 0);
+  call->timer.data = call;
+  ev_timer_start (standin->loop, &call->timer);
 }
 
 static void
@@ -167,7 +168,7 @@
   add_number (reply, "running", standin->running);
   add_number (reply, "peak", standin->peak);
   add_number (reply, "busy_ms", standin->busy_ms);
-  add_number (reply, "now_ms", (double)standin->accounted);
+  add_number (reply, "now_ms", (double)standin->accounted_until);
   add_number (reply, "overload_count", (double)standin->overload_count);
   add_number (reply, "last_start_ms", (double)standin->last_start);
   json_builder_set_member_name (reply, "nonces");
@@ -187,10 +188,10 @@
 
   if (order != NULL)
     {
-      standin->refuse = json_object_get_boolean_member_with_default (
-          order, "refuse", standin->refuse);
-      standin->break_off = json_object_get_boolean_member_with_default (
-          order, "break", standin->break_off);
+      standin->refuse_requests = json_object_get_boolean_member_with_default (
+          order, "refuse", standin->refuse_requests);
+      standin->abort_answers = json_object_get_boolean_member_with_default (
+          order, "break", standin->abort_answers);
       standin->delay_ms = json_object_get_double_member_with_default (
           order, "delay_ms", standin->delay_ms);
     }
@@ -241,7 +242,7 @@
                                 .idle_timeout_s = 600 };
   standin.nonces = nonces;
   standin.slots = (unsigned)slots;
-  standin.accounted = clock_now ();
+  standin.accounted_until = clock_now ();
   g_autoptr (web_server_t) server = web_server_new (
       standin.loop, address, &limits, on_request, &standin, &error);
   if (server == NULL)
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -8,28 +8,29 @@
 #include <xxhash.h>
 
 void
-standin_format_token (char word[STANDIN_MAX_TOKEN_BYTES], uint64_t seed,
+standin_format_token (char token[STANDIN_MAX_TOKEN_BYTES], uint64_t seed,
                       const char *nonce, unsigned index)
 {
   if (index == 0)
     {
-      g_snprintf (word, STANDIN_MAX_TOKEN_BYTES, "%.20s ", nonce);
+      g_snprintf (token, STANDIN_MAX_TOKEN_BYTES, "%.20s ", nonce);
       return;
     }
   uint64_t hash = XXH64 (nonce, strlen (nonce), seed + index);
-  g_snprintf (word, STANDIN_MAX_TOKEN_BYTES, "%x ", (unsigned)(hash & 0xffff));
+  g_snprintf (token, STANDIN_MAX_TOKEN_BYTES, "%x ",
+              (unsigned)(hash & 0xffff));
 }
 
 char *
 standin_format_answer (uint64_t seed, const char *nonce, unsigned count)
 {
   GString *text = g_string_new (NULL);
-  char word[STANDIN_MAX_TOKEN_BYTES];
+  char token[STANDIN_MAX_TOKEN_BYTES];
 
   for (unsigned i = 0; i < count; i++)
     {
-      standin_format_token (word, seed, nonce, i);
-      g_string_append (text, word);
+      standin_format_token (token, seed, nonce, i);
+      g_string_append (text, token);
     }
   return g_string_free (text, FALSE);
 }
--- a/tests/standin.h
+++ b/tests/standin.h
@@ -13,7 +13,7 @@
 
 /* Token INDEX of the answer to the request NONCE: 0 is the nonce itself, the
    others depend on all three.  Ends with a space.  */
-void standin_format_token (char word[STANDIN_MAX_TOKEN_BYTES], uint64_t seed,
+void standin_format_token (char token[STANDIN_MAX_TOKEN_BYTES], uint64_t seed,
                            const char *nonce, unsigned index);
 
 /* The whole answer of COUNT tokens.  */
