--- a/tests/call.c
+++ b/tests/call.c
@@ -106,7 +106,7 @@
 }
 
 gboolean
-call_read_until (call_t *call, const char *text, int wait_ms)
+call_wait_for_text (call_t *call, const char *text, int wait_ms)
 {
   cfd_time_t deadline = clock_now () + wait_ms;
 
--- a/tests/call.h
+++ b/tests/call.h
@@ -26,7 +26,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (call_t, call_free)
 
 /* Reads until TEXT has been received; false after WAIT_MS without.  */
-gboolean call_read_until (call_t *call, const char *text, int wait_ms);
+gboolean call_wait_for_text (call_t *call, const char *text, int wait_ms);
 /* Reads to the end.  */
 call_result_t call_read_to_end (call_t *call, int wait_ms);
 /* 0 before the head came.  */
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -148,7 +148,7 @@
   g_autoptr (GError) error = NULL;
   proc_t *plain = fleet_get_process (fleet, FLEET_AGENT, PLAIN_AGENT);
 
-  g_assert_true (call_read_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_executed (fleet, "p");
   wait_executed (fleet, "l");
   g_assert_true (
@@ -178,7 +178,7 @@
   g_autoptr (call_t) streamed = stream (fleet, 1, 300);
   g_autoptr (call_t) posted = post (fleet, 0, "p", NULL);
 
-  g_assert_true (call_read_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_executed (fleet, "p");
   g_assert_true (fleet_set_relay_mode (fleet, "zone-1>zone-0", "silent"));
   g_assert_true (fleet_set_relay_mode (fleet, "zone-0>zone-1", "silent"));
@@ -317,7 +317,7 @@
   g_autoptr (call_t) running = post (fleet, 0, "p", NULL);
   long status = 0;
 
-  g_assert_true (call_read_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_executed (fleet, "p");
   g_autoptr (call_t) queued = post (fleet, 0, "q", NULL);
   g_autoptr (call_t) claimed = post (fleet, 0, "r", "key-1");
@@ -468,7 +468,7 @@
   call_t *streamed = stream (fleet, 0, 2000);
   call_t *posted = post (fleet, 0, "p", "key-1");
 
-  g_assert_true (call_read_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_executed (fleet, "p");
   call_free (streamed);
   call_free (posted);
