--- a/tests/call.c
+++ b/tests/call.c
@@ -85,7 +85,8 @@
   return g_str_has_suffix (call->text->str, "\r\n0\r\n\r\n");
 }
 
-/* Reads what comes deadline UNTIL; false at the end of the connection.  */
+/* Reads available bytes, waiting until DEADLINE; false when the connection has
+   ended.  */
 static gboolean
 read_available (call_t *call, cfd_time_t deadline)
 {
--- a/tests/collect.c
+++ b/tests/collect.c
@@ -1,18 +1,18 @@
-/* The verdict over a run.  */
+/* Verification of a run.  */
 
 #include "collect.h"
 #include <json-glib/json-glib.h>
 #include <stdio.h>
 #include <string.h>
 
-/* Where a nonce was started.  */
+/* Executions of one nonce.  */
 typedef struct
 {
   unsigned start_count;
-  unsigned last_endpoint; /* the last */
+  unsigned last_endpoint; /* endpoint of the latest execution */
 } execution_t;
 
-/* The counters of one last_endpoint as a JSON object, or NULL.  */
+/* Fetches the counters of one endpoint as a JSON object, or NULL.  */
 static JsonObject *
 fetch_counters (const fleet_t *fleet, unsigned index)
 {
@@ -30,8 +30,7 @@
 }
 
 static void
-add_nonces (GHashTable *executions, JsonObject *counters,
-            unsigned last_endpoint)
+add_nonces (GHashTable *executions, JsonObject *counters, unsigned endpoint)
 {
   JsonObject *nonces = json_object_get_object_member (counters, "nonces");
   JsonObjectIter iter;
@@ -50,7 +49,7 @@
           g_hash_table_insert (executions, g_strdup (name), execution);
         }
       execution->start_count += (unsigned)json_node_get_double (node);
-      execution->last_endpoint = last_endpoint;
+      execution->last_endpoint = endpoint;
     }
 }
 
@@ -61,8 +60,7 @@
 }
 
 static void
-add_overloads (collect_result_t *sum, JsonObject *counters,
-               unsigned last_endpoint)
+add_overloads (collect_result_t *sum, JsonObject *counters, unsigned endpoint)
 {
   unsigned count = (unsigned)get_count (counters, "overload_count");
 
@@ -71,15 +69,15 @@
       += (unsigned)get_count (counters, "overload_in_grace");
   if (count > 0)
     fprintf (stderr,
-             "overload: endpoint-%u, %u times; at the last %g ran and %g were "
-             "bearable, %g ms after it turned cold\n",
-             last_endpoint, count, get_count (counters, "overload_running"),
+             "overload: endpoint-%u, %u times; last with %g running at a "
+             "capacity of %g, %g ms after it turned cold\n",
+             endpoint, count, get_count (counters, "overload_running"),
              get_count (counters, "overload_bearable"),
              get_count (counters, "overload_cold_ms"));
 }
 
-/* All nonces router_list execution; SUM, when set, gets the overload counts.
- */
+/* Fetches the executions of all nonces; adds the overload counts to SUM unless
+   it is NULL.  */
 static GHashTable *
 fetch_executions (const fleet_t *fleet, collect_result_t *sum)
 {
@@ -147,7 +145,7 @@
   if (request->end == LOAD_REFUSED && request->not_run && execution != NULL)
     {
       sum->false_not_run++;
-      print_violation ("ran after all", request);
+      print_violation ("ran despite its not-run refusal", request);
     }
 }
 
--- a/tests/collect.h
+++ b/tests/collect.h
@@ -1,5 +1,5 @@
-/* The verdict over a run: what the callers saw against what the endpoints
-   did.  docs/MEASURES.md defines the counts.  */
+/* Verification of a run: compares what the callers received with what the
+   endpoints executed. docs/MEASURES.md defines the counts.  */
 
 #ifndef TESTS_COLLECT_H
 #define TESTS_COLLECT_H
@@ -21,16 +21,16 @@
   unsigned overload_in_grace;
 } collect_result_t;
 
-/* Asks all endpoints and judges all requests of LOAD; prints one line on
-   standard error for each that breaks a promise.  */
+/* Fetches the counters of all endpoints and checks all requests of LOAD;
+   prints a line on standard error for each violation.  */
 bool collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum);
 bool collect_has_no_violation (const collect_result_t *sum);
 
-/* The nonces that endpoint INDEX has started, as keys; NULL when it gives no
-   answer.  */
+/* Returns the nonces that endpoint INDEX has started, as keys; NULL when it
+   does not answer.  */
 GHashTable *collect_started_nonces (const fleet_t *fleet, unsigned index);
 
-/* Prints what was served, for whom, and where.  */
+/* Prints tables of served requests by account and by endpoint.  */
 void collect_print_tables (const fleet_t *fleet, const load_t *load);
 
 #endif
--- a/tests/fleet-control.c
+++ b/tests/fleet-control.c
@@ -1,4 +1,4 @@
-/* What a test does to a running fleet: records, the platform's list of
+/* Operations on a running test fleet: records, the platform's list of
    instances, the relay and metrics.  */
 
 #include "base/err.h"
@@ -8,7 +8,7 @@
 
 #define MAX_PUT_ATTEMPTS 5
 
-/* The version of an object, or NULL when it is not there.  */
+/* Returns the version of an object, or NULL if it does not exist.  */
 static char *
 read_object_version (const char *url)
 {
@@ -58,7 +58,8 @@
   return zone * MAX (fleet->plan.regions, 1) / fleet->plan.zones;
 }
 
-/* Adds, for each other zone, the relayed address at which it sees a peer.  */
+/* Adds, for each other zone, the relayed address at which it reaches this peer
+   port.  */
 static void
 add_zone_views (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t role,
                 unsigned index)
@@ -114,7 +115,7 @@
   json_builder_end_object (builder);
 }
 
-/* The whole list; the platform takes no less.  */
+/* Formats the whole list; the platform accepts no partial update.  */
 static char *
 format_instances (const fleet_t *fleet)
 {
--- a/tests/fleet-private.h
+++ b/tests/fleet-private.h
@@ -1,13 +1,13 @@
-/* What the parts of the fleet harness share.  */
+/* Test fleet: definitions shared by its source files.  */
 
 #ifndef TESTS_FLEET_PRIVATE_H
 #define TESTS_FLEET_PRIVATE_H
 
 #include "fleet.h"
 
-/* Ports on the fleet's addresses; a zone's view of a peer port is at the view
-   port plus the zone's number.  All are below the range from which the system
-   takes the ports of outgoing connections.  */
+/* Ports on the fleet's addresses.  Another zone reaches a peer port at the
+   view port plus the zone's number.  All are below the range from which the
+   system takes the ports of outgoing connections.  */
 enum
 {
   PORT_LOCK = 6000,
@@ -31,20 +31,21 @@
   proc_set_t *procs;
   char *build;
   char *network_prefix; /* "127.x.y" */
-  int lock_fd;          /* socket that keeps the addresses ours */
+  int lock_fd;          /* bound socket that reserves the addresses */
   GPtrArray *sorts[FLEET_ROLE_COUNT];
-  /* What the platform's list says of each router and agent; NULL: nothing.  */
+  /* State of each router and agent in the platform's list; NULL: not
+     listed.  */
   const char *instance_states[FLEET_ROLE_COUNT][FLEET_MAX_MEMBERS];
 };
 
-/* "127.x.y.N:PORT" of the member INDEX.  */
+/* Returns "127.x.y.N:PORT" of member INDEX.  */
 char *fleet_format_address (const fleet_t *fleet, unsigned index,
                             unsigned port);
 char *fleet_format_url (const fleet_t *fleet, unsigned index, unsigned port);
 bool fleet_is_plain_endpoint (const fleet_t *fleet, unsigned index);
 bool fleet_put_endpoint (fleet_t *fleet, unsigned index, GError **error);
 bool fleet_put_records (fleet_t *fleet, GError **error);
-/* Gives the platform the list of instances.  */
+/* Writes the list of instances to the platform.  */
 bool fleet_publish_instances (fleet_t *fleet, GError **error);
 
 #endif
--- a/tests/fleet-records.c
+++ b/tests/fleet-records.c
@@ -1,9 +1,9 @@
-/* The records that a fleet begins with.  */
+/* Test fleet: the records written when it starts.  */
 
 #include "config/rec.h"
 #include "fleet-private.h"
 
-/* Of schema 1, as is_schema1 programs write and read them.  */
+/* Writes a record of schema 1, for programs that know only that schema.  */
 static bool
 put_schema1_endpoint (fleet_t *fleet, unsigned index, const char *service,
                       unsigned slots, GError **error)
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -1,4 +1,4 @@
-/* A fleet of real processes with stand-ins for the outside.  */
+/* Test fleet: starts and stops its processes.  */
 
 #include "fleet-private.h"
 #include "base/err.h"
@@ -31,7 +31,8 @@
                               : index >= plan->models + plan->plains;
 }
 
-/* Endpoints are numbered models, plain services, spare models.  */
+/* Endpoints are numbered in this order: model service, plain service, spare
+   model endpoints.  */
 bool
 fleet_is_plain_endpoint (const fleet_t *fleet, unsigned index)
 {
@@ -40,8 +41,8 @@
   return index >= plan->models && index < plan->models + plan->plains;
 }
 
-/* Takes a part of 127.0.0.0/8 that no other fleet uses: the first from our
-   process id on at which the lock_fd port is free.  */
+/* Reserves a part of 127.0.0.0/8 that no other fleet uses: the first, starting
+   from our process id, on which the lock port can be bound.  */
 static bool
 reserve_addresses (fleet_t *fleet, GError **error)
 {
@@ -125,7 +126,7 @@
 
 /* ---- starting processes ---- */
 
-/* Starts PROGRAM with the flags in ARGS, which is emptied.  */
+/* Starts PROGRAM with the flags in ARGS and empties ARGS.  */
 static bool
 start_process (fleet_t *fleet, fleet_role_t role, const char *name,
                const char *program, GPtrArray *args, GError **error)
@@ -172,7 +173,7 @@
              : fleet->plan.region_ms;
 }
 
-/* One mapping for each other zone's view of a peer port.  */
+/* Adds a relay mapping for each other zone's view of a peer port.  */
 static void
 add_zone_views (fleet_t *fleet, GPtrArray *args, fleet_role_t role,
                 unsigned index)
@@ -259,7 +260,7 @@
                         args, error);
 }
 
-/* Flags that routers and agents share.  */
+/* Adds the flags that routers and agents share.  */
 static void
 add_common_flags (fleet_t *fleet, GPtrArray *args, const char *name,
                   unsigned zone)
@@ -313,7 +314,7 @@
       fleet->plan.old_agents ? FLEET_OLD_AGENT : FLEET_NEW_AGENT, args, error);
 }
 
-/* ---- the whole ---- */
+/* ---- the whole fleet ---- */
 
 static bool
 wait_ready (fleet_t *fleet, const char *url, const char *who, GError **error)
--- a/tests/proc.c
+++ b/tests/proc.c
@@ -1,4 +1,4 @@
-/* Processes of a test.  */
+/* Test processes: starting, stopping, resource usage and HTTP requests.  */
 
 #include "proc.h"
 #include <curl/curl.h>
@@ -15,7 +15,7 @@
 struct proc_set
 {
   char *log_dir;
-  GPtrArray *procs; /* of proc_t, in the order of their start */
+  GPtrArray *procs; /* of proc_t, in start order */
 };
 
 static void
@@ -153,7 +153,8 @@
 
   if (proc->pid <= 0 || !g_file_get_contents (path, &text, NULL, NULL))
     return false;
-  /* The command's name may hold blanks; fields 3 and on follow its bracket. */
+  /* The command name may contain spaces; field 3 follows its closing
+     parenthesis.  */
   const char *rest = strrchr (text, ')');
   if (rest == NULL)
     return false;
--- a/tests/proc.h
+++ b/tests/proc.h
@@ -1,5 +1,5 @@
-/* Processes of a test: started, watched and ended by their id.  A child ends
-   with its parent, so that a test that is killed leaves nothing behind.  */
+/* Test processes: started, watched and ended by their process id.  A child
+   ends with its parent, so that a killed test leaves no processes behind.  */
 
 #ifndef TESTS_PROC_H
 #define TESTS_PROC_H
@@ -12,40 +12,40 @@
 {
   char *name;
   char **argv;
-  pid_t pid; /* 0 when it does not run */
+  pid_t pid; /* 0 when not running */
 } proc_t;
 
 typedef struct proc_set proc_set_t;
 
-/* Output goes to a new temporary folder, a file for each process.  */
+/* Output goes to a new temporary folder, one file for each process.  */
 proc_set_t *proc_set_new (void);
-/* Ends all processes; the folder stays when KEEP is set.  */
+/* Kills all processes; with KEEP, the folder stays.  */
 void proc_set_free (proc_set_t *set, bool keep);
 const char *proc_set_get_log_dir (const proc_set_t *set);
 
 /* Starts ARGV, which is copied, with our environment.  */
 proc_t *proc_start (proc_set_t *set, const char *name, const char *const *argv,
                     GError **error);
-/* Starts a process again that has ended.  */
+/* Restarts a process that has ended.  */
 bool proc_restart (proc_set_t *set, proc_t *proc, GError **error);
-/* Sends SIGNAL; for SIGKILL and SIGTERM also waits up to WAIT_MS for the end.
-   True when it has ended.  */
+/* Sends SIGNAL and waits up to WAIT_MS for the process to end.  Returns true
+   if it has ended.  */
 bool proc_stop (proc_t *proc, int signal, int wait_ms);
-/* True while PROC runs; its exit is collected otherwise.  */
+/* Returns true while PROC runs; otherwise reaps it.  */
 bool proc_is_running (proc_t *proc);
-/* Processor seconds and resident bytes of the process so far.  */
+/* Reads the processor seconds and the resident bytes of a process.  */
 bool proc_read_usage (const proc_t *proc, double *cpu_s, double *resident);
 
-/* Folder of the programs of this build, by the running program's place or
-   CFD_BUILD.  */
+/* Returns the build folder: CFD_BUILD, or derived from the path of the running
+   program.  */
 char *proc_get_build_dir (void);
 
-/* One HTTP exchange, waited for; the answer's body, or NULL when none came
-   within 5 s.  METHOD NULL is GET.  HEADER may be NULL; a newline separates
-   several.  */
+/* Performs one blocking HTTP exchange.  Returns the response body, or NULL
+   without a response within 5 s.  METHOD NULL is GET.  HEADER may be NULL; a
+   newline separates several headers.  */
 char *proc_send_http (const char *method, const char *url, const char *header,
                       const char *body, long *status);
-/* Waits until URL answers 200.  */
+/* Polls URL until it answers 200.  */
 bool proc_wait_http_ok (const char *url, int wait_ms);
 
 #endif
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -1,4 +1,4 @@
-/* A scene of the whole-path tests.  */
+/* Scenarios of the whole-path tests.  */
 
 #include "scene.h"
 #include <json-glib/json-glib.h>
