--- a/tests/load-make.c
+++ b/tests/load-make.c
@@ -1,4 +1,4 @@
-/* What the load's requests ask for.  */
+/* Load: random choices and bodies of its requests.  */
 
 #include "load-make.h"
 
--- a/tests/load-tally.c
+++ b/tests/load-tally.c
@@ -1,4 +1,4 @@
-/* What the client accounts got so far.  */
+/* Load: running sums of the service and the waiting requests.  */
 
 #include "load-tally.h"
 
@@ -65,7 +65,8 @@
   g_free (tally);
 }
 
-/* The part of the request's router; NULL where routers are not told apart.  */
+/* Returns the sample of the request's router; NULL when the plan does not ask
+   for samples by router.  */
 static load_sample_t *
 get_router_sample (load_tally_t *tally, const load_request_t *request)
 {
--- a/tests/load-tally.h
+++ b/tests/load-tally.h
@@ -1,5 +1,5 @@
-/* What the client accounts got so far and how much of theirs waits, over the
-   fleet and by router.  */
+/* Load: running sums of the service that each client account received and of
+   its waiting requests, over the fleet and by router.  */
 
 #ifndef TESTS_LOAD_TALLY_H
 #define TESTS_LOAD_TALLY_H
@@ -11,12 +11,12 @@
 load_tally_t *load_tally_new (const load_plan_t *plan);
 void load_tally_free (load_tally_t *tally);
 
-/* REQUEST waits for its first byte, or no longer.  */
+/* Counts REQUEST as waiting for its first byte, or no longer.  */
 void load_tally_add_waiting (load_tally_t *tally,
                              const load_request_t *request);
 void load_tally_remove_waiting (load_tally_t *tally,
                                 const load_request_t *request);
-/* The first byte of a model's answer came.  */
+/* Counts the first byte of a model's answer.  */
 void load_tally_add_first_byte (load_tally_t *tally,
                                 const load_request_t *request);
 void load_tally_add_tokens (load_tally_t *tally, const load_request_t *request,
--- a/tests/load.c
+++ b/tests/load.c
@@ -27,7 +27,7 @@
   bool stopped;
 };
 
-/* One of the loops of an account: at most one request at a time.  */
+/* One closed loop of an account: at most one request at a time.  */
 typedef struct
 {
   load_t *load;
@@ -36,7 +36,8 @@
   load_request_t *request;
   fetch_t *fetch;
   bool has_paused;
-  GString *line; /* of the answer, not yet whole */
+  GString *line; /* received bytes of an incomplete line, or of the whole
+                    body */
   bool received_done;
   bool has_wrong_content;
 } caller_t;
@@ -81,7 +82,7 @@
                    load_tally_take_sample (load->tally, clock_now_us ()));
 }
 
-/* The first byte of the answer's content came.  */
+/* Records the arrival of the first byte of the content.  */
 static void
 record_first_byte (caller_t *caller, int64_t now_us)
 {
@@ -112,7 +113,8 @@
   load_tally_add_tokens (load->tally, request, count);
 }
 
-/* The line tells when the engine gave its token.  */
+/* Records the delay of a token; the line has the time at which the engine
+   produced it.  */
 static void
 record_delay (load_t *load, const char *line, int64_t now_us)
 {
@@ -124,7 +126,8 @@
   g_array_append_val (load->delays, delay);
 }
 
-/* The last event of a stream tells when the engine got the request.  */
+/* Reads the time at which the engine received the request from the last event
+   of a stream.  */
 static void
 record_engine_start (load_request_t *request, const char *line)
 {
@@ -135,7 +138,7 @@
         = g_ascii_strtoll (strchr (started, ':') + 1, NULL, 10) * 1000;
 }
 
-/* One "data: " line of a stream.  */
+/* Parses and checks one "data: " line of a stream.  */
 static void
 parse_event_line (caller_t *caller, const char *line, int64_t now_us)
 {
@@ -169,7 +172,7 @@
   ev_timer_start (caller->load->loop, &caller->pause);
 }
 
-/* A slow reader stops reading once.  */
+/* Pauses reading once, to simulate a slow reader.  */
 static void
 pause_reading (caller_t *caller)
 {
@@ -211,7 +214,8 @@
   caller->request->status = status;
 }
 
-/* Whether an answer in one piece is whole and its own.  */
+/* Returns true if a non-streaming answer is complete and belongs to the
+   request.  */
 static bool
 is_body_correct (caller_t *caller, int64_t now_us)
 {
@@ -338,7 +342,8 @@
   caller->fetch = fetch_start (load->pool, &fetch);
 }
 
-/* Milliseconds that an account which works in turns still pauses.  */
+/* Returns the milliseconds left in the off part of an account's on/off cycle;
+   0 in the on part.  */
 static double
 get_off_time_left_ms (const caller_t *caller)
 {
