--- a/tests/engine.c
+++ b/tests/engine.c
@@ -1,4 +1,4 @@
-/* The model engine behind the stand-in's HTTP.  */
+/* Model engine behind the engine stand-in.  */
 
 #include "engine.h"
 #include "standin.h"
@@ -16,7 +16,7 @@
   cfd_time_t cold_until;
   cfd_time_t grace_until;
   cfd_time_t accounted_until;
-  double step_factor; /* factor of each step's length */
+  double step_factor; /* multiplies the duration of each step */
   unsigned running;
   list_node_t runs;
   GHashTable *nonces;
@@ -69,7 +69,7 @@
                                       : engine->settings.slots;
 }
 
-/* Adds the time since the last call to the integrals.  */
+/* Adds the time since the last call to the time integrals.  */
 static void
 account_time (engine_t *engine, cfd_time_t now)
 {
@@ -182,9 +182,9 @@
   return NULL;
 }
 
-/* One streamed token as a server-sent event.  "t" is the time it was given,
-   in microseconds since boot: the caller, on the same machine, can tell how
-   long it was on its way.  */
+/* Appends a streamed token as a server-sent event.  "t" is the time at which
+   it was produced, in microseconds since boot, so that a caller on the same
+   machine can compute the token's delay.  */
 static void
 append_event (GString *text, const engine_run_t *run, const char *token)
 {
@@ -211,10 +211,11 @@
       text,
       "\"usage\":{\"prompt_tokens\":%u,\"completion_tokens\":%u,"
       "\"total_tokens\":%u}}",
-      run->prompt_tokens, run->given, run->prompt_tokens + run->given);
+      run->prompt_tokens, run->emitted_tokens,
+      run->prompt_tokens + run->emitted_tokens);
 }
 
-/* The whole answer of a request that doesn't stream.  */
+/* Appends the complete answer of a non-streaming request.  */
 static void
 append_full_answer (engine_t *engine, GString *text, const engine_run_t *run)
 {
@@ -237,19 +238,20 @@
   append_usage (text, run);
 }
 
-/* Gives RUN its next token; the piece of its body that came of it is what was
-   added to it.  */
+/* Produces the next token of RUN and appends its output, if any, to the
+   body.  */
 static void
 run_emit_token (engine_t *engine, engine_run_t *run, cfd_time_t now)
 {
   char token[STANDIN_MAX_TOKEN_BYTES];
 
-  standin_format_token (token, engine->settings.seed, run->nonce, run->given);
-  run->given++;
+  standin_format_token (token, engine->settings.seed, run->nonce,
+                        run->emitted_tokens);
+  run->emitted_tokens++;
   engine->counters.output_tokens++;
   if (run->stream)
     append_event (run->body, run, token);
-  if (run->given < run->length)
+  if (run->emitted_tokens < run->length)
     return;
   run_finish (engine, run, now);
   if (!run->stream)
@@ -280,8 +282,8 @@
 
 double
 engine_step (engine_t *engine, cfd_time_t now,
-             void (*given) (void *user, engine_run_t *run, const char *bytes,
-                            size_t length),
+             void (*on_output) (void *user, engine_run_t *run,
+                                const char *bytes, size_t length),
              void *user)
 {
   list_for_each_safe (node, &engine->runs)
@@ -297,7 +299,7 @@
         continue;
       size_t before = run->body->len;
       run_emit_token (engine, run, now);
-      given (user, run, run->body->str + before, run->body->len - before);
+      on_output (user, run, run->body->str + before, run->body->len - before);
     }
   return get_step_ms (engine, now);
 }
--- a/tests/engine.h
+++ b/tests/engine.h
@@ -1,7 +1,7 @@
-/* The model engine behind the stand-in's HTTP: continuous batching without
-   sockets.  Each step gives one token to every request past its prefill; a
+/* Model engine behind the engine stand-in: continuous batching, without
+   sockets.  Each step produces one token for every request past its prefill; a
    step takes longer the more requests run, and much longer in cold start.
-   docs/ENGINE.md has the protocol.  */
+   docs/ENGINE.md describes the protocol.  */
 
 #ifndef TESTS_ENGINE_H
 #define TESTS_ENGINE_H
@@ -15,20 +15,20 @@
 {
   uint64_t seed;
   unsigned slots;      /* capacity when warm */
-  unsigned slots_cold; /* and in cold start */
-  unsigned cold_ms;    /* length of a cold start */
-  double step_ms;      /* step with one request */
+  unsigned slots_cold; /* capacity in cold start */
+  unsigned cold_ms;    /* duration of a cold start */
+  double step_ms;      /* duration of a step with one request */
 } engine_settings_t;
 
-/* Starts above what is capacity don't count for so long after the engine
-   turned cold by itself: nobody can know yet.  */
+/* Starts above capacity are counted apart for this long after the engine
+   turned cold by itself, since routers and agents cannot know yet.  */
 #define ENGINE_OVERLOAD_GRACE_MS 500
-/* A finished stream can be resumed for so long.  */
+/* A finished stream can be resumed for this long.  */
 #define ENGINE_RESUME_WINDOW_MS 30000
 
 typedef struct engine engine_t;
 
-/* One request; SINK hears of each piece of the answer.  */
+/* One request; SINK receives its output.  */
 typedef struct
 {
   list_node_t node;
@@ -38,28 +38,29 @@
   bool chat;
   bool usage_sent;
   unsigned prompt_tokens;
-  unsigned length;  /* tokens of the answer */
-  unsigned given;   /* tokens given */
-  unsigned padding; /* more bytes in each event */
+  unsigned length;         /* tokens of the answer */
+  unsigned emitted_tokens; /* tokens produced so far */
+  unsigned padding;        /* extra bytes in each event */
   cfd_time_t started;
   cfd_time_t prefilled;
   cfd_time_t ended; /* CFD_TIME_NEVER while it runs */
-  bool stalled;     /* its connection went stalled */
-  GString *body;    /* what was given, for resuming */
+  bool stalled;     /* its connection passes no more bytes */
+  GString *body;    /* output so far, kept for resuming */
   void *sink;
 } engine_run_t;
 
 typedef struct
 {
   uint64_t requests;
-  uint64_t overload_count;    /* starts above what was capacity */
-  uint64_t overload_in_grace; /* the same, soon after turning cold */
-  double overload_ms;         /* time above what was capacity */
-  unsigned overload_running;  /* at the last start that was counted ... */
-  unsigned overload_bearable; /* ... what was capacity ... */
-  cfd_time_t overload_cold;   /* ... and how long ago it turned cold; 0: never
-                               */
-  double busy_ms;             /* sum over time of the running requests */
+  uint64_t overload_count;    /* starts above capacity */
+  uint64_t overload_in_grace; /* the same, within the grace time */
+  double overload_ms;         /* time above capacity */
+  unsigned overload_running;  /* running requests at the last counted
+                                 overload */
+  unsigned overload_bearable; /* capacity at that time */
+  cfd_time_t overload_cold;   /* time since the engine turned cold by itself;
+                                 0: never did */
+  double busy_ms;             /* integral of the running requests over time */
   unsigned peak;
   uint64_t prompt_tokens;
   uint64_t output_tokens;
@@ -70,22 +71,23 @@
 void engine_free (engine_t *engine);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (engine_t, engine_free)
 
-/* Starts a request; the run stays until engine_forget or
-   ENGINE_RESUME_WINDOW_MS after its end.  */
+/* Starts a request.  The run is kept until ENGINE_RESUME_WINDOW_MS after its
+   end.  */
 engine_run_t *engine_start (engine_t *engine, const char *id,
                             const char *prompt, bool stream, bool chat,
                             cfd_time_t now);
 void engine_cancel (engine_t *engine, engine_run_t *run, cfd_time_t now);
 engine_run_t *engine_find_run (engine_t *engine, const char *id);
 
-/* One step; GIVEN is called for each run that got a piece of its answer, and
-   with ENDED set for the last.  Returns the milliseconds until the next.  */
+/* Runs one step.  Calls ON_OUTPUT for each run that produced output; a run
+   that finished has its ENDED time set.  Returns the milliseconds until the
+   next step.  */
 double engine_step (engine_t *engine, cfd_time_t now,
-                    void (*given) (void *user, engine_run_t *run,
-                                   const char *bytes, size_t length),
+                    void (*on_output) (void *user, engine_run_t *run,
+                                       const char *bytes, size_t length),
                     void *user);
 
-/* Each step takes FACTOR times as long from now on; 1: as usual.  */
+/* Multiplies the duration of each step by FACTOR from now on; 1 is normal.  */
 void engine_set_step_factor (engine_t *engine, double factor);
 void engine_set_cold (engine_t *engine, cfd_time_t now);
 bool engine_is_cold (const engine_t *engine, cfd_time_t now);
@@ -93,7 +95,8 @@
 unsigned engine_count_running (const engine_t *engine);
 const engine_counters_t *engine_get_counters (engine_t *engine,
                                               cfd_time_t now);
-/* Starts by nonce: a table of strings to counts.  */
+/* Returns the number of starts for each nonce: a table from string to
+   count.  */
 GHashTable *engine_get_nonces (engine_t *engine);
 list_node_t *engine_get_runs (engine_t *engine);
 
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -1,4 +1,4 @@
-/* The connections of the relay.  */
+/* Relay connections.  */
 
 #include "relay.h"
 #include "base/clock.h"
@@ -14,8 +14,9 @@
 #define CHUNK_BYTES (64 * 1024)
 #define MAX_QUEUED_BYTES (1024 * 1024)
 
-/* All bytes with the same delay, first in first out.  Its timer_fd is a
-   descriptor, because epoll's own time limit is in whole milliseconds.  */
+/* Queue of all chunks with the same delay, first in first out.  It uses a
+   timerfd, because the timeout of epoll_wait has a resolution of one
+   millisecond.  */
 struct delay_line
 {
   int64_t delay_us;
@@ -26,11 +27,11 @@
 
 typedef struct flow flow_t;
 
-/* Bytes on their way, due at the other side at DUE_US.  */
+/* Bytes in transit, to be written at DUE_US.  */
 typedef struct
 {
   list_node_t node;
-  list_node_t in_delay_line; /* unlinked when due */
+  list_node_t in_delay_line; /* unlinked once due */
   flow_t *flow;
   int64_t due_us;
   size_t length;
@@ -48,8 +49,8 @@
   ev_io writable;
   list_node_t queue;
   size_t queued_bytes;
-  bool input_ended;   /* FROM sent its last byte */
-  bool output_closed; /* and TO was told */
+  bool input_ended;   /* read end of file from FROM */
+  bool output_closed; /* shut down TO for writing */
 };
 
 struct relay_conn
@@ -88,8 +89,8 @@
   g_free (relay_conn);
 }
 
-/* Tells the other side of the end when all before it has left; true when
-   both directions are over and the relay_conn was freed.  */
+/* Forwards the end of the stream once all bytes are written.  Returns true if
+   both directions have ended and the connection was freed.  */
 static bool
 flow_forward_end (flow_t *flow)
 {
@@ -107,7 +108,7 @@
   return true;
 }
 
-/* Writes what is due.  */
+/* Writes the chunks that are due.  */
 static void
 flow_write_due (struct ev_loop *loop, flow_t *flow)
 {
--- a/tests/sp-control.h
+++ b/tests/sp-control.h
@@ -1,4 +1,4 @@
-/* The stand-in's control requests, as sp.h lists them.  */
+/* Platform stand-in: the control requests described in sp.h.  */
 
 #ifndef TESTS_SP_CONTROL_H
 #define TESTS_SP_CONTROL_H
@@ -8,7 +8,7 @@
 
 void sp_handle_control (sp_t *sp, web_request_t *request);
 
-/* Splits "PREFIX/KIND/NAME"; false when PATH is not of that form.  */
+/* Parses "PREFIX/KIND/NAME"; false when PATH has another form.  */
 bool sp_parse_object_path (const char *path, const char *prefix, char **kind,
                            char **name);
 
--- a/tests/sp-list.c
+++ b/tests/sp-list.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* A list that does not show yet.  */
+/* A list that is not visible yet.  */
 typedef struct
 {
   cfd_time_t set_at;
--- a/tests/sp-list.h
+++ b/tests/sp-list.h
@@ -1,4 +1,5 @@
-/* The stand-in's list of instances, which lags.  */
+/* Platform stand-in: the list of instances, which becomes visible with a
+   lag.  */
 
 #ifndef TESTS_SP_LIST_H
 #define TESTS_SP_LIST_H
@@ -11,9 +12,10 @@
 
 sp_list_t *sp_list_new (void);
 void sp_list_free (sp_list_t *list);
-/* TEXT is a JSON array; false when it is not.  */
+/* Sets the list from a JSON array; false when TEXT is not one.  */
 bool sp_list_set (sp_list_t *list, const char *text, cfd_time_t now);
-/* JSON {instances} as ZONE (or NULL) saw it LAG_MS ago; g_free it.  */
+/* Returns JSON {instances} as seen by ZONE (or NULL) LAG_MS ago; free with
+   g_free.  */
 char *sp_list_format (sp_list_t *list, const char *zone, unsigned lag_ms,
                       cfd_time_t now);
 
--- a/tests/sp-model.c
+++ b/tests/sp-model.c
@@ -2,25 +2,26 @@
 
 #include <string.h>
 
-/* One write.  */
+/* One write in the history.  */
 typedef struct
 {
   uint64_t revision;
   cfd_time_t when;
-  sp_object_t *before; /* NULL: was never there */
+  sp_object_t *before; /* NULL: did not exist */
   sp_object_t *after;
 } change_t;
 
 struct sp_model
 {
-  GHashTable *objects; /* of sp_object_t by "KIND/NAME", deleted ones too */
-  GHashTable *frozen;  /* the same at an earlier time, or NULL */
+  GHashTable *objects; /* of sp_object_t by "KIND/NAME", including deleted
+                          ones */
+  GHashTable *frozen;  /* the same at the frozen time, or NULL */
   uint64_t revision;
   uint64_t frozen_revision;
   GQueue history; /* of change_t, oldest first */
   unsigned max_history;
-  GHashTable
-      *forgotten_revisions; /* uint64 by kind: the newest forgotten write */
+  GHashTable *forgotten_revisions; /* uint64 by kind: revision of the newest
+                                      write dropped from the history */
 };
 
 static void
@@ -162,7 +163,7 @@
   g_clear_pointer (&model->frozen, g_hash_table_unref);
 }
 
-/* Puts back what EVENT replaced.  */
+/* Restores the object that CHANGE replaced.  */
 static void
 revert_change (GHashTable *objects, const change_t *change)
 {
@@ -204,7 +205,7 @@
     }
 }
 
-/* Whether KIND is in the comma-separated KINDS.  */
+/* Returns true if KIND is in the comma-separated KINDS; NULL matches all.  */
 static bool
 kind_matches (const char *kind, const char *kinds)
 {
@@ -323,7 +324,8 @@
   return g_string_free (text, FALSE);
 }
 
-/* Whether a write of KINDS after AFTER was forgotten.  */
+/* Returns true if a write of KINDS after AFTER was dropped from the
+   history.  */
 static bool
 is_history_lost (const sp_model_t *model, uint64_t after, const char *kinds)
 {
--- a/tests/sp.c
+++ b/tests/sp.c
@@ -45,7 +45,7 @@
   web_server_t *server;
 } listener_t;
 
-/* A handle_watch that waits, or an respond_with_fault that is held back.  */
+/* A waiting watch, or a delayed response.  */
 typedef struct
 {
   list_node_t node;
@@ -59,7 +59,7 @@
   char *text;
 } pending_response_t;
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
 respond (web_request_t *request, unsigned status, const char *text)
@@ -116,7 +116,8 @@
   pending_free (pending);
 }
 
-/* Answers a call as the fault in force wants it; frees TEXT.  */
+/* Responds with TEXT, delayed if the fault in force is SP_SLOW; frees
+   TEXT.  */
 static void
 respond_with_fault (sp_t *sp, web_request_t *request, unsigned status,
                     char *text)
@@ -142,7 +143,7 @@
 
 /* ---- objects ---- */
 
-/* Whether the conditions of a write hold for the newest state.  */
+/* Checks the condition headers of a write against the latest state.  */
 static bool
 matches_condition (web_request_t *request, const sp_object_t *object)
 {
--- a/tests/sp.h
+++ b/tests/sp.h
@@ -1,7 +1,8 @@
-/* Stand-in for the platform: the object API of platform/plat.h in memory, with
-   faults, an instances list that lags, and a bounded history for watches.
+/* Platform stand-in: the object API of platform/plat.h in memory, with faults,
+   a lagging list of instances, and a bounded history for watches.
 
-   Control, on the same listeners, which is never counted nor faulty:
+   Control requests use the same listeners; they are never counted and not
+   subject to faults:
 
      PUT  /control/instances  [{name, role, zone, address, state,
                                 "views": {ZONE: "IP:PORT"}}, ...]
@@ -10,7 +11,7 @@
      POST /control/objects    [{kind, name, spec}, ...] written unconditionally
      DELETE /control/objects/KIND/NAME
 
-   A listener made for a zone shows each instance at the address that its
+   A listener for a zone returns each instance with the address that its
    "views" has for that zone, so that a test can put a relay between zones.  */
 
 #ifndef TESTS_SP_H
@@ -24,17 +25,18 @@
 typedef enum
 {
   SP_UP,
-  SP_DOWN,          /* each connection is broken off, without effect */
-  SP_SLOW,          /* each answer comes after the delay */
-  SP_DROP_RESPONSE, /* a write takes effect, its answer is broken off */
-  SP_STALE_READS    /* reads answer the state of the lag before this began */
+  SP_DOWN,          /* every connection is aborted, without effect */
+  SP_SLOW,          /* every response is delayed */
+  SP_DROP_RESPONSE, /* a write takes effect, but its response is aborted */
+  SP_STALE_READS    /* reads return the state of lag_ms before the fault
+                       began */
 } sp_mode_t;
 
-/* ---- the state, without any network: sp-model.c ---- */
+/* ---- state without HTTP: sp-model.c ---- */
 
 typedef struct sp_model sp_model_t;
 
-/* One state of one object; never changed once made.  */
+/* One version of an object; immutable.  */
 typedef struct
 {
   char *kind;
@@ -45,35 +47,38 @@
   char *text; /* JSON */
 } sp_object_t;
 
-/* Watches reach back HISTORY writes.  */
+/* Keeps the last HISTORY writes for watches.  */
 sp_model_t *sp_model_new (unsigned history);
 void sp_model_free (sp_model_t *model);
 
-/* The object, or NULL when not there.  */
+/* Returns the object, or NULL if it does not exist.  */
 const sp_object_t *sp_model_get (const sp_model_t *model, const char *kind,
                                  const char *name);
-/* The same, not frozen.  */
+/* The same, but ignores a freeze.  */
 const sp_object_t *sp_model_get_latest (const sp_model_t *model,
                                         const char *kind, const char *name);
-/* Writes SPEC, or deletes when SPEC is NULL.  */
+/* Writes SPEC, or deletes the object when SPEC is NULL.  */
 const sp_object_t *sp_model_write (sp_model_t *model, const char *kind,
                                    const char *name, JsonNode *spec,
                                    cfd_time_t now);
-/* Reads come from the state at WHEN until sp_model_unfreeze.  */
+/* Serves reads from the state at WHEN until sp_model_unfreeze.  */
 void sp_model_freeze (sp_model_t *model, cfd_time_t when);
 void sp_model_unfreeze (sp_model_t *model);
-/* Newest revision of KINDS, a comma-separated list or NULL for all.  */
+/* Returns the latest revision of KINDS, a comma-separated list or NULL for
+   all.  */
 uint64_t sp_model_get_revision (const sp_model_t *model, const char *kinds);
-/* JSON {revision, objects}; free with g_free.  */
+/* Returns JSON {revision, objects}; free with g_free.  */
 char *sp_model_list (const sp_model_t *model, const char *kinds);
-/* At most LIMIT objects after the cursor AFTER, and the cursor "next".  */
+/* Lists at most LIMIT objects after the cursor AFTER, with the next cursor in
+   "next".  */
 char *sp_model_list_page (const sp_model_t *model, const char *kinds,
                           const char *after, unsigned limit);
-/* As sp_model_list, of what changed after AFTER; NULL when unknown.  */
+/* As sp_model_list, but only objects changed after revision AFTER; NULL when
+   the history does not reach back that far.  */
 char *sp_model_list_changes (const sp_model_t *model, uint64_t after,
                              const char *kinds);
 
-/* ---- served by HTTP: sp.c ---- */
+/* ---- HTTP server: sp.c ---- */
 
 typedef struct sp sp_t;
 
@@ -85,12 +90,13 @@
                 GError **error);
 void sp_set_fault (sp_t *sp, sp_mode_t mode, unsigned delay_ms,
                    unsigned lag_ms);
-/* LIST is the JSON text of the instances.  */
+/* Sets the instances; LIST is JSON text.  */
 bool sp_set_instances (sp_t *sp, const char *list);
 /* KIND is "get", "list", "put", "delete", "watch", "instances" or "total".  */
 uint64_t sp_count_calls (const sp_t *sp, const char *kind);
 sp_model_t *sp_get_model (sp_t *sp);
-/* To be called after writing to the state directly.  */
+/* Completes the watches that have changes; call it after writing to the model
+   directly.  */
 void sp_notify_watches (sp_t *sp);
 
 #endif
--- a/tests/standin-engine.c
+++ b/tests/standin-engine.c
@@ -1,4 +1,4 @@
-/* Stand-in for a model engine; docs/ENGINE.md has its protocol.  */
+/* Model engine stand-in; docs/ENGINE.md describes its protocol.  */
 
 #include "engine.h"
 #include "standin.h"
@@ -11,19 +11,20 @@
   struct ev_loop *loop;
   ev_timer step;
   ev_timer report;
-  unsigned reported_running; /* running requests as told, with a lag */
+  unsigned reported_running; /* running requests in the load report, which
+                                lags */
   bool refuse_requests;
   bool abort_answers;
   bool report_no_load;
 } standin_t;
 
-/* The connection to which a run's answer goes.  */
+/* The connection that receives a run's answer.  */
 typedef struct
 {
   standin_t *standin;
   engine_run_t *run;
   web_request_t *request;
-  bool detached; /* goes on without its caller */
+  bool detached; /* the run goes on when the caller disconnects */
 } sink_t;
 
 static void
@@ -53,16 +54,16 @@
   return sink;
 }
 
-/* Ends the answer of SINK; BREAK_OFF leaves it incomplete.  */
+/* Ends the answer; with INCOMPLETE, leaves a stream incomplete.  */
 static void
-sink_end (sink_t *sink, bool abort_answers)
+sink_end (sink_t *sink, bool incomplete)
 {
   engine_run_t *run = sink->run;
 
   run->sink = NULL;
   web_on_closed (sink->request, NULL, NULL);
   if (run->stream)
-    web_stream_end (sink->request, !abort_answers);
+    web_stream_end (sink->request, !incomplete);
   else
     web_respond (sink->request, 200, "application/json", NULL, run->body->str,
                  run->body->len);
@@ -77,7 +78,7 @@
 
   if (sink == NULL || run->stalled)
     return;
-  if (standin->abort_answers && run->given > 2)
+  if (standin->abort_answers && run->emitted_tokens > 2)
     {
       run->stream = true;
       engine_cancel (standin->engine, run, clock_now ());
@@ -112,7 +113,8 @@
   standin->reported_running = engine_count_running (standin->engine);
 }
 
-/* The last message's content, or the prompt of a plain completion.  */
+/* Returns the content of the last message, or the prompt of a plain
+   completion; NULL without either.  */
 static const char *
 get_prompt (JsonObject *body)
 {
@@ -176,7 +178,7 @@
   ev_timer_start (standin->loop, &standin->step);
 }
 
-/* POST /v1/streams/ID/cancel and GET /v1/streams/ID?offset=N.  */
+/* Handles POST /v1/streams/ID/cancel and GET /v1/streams/ID?offset=N.  */
 static void
 on_stream (standin_t *standin, web_request_t *request)
 {
@@ -205,7 +207,7 @@
       web_respond (request, 200, "application/json", NULL, "{}", 2);
       return;
     }
-  /* The connection of before, if any, is given up for this one.  */
+  /* A previous connection of this run, if any, is abandoned.  */
   if (run->sink != NULL)
     ((sink_t *)run->sink)->run = NULL;
   run->stalled = false;
@@ -349,9 +351,9 @@
   const GOptionEntry entries[] = {
     { "listen", 0, 0, G_OPTION_ARG_STRING, &address, "address", "IP:PORT" },
     { "seed", 0, 0, G_OPTION_ARG_INT64, &seed, "seed of the answers", "N" },
-    { "slots", 0, 0, G_OPTION_ARG_INT, &slots, "bearable when warm", "N" },
+    { "slots", 0, 0, G_OPTION_ARG_INT, &slots, "capacity when warm", "N" },
     { "slots-cold", 0, 0, G_OPTION_ARG_INT, &slots_cold,
-      "bearable in cold start", "N" },
+      "capacity in cold start", "N" },
     { "cold-ms", 0, 0, G_OPTION_ARG_INT, &cold_ms, "length of a cold start",
       "MS" },
     { "lag-ms", 0, 0, G_OPTION_ARG_INT, &lag_ms, "lag of the load report",
--- a/tests/standin-platform.c
+++ b/tests/standin-platform.c
@@ -1,4 +1,4 @@
-/* The platform's stand-in as a process:
+/* Platform stand-in as a process:
    standin-platform --listen IP:PORT [--listen-zone ZONE=IP:PORT ...]  */
 
 #include "sp.h"
--- a/tests/standin-relay.c
+++ b/tests/standin-relay.c
@@ -1,14 +1,14 @@
-/* Relay between conns of addresses: adds a one-way delay to the bytes of TCP
-   connections and breaks them on demand.  One process serves many mappings,
-   each of a named group.
+/* Relay stand-in: adds a one-way delay to the bytes of TCP connections and
+   interrupts them on request.  One process serves many address mappings, each
+   of a named group.
 
-     --mapping GROUP,LISTEN,TARGET,DELAY_MS   may be repeated
+     --map GROUP,LISTEN,TARGET,DELAY_MS   may be repeated
      --control IP:PORT
-     PUT /control {"group": NAME, "mode": "pass"|"cut"|"stalled"|"blackhole"}
+     PUT /control {"group": NAME, "mode": "pass"|"cut"|"silent"|"hole"}
 
-   "cut" closes open connections and each new one at once; "stalled" lets open
-   connections go stalled for good while new ones work; "blackhole" is stalled
-   for new ones too, until "pass".  */
+   "cut" closes open connections, and each new one at once; "silent" drops the
+   bytes of open connections for good, while new ones work; "hole" does so for
+   new ones too, until "pass".  */
 
 #include "relay.h"
 #include "standin.h"
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -1,13 +1,13 @@
-/* Stand-in for a plain service: counts the executions of each request by its
-   nonce (header X-Nonce or a "nonce" member or query).
+/* Plain service stand-in: counts the executions of each request by its nonce
+   (header X-Nonce, query "nonce" or body member "nonce").
 
      any method, any path         200 {"nonce", "path", "executions"}
-     PUT  /control                {"refuse_requests"|"break": bool, "delay_ms":
-   n} GET  /control/counters       {"requests", "running", "peak", "busy_ms",
+     PUT  /control                {"refuse"|"break": bool, "delay_ms": n}
+     GET  /control/counters       {"requests", "running", "peak", "busy_ms",
                                    "overload_count", "last_start_ms", "nonces"}
 
-   "refuse_requests" answers 503 without execution; "break" executes and then
-   breaks the connection off, so that the caller can't know.  */
+   "refuse" answers 503 without execution; "break" executes the request and
+   then aborts the connection, so that its outcome is unknown to the caller. */
 
 #include "base/list.h"
 #include "standin.h"
@@ -34,7 +34,7 @@
 typedef struct
 {
   standin_t *standin;
-  web_request_t *request; /* NULL when the caller went away */
+  web_request_t *request; /* NULL when the caller disconnected */
   char *nonce;
   char *path;
   unsigned executions;
@@ -100,12 +100,12 @@
 static char *
 get_nonce (const web_request_t *request)
 {
-  const char *given = web_header (request, "X-Nonce");
+  const char *text = web_header (request, "X-Nonce");
 
-  if (given == NULL)
-    given = web_query (request, "nonce");
-  if (given != NULL)
-    return g_strdup (given);
+  if (text == NULL)
+    text = web_query (request, "nonce");
+  if (text != NULL)
+    return g_strdup (text);
   g_autoptr (JsonObject) body = standin_parse_body (request);
   if (body == NULL)
     return g_strdup ("none");
@@ -221,7 +221,8 @@
   const GOptionEntry entries[]
       = { { "listen", 0, 0, G_OPTION_ARG_STRING, &address, "address",
             "IP:PORT" },
-          { "slots", 0, 0, G_OPTION_ARG_INT, &slots, "bearable at once", "N" },
+          { "slots", 0, 0, G_OPTION_ARG_INT, &slots,
+            "concurrent calls before overload", "N" },
           { "delay-ms", 0, 0, G_OPTION_ARG_DOUBLE, &standin.delay_ms,
             "time of an execution", "MS" },
           { NULL } };
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -1,4 +1,4 @@
-/* What the stand-ins for outside systems share.  */
+/* Stand-ins for outside systems: shared functions.  */
 
 #include "standin.h"
 #include <ev.h>
@@ -86,8 +86,8 @@
   ev_signal term;
   ev_signal interrupt;
 
-  /* Without it a stand-in would outlive a test that was killed and keep its
-     address taken.  */
+  /* Otherwise the stand-in of a killed test would go on running and keep its
+     address in use.  */
   prctl (PR_SET_PDEATHSIG, SIGTERM);
   signal (SIGPIPE, SIG_IGN);
   ev_signal_init (&term, on_signal, SIGTERM);
--- a/tests/standin.h
+++ b/tests/standin.h
@@ -1,6 +1,5 @@
-/* What the stand-ins for outside systems share: the answer that a nonce leads
-   to, JSON over the stand-in's HTTP, and the end of the process with its
-   parent.  */
+/* Stand-ins for outside systems: the answer that a nonce determines, JSON over
+   HTTP, and running until the parent process ends.  */
 
 #ifndef TESTS_STANDIN_H
 #define TESTS_STANDIN_H
@@ -11,26 +10,26 @@
 
 #define STANDIN_MAX_TOKEN_BYTES 24
 
-/* Token INDEX of the answer to the request NONCE: 0 is the nonce itself, the
-   others depend on all three.  Ends with a space.  */
+/* Formats token INDEX of the answer to the request NONCE: token 0 is the
+   nonce, the others depend on SEED, NONCE and INDEX.  Ends with a space.  */
 void standin_format_token (char token[STANDIN_MAX_TOKEN_BYTES], uint64_t seed,
                            const char *nonce, unsigned index);
 
-/* The whole answer of COUNT tokens.  */
+/* Formats an answer of COUNT tokens.  */
 char *standin_format_answer (uint64_t seed, const char *nonce, unsigned count);
 
-/* The value of "NAME=" in TEXT up to the next blank, quote or backslash;
-   NULL when absent.  */
+/* Returns the value of "NAME=" in TEXT up to the next space, quote, backslash
+   or ampersand; NULL when absent.  */
 char *standin_parse_field (const char *text, const char *name);
 
-/* The body as a JSON object, or NULL.  */
+/* Parses the request body as a JSON object; NULL if it is not one.  */
 JsonObject *standin_parse_body (const web_request_t *request);
 
-/* Answers with the object that BUILDER holds.  */
+/* Responds with the object in BUILDER.  */
 void standin_respond (web_request_t *request, unsigned status,
                       JsonBuilder *builder);
 
-/* Runs LOOP until SIGTERM or SIGINT, or until the parent is gone.  */
+/* Runs LOOP until SIGTERM, SIGINT or the end of the parent process.  */
 void standin_run (struct ev_loop *loop);
 
 #endif
