--- a/tests/bench-claims.c
+++ b/tests/bench-claims.c
@@ -1,6 +1,7 @@
-/* What the removal of claims costs the platform: fills it with finished claims
-   whose time is over and prints the calls until all are gone.
-     bench-claims [CLAIMS [ROUTERS [CALLS_A_SECOND]]]  */
+/* Benchmark of the removal of claims: fills the platform with expired finished
+   claims and prints the calls made until all are removed.
+
+     bench-claims [CLAIMS [ROUTERS [CALLS_PER_SECOND]]]  */
 
 #include "base/log.h"
 #include "once/sweep.h"
--- a/tests/bench-link.c
+++ b/tests/bench-link.c
@@ -1,7 +1,7 @@
-/* Cost of the links between processes, for docs/CAPACITY.md: processor time a
-   frame with its system calls, alone and in bursts, and the traffic, time and
-   memory of held links without work.  Both ends run in this process, on
-   loopback, so that a real process has about half of the time and memory.
+/* Benchmark of the links between processes, for docs/CAPACITY.md: processor
+   time for each frame with its system calls, alone and in bursts, and the
+   traffic, time and memory of idle held links.  Both ends run in this process,
+   on loopback, so a real process has about half of the time and memory.
 
      meson setup build-release --buildtype=release
      build-release/tests/bench-link  */
@@ -128,7 +128,8 @@
           (read_resident_kb () - memory) / AGENT_COUNT);
 }
 
-/* Sends TOTAL_FRAMES in bursts, each received by one frame.  */
+/* Sends TOTAL_FRAMES in bursts; the agent answers each frame with one
+   frame.  */
 static void
 measure_exchange (bench_t *bench, unsigned burst)
 {
--- a/tests/bench-pick.c
+++ b/tests/bench-pick.c
@@ -1,6 +1,6 @@
-/* What a choice costs an agent that hears of very much work: 1,800 accounts,
-   each at three routers, with announcements that refresh a third of them each
-   time.  Prints microseconds; docs/CAPACITY.md uses them.  */
+/* Benchmark of an agent's choice among much waiting work: 1,800 accounts, each
+   at three routers, with announcements that refresh a third of them each time.
+   Prints microseconds, for docs/CAPACITY.md.  */
 
 #include "dispatch/pick.h"
 #include <stdio.h>
--- a/tests/bench-state.c
+++ b/tests/bench-state.c
@@ -1,11 +1,11 @@
-/* What a whole state costs both ends of a link, for docs/CAPACITY.md: two
-   processes, each with a store as a router has, and frames over a socket.
+/* Benchmark of a full state transfer, for docs/CAPACITY.md: two processes,
+   each with a store like a router's, and frames over a socket.
 
-     bench-state [ACCOUNTS]    18,000 unless told
+     bench-state [ACCOUNTS]    default 18,000
 
-   One row for a receiver that starts empty, one for a receiver that holds all
-   accounts and is behind the sender's first list.  Memory is resident; a turn
-   makes, packs and writes one part.  */
+   One row is for a receiver that starts empty, one for a receiver that holds
+   all accounts but is behind the sender's first list.  Memory is resident; a
+   turn makes, packs and writes one part.  */
 
 #include "base/clock.h"
 #include "base/log.h"
@@ -25,10 +25,10 @@
 #define BATCH_ACCOUNTS 500u
 #define MAX_ASKS 200u
 #define PREFIX_BYTES 4u
-/* A process that hangs ends by this.  */
+/* Ends a process that hangs.  */
 #define TIMEOUT_S 60
 
-/* Kilobytes by the line FIELD of this process's status, or -1.  */
+/* Returns the kilobytes in line FIELD of this process's status, or -1.  */
 static long
 read_status_kb (const char *field)
 {
@@ -41,7 +41,7 @@
   return line == NULL ? -1 : strtol (line + strlen (field), NULL, 10);
 }
 
-/* From here on, the most resident memory counts anew.  */
+/* Resets the peak of the resident memory.  */
 static void
 reset_peak (void)
 {
@@ -68,7 +68,8 @@
       number + 1, hash);
 }
 
-/* All accounts, in batches, so that nothing large is freed before.  */
+/* Adds all accounts, in batches, so that no large allocation is freed before
+   the measurement.  */
 static void
 fill_store (store_t *store, unsigned accounts)
 {
@@ -120,7 +121,7 @@
   return true;
 }
 
-/* The next frame, or NULL at the end.  */
+/* Returns the next frame, or NULL at the end of the connection.  */
 static msg_t *
 read_frame (int fd)
 {
@@ -138,7 +139,7 @@
   return msg_decode (payload, length, NULL, NULL);
 }
 
-/* Answers asks until the receiver goes.  */
+/* Answers requests for parts until the receiver disconnects.  */
 static void
 serve_parts (int fd, unsigned accounts)
 {
@@ -149,7 +150,8 @@
   long before;
 
   fill_store (store, accounts);
-  /* Its first list ended after the last change at the receiver.  */
+  /* The sender's first list is newer than the last change that the receiver
+     has.  */
   store->revision = accounts + 1;
   store->deletions_known_from = accounts + 1;
   reset_peak ();
@@ -176,7 +178,7 @@
           (double)read_status_kb ("VmHWM:") / 1e3);
 }
 
-/* One ask and its part.  */
+/* Requests one part and applies it.  */
 static bool
 request_part (int fd, store_t *store, uint64_t have)
 {
@@ -254,7 +256,7 @@
       = argc > 1 ? (unsigned)g_ascii_strtoull (argv[1], NULL, 10) : ACCOUNTS;
 
   log_setup ("bench", LOG_ERROR, false);
-  /* Each row in processes of its own.  */
+  /* Each row runs in its own processes.  */
   for (int is_full = 0; is_full <= 1; is_full++)
     {
       pid_t row = fork ();
--- a/tests/bench-wire.c
+++ b/tests/bench-wire.c
@@ -1,7 +1,7 @@
-/* Bytes and processor time of the frames between processes, one line a kind
-   of frame, for docs/CAPACITY.md: short ones on a link that knows their names
-   and saw the last stamp (a later stamp adds 1 or 2 bytes), and whole ones.
-   Run a release build for the times:
+/* Benchmark of the frames between processes, for docs/CAPACITY.md: bytes and
+   processor time, one line for each kind of frame.  Short frames are on a link
+   that knows their names and the last stamp (a later stamp adds 1 or 2 bytes);
+   full frames are without that state.  Use a release build for the times:
 
      meson setup build-release --buildtype=release
      build-release/tests/bench-wire  */
@@ -58,8 +58,8 @@
   return t.tv_sec * 1e6 + t.tv_nsec / 1e3;
 }
 
-/* The frame that ROW is once its names are known at the other end; both
-   states stay as they are then.  */
+/* Returns the frame for ROW once the other end knows its names; both states
+   are left as they are then.  */
 static GByteArray *
 encode_short_frame (const bench_case_t *row, msg_state_t *sender,
                     msg_state_t *receiver)
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -1,6 +1,6 @@
-/* The demo: a small fleet of real processes serves a short mixed load and
-   prints what was served, for whom, and where.  Exits with 0 only if every
-   answer was whole and correct.  */
+/* Demo: a small fleet of real processes serves a short mixed load and prints
+   the requests served by account and by endpoint.  Exits with 0 only if every
+   answer was complete and correct.  */
 
 #include "collect.h"
 #include <ev.h>
@@ -57,7 +57,7 @@
 {
   load_t *load;
   int64_t end_us;
-  unsigned idle_checks; /* checks in a row without a request running */
+  unsigned idle_checks; /* consecutive checks without a running request */
 } idle_watch_t;
 
 static void
@@ -72,7 +72,7 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Runs LOAD until its requests are over.  */
+/* Runs LOAD until all its requests have ended.  */
 static void
 run_load (struct ev_loop *loop, load_t *load)
 {
--- a/tests/measure-config.c
+++ b/tests/measure-config.c
@@ -1,9 +1,10 @@
-/* How the platform's load and the router_shares of a configuration
-   measure_change grow with the fleet: without work, when hardly any links are
-   open and those that learn from peers hear the least, and with some.
+/* Measurement of the configuration: how the platform's load and the
+   propagation of a change grow with the size of the fleet, without traffic,
+   when almost no links are open and peers exchange the least, and with some
+   traffic.
 
-     measure_size-config [ROW]     the router_shares, all rows or one
-     measure_size-config memory    the memory by accounts  */
+     measure-config [ROW]     propagation, all rows or one
+     measure-config memory    memory by number of accounts  */
 
 #include "base/clock.h"
 #include "load.h"
@@ -18,12 +19,12 @@
 #define CHANGE_COUNT 7
 #define CHANGE_TIMEOUT_MS 15000
 #define POLL_INTERVAL_S 0.02
-#define CHANGE_GAP_S 0.3 /* grows between two changes */
+#define CHANGE_GAP_S 0.3 /* times the number of changes made so far */
 
 typedef struct
 {
   unsigned routers, models;
-  unsigned callers; /* requests held at once */
+  unsigned callers; /* concurrent requests */
 } size_row_t;
 
 static const size_row_t sizes[] = {
@@ -34,7 +35,7 @@
 static const char *const call_kinds[]
     = { "list", "watch", "instances", "get", "put", "total" };
 
-/* Adds SIGN times the platform's call counts to CALLS.  */
+/* Adds the platform's call counts, multiplied by SIGN, to CALLS.  */
 static void
 add_call_counts (const fleet_t *fleet, double sign, double *calls)
 {
@@ -57,8 +58,8 @@
   return fleet_sum_metric (fleet, role, index, "cfd_config_revision");
 }
 
-/* Whether all processes of SORT have REVISION; DONE counts the first ones that
-   are known to, which are not asked again.  */
+/* Returns true if all processes of ROLE have REVISION.  DONE counts the
+   leading ones known to have it, which are not queried again.  */
 static bool
 have_all_revision (const fleet_t *fleet, fleet_role_t role, double revision,
                    unsigned *done)
@@ -69,7 +70,7 @@
   return *done == fleet_count_members (fleet, role);
 }
 
-/* Control bytes in and out of all routers and agents so far.  */
+/* Sums the control bytes in and out of all routers and agents.  */
 static double
 sum_control_bytes (const fleet_t *fleet)
 {
@@ -98,7 +99,7 @@
   ev_break (loop, EVBREAK_ALL);
 }
 
-/* Lets the load go on for so long.  */
+/* Runs the load for SECONDS.  */
 static void
 run_loop_for (struct ev_loop *loop, double seconds)
 {
@@ -110,8 +111,8 @@
   ev_run (loop, 0);
 }
 
-/* Milliseconds until a measure_change was in force everywhere,
-   CHANGE_TIMEOUT_MS when it took longer.  */
+/* Returns the milliseconds until a change was in force everywhere, or
+   CHANGE_TIMEOUT_MS if it took longer.  */
 static double
 measure_change (fleet_t *fleet, struct ev_loop *loop, unsigned number)
 {
@@ -134,7 +135,7 @@
   return CHANGE_TIMEOUT_MS;
 }
 
-/* A load with all that it is made of.  */
+/* A load with everything that its plan points to.  */
 typedef struct
 {
   load_account_t account;
@@ -209,7 +210,7 @@
   for (unsigned i = 0; i < CHANGE_COUNT; i++)
     {
       times[i] = measure_change (fleet, loop, i);
-      /* The next one at another moment of the peers' cycles.  */
+      /* Starts the next change at another point of the peers' cycles.  */
       run_loop_for (loop, CHANGE_GAP_S * (i + 1));
     }
   qsort (times, CHANGE_COUNT, sizeof *times, compare_durations);
--- a/tests/measure-event.c
+++ b/tests/measure-event.c
@@ -1,6 +1,5 @@
-/* What happens to the fleet of a run: a part of it is cut off and rejoins, or
-   its homes die, the platform is down, an operator takes a zone out, or an
-   engine turns slow.  */
+/* Measurement: the event of a run, such as a partition, killed homes, an
+   unavailable platform, a zone taken out, or a slow engine.  */
 
 #include "measure.h"
 
@@ -10,7 +9,7 @@
 
 #define EVENT_ZONE_INDEX 1u
 #define CUT_SIDE 1u
-/* Routers that are killed: one in so many, at least one.  */
+/* One router in KILLED_DIVISOR is killed, at least one.  */
 #define KILLED_DIVISOR 4u
 #define KILL_TIMEOUT_MS 2000
 #define SLOW_ENDPOINT 1u
@@ -19,8 +18,8 @@
 {
   event_kind_t kind;
   fleet_t *fleet;
-  unsigned *zones;   /* side of each */
-  unsigned *routers; /* side of each */
+  unsigned *zones;   /* side of each zone */
+  unsigned *routers; /* side of each router */
 };
 
 static const char *const event_names[]
@@ -218,7 +217,7 @@
   return SLOW_ENDPOINT;
 }
 
-/* ---- all ---- */
+/* ---- all events ---- */
 
 bool
 event_begin (event_t *event)
--- a/tests/measure-fair.c
+++ b/tests/measure-fair.c
@@ -1,11 +1,11 @@
-/* Figures from what callers received.  */
+/* Measurement: figures computed from the service that callers received.  */
 
 #include "load-tally.h"
 #include "measure.h"
 
 #define RECOVERY_STEP_US 100000
 
-/* Range of the difference in service between one pair of accounts.  */
+/* Range of the difference in service between two accounts.  */
 typedef struct
 {
   bool is_backlogged; /* both are backlogged */
@@ -26,8 +26,9 @@
   range->most = MAX (range->most, difference);
 }
 
-/* The gap of one pair: the difference is a running one, so its range within a
-   span is the greatest difference over any part of the span.  */
+/* Computes the gap of one pair.  The difference in service is cumulative, so
+   its range within a span is the greatest difference over any part of the
+   span.  */
 static fair_gap_t
 compute_pair_gap (const GPtrArray *samples, fair_metric_t what, unsigned a,
                   unsigned b, int64_t from_us, int64_t to_us)
@@ -73,7 +74,7 @@
   return most;
 }
 
-/* Adds what went through one router to what a side got.  */
+/* Adds the sample of one router to the sum of its side.  */
 static void
 add_router_sample (load_sample_t *sum, const load_sample_t *part,
                    unsigned accounts)
--- a/tests/measure-jobs.c
+++ b/tests/measure-jobs.c
@@ -1,4 +1,4 @@
-/* Runs of the measurement, each in a process of its own.  */
+/* Measurement: runs in processes of their own.  */
 
 #include "measure-jobs.h"
 #include <json-glib/json-glib.h>
@@ -67,7 +67,8 @@
   job->good = true;
 }
 
-/* Reads the output of a run that ended: one line of JSON, and complaints.  */
+/* Reads the output of a finished run: one line of JSON, and error
+   messages.  */
 static void
 job_read_output (const proc_set_t *procs, job_t *job)
 {
--- a/tests/measure-jobs.h
+++ b/tests/measure-jobs.h
@@ -1,4 +1,4 @@
-/* Runs of the measurement, each in a process of its own, some side by side. */
+/* Measurement: runs in processes of their own, a few at a time.  */
 
 #ifndef TESTS_MEASURE_JOBS_H
 #define TESTS_MEASURE_JOBS_H
@@ -10,11 +10,12 @@
   measure_options_t options;
   proc_t *proc;
   bool done;
-  bool good; /* has its figures */
+  bool good; /* its figures were read */
   double figures[FIGURE_COUNT];
 } job_t;
 
-/* Runs all; returns how many are good.  */
+/* Runs all jobs, at most MAX_RUNNING at a time; returns the number of good
+   ones.  */
 unsigned jobs_run_all (job_t *jobs, unsigned count, unsigned max_running);
 
 #endif
--- a/tests/measure-memory.c
+++ b/tests/measure-memory.c
@@ -1,6 +1,6 @@
-/* Resident memory of idle processes by the number of client accounts: a real
-   cfd-router and cfd-agent, started anew when all records are there, as after
-   an ordinary replacement.  */
+/* Measurement of the configuration: resident memory of idle processes by the
+   number of client accounts.  A real cfd-router and cfd-agent are restarted
+   once all records exist, as in an ordinary replacement.  */
 
 #include "base/clock.h"
 #include "config/rec.h"
@@ -29,7 +29,7 @@
       body->len == 0 ? '[' : ',', number, hash);
 }
 
-/* Writes the accounts FROM to UP_TO at once.  */
+/* Writes the accounts FROM to UP_TO, exclusive, in one request.  */
 static bool
 write_batch (const fleet_t *fleet, unsigned from, unsigned up_to)
 {
@@ -55,7 +55,7 @@
   return true;
 }
 
-/* Starts a member anew and waits until it has REVISION.  */
+/* Restarts a member and waits until it has REVISION.  */
 static bool
 restart_member (fleet_t *fleet, fleet_role_t role, double revision)
 {
@@ -74,7 +74,7 @@
   return true;
 }
 
-/* Megabytes by the line FIELD of the process's status, or -1.  */
+/* Returns the megabytes in line FIELD of the process's status, or -1.  */
 static double
 read_status_mb (const proc_t *proc, const char *field)
 {
--- a/tests/measure-path.c
+++ b/tests/measure-path.c
@@ -1,5 +1,5 @@
-/* The data path: what the way routed_result router and agent adds over going
-   direct_result to the engine.  */
+/* Measurement of the data path: the cost that router and agent add to a direct
+   request to the engine.  */
 
 #include "measure.h"
 #include <ev.h>
@@ -9,8 +9,8 @@
 #define SEQUENTIAL_REQUESTS 300
 #define FLOW_DURATION_S 5
 #define HOLD_TIMEOUT_S 25
-/* An answer of a slow reader has some 25 MB, more than the system's socket
-   buffers and ours together may until_all_streaming.  */
+/* The answer of a slow reader has about 25 MB, more than the socket buffers of
+   the system and our own buffers hold together.  */
 #define SLOW_STREAMS 5u
 #define SLOW_TOKENS 6000
 #define SLOW_EVENT_PADDING 4096
@@ -20,24 +20,24 @@
 static const fleet_account_t account = { "account", "key-of-account", 1 };
 static const unsigned held_stream_counts[] = { 100, 1000, 3000 };
 
-/* One load on one address.  */
+/* A load on one URL.  */
 typedef struct
 {
   unsigned outstanding;
   load_kind_t kind;
   unsigned tokens;
-  unsigned requests;        /* ends after so many, or after */
-  double seconds;           /* so many seconds */
-  unsigned event_padding;   /* more bytes in each event */
-  unsigned read_pause_ms;   /* each reader stops reading for so long */
-  bool until_all_streaming; /* ends when each has its first byte */
+  unsigned requests;        /* ends after this many requests, or */
+  double seconds;           /* after this many seconds */
+  unsigned event_padding;   /* extra bytes in each event */
+  unsigned read_pause_ms;   /* each reader stops reading for this long */
+  bool until_all_streaming; /* ends when each request has its first byte */
 } flow_t;
 
 typedef struct
 {
-  double first_ms;  /* median to the first token */
-  double delay_ms;  /* median of a token's way */
-  double delay_p95; /* and 95 of 100 */
+  double first_ms;  /* median time to the first token */
+  double delay_ms;  /* median delay of a token */
+  double delay_p95; /* 95th percentile of it */
   double requests_per_s;
   double tokens_per_s;
   unsigned correct;
@@ -50,7 +50,7 @@
   const flow_t *flow;
   load_t *load;
   int64_t end_us;
-  /* Called when a on_all_streaming flow is complete, before its end.  */
+  /* Called at the end of the flow, before its requests are closed.  */
   void (*on_all_streaming) (void *user);
   void *user;
 } flow_state_t;
@@ -119,7 +119,8 @@
   result->open_streams = count_open (load);
 }
 
-/* Runs FLOW against URL; HELD is called before the requests are let go.  */
+/* Runs FLOW against URL; calls ON_ALL_STREAMING, if set, before the requests
+   are closed.  */
 static void
 run_flow (const char *url, const flow_t *flow, flow_result_t *result,
           void (*on_all_streaming) (void *user), void *user)
@@ -201,7 +202,7 @@
           direct->failed + routed->failed);
 }
 
-/* Time added, at several numbers of streams at once.  */
+/* Measures the added time at several numbers of concurrent streams.  */
 static bool
 measure_times (const char *direct, const char *routed)
 {
@@ -226,7 +227,8 @@
   return good;
 }
 
-/* Requests and tokens a second for each core of a router and of an agent.  */
+/* Measures requests and tokens per second for each core of a router and of an
+   agent.  */
 static bool
 measure_rate (const fleet_t *fleet, const char *routed)
 {
@@ -273,7 +275,7 @@
   watch_query_nodes (until_all_streaming->fleet, &until_all_streaming->nodes);
 }
 
-/* Resident bytes for each open_streams stream.  */
+/* Measures the resident bytes for each open stream.  */
 static bool
 measure_resident (void)
 {
@@ -319,8 +321,8 @@
   return good;
 }
 
-/* Callers that stop reading for a while: what is kept for them must be
-   bounded, and their answers whole in the end.  */
+/* Measures callers that stop reading for a while: the bytes buffered for them
+   must be bounded, and their answers complete in the end.  */
 static bool
 measure_slow (void)
 {
@@ -359,7 +361,7 @@
   return result.correct == SLOW_STREAMS && result.failed == 0;
 }
 
-/* Times and rates, with one fleet.  */
+/* Measures times and rates, with one fleet.  */
 static bool
 measure_speed (bool keep)
 {
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -1,4 +1,4 @@
-/* The deployments that the measurement knows.  */
+/* Measurement: the deployments.  */
 
 #include "measure.h"
 #include <string.h>
@@ -22,9 +22,9 @@
         { "regions", 6, 12, 6, 1.5, 1, 12, 2, 10 },
         { "scale", 4, 12, 4, 1.5, 1, 8, 1, 0 } };
 
-/* What a model account asks for; the sixteen accounts of a deployment are a
-   few large ones, one that floods, small backlogged ones, two with one
-   request at a time and two that work in turns.  */
+/* A class of model accounts.  The sixteen accounts of a deployment are a few
+   large ones, one that floods, small backlogged ones, two with one request at
+   a time and two that alternate between on and off.  */
 typedef struct
 {
   unsigned count;
@@ -58,8 +58,8 @@
   return find_profile (profile)->routers;
 }
 
-/* Shares of the routers for one account: all of it at one router, most of it
-   at one of two, or falling from a favourite on.  */
+/* Chooses the shares of the routers for one account: all requests to one
+   router, most to one of two, or decreasing from a preferred one on.  */
 static double *
 choose_router_shares (GRand *random, unsigned routers)
 {
@@ -102,8 +102,8 @@
   return account;
 }
 
-/* Requests that an account of SORT holds at once, so that the load as a whole
-   stays the same by endpoint whatever the number of accounts.  */
+/* Returns the concurrent requests of an account of CLASS, scaled so that the
+   total load for each endpoint does not depend on the number of accounts.  */
 static unsigned
 scale_outstanding (const deployment_t *deployment,
                    const account_class_t *class, unsigned scale,
@@ -146,7 +146,8 @@
   deployment->model_accounts = deployment->load.accounts->len;
 }
 
-/* Callers of the plain service, with the keys of the first small accounts. */
+/* Adds callers of the plain service, which use the keys of the first small
+   accounts.  */
 static void
 add_plain_callers (deployment_t *deployment, GRand *random)
 {
@@ -163,7 +164,8 @@
     }
 }
 
-/* All accounts that get records: those of the load, then idle ones.  */
+/* Builds the list of accounts that get records: those of the load, then idle
+   ones.  */
 static void
 build_fleet_accounts (deployment_t *deployment, unsigned idle)
 {
--- a/tests/measure-run.c
+++ b/tests/measure-run.c
@@ -1,5 +1,5 @@
-/* One run: a fleet under load; after a steady part an event begins, and
-   ends.  */
+/* Measurement: one run of a fleet under load, with a warm-up, a steady part,
+   an event, and the time after it.  */
 
 #include "collect.h"
 #include "measure-slow.h"
@@ -7,21 +7,21 @@
 #include <ev.h>
 #include <stdio.h>
 
-/* Parts of the measured time after which an event begins, and ends.  What cuts
-   the fleet apart needs longer to be over.  */
+/* Shares of the measured time at which an event begins and ends.  Events that
+   cut the fleet apart take longer to recover from.  */
 #define ZONE_BEGIN_SHARE 0.5
 #define ZONE_END_SHARE 0.75
 #define CUT_BEGIN_SHARE 0.3
 #define CUT_END_SHARE 0.6
-/* A slow engine: the middle third.  */
+/* The middle third.  */
 #define SLOW_BEGIN_SHARE (1 / 3.0)
 #define SLOW_END_SHARE (2 / 3.0)
 #define COLD_BEGIN_SHARE 0.1
-/* Rates are taken from so long after a change on.  */
+/* Token rates are taken from this long after a change.  */
 #define RATE_SETTLE_US (1 * G_USEC_PER_SEC)
-/* The gap after an event counts from so long after its end on.  */
+/* The gap after an event is taken from this long after its end.  */
 #define GAP_SETTLE_US (2 * G_USEC_PER_SEC)
-/* A gap under so many times the steady one has recovered.  */
+/* The gap has recovered once it is below this many times the steady gap.  */
 #define RECOVERED_GAP_FACTOR 2
 #define DRAIN_TIMEOUT_S 10
 
@@ -51,7 +51,7 @@
   node_sum_t before;
   node_sum_t after;
   GHashTable *counters;
-  int64_t steady_us; /* begin of each phase */
+  int64_t steady_us; /* start of each phase */
   int64_t event_begin_us;
   int64_t event_end_us;
   int64_t end_us;
@@ -78,8 +78,8 @@
   g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 }
 
-/* Engines 0 and 1 turn cold while all their slots are busy; 0 reports no load
-   from then on.  */
+/* Turns engines 0 and 1 cold while all their slots are busy; engine 0 reports
+   no load from then on.  */
 static void
 on_cold_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
@@ -154,7 +154,8 @@
   load_stop (running->load);
 }
 
-/* Leaves both as they are for an event that cuts the fleet apart.  */
+/* Sets the shares of the measured time; leaves both unchanged for an event
+   that cuts the fleet apart.  */
 static void
 get_event_shares (event_kind_t kind, double *begin, double *end)
 {
@@ -209,7 +210,8 @@
   running->phase++;
 }
 
-/* Times to the first token of requests that began in the measured part.  */
+/* Returns the times to the first token of requests started in the measured
+   part.  */
 static GArray *
 collect_first_token_times (const running_t *running, unsigned from,
                            unsigned count)
@@ -279,7 +281,8 @@
   figures[FIGURE_AGENT_RESIDENT] = after->agent_resident;
 }
 
-/* Part of the model slots outside a zone that an operator takes out.  */
+/* Returns the share of the model slots outside of a zone that is taken
+   out.  */
 static double
 get_remaining_capacity_share (const running_t *running)
 {
@@ -343,7 +346,7 @@
   figures[FIGURE_BACK_RATIO] = before_rate > 0 ? after_rate / before_rate : 0;
 }
 
-/* Before, during and after the event.  */
+/* Sets the figures before, during and after the event.  */
 static void
 set_event_figures (const running_t *running, double *figures)
 {
--- a/tests/measure-scale.c
+++ b/tests/measure-scale.c
@@ -1,5 +1,5 @@
-/* How the cost of deciding grows: one size at a time is varied around a middle
-   point.  */
+/* Measurement: growth of the control cost.  One size at a time is varied
+   around a middle point.  */
 
 #include "measure-jobs.h"
 #include <stdio.h>
@@ -22,7 +22,7 @@
         { "backlogged", 8, 12, 32, 0 },  { "backlogged", 8, 12, 64, 0 },
         { "backlogged", 8, 12, 128, 0 } };
 
-/* Fleets of the scale run are large: two side by side.  */
+/* Fleets of the scale run are large, so only two run at a time.  */
 #define MAX_RUNNING 2
 
 bool
--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -1,5 +1,5 @@
-/* What a slow engine costs the callers, and what a simulate_hedge could gain.
- */
+/* Measurement: cost of a slow engine to callers, and the possible gain of a
+   hedge.  */
 
 #include "measure-slow.h"
 #include "measure.h"
@@ -12,13 +12,13 @@
 {
   bool at_slow;
   double wait;  /* from the caller to the engine */
-  double first; /* from the engine's start to the caller's first token */
-  double whole; /* ... and to its last byte */
+  double first; /* from the engine's start to the first token at the caller */
+  double whole; /* from the engine's start to the last byte at the caller */
   unsigned prompt;
   unsigned tokens;
 } stream_t;
 
-/* The middle of the endpoints that are not slow.  */
+/* Medians and late thresholds of the endpoints that are not slow.  */
 typedef struct
 {
   double first;
@@ -58,7 +58,7 @@
   return streams;
 }
 
-/* Slots that ran a request, mean over the span.  */
+/* Returns the mean number of slots that ran a request over the span.  */
 static double
 get_mean_busy_slots (const GPtrArray *requests, int64_t from_us, int64_t to_us)
 {
@@ -116,15 +116,16 @@
                                .max = fair_quantile (values, 1) };
 }
 
-/* Time until STREAM comes so far, the whole or the first token.  */
+/* Returns the time until the first token of STREAM or, with WHOLE, its
+   end.  */
 static double
 get_completion_ms (const stream_t *stream, bool whole)
 {
   return whole ? stream->whole : stream->first;
 }
 
-/* Tokens that the second attempt takes when it runs for LENGTH; the engine
-   takes the whole prompt in any case.  */
+/* Returns the tokens that a second attempt consumes within LENGTH ms; the
+   engine always consumes the whole prompt.  */
 static double
 count_hedge_tokens (const stream_t *stream, const typical_t *typical,
                     double length)
@@ -137,7 +138,8 @@
   return stream->prompt + MIN (given, stream->tokens);
 }
 
-/* Tokens that STREAM's first attempt had taken when it had run for LENGTH.  */
+/* Returns the tokens that the first attempt of STREAM consumed within LENGTH
+   ms.  */
 static double
 count_first_attempt_tokens (const stream_t *stream, double length)
 {
--- a/tests/measure-slow.h
+++ b/tests/measure-slow.h
@@ -1,14 +1,14 @@
-/* The event "slow": what callers saw while one engine decodes slower than the
-   others, and the max that a second attempt beside the first (a
-   simulate_hedge) could have gained.  Pure but for the printing.
-   docs/MEASURES.md defines the figures.  */
+/* Measurement of the event "slow": latencies at the callers while one engine
+   decodes slower than the others, and an upper bound on the gain of a second
+   attempt beside the first (a hedge).  The functions are pure except for the
+   printing. docs/MEASURES.md defines the figures.  */
 
 #ifndef TESTS_MEASURE_SLOW_H
 #define TESTS_MEASURE_SLOW_H
 
 #include "load.h"
 
-/* Milliseconds below which half, 95 and 99 of 100 and all lie.  */
+/* Percentiles in milliseconds; MAX is the longest time.  */
 typedef struct
 {
   double p50;
@@ -17,37 +17,39 @@
   double max;
 } slow_percentiles_t;
 
-/* A policy of hedging, reckoned: each request whose first attempt has not come
-   so far AFTER_MS after the engine got it gets a second one, which finds a
-   free slot at once and does as well as the middle of the other endpoints; the
-   first of the two to come counts, and the other is cancelled.  */
+/* A simulated hedging policy.  A request whose first attempt has not reached
+   the goal AFTER_MS after the engine received it gets a second attempt, which
+   finds a free slot at once and takes the median time of the other endpoints.
+   The first of the two to reach the goal counts, and the other is
+   cancelled.  */
 typedef struct
 {
-  double after_ms;        /* 95 of 100 at the other endpoints come sooner */
+  double after_ms;        /* 95th percentile of the other endpoints */
   unsigned late;          /* second attempts */
-  unsigned won;           /* of these, sooner than the first */
-  double tokens;          /* of the attempts that are cancelled, at least */
-  slow_percentiles_t end; /* of the callers' times, with them */
+  unsigned won;           /* second attempts that finished before the first */
+  double tokens;          /* lower bound of the tokens of cancelled attempts */
+  slow_percentiles_t end; /* latencies at the callers with the hedge */
 } slow_hedge_t;
 
-/* The streams that ended in a span.  */
+/* Streams that ended in a span.  */
 typedef struct
 {
   unsigned count;
-  unsigned at_slow; /* of these at the slow endpoint */
-  double tokens;    /* prompt and output */
-  double busy;      /* slots that ran a request, mean over the span */
+  unsigned at_slow; /* streams at the slow endpoint */
+  double tokens;    /* prompt and output tokens */
+  double busy;      /* mean number of slots that ran a request */
   slow_percentiles_t wait;
   slow_percentiles_t first;
   slow_percentiles_t whole;
-  slow_hedge_t hedge_first; /* until the first token */
-  slow_hedge_t hedge_whole; /* until the whole answer */
+  slow_hedge_t hedge_first; /* goal: the first token */
+  slow_hedge_t hedge_whole; /* goal: the whole answer */
 } slow_span_t;
 
-/* SLOW has the nonces that the slow endpoint started as keys.  */
+/* SLOW has the nonces started by the slow endpoint as keys.  */
 slow_span_t slow_summarize_span (const GPtrArray *requests, GHashTable *slow,
                                  int64_t from_us, int64_t to_us);
-/* Prints, on standard error, span NUMBER: before, during, after.  */
+/* Prints a span on standard error; NUMBER is 0 before, 1 during and 2 after
+   the event.  */
 void slow_print_span (const slow_span_t *span, unsigned number,
                       unsigned slots);
 
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -1,5 +1,5 @@
-/* Watching a fleet while it runs: the endpoints' counters by polling, the
-   nodes' counters at chosen moments.  */
+/* Measurement: observation of a running fleet.  The endpoints' counters are
+   polled, the nodes' counters are read at chosen moments.  */
 
 #include "http/fetch.h"
 #include "measure.h"
@@ -8,8 +8,8 @@
 #include <string.h>
 
 #define POLL_INTERVAL_S 0.2
-/* With fewer waiting requests than this part of the slots, all of them may be
-   on their way.  */
+/* With fewer waiting requests than this share of the slots, all of them may
+   already be on their way to an endpoint.  */
 #define MIN_WAITING_SHARE 0.25
 
 typedef struct
@@ -33,16 +33,16 @@
   ev_timer poll;
   GPtrArray *endpoints;
   unsigned span;
-  const unsigned *router_sides; /* NULL: there are no sides */
+  const unsigned *router_sides; /* NULL: no partition */
   const unsigned *zone_sides;
-  double busy_ms[WATCH_SPANS]; /* while enough work waited */
+  double busy_ms[WATCH_SPANS]; /* while enough work was waiting */
   double slot_ms[WATCH_SPANS];
   double total_busy_ms[WATCH_SPANS];
   double total_slot_ms[WATCH_SPANS];
 };
 
-/* Whether so much work waited since the last poll that ENDPOINT's slots should
-   have been full.  Work on the other side of a cut can't use them.  */
+/* Returns true if enough work waited since the last poll to fill ENDPOINT's
+   slots.  Work on the other side of a partition cannot use them.  */
 static bool
 had_enough_work (const endpoint_t *endpoint)
 {
@@ -64,7 +64,7 @@
          >= MIN_WAITING_SHARE * plan->slots * models;
 }
 
-/* Adds ENDPOINT's time since its last poll to the present span.  */
+/* Adds ENDPOINT's time since its last poll to the current span.  */
 static void
 add_time (const endpoint_t *endpoint, double busy_ms, double slot_ms)
 {
@@ -228,7 +228,7 @@
   return (cfd_time_t)last;
 }
 
-/* Adds the samples of one metrics page to SUM by name with labels.  */
+/* Adds the samples of one metrics page to SUMS, by name with labels.  */
 static void
 add_counters (GHashTable *sums, const char *text)
 {
@@ -288,7 +288,7 @@
     }
 }
 
-/* Greatest resident set of PROC since its start.  */
+/* Returns the peak resident bytes of PROC since its start.  */
 static double
 read_peak_resident (const proc_t *proc)
 {
@@ -330,8 +330,8 @@
   sum->agent_resident = MAX (sum->agent_resident, resident);
 }
 
-/* Calls as the platform counts them; a claim is the only object that nodes
-   put while they run.  */
+/* Adds the call counts of the platform; running nodes put no objects but
+   claims.  */
 static void
 add_platform_calls (const fleet_t *fleet, node_sum_t *sum)
 {
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -1,5 +1,6 @@
-/* make measure: runs a deployment under load with each policy and several
-   seeds, a few runs side by side, and prints the medians.  */
+/* Measurement: runs a deployment under load with each policy and several
+   seeds, a few runs at a time, and prints the medians.  Used by `make
+   measure'.  */
 
 #include "measure-jobs.h"
 #include <stdio.h>
@@ -57,7 +58,7 @@
   return figure_names[figure];
 }
 
-/* ---- one run in this process ---- */
+/* ---- single run in this process ---- */
 
 static void
 print_json (const measure_run_t *run)
@@ -97,7 +98,8 @@
   return (left > right) - (left < right);
 }
 
-/* Median and greatest of FIGURE over the good runs of POLICY.  */
+/* Returns the median and sets the maximum of FIGURE over the good runs of
+   POLICY.  */
 static double
 median (const job_t *jobs, unsigned count, const char *policy, int figure,
         double *max)
--- a/tests/measure.h
+++ b/tests/measure.h
@@ -1,4 +1,5 @@
-/* The parts of the measurement.  docs/MEASURES.md defines each figure.  */
+/* Measurement: deployments, figures, observation, events and runs.
+   docs/MEASURES.md defines each figure.  */
 
 #ifndef TESTS_MEASURE_H
 #define TESTS_MEASURE_H
@@ -54,38 +55,41 @@
 typedef struct
 {
   char *profile;
-  char *policy;  /* "fleet", "local", or "one": fleet with one router */
-  char *event;   /* by measure_event_parse */
-  char *samples; /* of one run: file for the service of each account */
-  char *part;    /* of the data path: times, resident or slow; NULL: all */
+  char *policy;  /* "fleet", "local", or "one": "fleet" with one router */
+  char *event;   /* see measure_event_parse */
+  char *samples; /* file for the service of each account in a single run */
+  char *part;    /* of the data path: "times", "resident" or "slow"; NULL:
+                    all */
   gint64 seed;
   int seeds;
   int routers;
   int accounts;
   int idle; /* accounts without requests */
   int models;
-  int seconds; /* of the measured part */
-  int warm;    /* seconds before it */
-  int held;    /* requests held at once, in percent of the profile's */
-  int jobs;    /* runs side by side */
+  int seconds; /* duration of the measured part */
+  int warm;    /* duration of the warm-up before it */
+  int held;    /* concurrent requests, in percent of the profile's */
+  int jobs;    /* concurrent runs */
   gboolean exact_hints;
-  gboolean cold_again; /* an engine turns cold in the steady part, and one
-                          reports no load at all */
+  gboolean cold_again; /* two engines turn cold in the steady part, and one of
+                          them reports no load */
   gboolean json;
   gboolean one; /* a single run in this process */
   gboolean keep;
   gboolean counters; /* print the growth of the nodes' counters */
 } measure_options_t;
 
-/* What happens in a run after its steady part, and then ends.  */
+/* Event that begins after the steady part of a run and later ends.  */
 typedef enum
 {
   EVENT_ZONE,      /* an operator takes a zone out and brings it back */
-  EVENT_PARTITION, /* a zone loses the others and the platform */
-  EVENT_REGION,    /* regions lose each other, the second the platform too */
-  EVENT_HOME,      /* the homes of most accounts are killed */
-  EVENT_PLATFORM,  /* the platform is down for all */
-  EVENT_SLOW       /* one model engine's steps take four times as long */
+  EVENT_PARTITION, /* a zone is cut off from the other zones and the
+                      platform */
+  EVENT_REGION,    /* regions are cut off from each other, the second also from
+                      the platform */
+  EVENT_HOME,      /* the routers that are home to most accounts are killed */
+  EVENT_PLATFORM,  /* the platform is unavailable to all */
+  EVENT_SLOW       /* the steps of one model engine take four times as long */
 } event_kind_t;
 
 typedef struct
@@ -96,30 +100,31 @@
 
 /* ---- the deployments ---- */
 
-/* What a profile and a seed lead to; owns all that the plans point to.  */
+/* The deployment for a profile and a seed; owns everything that the plans
+   point to.  */
 typedef struct
 {
   fleet_plan_t fleet;
   load_plan_t load;
   GPtrArray *names;
-  unsigned model_accounts; /* the first of the load's; the rest call the plain
-                              service */
-  unsigned single_first;   /* accounts with one request at a time */
+  unsigned model_accounts; /* the first accounts of the load; the others call
+                              the plain service */
+  unsigned single_first;   /* accounts with one concurrent request */
   unsigned single_count;
 } deployment_t;
 
-/* Routers of a profile, where no number is asked for.  */
+/* Returns the default number of routers of a profile.  */
 int measure_default_routers (const char *profile);
 
 deployment_t *deployment_new (const measure_options_t *options);
 void deployment_free (deployment_t *deployment);
-/* Sets the callers' addresses when the fleet is up.  */
+/* Sets the URLs of the routers, once the fleet is running.  */
 void deployment_connect (deployment_t *deployment, const fleet_t *fleet);
 
 /* ---- the figures ---- */
 
-/* The greatest difference of weighted service between two accounts, which it
-   got at AT_US over a part of a span in which both were backlogged.  */
+/* Greatest difference of weighted service between accounts A and B over a part
+   of a span in which both were backlogged; it was reached at AT_US.  */
 typedef struct
 {
   double tokens;
@@ -128,7 +133,7 @@
   int64_t at_us;
 } fair_gap_t;
 
-/* WHAT FAIR_STARTED counts each request whole at its first byte.  */
+/* FAIR_STARTED counts each request in full at its first byte.  */
 typedef enum
 {
   FAIR_RECEIVED,
@@ -137,28 +142,29 @@
 
 fair_gap_t fair_gap (const GPtrArray *samples, fair_metric_t what,
                      unsigned accounts, int64_t from_us, int64_t to_us);
-/* SAMPLES, taken by router, of the routers with SIDE in SIDES alone.  */
+/* Returns SAMPLES, which have parts by router, reduced to the routers with
+   SIDE in SIDES.  */
 GPtrArray *fair_filter_side (const GPtrArray *samples, const unsigned *sides,
                              unsigned side, unsigned accounts);
-/* Least number of requests that waited at the routers with SIDE in SIDES, over
-   the last COUNT samples; 0 when there are fewer.  SIDES may be NULL: all
-   routers.  */
+/* Returns the minimum number of requests that waited at the routers with SIDE
+   in SIDES, over the last COUNT samples; 0 with fewer samples.  SIDES NULL:
+   all routers.  */
 unsigned fair_min_waiting (const GPtrArray *samples, const unsigned *sides,
                            unsigned side, unsigned accounts, guint count);
-/* Seconds from FROM_US after which the gap never again exceeds LIMIT.  */
+/* Returns the seconds from FROM_US after which the gap stays within LIMIT.  */
 double fair_recovery_time_s (const GPtrArray *samples, unsigned accounts,
                              int64_t from_us, int64_t to_us, double limit);
-/* Writes a table: seconds, then for each account the received and the started
-   service and the number of waiting requests.  */
+/* Writes a table: seconds, then the received service, the started service and
+   the waiting requests of each account.  */
 bool fair_write_samples (const GPtrArray *samples, unsigned accounts,
                          int64_t from_us, const char *path);
-/* Tokens a second that callers received in a span.  */
+/* Returns the tokens per second that callers received in a span.  */
 double fair_token_rate (const GPtrArray *samples, int64_t from_us,
                         int64_t to_us);
-/* Value below which SHARE of VALUES (of float) lie; sorts them.  */
+/* Returns the quantile SHARE of VALUES, which are float; sorts them.  */
 double fair_quantile (GArray *values, double share);
 
-/* ---- watching a fleet while it runs ---- */
+/* ---- observation of a running fleet ---- */
 typedef struct watch watch_t;
 
 watch_t *watch_new (struct ev_loop *loop, const fleet_t *fleet,
@@ -166,43 +172,46 @@
 void watch_free (watch_t *watch);
 /* Spans of the utilisation: before, during and after the event.  */
 #define WATCH_SPANS 3
-/* Ends the present span and begins SPAN; WATCH_SPANS is none.  */
+/* Ends the current span and begins SPAN; WATCH_SPANS is none.  */
 void watch_begin_span (watch_t *watch, unsigned span);
-/* From now on an endpoint's slots can be used by work on its own side alone;
-   ROUTERS and ZONES have the side of each.  NULL: there are no sides.  */
+/* From now on only work on the same side can use an endpoint's slots; ROUTERS
+   and ZONES have the side of each.  NULL: no partition.  */
 void watch_set_partition (watch_t *watch, const unsigned *routers,
                           const unsigned *zones);
-/* Busy slots over slots while enough work waited that could use them.  */
+/* Returns busy slots over all slots, while enough work waited that could use
+   them.  */
 double watch_get_utilisation (const watch_t *watch, unsigned span);
-/* Part of the slots' time that this is made from.  */
+/* Returns the share of the slots' time that watch_get_utilisation counts.  */
 double watch_get_counted_share (const watch_t *watch, unsigned span);
-/* Busy slots over slots, whatever waited.  */
+/* Returns busy slots over all slots, regardless of waiting work.  */
 double watch_get_busy_share (const watch_t *watch, unsigned span);
-/* Latest start of a request at any endpoint of ZONE, in clock_now time.  */
+/* Returns the latest start of a request at any endpoint of ZONE, in clock_now
+   time.  */
 cfd_time_t watch_get_last_start (const watch_t *watch, unsigned zone);
 
-/* Counters of all nodes at one moment.  */
+/* Sums of the counters of all nodes at one moment.  */
 typedef struct
 {
   int64_t at_us;
   double control_bytes;  /* of routers and agents, in and out */
-  double completed;      /* requests, as the agents count */
-  double platform_calls; /* as the platform counts them */
-  double config_calls;   /* of these: lists, watches and instances */
+  double completed;      /* requests, as counted by the agents */
+  double platform_calls; /* as counted by the platform */
+  double config_calls;   /* of these: list, watch and instances calls */
   double router_cpu_s;
   double agent_cpu_s;
-  double router_resident; /* greatest of all */
+  double router_resident; /* maximum over the routers */
   double agent_resident;
-  double router_peak; /* the same, greatest since the start */
+  double router_peak; /* maximum since the process start */
   double agent_peak;
 } node_sum_t;
 
-/* Asks all nodes and waits for them.  */
+/* Queries all nodes and waits for their answers.  */
 void watch_query_nodes (const fleet_t *fleet, node_sum_t *sum);
 
-/* All counters of routers and agents, summed: names with labels to doubles. */
+/* Returns the counters of all routers and agents, summed: from names with
+   labels to double.  */
 GHashTable *watch_sum_counters (const fleet_t *fleet);
-/* Prints, on standard error, what grew, by second.  */
+/* Prints the growth of each counter per second on standard error.  */
 void watch_print_growth (GHashTable *before, GHashTable *after,
                          double seconds);
 
@@ -215,16 +224,16 @@
 void event_free (event_t *event);
 bool event_begin (event_t *event);
 bool event_end (event_t *event);
-/* The zone that an operator takes out, or loses the others.  */
+/* Returns the zone that is taken out or cut off.  */
 unsigned event_get_zone (const event_t *event);
-/* The engine that is slow.  */
+/* Returns the index of the slow engine's endpoint.  */
 unsigned event_get_slow_endpoint (const event_t *event);
-/* Of each router, valid from event_begin on: those of one number can reach
-   each other during the event.  */
+/* Returns the side of each router, valid from event_begin on: routers of the
+   same side can reach each other during the event.  */
 const unsigned *event_get_router_sides (const event_t *event);
-/* The same of each zone, for its endpoints.  */
+/* Returns the side of each zone, for its endpoints.  */
 const unsigned *event_get_zone_sides (const event_t *event);
-/* The greatest gap within one side.  */
+/* Returns the greatest gap within one side.  */
 double event_max_gap (const event_t *event, const GPtrArray *samples,
                       unsigned accounts, int64_t from_us, int64_t to_us);
 
