--- a/tests/collect.h
+++ b/tests/collect.h
@@ -23,7 +23,8 @@
 
 /* Fetches the counters of all endpoints and checks all requests of LOAD;
    prints a line on standard error for each violation.  */
-bool collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum);
+bool collect_results (const fleet_t *fleet, const load_t *load,
+                      collect_result_t *sum);
 bool collect_has_no_violation (const collect_result_t *sum);
 
 /* Returns the nonces that endpoint INDEX has started, as keys; NULL when it
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -163,7 +163,7 @@
     }
   run.load = load_new (loop, &load_plan);
   run_load (&run, loop);
-  g_assert_true (collect (run.fleet, run.load, &run.sum));
+  g_assert_true (collect_results (run.fleet, run.load, &run.sum));
   g_test_message ("%u requests: %u right, %u refused, %u broken, "
                   "%u unfinished, %u overloads, %u in grace",
                   run.sum.requests, run.sum.correct, run.sum.refused,
--- a/tests/load.h
+++ b/tests/load.h
@@ -114,7 +114,7 @@
 void load_stop (load_t *load);
 unsigned load_count_active (const load_t *load);
 /* Returns the number of accounts in the plan.  */
-unsigned load_accounts (const load_t *load);
+unsigned load_count_accounts (const load_t *load);
 /* Returns all requests so far, as load_request_t.  */
 const GPtrArray *load_get_requests (const load_t *load);
 /* Returns load_sample_t taken every LOAD_SAMPLE_INTERVAL_MS.  */
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -59,7 +59,7 @@
                   == side;
   return fair_min_waiting (
              load_get_samples (watch->load), watch->router_sides, side,
-             load_accounts (watch->load),
+             load_count_accounts (watch->load),
              (guint)(POLL_INTERVAL_S * 1000 / LOAD_SAMPLE_INTERVAL_MS) + 2)
          >= MIN_WAITING_SHARE * plan->slots * models;
 }
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -175,7 +175,7 @@
   unsigned total = 9;
   unsigned failed = 0;
 
-  if (!collect (fleet, soak->load, &sum))
+  if (!collect_results (fleet, soak->load, &sum))
     {
       printf ("the endpoints could not be asked\n0 passed, 1 failed\n");
       return false;
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -320,7 +320,7 @@
   run.began_us = clock_now_us ();
   load_start (run.load);
   ev_run (loop, 0);
-  g_assert_true (collect (run.fleet, run.load, &run.sum));
+  g_assert_true (collect_results (run.fleet, run.load, &run.sum));
   judge (&run);
   load_free (run.load);
   ev_loop_destroy (loop);
