--- a/tests/bench-pick.c
+++ b/tests/bench-pick.c
@@ -17,20 +17,19 @@
 static void
 announce (pick_t *pick, unsigned router, unsigned round, cfd_time_t now)
 {
-  static msg_waiting_t entries_buffer[ACCOUNTS];
+  static msg_waiting_t entries[ACCOUNTS];
   msg_announce_t message = { .service = "draft",
                              .full = true,
                              .life_ms = ANNOUNCE_LIFE_MS,
                              .count = ACCOUNTS,
-                             .entries = entries_buffer };
+                             .entries = entries };
 
   for (unsigned i = 0; i < ACCOUNTS; i++)
-    entries_buffer[i]
-        = (msg_waiting_t){ .account = names[i],
-                           .count = 4,
-                           .class_rank = i % 2,
-                           .oldest_ms = i % 700,
-                           .virtual_time = (i * 7919 + round) % 5003 };
+    entries[i] = (msg_waiting_t){ .account = names[i],
+                                  .count = 4,
+                                  .class_rank = i % 2,
+                                  .oldest_ms = i % 700,
+                                  .virtual_time = (i * 7919 + round) % 5003 };
   pick_apply_announcement (pick, routers[router], &message, now);
 }
 
--- a/tests/load.c
+++ b/tests/load.c
@@ -36,8 +36,7 @@
   load_request_t *request;
   fetch_t *fetch;
   bool has_paused;
-  GString *line; /* received bytes of an incomplete line, or of the whole
-                    body */
+  GString *received; /* an incomplete line, or the whole body */
   bool received_done;
   bool has_wrong_content;
 } caller_t;
@@ -143,22 +142,23 @@
 parse_event_line (caller_t *caller, const char *line, int64_t now_us)
 {
   load_request_t *request = caller->request;
-  const char *mark
+  const char *content_start
       = strstr (line, request->kind == LOAD_COMPLETION ? "\"text\":\""
                                                        : "\"content\":\"");
-  char word[STANDIN_MAX_TOKEN_BYTES];
+  char token[STANDIN_MAX_TOKEN_BYTES];
 
   if (strcmp (line, "data: [DONE]") == 0)
     caller->received_done = true;
-  if (mark == NULL)
+  if (content_start == NULL)
     {
       record_engine_start (request, line);
       return;
     }
-  mark = strchr (mark, ':') + 2;
-  standin_format_token (word, caller->load->plan->answer_seed, request->nonce,
+  content_start = strchr (content_start, ':') + 2;
+  standin_format_token (token, caller->load->plan->answer_seed, request->nonce,
                         request->tokens);
-  if (strncmp (mark, word, strlen (word)) != 0 || mark[strlen (word)] != '"')
+  if (strncmp (content_start, token, strlen (token)) != 0
+      || content_start[strlen (token)] != '"')
     caller->has_wrong_content = true;
   record_delay (caller->load, line, now_us);
   record_tokens (caller, 1, now_us);
@@ -172,7 +172,7 @@
   ev_timer_start (caller->load->loop, &caller->pause);
 }
 
-/* Pauses reading once, to simulate a slow reader.  */
+/* Pauses reading key_header, to simulate a slow reader.  */
 static void
 pause_reading (caller_t *caller)
 {
@@ -193,17 +193,17 @@
   int64_t now_us = clock_now_us ();
 
   pause_reading (caller);
-  g_string_append_len (caller->line, bytes, (gssize)length);
+  g_string_append_len (caller->received, bytes, (gssize)length);
   if (request->kind == LOAD_NON_STREAM || !load_kind_is_model (request->kind)
       || request->status >= 300)
     return;
-  char *start = caller->line->str;
+  char *start = caller->received->str;
   for (char *end; (end = strchr (start, '\n')) != NULL; start = end + 1)
     {
       *end = '\0';
       parse_event_line (caller, start, now_us);
     }
-  g_string_erase (caller->line, 0, start - caller->line->str);
+  g_string_erase (caller->received, 0, start - caller->received->str);
 }
 
 static void
@@ -220,7 +220,7 @@
 is_body_correct (caller_t *caller, int64_t now_us)
 {
   load_request_t *request = caller->request;
-  const char *text = caller->line->str;
+  const char *text = caller->received->str;
 
   if (request->kind == LOAD_NON_STREAM)
     {
@@ -248,7 +248,7 @@
     return caller->has_wrong_content ? LOAD_INCORRECT : LOAD_INCOMPLETE;
   if (request->status >= 300)
     {
-      request->not_run = strstr (caller->line->str, "\"not-run\"") != NULL;
+      request->not_run = strstr (caller->received->str, "\"not-run\"") != NULL;
       return LOAD_REFUSED;
     }
   if (request->kind == LOAD_STREAM || request->kind == LOAD_COMPLETION)
@@ -273,7 +273,7 @@
   request->last_us = clock_now_us ();
   if (request->end != LOAD_CORRECT)
     request->detail
-        = g_strdup (result == FETCH_COMPLETE ? caller->line->str : detail);
+        = g_strdup (result == FETCH_COMPLETE ? caller->received->str : detail);
   if (request->first_byte_us == 0 && load_kind_is_model (request->kind))
     load_tally_remove_waiting (load->tally, request);
   load->active--;
@@ -311,12 +311,13 @@
   const load_account_t *account = get_account (caller);
   g_autofree char *key
       = g_strconcat ("Authorization: Bearer ", account->key, NULL);
-  g_autofree char *once
+  g_autofree char *key_header
       = g_strconcat ("Idempotency-Key: ", request->nonce, NULL);
   g_autofree char *url = load_build_url (load->plan, request);
   g_autofree char *body = load_build_body (load->plan, load->random, request);
-  const char *headers[] = { key, "Content-Type: application/json",
-                            request->kind == LOAD_POST ? once : NULL, NULL };
+  const char *headers[]
+      = { key, "Content-Type: application/json",
+          request->kind == LOAD_POST ? key_header : NULL, NULL };
   const fetch_request_t fetch
       = { .method = request->kind == LOAD_LOOKUP ? "GET" : "POST",
           .url = url,
@@ -334,7 +335,7 @@
   caller->request = request;
   caller->received_done = false;
   caller->has_wrong_content = false;
-  g_string_truncate (caller->line, 0);
+  g_string_truncate (caller->received, 0);
   if (load_kind_is_model (request->kind))
     load_tally_add_waiting (load->tally, request);
   load->active++;
@@ -386,7 +387,7 @@
   caller_t *caller = data;
 
   ev_timer_stop (caller->load->loop, &caller->pause);
-  g_string_free (caller->line, TRUE);
+  g_string_free (caller->received, TRUE);
   g_free (caller);
 }
 
@@ -438,7 +439,7 @@
           caller_t *caller = g_new0 (caller_t, 1);
           caller->load = load;
           caller->account = i;
-          caller->line = g_string_new (NULL);
+          caller->received = g_string_new (NULL);
           ev_timer_init (&caller->pause, on_pause_over, 0, 0);
           caller->pause.data = caller;
           g_ptr_array_add (load->callers, caller);
--- a/tests/measure-event.c
+++ b/tests/measure-event.c
@@ -18,8 +18,8 @@
 {
   event_kind_t kind;
   fleet_t *fleet;
-  unsigned *zones;   /* side of each zone */
-  unsigned *routers; /* side of each router */
+  unsigned *zone_sides;   /* side of each zone */
+  unsigned *router_sides; /* side of each router */
 };
 
 static const char *const event_names[]
@@ -44,8 +44,8 @@
 
   event->kind = kind;
   event->fleet = fleet;
-  event->zones = g_new0 (unsigned, fleet_get_plan (fleet)->zones);
-  event->routers
+  event->zone_sides = g_new0 (unsigned, fleet_get_plan (fleet)->zones);
+  event->router_sides
       = g_new0 (unsigned, fleet_count_members (fleet, FLEET_ROUTER));
   return event;
 }
@@ -53,8 +53,8 @@
 void
 event_free (event_t *event)
 {
-  g_free (event->zones);
-  g_free (event->routers);
+  g_free (event->zone_sides);
+  g_free (event->router_sides);
   g_free (event);
 }
 
@@ -67,13 +67,13 @@
 const unsigned *
 event_get_router_sides (const event_t *event)
 {
-  return event->routers;
+  return event->router_sides;
 }
 
 const unsigned *
 event_get_zone_sides (const event_t *event)
 {
-  return event->zones;
+  return event->zone_sides;
 }
 
 static bool
@@ -96,10 +96,10 @@
 set_partition (const event_t *event, bool partitioned)
 {
   bool zones_ok
-      = fleet_set_partition (event->fleet, event->zones, partitioned);
+      = fleet_set_partition (event->fleet, event->zone_sides, partitioned);
 
-  return fleet_set_platform_partition (event->fleet, event->zones, CUT_SIDE,
-                                       partitioned)
+  return fleet_set_platform_partition (event->fleet, event->zone_sides,
+                                       CUT_SIDE, partitioned)
          && zones_ok;
 }
 
@@ -108,11 +108,11 @@
                  bool (*is_cut) (const event_t *, unsigned zone))
 {
   for (unsigned i = 0; i < fleet_get_plan (event->fleet)->zones; i++)
-    event->zones[i] = is_cut (event, i) ? CUT_SIDE : 0;
+    event->zone_sides[i] = is_cut (event, i) ? CUT_SIDE : 0;
   for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
        i++)
-    event->routers[i]
-        = event->zones[fleet_get_zone (event->fleet, FLEET_ROUTER, i)];
+    event->router_sides[i]
+        = event->zone_sides[fleet_get_zone (event->fleet, FLEET_ROUTER, i)];
   return set_partition (event, true);
 }
 
@@ -134,16 +134,16 @@
 find_largest_home (const event_t *event)
 {
   unsigned found = 0;
-  double max_gap = -1;
+  double max_homed = -1;
 
   for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
        i++)
     {
       double homed = fleet_sum_metric (event->fleet, FLEET_ROUTER, i,
                                        "cfd_router_accounts{side=\"home\"}");
-      if (event->routers[i] == CUT_SIDE || homed <= max_gap)
+      if (event->router_sides[i] == CUT_SIDE || homed <= max_homed)
         continue;
-      max_gap = homed;
+      max_homed = homed;
       found = i;
     }
   return found;
@@ -156,9 +156,9 @@
 
   for (unsigned i = 0; i < MAX (routers / KILLED_DIVISOR, 1); i++)
     {
-      unsigned victim = find_largest_home (event);
-      event->routers[victim] = CUT_SIDE;
-      if (!proc_stop (fleet_get_process (event->fleet, FLEET_ROUTER, victim),
+      unsigned router = find_largest_home (event);
+      event->router_sides[router] = CUT_SIDE;
+      if (!proc_stop (fleet_get_process (event->fleet, FLEET_ROUTER, router),
                       SIGKILL, KILL_TIMEOUT_MS))
         return false;
     }
@@ -173,7 +173,7 @@
   for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
        i++)
     {
-      if (event->routers[i] != CUT_SIDE
+      if (event->router_sides[i] != CUT_SIDE
           || proc_restart (fleet_get_processes (event->fleet),
                            fleet_get_process (event->fleet, FLEET_ROUTER, i),
                            &error))
@@ -269,7 +269,7 @@
   for (unsigned side = 0; side <= CUT_SIDE; side++)
     {
       g_autoptr (GPtrArray) part
-          = fair_filter_side (samples, event->routers, side, accounts);
+          = fair_filter_side (samples, event->router_sides, side, accounts);
       fair_gap_t gap
           = fair_gap (part, FAIR_RECEIVED, accounts, from_us, to_us);
       fprintf (stderr, "gap within side %u: %.0f, account-%u and account-%u\n",
--- a/tests/measure-fair.c
+++ b/tests/measure-fair.c
@@ -10,7 +10,7 @@
 {
   bool is_backlogged; /* both are backlogged */
   double min;
-  double most;
+  double greatest;
 } difference_range_t;
 
 static void
@@ -20,17 +20,17 @@
     {
       range->is_backlogged = true;
       range->min = difference;
-      range->most = difference;
+      range->greatest = difference;
     }
   range->min = MIN (range->min, difference);
-  range->most = MAX (range->most, difference);
+  range->greatest = MAX (range->greatest, difference);
 }
 
 /* Computes the gap of one pair.  The difference in service is cumulative, so
    its range within a span is the greatest difference over any part of the
    span.  */
 static fair_gap_t
-compute_pair_gap (const GPtrArray *samples, fair_metric_t what, unsigned a,
+compute_pair_gap (const GPtrArray *samples, fair_metric_t metric, unsigned a,
                   unsigned b, int64_t from_us, int64_t to_us)
 {
   difference_range_t range = { 0 };
@@ -47,31 +47,31 @@
           continue;
         }
       const double *service
-          = what == FAIR_STARTED ? sample->started : sample->service;
+          = metric == FAIR_STARTED ? sample->started : sample->service;
       range_add (&range, service[a] - service[b]);
-      if (range.most - range.min <= gap.tokens)
+      if (range.greatest - range.min <= gap.tokens)
         continue;
-      gap.tokens = range.most - range.min;
+      gap.tokens = range.greatest - range.min;
       gap.at_us = sample->at_us;
     }
   return gap;
 }
 
 fair_gap_t
-fair_gap (const GPtrArray *samples, fair_metric_t what, unsigned accounts,
+fair_gap (const GPtrArray *samples, fair_metric_t metric, unsigned accounts,
           int64_t from_us, int64_t to_us)
 {
-  fair_gap_t most = { 0 };
+  fair_gap_t greatest = { 0 };
 
   for (unsigned a = 0; a < accounts; a++)
     for (unsigned b = a + 1; b < accounts; b++)
       {
         fair_gap_t gap
-            = compute_pair_gap (samples, what, a, b, from_us, to_us);
-        if (gap.tokens > most.tokens)
-          most = gap;
+            = compute_pair_gap (samples, metric, a, b, from_us, to_us);
+        if (gap.tokens > greatest.tokens)
+          greatest = gap;
       }
-  return most;
+  return greatest;
 }
 
 /* Adds the sample of one router to the sum of its side.  */
--- a/tests/measure-jobs.c
+++ b/tests/measure-jobs.c
@@ -38,10 +38,10 @@
   add_argument (argv, "--routers=%d", options->routers);
   add_argument (argv, "--models=%d", options->models);
   add_argument (argv, "--accounts=%d", options->accounts);
-  add_argument (argv, "--idle=%d", options->idle);
-  add_argument (argv, "--seconds=%d", options->seconds);
-  add_argument (argv, "--warm=%d", options->warm);
-  add_argument (argv, "--held=%d", options->held);
+  add_argument (argv, "--idle=%d", options->idle_accounts);
+  add_argument (argv, "--seconds=%d", options->measured_s);
+  add_argument (argv, "--warm=%d", options->warmup_s);
+  add_argument (argv, "--held=%d", options->held_percent);
   if (options->keep)
     add_argument (argv, "--keep");
   if (options->exact_hints)
--- a/tests/measure-memory.c
+++ b/tests/measure-memory.c
@@ -130,7 +130,8 @@
       print_row (fleet, accounts);
     }
   else
-    fprintf (stderr, "measure-config: %u accounts did not arrive\n", accounts);
+    fprintf (stderr, "measure-config: %u accounts were not applied in time\n",
+             accounts);
   fleet_free (fleet, false);
   return good;
 }
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -237,10 +237,10 @@
   load->idle_timeout_ms = 30000;
   load->accounts = g_ptr_array_new_with_free_func (account_free);
   add_model_accounts (deployment, (unsigned)MAX (options->accounts, 16) / 16,
-                      profile->models, (unsigned)MAX (options->held, 1),
-                      random);
+                      profile->models,
+                      (unsigned)MAX (options->held_percent, 1), random);
   add_plain_callers (deployment, random);
-  build_fleet_accounts (deployment, (unsigned)MAX (options->idle, 0));
+  build_fleet_accounts (deployment, (unsigned)MAX (options->idle_accounts, 0));
   g_rand_free (random);
   return deployment;
 }
--- a/tests/measure-run.c
+++ b/tests/measure-run.c
@@ -100,7 +100,7 @@
   if (running->run->options.cold_again)
     {
       ev_timer_set (&running->cold,
-                    running->run->options.seconds * COLD_BEGIN_SHARE, 0);
+                    running->run->options.measured_s * COLD_BEGIN_SHARE, 0);
       ev_timer_start (running->loop, &running->cold);
     }
   running->steady_us = clock_now_us ();
@@ -175,7 +175,7 @@
 on_phase_over (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   running_t *running = watcher->data;
-  double seconds = running->run->options.seconds;
+  double seconds = running->run->options.measured_s;
   double begin = CUT_BEGIN_SHARE;
   double end = CUT_END_SHARE;
 
@@ -337,13 +337,14 @@
            (double)(gap.at_us - running->steady_us) / G_USEC_PER_SEC);
   figures[FIGURE_TOKENS] = before_rate;
   figures[FIGURE_UTILISATION] = watch_get_utilisation (running->watch, 0);
-  figures[FIGURE_OUT_LAST_NEW] = MAX (
+  figures[FIGURE_ZONE_OUT_LAST_START] = MAX (
       (double)(running->last_start - running->event_began_at) / 1000, 0);
-  figures[FIGURE_OUT_RATIO]
+  figures[FIGURE_ZONE_OUT_RATIO]
       = before_rate > 0 ? during_rate / before_rate
                               / get_remaining_capacity_share (running)
                         : 0;
-  figures[FIGURE_BACK_RATIO] = before_rate > 0 ? after_rate / before_rate : 0;
+  figures[FIGURE_ZONE_BACK_RATIO]
+      = before_rate > 0 ? after_rate / before_rate : 0;
 }
 
 /* Sets the figures before, during and after the event.  */
@@ -407,8 +408,8 @@
     return false;
   figures[FIGURE_OVERLOADS] = sum.overload_count;
   figures[FIGURE_OVERLOADS_GRACE] = sum.overload_in_grace;
-  figures[FIGURE_WRONG] = sum.wrong_answers;
-  figures[FIGURE_DOUBLE] = sum.duplicate_runs;
+  figures[FIGURE_WRONG_ANSWERS] = sum.wrong_answers;
+  figures[FIGURE_DUPLICATE_RUNS] = sum.duplicate_runs;
   figures[FIGURE_FALSE_NOT_RUN] = sum.false_not_run;
   figures[FIGURE_REQUESTS] = sum.requests;
   figures[FIGURE_REFUSED] = sum.refused;
@@ -428,7 +429,7 @@
   running->timer.data = running;
   ev_timer_init (&running->cold, on_cold_timer, 0, 0);
   running->cold.data = running;
-  schedule (running, running->run->options.warm);
+  schedule (running, running->run->options.warmup_s);
   load_start (running->load);
   ev_run (running->loop, 0);
   set_latency_figures (running, figures);
--- a/tests/measure-scale.c
+++ b/tests/measure-scale.c
@@ -37,7 +37,7 @@
       jobs[i].options.routers = points[i].routers;
       jobs[i].options.models = points[i].models;
       jobs[i].options.accounts = points[i].accounts;
-      jobs[i].options.idle = points[i].idle;
+      jobs[i].options.idle_accounts = points[i].idle;
     }
   unsigned good = jobs_run_all (jobs, G_N_ELEMENTS (points), MAX_RUNNING);
   printf ("%-10s %7s %9s %8s %5s | %9s %9s %8s %8s %9s %9s %9s %8s %6s\n",
--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -18,7 +18,7 @@
   unsigned tokens;
 } stream_t;
 
-/* Medians and second_attempts thresholds of the endpoints that are not slow.
+/* Medians and late thresholds of the endpoints that are not slow.
  */
 typedef struct
 {
@@ -131,12 +131,12 @@
 count_hedge_tokens (const stream_t *stream, const typical_t *typical,
                     double length)
 {
-  double given
+  double emitted
       = length < typical->first
             ? 0
             : 1 + (length - typical->first) / MAX (typical->interval, 1);
 
-  return stream->prompt + MIN (given, stream->tokens);
+  return stream->prompt + MIN (emitted, stream->tokens);
 }
 
 /* Returns the tokens that the first attempt of STREAM consumed within LENGTH
@@ -144,19 +144,19 @@
 static double
 count_first_attempt_tokens (const stream_t *stream, double length)
 {
-  double given = length < stream->first
-                     ? 0
-                     : 1
-                           + (length - stream->first)
-                                 / MAX (get_token_interval_ms (stream), 1);
+  double emitted = length < stream->first
+                       ? 0
+                       : 1
+                             + (length - stream->first)
+                                   / MAX (get_token_interval_ms (stream), 1);
 
-  return stream->prompt + MIN (given, stream->tokens);
+  return stream->prompt + MIN (emitted, stream->tokens);
 }
 
 static slow_hedge_t
 simulate_hedge (const GArray *streams, const typical_t *typical, bool whole)
 {
-  slow_hedge_t found
+  slow_hedge_t result
       = { .after_ms = whole ? typical->whole_late : typical->first_late };
   g_autoptr (GArray) ends = g_array_new (FALSE, FALSE, sizeof (float));
 
@@ -164,21 +164,21 @@
     {
       const stream_t *stream = &g_array_index (streams, stream_t, i);
       double time = get_completion_ms (stream, whole);
-      double second = found.after_ms + typical->first
+      double second = result.after_ms + typical->first
                       + (whole ? (stream->tokens - 1) * typical->interval : 0);
       float end = (float)(stream->wait + MIN (time, second));
       g_array_append_val (ends, end);
-      if (time <= found.after_ms)
+      if (time <= result.after_ms)
         continue;
-      found.second_attempts++;
-      found.second_wins += second < time;
-      found.tokens
-          += second < time
-                 ? count_first_attempt_tokens (stream, second)
-                 : count_hedge_tokens (stream, typical, time - found.after_ms);
+      result.second_attempts++;
+      result.second_wins += second < time;
+      result.tokens += second < time
+                           ? count_first_attempt_tokens (stream, second)
+                           : count_hedge_tokens (stream, typical,
+                                                 time - result.after_ms);
     }
-  found.end = get_percentiles (ends);
-  return found;
+  result.end = get_percentiles (ends);
+  return result;
 }
 
 slow_span_t
--- a/tests/measure-slow.h
+++ b/tests/measure-slow.h
@@ -24,8 +24,8 @@
    cancelled.  */
 typedef struct
 {
-  double after_ms;          /* 95th percentile of the other endpoints */
-  unsigned second_attempts; /* second attempts */
+  double after_ms; /* 95th percentile of the other endpoints */
+  unsigned second_attempts;
   unsigned second_wins;   /* second attempts that finished before the first */
   double tokens;          /* lower bound of the tokens of cancelled attempts */
   slow_percentiles_t end; /* latencies at the callers with the hedge */
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -50,10 +50,10 @@
   const fleet_plan_t *plan = fleet_get_plan (watch->fleet);
   unsigned zone = fleet_get_zone (watch->fleet, FLEET_AGENT, endpoint->index);
   unsigned side = watch->zone_sides != NULL ? watch->zone_sides[zone] : 0;
-  unsigned models = 0;
+  unsigned usable_engines = 0;
 
   for (unsigned i = 0; i < plan->models; i++)
-    models
+    usable_engines
         += watch->zone_sides == NULL
            || watch->zone_sides[fleet_get_zone (watch->fleet, FLEET_AGENT, i)]
                   == side;
@@ -61,7 +61,7 @@
              load_get_samples (watch->load), watch->router_sides, side,
              load_count_accounts (watch->load),
              (guint)(POLL_INTERVAL_S * 1000 / LOAD_SAMPLE_INTERVAL_MS) + 2)
-         >= MIN_WAITING_SHARE * plan->slots * models;
+         >= MIN_WAITING_SHARE * plan->slots * usable_engines;
 }
 
 /* Adds ENDPOINT's time since its last poll to the current span.  */
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -26,9 +26,9 @@
         [FIGURE_TTFT_ALL] = "ttft_all_p95_ms",
         [FIGURE_ITL] = "itl_p95_ms",
         [FIGURE_TOKENS] = "tokens_per_second",
-        [FIGURE_OUT_LAST_NEW] = "zone_out_last_new_work_s",
-        [FIGURE_OUT_RATIO] = "zone_out_served_ratio",
-        [FIGURE_BACK_RATIO] = "zone_back_served_ratio",
+        [FIGURE_ZONE_OUT_LAST_START] = "zone_out_last_new_work_s",
+        [FIGURE_ZONE_OUT_RATIO] = "zone_out_served_ratio",
+        [FIGURE_ZONE_BACK_RATIO] = "zone_back_served_ratio",
         [FIGURE_DURING_GAP] = "fairness_gap_during_tokens",
         [FIGURE_AFTER_GAP] = "fairness_gap_after_tokens",
         [FIGURE_RECOVERY] = "recovery_s",
@@ -40,8 +40,8 @@
         [FIGURE_AFTER_TOKENS] = "tokens_after_per_second",
         [FIGURE_OVERLOADS] = "overload_count",
         [FIGURE_OVERLOADS_GRACE] = "overload_in_grace",
-        [FIGURE_WRONG] = "wrong_answers",
-        [FIGURE_DOUBLE] = "double_runs",
+        [FIGURE_WRONG_ANSWERS] = "wrong_answers",
+        [FIGURE_DUPLICATE_RUNS] = "double_runs",
         [FIGURE_FALSE_NOT_RUN] = "false_not_run",
         [FIGURE_REQUESTS] = "requests",
         [FIGURE_REFUSED] = "refused",
@@ -164,7 +164,7 @@
           jobs[count].options.policy = (char *)policies[i];
           jobs[count++].options.seed = options->seed + seed;
         }
-  unsigned good = jobs_run_all (jobs, count, (unsigned)options->jobs);
+  unsigned good = jobs_run_all (jobs, count, (unsigned)options->max_running);
   print_table (options, jobs, count);
   return good == count && count > 0 ? 0 : 1;
 }
@@ -175,10 +175,10 @@
   measure_options_t options = { .seed = 1,
                                 .seeds = 5,
                                 .accounts = 16,
-                                .seconds = 14,
-                                .warm = 8,
-                                .held = 100,
-                                .jobs = 3 };
+                                .measured_s = 14,
+                                .warmup_s = 8,
+                                .held_percent = 100,
+                                .max_running = 3 };
   const GOptionEntry entries[] = {
     { "profile", 0, 0, G_OPTION_ARG_STRING, &options.profile,
       "saeng-ruang, adfer, regions, data-path or scale", "NAME" },
@@ -197,18 +197,18 @@
       "routers; 0 is the profile's number", "N" },
     { "accounts", 0, 0, G_OPTION_ARG_INT, &options.accounts,
       "client accounts, a multiple of 16", "N" },
-    { "idle", 0, 0, G_OPTION_ARG_INT, &options.idle,
+    { "idle", 0, 0, G_OPTION_ARG_INT, &options.idle_accounts,
       "more accounts, without requests", "N" },
     { "models", 0, 0, G_OPTION_ARG_INT, &options.models,
       "model endpoints; 0 is the profile's number", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &options.seconds,
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &options.measured_s,
       "measured seconds of a run", "N" },
-    { "warm", 0, 0, G_OPTION_ARG_INT, &options.warm, "seconds before them",
+    { "warm", 0, 0, G_OPTION_ARG_INT, &options.warmup_s, "seconds before them",
       "N" },
-    { "held", 0, 0, G_OPTION_ARG_INT, &options.held,
+    { "held", 0, 0, G_OPTION_ARG_INT, &options.held_percent,
       "requests held at once, in percent of the profile's", "N" },
-    { "jobs", 0, 0, G_OPTION_ARG_INT, &options.jobs, "runs side by side",
-      "N" },
+    { "jobs", 0, 0, G_OPTION_ARG_INT, &options.max_running,
+      "runs side by side", "N" },
     { "exact-hints", 0, 0, G_OPTION_ARG_NONE, &options.exact_hints,
       "requests tell the true length of their answers", NULL },
     { "cold-again", 0, 0, G_OPTION_ARG_NONE, &options.cold_again,
@@ -222,7 +222,7 @@
       "also the growth of the nodes' counters in the steady part", NULL },
     { "samples", 0, 0, G_OPTION_ARG_FILENAME, &options.samples,
       "with --one: write the service of each account over time", "FILE" },
-    { "one", 0, 0, G_OPTION_ARG_NONE, &options.one,
+    { "one", 0, 0, G_OPTION_ARG_NONE, &options.single_run,
       "a single run, in this process", NULL },
     { NULL }
   };
@@ -252,7 +252,7 @@
   options.routers = CLAMP (options.routers, 1, 64);
   if (strcmp (options.profile, "data-path") == 0)
     return measure_run_path (&options) ? 0 : 1;
-  if (strcmp (options.profile, "scale") == 0 && !options.one)
+  if (strcmp (options.profile, "scale") == 0 && !options.single_run)
     return measure_run_scale (&options) ? 0 : 1;
-  return options.one ? run_single (&options) : run_many (&options);
+  return options.single_run ? run_single (&options) : run_many (&options);
 }
--- a/tests/measure.h
+++ b/tests/measure.h
@@ -24,9 +24,9 @@
   FIGURE_TTFT_ALL,
   FIGURE_ITL,
   FIGURE_TOKENS,
-  FIGURE_OUT_LAST_NEW,
-  FIGURE_OUT_RATIO,
-  FIGURE_BACK_RATIO,
+  FIGURE_ZONE_OUT_LAST_START,
+  FIGURE_ZONE_OUT_RATIO,
+  FIGURE_ZONE_BACK_RATIO,
   FIGURE_DURING_GAP,
   FIGURE_AFTER_GAP,
   FIGURE_RECOVERY,
@@ -38,8 +38,8 @@
   FIGURE_AFTER_TOKENS,
   FIGURE_OVERLOADS,
   FIGURE_OVERLOADS_GRACE,
-  FIGURE_WRONG,
-  FIGURE_DOUBLE,
+  FIGURE_WRONG_ANSWERS,
+  FIGURE_DUPLICATE_RUNS,
   FIGURE_FALSE_NOT_RUN,
   FIGURE_REQUESTS,
   FIGURE_REFUSED,
@@ -64,17 +64,17 @@
   int seeds;
   int routers;
   int accounts;
-  int idle; /* accounts without requests */
+  int idle_accounts; /* accounts without requests */
   int models;
-  int seconds; /* duration of the measured part */
-  int warm;    /* duration of the warm-up before it */
-  int held;    /* concurrent requests, in percent of the profile's */
-  int jobs;    /* concurrent runs */
+  int measured_s;   /* duration of the measured part */
+  int warmup_s;     /* duration of the warm-up before it */
+  int held_percent; /* concurrent requests, in percent of the profile's */
+  int max_running;
   gboolean exact_hints;
   gboolean cold_again; /* two engines turn cold in the steady part, and one of
                           them reports no load */
   gboolean json;
-  gboolean one; /* a single run in this process */
+  gboolean single_run; /* one run, in this process */
   gboolean keep;
   gboolean counters; /* print the growth of the nodes' counters */
 } measure_options_t;
@@ -140,7 +140,7 @@
   FAIR_STARTED
 } fair_metric_t;
 
-fair_gap_t fair_gap (const GPtrArray *samples, fair_metric_t what,
+fair_gap_t fair_gap (const GPtrArray *samples, fair_metric_t metric,
                      unsigned accounts, int64_t from_us, int64_t to_us);
 /* Returns SAMPLES, which have parts by router, reduced to the routers with
    SIDE in SIDES.  */
--- a/tests/relay.c
+++ b/tests/relay.c
@@ -42,7 +42,7 @@
 /* One direction of a connection.  */
 struct flow
 {
-  relay_conn_t *relay_conn;
+  relay_conn_t *conn;
   int from;
   int to;
   ev_io readable;
@@ -77,16 +77,16 @@
 }
 
 static void
-relay_conn_free (relay_conn_t *relay_conn)
+relay_conn_free (relay_conn_t *conn)
 {
-  struct ev_loop *loop = relay_conn->loop;
-
-  flow_clear (loop, &relay_conn->flows[0]);
-  flow_clear (loop, &relay_conn->flows[1]);
-  close (relay_conn->flows[0].from);
-  close (relay_conn->flows[0].to);
-  list_remove (&relay_conn->node);
-  g_free (relay_conn);
+  struct ev_loop *loop = conn->loop;
+
+  flow_clear (loop, &conn->flows[0]);
+  flow_clear (loop, &conn->flows[1]);
+  close (conn->flows[0].from);
+  close (conn->flows[0].to);
+  list_remove (&conn->node);
+  g_free (conn);
 }
 
 /* Forwards the end of the stream once all bytes are written.  Returns true if
@@ -94,17 +94,16 @@
 static bool
 flow_forward_end (flow_t *flow)
 {
-  relay_conn_t *relay_conn = flow->relay_conn;
+  relay_conn_t *conn = flow->conn;
 
   if (!flow->input_ended || flow->output_closed
       || !list_is_empty (&flow->queue))
     return false;
   flow->output_closed = true;
   shutdown (flow->to, SHUT_WR);
-  if (!relay_conn->flows[0].output_closed
-      || !relay_conn->flows[1].output_closed)
+  if (!conn->flows[0].output_closed || !conn->flows[1].output_closed)
     return false;
-  relay_conn_free (relay_conn);
+  relay_conn_free (conn);
   return true;
 }
 
@@ -121,7 +120,7 @@
                              chunk->length - chunk->sent);
       if (count < 0 && errno != EAGAIN)
         {
-          relay_conn_free (flow->relay_conn);
+          relay_conn_free (flow->conn);
           return;
         }
       chunk->sent += (size_t)MAX (count, 0);
@@ -137,7 +136,7 @@
   ev_io_stop (loop, &flow->writable);
   if (flow_forward_end (flow))
     return;
-  if (!flow->input_ended && !flow->relay_conn->stalled)
+  if (!flow->input_ended && !flow->conn->stalled)
     ev_io_start (loop, &flow->readable);
 }
 
@@ -234,7 +233,7 @@
     return;
   if (count < 0)
     {
-      relay_conn_free (flow->relay_conn);
+      relay_conn_free (flow->conn);
       return;
     }
   if (count == 0)
@@ -255,18 +254,18 @@
   flow->queued_bytes += chunk->length;
   if (flow->queued_bytes >= MAX_QUEUED_BYTES)
     ev_io_stop (loop, &flow->readable);
-  if (flow->relay_conn->delay_line->delay_us > 0)
-    delay_line_add (flow->relay_conn->delay_line, chunk);
+  if (flow->conn->delay_line->delay_us > 0)
+    delay_line_add (flow->conn->delay_line, chunk);
   else
     flow_write_due (loop, flow);
 }
 
 static void
-flow_start (relay_conn_t *relay_conn, flow_t *flow, int from, int to)
+flow_start (relay_conn_t *conn, flow_t *flow, int from, int to)
 {
-  struct ev_loop *loop = relay_conn->loop;
+  struct ev_loop *loop = conn->loop;
 
-  flow->relay_conn = relay_conn;
+  flow->conn = conn;
   flow->from = from;
   flow->to = to;
   list_init (&flow->queue);
@@ -274,7 +273,7 @@
   ev_io_init (&flow->writable, on_writable, to, EV_WRITE);
   flow->readable.data = flow;
   flow->writable.data = flow;
-  if (!relay_conn->stalled)
+  if (!conn->stalled)
     ev_io_start (loop, &flow->readable);
 }
 
@@ -308,13 +307,13 @@
       close (target_fd);
       return;
     }
-  relay_conn_t *relay_conn = g_new0 (relay_conn_t, 1);
-  relay_conn->loop = loop;
-  relay_conn->delay_line = delay_line;
-  relay_conn->stalled = stalled;
-  list_append (list, &relay_conn->node);
-  flow_start (relay_conn, &relay_conn->flows[0], accepted_fd, target_fd);
-  flow_start (relay_conn, &relay_conn->flows[1], target_fd, accepted_fd);
+  relay_conn_t *conn = g_new0 (relay_conn_t, 1);
+  conn->loop = loop;
+  conn->delay_line = delay_line;
+  conn->stalled = stalled;
+  list_append (list, &conn->node);
+  flow_start (conn, &conn->flows[0], accepted_fd, target_fd);
+  flow_start (conn, &conn->flows[1], target_fd, accepted_fd);
 }
 
 void
@@ -329,9 +328,9 @@
 {
   list_for_each (node, list)
     {
-      relay_conn_t *relay_conn = list_entry (node, relay_conn_t, node);
-      relay_conn->stalled = true;
-      flow_clear (relay_conn->loop, &relay_conn->flows[0]);
-      flow_clear (relay_conn->loop, &relay_conn->flows[1]);
+      relay_conn_t *conn = list_entry (node, relay_conn_t, node);
+      conn->stalled = true;
+      flow_clear (conn->loop, &conn->flows[0]);
+      flow_clear (conn->loop, &conn->flows[1]);
     }
 }
