--- a/tests/bench-claims.c
+++ b/tests/bench-claims.c
@@ -60,9 +60,9 @@
 }
 
 static unsigned
-parse_argument (int argc, char **argv, int i, unsigned standard)
+parse_argument (int argc, char **argv, int i, unsigned default_value)
 {
-  return argc > i ? (unsigned)strtoul (argv[i], NULL, 10) : standard;
+  return argc > i ? (unsigned)strtoul (argv[i], NULL, 10) : default_value;
 }
 
 static void
@@ -84,12 +84,12 @@
 main (int argc, char **argv)
 {
   unsigned claims = parse_argument (argc, argv, 1, 1000);
-  unsigned calls = parse_argument (argc, argv, 3, 50);
+  unsigned calls_per_s = parse_argument (argc, argv, 3, 50);
   fleet_t fleet = { .routers = MIN (parse_argument (argc, argv, 2, 8),
                                     (unsigned)MAX_ROUTERS) };
   router_context_t contexts[MAX_ROUTERS];
   sp_test_t test;
-  cfd_time_t begun;
+  cfd_time_t start;
   cfd_time_t first = 0;
 
   log_setup ("bench", LOG_ERROR, false);
@@ -107,20 +107,21 @@
   }
   for (unsigned i = 0; i < fleet.routers; i++)
     {
-      const sweep_options_t setup = { KEEP_S,        calls,   get_router_count,
-                                      is_age_keeper, is_held, &contexts[i] };
+      const sweep_options_t setup
+          = { KEEP_S,        calls_per_s, get_router_count,
+              is_age_keeper, is_held,     &contexts[i] };
 
       contexts[i] = (router_context_t){ &fleet, i };
       fleet.sweeps[i] = sweep_new (test.plat, &setup);
     }
-  begun = clock_now ();
+  start = clock_now ();
   while (count_removed (&fleet) < claims)
     {
       ev_run (test.loop, EVRUN_ONCE);
       if (first == 0 && sp_count_calls (test.sp, "list") > 0)
         first = clock_now ();
     }
-  printf ("first page after %.1f s\n", (double)(first - begun) / 1000);
+  printf ("first page after %.1f s\n", (double)(first - start) / 1000);
   print_report (test.sp, claims, first, clock_now ());
   for (unsigned i = 0; i < fleet.routers; i++)
     sweep_free (fleet.sweeps[i]);
--- a/tests/sp-control.c
+++ b/tests/sp-control.c
@@ -4,6 +4,7 @@
 
 static const char *const mode_names[]
     = { "up", "down", "slow", "lose-answer", "stale" };
+
 bool
 sp_parse_object_path (const char *path, const char *prefix, char **kind,
                       char **name)
--- a/tests/sp-test.c
+++ b/tests/sp-test.c
@@ -41,7 +41,7 @@
 static void
 on_timeout (struct ev_loop *loop, ev_timer *timer, int revents)
 {
-  g_error ("the awaited did not come within %g s", RUN_TIMEOUT_S);
+  g_error ("the condition did not hold within %g s", RUN_TIMEOUT_S);
 }
 
 void
