--- a/tests/bench-state.c
+++ b/tests/bench-state.c
@@ -1,11 +1,11 @@
-/* What a whole state costs both ends of a link, for docs/CAPACITY.md: two
-   processes, each with a store as a router has, and frames over a socket.
+/* Benchmark of a full state transfer, for docs/CAPACITY.md: two processes,
+   each with a store like a router's, and frames over a socket.
 
-     bench-state [ACCOUNTS]    18,000 unless told
+     bench-state [ACCOUNTS]    default 18,000
 
-   One row for a receiver that starts empty, one for a receiver that holds all
-   accounts and is behind the sender's first list.  Memory is resident; a turn
-   makes, packs and writes one part.  */
+   One row is for a receiver that starts empty, one for a receiver that holds
+   all accounts but is behind the sender's first list.  Memory is resident; a
+   turn makes, packs and writes one part.  */
 
 #include "base/clock.h"
 #include "base/log.h"
@@ -22,15 +22,15 @@
 #include <unistd.h>
 
 #define ACCOUNTS 18000u
-#define BATCH 500u
-#define ASKS_MAX 200u
-#define PREFIX 4u
-/* A process that hangs ends by this.  */
-#define LIMIT_S 60
+#define BATCH_ACCOUNTS 500u
+#define MAX_ASKS 200u
+#define PREFIX_BYTES 4u
+/* Ends a process that hangs.  */
+#define TIMEOUT_S 60
 
-/* Kilobytes by the line FIELD of this process's status, or -1.  */
+/* Returns the kilobytes in line FIELD of this process's status, or -1.  */
 static long
-status_kb (const char *field)
+read_status_kb (const char *field)
 {
   g_autofree char *text = NULL;
   const char *line;
@@ -41,7 +41,7 @@
   return line == NULL ? -1 : strtol (line + strlen (field), NULL, 10);
 }
 
-/* From here on, the most resident memory counts anew.  */
+/* Resets the peak of the resident memory.  */
 static void
 reset_peak (void)
 {
@@ -54,7 +54,7 @@
 }
 
 static void
-add_account (GString *text, unsigned number)
+append_account (GString *text, unsigned number)
 {
   g_autofree char *key = g_strdup_printf ("key-%u", number);
   g_autofree char *hash = rec_hash_key_to_hex (key);
@@ -68,19 +68,20 @@
       number + 1, hash);
 }
 
-/* All accounts, in batches, so that nothing large is freed before.  */
+/* Adds all accounts, in batches, so that no large allocation is freed before
+   the measurement.  */
 static void
-fill (store_t *store, unsigned accounts)
+fill_store (store_t *store, unsigned accounts)
 {
-  for (unsigned from = 0; from < accounts; from += BATCH)
+  for (unsigned from = 0; from < accounts; from += BATCH_ACCOUNTS)
     {
-      unsigned up_to = MIN (from + BATCH, accounts);
+      unsigned up_to = MIN (from + BATCH_ACCOUNTS, accounts);
       g_autoptr (GString) text = g_string_new (NULL);
       g_autoptr (JsonNode) root = NULL;
 
       g_string_printf (text, "{\"revision\":%u,\"objects\":[", up_to);
       for (unsigned i = from; i < up_to; i++)
-        add_account (text, i);
+        append_account (text, i);
       g_string_append (text, "]}");
       root = json_from_string (text->str, NULL);
       store_apply_objects (store, json_node_get_object (root), 1000);
@@ -120,11 +121,11 @@
   return true;
 }
 
-/* The next frame, or NULL at the end.  */
+/* Returns the next frame, or NULL at the end of the connection.  */
 static msg_t *
 read_frame (int fd)
 {
-  uint8_t prefix[PREFIX];
+  uint8_t prefix[PREFIX_BYTES];
   g_autofree uint8_t *payload = NULL;
   uint32_t length;
   size_t used;
@@ -138,9 +139,9 @@
   return msg_decode (payload, length, NULL, NULL);
 }
 
-/* Answers asks until the receiver goes.  */
+/* Answers requests for parts until the receiver disconnects.  */
 static void
-give (int fd, unsigned accounts)
+serve_parts (int fd, unsigned accounts)
 {
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   size_t largest = 0;
@@ -148,12 +149,13 @@
   double cpu = 0;
   long before;
 
-  fill (store, accounts);
-  /* Its first list ended after the last change at the receiver.  */
+  fill_store (store, accounts);
+  /* The sender's first list is newer than the last change that the receiver
+     has.  */
   store->revision = accounts + 1;
   store->deletions_known_from = accounts + 1;
   reset_peak ();
-  before = status_kb ("VmRSS:");
+  before = read_status_kb ("VmRSS:");
   for (;;)
     {
       g_autoptr (msg_t) ask = read_frame (fd);
@@ -173,12 +175,12 @@
   printf ("  sender:   %u parts, largest %.0f KB, longest turn %.1f ms of"
           " processor, MB before %.1f, most %.1f\n",
           frames - 1, (double)largest / 1e3, cpu, (double)before / 1e3,
-          (double)status_kb ("VmHWM:") / 1e3);
+          (double)read_status_kb ("VmHWM:") / 1e3);
 }
 
-/* One ask and its part.  */
+/* Requests one part and applies it.  */
 static bool
-take_one (int fd, store_t *store, uint64_t have)
+request_part (int fd, store_t *store, uint64_t have)
 {
   msg_t ask = { .kind = MSG_CONFIG_ASK };
   g_autoptr (msg_t) part = NULL;
@@ -196,7 +198,7 @@
 }
 
 static void
-take_all (int fd, bool is_full, unsigned accounts)
+receive_all (int fd, bool is_full, unsigned accounts)
 {
   g_autoptr (store_t) store = store_new (NULL, NULL, NULL);
   unsigned asks = 0;
@@ -204,26 +206,26 @@
   long before;
 
   if (is_full)
-    fill (store, accounts);
+    fill_store (store, accounts);
   /* Waits until the sender is ready.  */
-  (void)take_one (fd, store, accounts + 1);
+  (void)request_part (fd, store, accounts + 1);
   reset_peak ();
-  before = status_kb ("VmRSS:");
+  before = read_status_kb ("VmRSS:");
   start = clock_now ();
-  while (store->revision <= accounts && asks++ < ASKS_MAX
-         && take_one (fd, store, store->revision))
+  while (store->revision <= accounts && asks++ < MAX_ASKS
+         && request_part (fd, store, store->revision))
     ;
   printf ("  receiver: revision %u, %u accounts, %ld ms, MB before %.1f, most"
           " %.1f, after %.1f\n",
           (unsigned)store->revision,
           g_hash_table_size (store->entries[REC_ACCOUNT]),
           (long)(clock_now () - start), (double)before / 1e3,
-          (double)status_kb ("VmHWM:") / 1e3,
-          (double)status_kb ("VmRSS:") / 1e3);
+          (double)read_status_kb ("VmHWM:") / 1e3,
+          (double)read_status_kb ("VmRSS:") / 1e3);
 }
 
 static void
-measure (bool is_full, unsigned accounts)
+measure_row (bool is_full, unsigned accounts)
 {
   int fds[2];
   pid_t sender;
@@ -234,12 +236,12 @@
   if (socketpair (AF_UNIX, SOCK_STREAM, 0, fds) != 0)
     return;
   sender = fork ();
-  alarm (LIMIT_S);
+  alarm (TIMEOUT_S);
   close (fds[sender == 0 ? 1 : 0]);
   if (sender == 0)
-    give (fds[0], accounts);
+    serve_parts (fds[0], accounts);
   else
-    take_all (fds[1], is_full, accounts);
+    receive_all (fds[1], is_full, accounts);
   fflush (stdout);
   if (sender == 0)
     _exit (0);
@@ -254,14 +256,14 @@
       = argc > 1 ? (unsigned)g_ascii_strtoull (argv[1], NULL, 10) : ACCOUNTS;
 
   log_setup ("bench", LOG_ERROR, false);
-  /* Each row in processes of its own.  */
+  /* Each row runs in its own processes.  */
   for (int is_full = 0; is_full <= 1; is_full++)
     {
       pid_t row = fork ();
 
       if (row == 0)
         {
-          measure (is_full == 1, accounts);
+          measure_row (is_full == 1, accounts);
           _exit (0);
         }
       waitpid (row, NULL, 0);
--- a/tests/load.c
+++ b/tests/load.c
@@ -7,7 +7,7 @@
 #include "standin.h"
 #include <string.h>
 
-#define RETRY_MS 250
+#define RETRY_DELAY_MS 250
 
 struct load
 {
@@ -27,7 +27,7 @@
   bool stopped;
 };
 
-/* One of the loops of an account: at most one request at a time.  */
+/* One closed loop of an account: at most one request at a time.  */
 typedef struct
 {
   load_t *load;
@@ -36,9 +36,9 @@
   load_request_t *request;
   fetch_t *fetch;
   bool has_paused;
-  GString *line; /* of the answer, not yet whole */
-  bool said_done;
-  bool wrong;
+  GString *received; /* an incomplete line, or the whole body */
+  bool received_done;
+  bool has_wrong_content;
 } caller_t;
 
 static const char *const kind_names[]
@@ -57,7 +57,7 @@
 }
 
 static const load_account_t *
-account_of (const caller_t *caller)
+get_account (const caller_t *caller)
 {
   return caller->load->plan->accounts->pdata[caller->account];
 }
@@ -81,9 +81,9 @@
                    load_tally_take_sample (load->tally, clock_now_us ()));
 }
 
-/* The first byte of the answer's content came.  */
+/* Records the arrival of the first byte of the content.  */
 static void
-note_first (caller_t *caller, int64_t now_us)
+record_first_byte (caller_t *caller, int64_t now_us)
 {
   load_t *load = caller->load;
   load_request_t *request = caller->request;
@@ -96,12 +96,12 @@
 }
 
 static void
-note_tokens (caller_t *caller, unsigned count, int64_t now_us)
+record_tokens (caller_t *caller, unsigned count, int64_t now_us)
 {
   load_t *load = caller->load;
   load_request_t *request = caller->request;
 
-  note_first (caller, now_us);
+  record_first_byte (caller, now_us);
   if (request->tokens > 0 && count == 1)
     {
       float interval = (float)(now_us - request->last_us) / 1000;
@@ -112,21 +112,23 @@
   load_tally_add_tokens (load->tally, request, count);
 }
 
-/* The line tells when the engine gave its token.  */
+/* Records the delay of a token; the line has the time at which the engine
+   produced it.  */
 static void
-note_delay (load_t *load, const char *line, int64_t now_us)
+record_delay (load_t *load, const char *line, int64_t now_us)
 {
-  const char *given = strstr (line, "\"t\":");
+  const char *stamp = strstr (line, "\"t\":");
 
-  if (given == NULL)
+  if (stamp == NULL)
     return;
-  float delay = (float)(now_us - g_ascii_strtoll (given + 4, NULL, 10)) / 1000;
+  float delay = (float)(now_us - g_ascii_strtoll (stamp + 4, NULL, 10)) / 1000;
   g_array_append_val (load->delays, delay);
 }
 
-/* The last event of a stream tells when the engine got the request.  */
+/* Reads the time at which the engine received the request from the last event
+   of a stream.  */
 static void
-note_engine (load_request_t *request, const char *line)
+record_engine_start (load_request_t *request, const char *line)
 {
   const char *started = strstr (line, "\"started\":");
 
@@ -135,30 +137,31 @@
         = g_ascii_strtoll (strchr (started, ':') + 1, NULL, 10) * 1000;
 }
 
-/* One "data: " line of a stream.  */
+/* Parses and checks one "data: " line of a stream.  */
 static void
-take_line (caller_t *caller, const char *line, int64_t now_us)
+parse_event_line (caller_t *caller, const char *line, int64_t now_us)
 {
   load_request_t *request = caller->request;
-  const char *mark
+  const char *content_start
       = strstr (line, request->kind == LOAD_COMPLETION ? "\"text\":\""
                                                        : "\"content\":\"");
-  char word[STANDIN_MAX_TOKEN_BYTES];
+  char token[STANDIN_MAX_TOKEN_BYTES];
 
   if (strcmp (line, "data: [DONE]") == 0)
-    caller->said_done = true;
-  if (mark == NULL)
+    caller->received_done = true;
+  if (content_start == NULL)
     {
-      note_engine (request, line);
+      record_engine_start (request, line);
       return;
     }
-  mark = strchr (mark, ':') + 2;
-  standin_format_token (word, caller->load->plan->answer_seed, request->nonce,
+  content_start = strchr (content_start, ':') + 2;
+  standin_format_token (token, caller->load->plan->answer_seed, request->nonce,
                         request->tokens);
-  if (strncmp (mark, word, strlen (word)) != 0 || mark[strlen (word)] != '"')
-    caller->wrong = true;
-  note_delay (caller->load, line, now_us);
-  note_tokens (caller, 1, now_us);
+  if (strncmp (content_start, token, strlen (token)) != 0
+      || content_start[strlen (token)] != '"')
+    caller->has_wrong_content = true;
+  record_delay (caller->load, line, now_us);
+  record_tokens (caller, 1, now_us);
 }
 
 static void
@@ -169,17 +172,17 @@
   ev_timer_start (caller->load->loop, &caller->pause);
 }
 
-/* A slow reader stops reading once.  */
+/* Pauses reading key_header, to simulate a slow reader.  */
 static void
 pause_reading (caller_t *caller)
 {
-  unsigned pause_ms = caller->load->plan->pause_ms;
+  unsigned read_pause_ms = caller->load->plan->read_pause_ms;
 
-  if (pause_ms == 0 || caller->has_paused)
+  if (read_pause_ms == 0 || caller->has_paused)
     return;
   caller->has_paused = true;
   fetch_pause (caller->fetch, true);
-  schedule (caller, pause_ms);
+  schedule (caller, read_pause_ms);
 }
 
 static void
@@ -190,17 +193,17 @@
   int64_t now_us = clock_now_us ();
 
   pause_reading (caller);
-  g_string_append_len (caller->line, bytes, (gssize)length);
+  g_string_append_len (caller->received, bytes, (gssize)length);
   if (request->kind == LOAD_NON_STREAM || !load_kind_is_model (request->kind)
       || request->status >= 300)
     return;
-  char *start = caller->line->str;
+  char *start = caller->received->str;
   for (char *end; (end = strchr (start, '\n')) != NULL; start = end + 1)
     {
       *end = '\0';
-      take_line (caller, start, now_us);
+      parse_event_line (caller, start, now_us);
     }
-  g_string_erase (caller->line, 0, start - caller->line->str);
+  g_string_erase (caller->received, 0, start - caller->received->str);
 }
 
 static void
@@ -211,12 +214,13 @@
   caller->request->status = status;
 }
 
-/* Whether an answer in one piece is whole and its own.  */
+/* Returns true if a non-streaming answer is complete and belongs to the
+   request.  */
 static bool
-whole_is_right (caller_t *caller, int64_t now_us)
+is_body_correct (caller_t *caller, int64_t now_us)
 {
   load_request_t *request = caller->request;
-  const char *text = caller->line->str;
+  const char *text = caller->received->str;
 
   if (request->kind == LOAD_NON_STREAM)
     {
@@ -226,34 +230,34 @@
           = g_strconcat ("\"content\":\"", answer, "\"", NULL);
       if (strstr (text, content) == NULL)
         return false;
-      note_tokens (caller, request->length, now_us);
+      record_tokens (caller, request->length, now_us);
       return true;
     }
   g_autofree char *nonce
       = g_strconcat ("\"nonce\":\"", request->nonce, "\"", NULL);
-  note_first (caller, now_us);
+  record_first_byte (caller, now_us);
   return strstr (text, nonce) != NULL;
 }
 
 static load_outcome_t
-judge (caller_t *caller, fetch_result_t result)
+classify_outcome (caller_t *caller, fetch_result_t result)
 {
   load_request_t *request = caller->request;
 
   if (result != FETCH_COMPLETE)
-    return caller->wrong ? LOAD_INCORRECT : LOAD_INCOMPLETE;
+    return caller->has_wrong_content ? LOAD_INCORRECT : LOAD_INCOMPLETE;
   if (request->status >= 300)
     {
-      request->not_run = strstr (caller->line->str, "\"not-run\"") != NULL;
+      request->not_run = strstr (caller->received->str, "\"not-run\"") != NULL;
       return LOAD_REFUSED;
     }
   if (request->kind == LOAD_STREAM || request->kind == LOAD_COMPLETION)
-    return caller->said_done && !caller->wrong
+    return caller->received_done && !caller->has_wrong_content
                    && request->tokens == request->length
                ? LOAD_CORRECT
                : LOAD_INCORRECT;
-  return whole_is_right (caller, clock_now_us ()) ? LOAD_CORRECT
-                                                  : LOAD_INCORRECT;
+  return is_body_correct (caller, clock_now_us ()) ? LOAD_CORRECT
+                                                   : LOAD_INCORRECT;
 }
 
 static void
@@ -265,30 +269,30 @@
   load_request_t *request = caller->request;
 
   request->status = status;
-  request->end = judge (caller, result);
+  request->end = classify_outcome (caller, result);
   request->last_us = clock_now_us ();
   if (request->end != LOAD_CORRECT)
     request->detail
-        = g_strdup (result == FETCH_COMPLETE ? caller->line->str : detail);
+        = g_strdup (result == FETCH_COMPLETE ? caller->received->str : detail);
   if (request->first_byte_us == 0 && load_kind_is_model (request->kind))
     load_tally_remove_waiting (load->tally, request);
   load->active--;
   caller->request = NULL;
   schedule (caller, request->end == LOAD_CORRECT
-                        ? account_of (caller)->think_ms
-                        : RETRY_MS);
+                        ? get_account (caller)->think_ms
+                        : RETRY_DELAY_MS);
 }
 
 static load_request_t *
 request_new (caller_t *caller)
 {
   load_t *load = caller->load;
-  const load_account_t *account = account_of (caller);
+  const load_account_t *account = get_account (caller);
   load_request_t *request = g_new0 (load_request_t, 1);
 
   request->account = caller->account;
-  request->kind = make_kind (load->random, account);
-  request->router = make_router (load->plan, load->random, account);
+  request->kind = load_choose_kind (load->random, account);
+  request->router = load_choose_router (load->plan, load->random, account);
   request->length = (unsigned)g_rand_int_range (
       load->random, (gint32)account->min_answer_tokens,
       (gint32)account->max_answer_tokens + 1);
@@ -304,15 +308,16 @@
 {
   load_t *load = caller->load;
   load_request_t *request = request_new (caller);
-  const load_account_t *account = account_of (caller);
+  const load_account_t *account = get_account (caller);
   g_autofree char *key
       = g_strconcat ("Authorization: Bearer ", account->key, NULL);
-  g_autofree char *once
+  g_autofree char *key_header
       = g_strconcat ("Idempotency-Key: ", request->nonce, NULL);
-  g_autofree char *url = make_url (load->plan, request);
-  g_autofree char *body = make_body (load->plan, load->random, request);
-  const char *headers[] = { key, "Content-Type: application/json",
-                            request->kind == LOAD_POST ? once : NULL, NULL };
+  g_autofree char *url = load_build_url (load->plan, request);
+  g_autofree char *body = load_build_body (load->plan, load->random, request);
+  const char *headers[]
+      = { key, "Content-Type: application/json",
+          request->kind == LOAD_POST ? key_header : NULL, NULL };
   const fetch_request_t fetch
       = { .method = request->kind == LOAD_LOOKUP ? "GET" : "POST",
           .url = url,
@@ -328,9 +333,9 @@
           .user = caller };
 
   caller->request = request;
-  caller->said_done = false;
-  caller->wrong = false;
-  g_string_truncate (caller->line, 0);
+  caller->received_done = false;
+  caller->has_wrong_content = false;
+  g_string_truncate (caller->received, 0);
   if (load_kind_is_model (request->kind))
     load_tally_add_waiting (load->tally, request);
   load->active++;
@@ -338,18 +343,21 @@
   caller->fetch = fetch_start (load->pool, &fetch);
 }
 
-/* Milliseconds that an account which works in turns still pauses.  */
+/* Returns the milliseconds left in the off part of an account's on/off cycle;
+   0 in the on part.  */
 static double
-pause_left (const caller_t *caller)
+get_off_time_left_ms (const caller_t *caller)
 {
-  const load_account_t *account = account_of (caller);
-  double turn = account->on_ms + account->off_ms;
+  const load_account_t *account = get_account (caller);
+  double period_ms = account->on_ms + account->off_ms;
 
   if (account->off_ms <= 0)
     return 0;
-  double passed = (double)(clock_now_us () - caller->load->began_us) / 1000;
-  double into = passed - turn * (double)(int64_t)(passed / turn);
-  return into < account->on_ms ? 0 : turn - into;
+  double elapsed_ms
+      = (double)(clock_now_us () - caller->load->began_us) / 1000;
+  double in_period_ms
+      = elapsed_ms - period_ms * (double)(int64_t)(elapsed_ms / period_ms);
+  return in_period_ms < account->on_ms ? 0 : period_ms - in_period_ms;
 }
 
 static void
@@ -358,7 +366,7 @@
   caller_t *caller = watcher->data;
   load_t *load = caller->load;
   unsigned limit = load->plan->request_limit;
-  double wait = pause_left (caller);
+  double wait = get_off_time_left_ms (caller);
 
   if (caller->request != NULL)
     {
@@ -379,7 +387,7 @@
   caller_t *caller = data;
 
   ev_timer_stop (caller->load->loop, &caller->pause);
-  g_string_free (caller->line, TRUE);
+  g_string_free (caller->received, TRUE);
   g_free (caller);
 }
 
@@ -431,7 +439,7 @@
           caller_t *caller = g_new0 (caller_t, 1);
           caller->load = load;
           caller->account = i;
-          caller->line = g_string_new (NULL);
+          caller->received = g_string_new (NULL);
           ev_timer_init (&caller->pause, on_pause_over, 0, 0);
           caller->pause.data = caller;
           g_ptr_array_add (load->callers, caller);
--- a/tests/measure-fair.c
+++ b/tests/measure-fair.c
@@ -1,38 +1,39 @@
-/* Figures from what callers received.  */
+/* Measurement: figures computed from the service that callers received.  */
 
 #include "load-tally.h"
 #include "measure.h"
 
 #define RECOVERY_STEP_US 100000
 
-/* Range of the difference in service between one pair of accounts.  */
+/* Range of the difference in service between two accounts.  */
 typedef struct
 {
-  bool open; /* both are backlogged */
-  double least;
-  double most;
-} pair_range_t;
+  bool is_backlogged; /* both are backlogged */
+  double min;
+  double greatest;
+} difference_range_t;
 
 static void
-range_add (pair_range_t *range, double difference)
+range_add (difference_range_t *range, double difference)
 {
-  if (!range->open)
+  if (!range->is_backlogged)
     {
-      range->open = true;
-      range->least = difference;
-      range->most = difference;
+      range->is_backlogged = true;
+      range->min = difference;
+      range->greatest = difference;
     }
-  range->least = MIN (range->least, difference);
-  range->most = MAX (range->most, difference);
+  range->min = MIN (range->min, difference);
+  range->greatest = MAX (range->greatest, difference);
 }
 
-/* The gap of one pair: the difference is a running one, so its range within a
-   span is the greatest difference over any part of the span.  */
+/* Computes the gap of one pair.  The difference in service is cumulative, so
+   its range within a span is the greatest difference over any part of the
+   span.  */
 static fair_gap_t
-pair_gap (const GPtrArray *samples, fair_metric_t what, unsigned a, unsigned b,
-          int64_t from_us, int64_t to_us)
+compute_pair_gap (const GPtrArray *samples, fair_metric_t metric, unsigned a,
+                  unsigned b, int64_t from_us, int64_t to_us)
 {
-  pair_range_t range = { 0 };
+  difference_range_t range = { 0 };
   fair_gap_t gap = { .a = a, .b = b };
 
   for (guint i = 0; i < samples->len; i++)
@@ -42,39 +43,41 @@
         continue;
       if (sample->waiting[a] == 0 || sample->waiting[b] == 0)
         {
-          range.open = false;
+          range.is_backlogged = false;
           continue;
         }
       const double *service
-          = what == FAIR_STARTED ? sample->started : sample->service;
+          = metric == FAIR_STARTED ? sample->started : sample->service;
       range_add (&range, service[a] - service[b]);
-      if (range.most - range.least <= gap.tokens)
+      if (range.greatest - range.min <= gap.tokens)
         continue;
-      gap.tokens = range.most - range.least;
+      gap.tokens = range.greatest - range.min;
       gap.at_us = sample->at_us;
     }
   return gap;
 }
 
 fair_gap_t
-fair_gap (const GPtrArray *samples, fair_metric_t what, unsigned accounts,
+fair_gap (const GPtrArray *samples, fair_metric_t metric, unsigned accounts,
           int64_t from_us, int64_t to_us)
 {
-  fair_gap_t most = { 0 };
+  fair_gap_t greatest = { 0 };
 
   for (unsigned a = 0; a < accounts; a++)
     for (unsigned b = a + 1; b < accounts; b++)
       {
-        fair_gap_t gap = pair_gap (samples, what, a, b, from_us, to_us);
-        if (gap.tokens > most.tokens)
-          most = gap;
+        fair_gap_t gap
+            = compute_pair_gap (samples, metric, a, b, from_us, to_us);
+        if (gap.tokens > greatest.tokens)
+          greatest = gap;
       }
-  return most;
+  return greatest;
 }
 
-/* Adds what went through one router to what a side got.  */
+/* Adds the sample of one router to the sum of its side.  */
 static void
-add_router (load_sample_t *sum, const load_sample_t *part, unsigned accounts)
+add_router_sample (load_sample_t *sum, const load_sample_t *part,
+                   unsigned accounts)
 {
   for (unsigned i = 0; i < accounts; i++)
     {
@@ -102,15 +105,15 @@
       sum->waiting = g_new0 (unsigned, accounts);
       for (unsigned router = 0; router < sample->routers; router++)
         if (sides[router] == side)
-          add_router (sum, &sample->by_router[router], accounts);
+          add_router_sample (sum, &sample->by_router[router], accounts);
       g_ptr_array_add (found, sum);
     }
   return found;
 }
 
 static unsigned
-side_waiting (const load_sample_t *sample, const unsigned *sides,
-              unsigned side, unsigned accounts)
+count_waiting_on_side (const load_sample_t *sample, const unsigned *sides,
+                       unsigned side, unsigned accounts)
 {
   unsigned waiting = 0;
 
@@ -126,14 +129,14 @@
 fair_min_waiting (const GPtrArray *samples, const unsigned *sides,
                   unsigned side, unsigned accounts, guint count)
 {
-  unsigned least = G_MAXUINT;
+  unsigned min = G_MAXUINT;
 
   if (samples->len < count || count == 0)
     return 0;
   for (guint i = samples->len - count; i < samples->len; i++)
-    least
-        = MIN (least, side_waiting (samples->pdata[i], sides, side, accounts));
-  return least;
+    min = MIN (
+        min, count_waiting_on_side (samples->pdata[i], sides, side, accounts));
+  return min;
 }
 
 double
@@ -193,7 +196,7 @@
 }
 
 static gint
-compare (gconstpointer a, gconstpointer b)
+compare_floats (gconstpointer a, gconstpointer b)
 {
   float left = *(const float *)a;
   float right = *(const float *)b;
@@ -206,7 +209,7 @@
 {
   if (values->len == 0)
     return 0;
-  g_array_sort (values, compare);
+  g_array_sort (values, compare_floats);
   guint index = (guint)(share * (values->len - 1) + 0.5);
   return (double)g_array_index (values, float, index);
 }
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -1,5 +1,6 @@
-/* make measure: runs a deployment under load with each policy and several
-   seeds, a few runs side by side, and prints the medians.  */
+/* Measurement: runs a deployment under load with each policy and several
+   seeds, a few runs at a time, and prints the medians.  Used by `make
+   measure'.  */
 
 #include "measure-jobs.h"
 #include <stdio.h>
@@ -8,9 +9,9 @@
 #include <sys/prctl.h>
 #include <signal.h>
 
-#define RUNS_MAX 512
+#define MAX_RUNS 512
 
-static const char *const names[FIGURE_COUNT]
+static const char *const figure_names[FIGURE_COUNT]
     = { [FIGURE_FAIRNESS_GAP] = "fairness_gap_tokens",
         [FIGURE_STEADY_GAP] = "fairness_gap_steady_tokens",
         [FIGURE_STARTED_GAP] = "fairness_gap_started_tokens",
@@ -25,9 +26,9 @@
         [FIGURE_TTFT_ALL] = "ttft_all_p95_ms",
         [FIGURE_ITL] = "itl_p95_ms",
         [FIGURE_TOKENS] = "tokens_per_second",
-        [FIGURE_OUT_LAST_NEW] = "zone_out_last_new_work_s",
-        [FIGURE_OUT_RATIO] = "zone_out_served_ratio",
-        [FIGURE_BACK_RATIO] = "zone_back_served_ratio",
+        [FIGURE_ZONE_OUT_LAST_START] = "zone_out_last_new_work_s",
+        [FIGURE_ZONE_OUT_RATIO] = "zone_out_served_ratio",
+        [FIGURE_ZONE_BACK_RATIO] = "zone_back_served_ratio",
         [FIGURE_DURING_GAP] = "fairness_gap_during_tokens",
         [FIGURE_AFTER_GAP] = "fairness_gap_after_tokens",
         [FIGURE_RECOVERY] = "recovery_s",
@@ -39,8 +40,8 @@
         [FIGURE_AFTER_TOKENS] = "tokens_after_per_second",
         [FIGURE_OVERLOADS] = "overload_count",
         [FIGURE_OVERLOADS_GRACE] = "overload_in_grace",
-        [FIGURE_WRONG] = "wrong_answers",
-        [FIGURE_DOUBLE] = "double_runs",
+        [FIGURE_WRONG_ANSWERS] = "wrong_answers",
+        [FIGURE_DUPLICATE_RUNS] = "double_runs",
         [FIGURE_FALSE_NOT_RUN] = "false_not_run",
         [FIGURE_REQUESTS] = "requests",
         [FIGURE_REFUSED] = "refused",
@@ -54,10 +55,10 @@
 const char *
 figure_name (figure_t figure)
 {
-  return names[figure];
+  return figure_names[figure];
 }
 
-/* ---- one run in this process ---- */
+/* ---- single run in this process ---- */
 
 static void
 print_json (const measure_run_t *run)
@@ -70,13 +71,13 @@
           options->profile, options->event, (int)options->seed,
           one ? "fleet" : options->policy, one ? 1 : options->routers);
   for (int i = 0; i < FIGURE_COUNT; i++)
-    printf (",\"%s\":%.6g", names[i], run->figures[i]);
+    printf (",\"%s\":%.6g", figure_names[i], run->figures[i]);
   printf ("}\n");
   fflush (stdout);
 }
 
 static int
-run_one (const measure_options_t *options)
+run_single (const measure_options_t *options)
 {
   measure_run_t run = { .options = *options };
 
@@ -97,22 +98,23 @@
   return (left > right) - (left < right);
 }
 
-/* Median and greatest of FIGURE over the good runs of POLICY.  */
+/* Returns the median and sets the maximum of FIGURE over the good runs of
+   POLICY.  */
 static double
 median (const job_t *jobs, unsigned count, const char *policy, int figure,
-        double *most)
+        double *max)
 {
-  double values[RUNS_MAX];
+  double values[MAX_RUNS];
   size_t found = 0;
 
   for (unsigned i = 0; i < count; i++)
     if (jobs[i].good && strcmp (jobs[i].options.policy, policy) == 0)
       values[found++] = jobs[i].figures[figure];
-  *most = 0;
+  *max = 0;
   if (found == 0)
     return 0;
   qsort (values, found, sizeof *values, compare);
-  *most = values[found - 1];
+  *max = values[found - 1];
   return found % 2 == 1 ? values[found / 2]
                         : (values[found / 2 - 1] + values[found / 2]) / 2;
 }
@@ -135,13 +137,12 @@
   printf ("\n");
   for (int figure = 0; figure < FIGURE_COUNT; figure++)
     {
-      printf ("%-30s", names[figure]);
+      printf ("%-30s", figure_names[figure]);
       for (unsigned i = 0; i < G_N_ELEMENTS (policies); i++)
         {
-          double most;
-          double middle = median (jobs, count, policies[i], figure, &most);
-          g_autofree char *text
-              = g_strdup_printf ("%.5g (%.5g)", middle, most);
+          double max;
+          double middle = median (jobs, count, policies[i], figure, &max);
+          g_autofree char *text = g_strdup_printf ("%.5g (%.5g)", middle, max);
           printf (" %22s", text);
         }
       printf ("\n");
@@ -151,11 +152,11 @@
 static int
 run_many (const measure_options_t *options)
 {
-  static job_t jobs[RUNS_MAX];
+  static job_t jobs[MAX_RUNS];
   unsigned count = 0;
 
   for (int seed = 0; seed < options->seeds; seed++)
-    for (unsigned i = 0; i < G_N_ELEMENTS (policies) && count < RUNS_MAX; i++)
+    for (unsigned i = 0; i < G_N_ELEMENTS (policies) && count < MAX_RUNS; i++)
       if (strcmp (options->policy, "all") == 0
           || strcmp (options->policy, policies[i]) == 0)
         {
@@ -163,7 +164,7 @@
           jobs[count].options.policy = (char *)policies[i];
           jobs[count++].options.seed = options->seed + seed;
         }
-  unsigned good = jobs_run_all (jobs, count, (unsigned)options->jobs);
+  unsigned good = jobs_run_all (jobs, count, (unsigned)options->max_running);
   print_table (options, jobs, count);
   return good == count && count > 0 ? 0 : 1;
 }
@@ -174,10 +175,10 @@
   measure_options_t options = { .seed = 1,
                                 .seeds = 5,
                                 .accounts = 16,
-                                .seconds = 14,
-                                .warm = 8,
-                                .held = 100,
-                                .jobs = 3 };
+                                .measured_s = 14,
+                                .warmup_s = 8,
+                                .held_percent = 100,
+                                .max_running = 3 };
   const GOptionEntry entries[] = {
     { "profile", 0, 0, G_OPTION_ARG_STRING, &options.profile,
       "saeng-ruang, adfer, regions, data-path or scale", "NAME" },
@@ -196,23 +197,22 @@
       "routers; 0 is the profile's number", "N" },
     { "accounts", 0, 0, G_OPTION_ARG_INT, &options.accounts,
       "client accounts, a multiple of 16", "N" },
-    { "idle", 0, 0, G_OPTION_ARG_INT, &options.idle,
+    { "idle", 0, 0, G_OPTION_ARG_INT, &options.idle_accounts,
       "more accounts, without requests", "N" },
     { "models", 0, 0, G_OPTION_ARG_INT, &options.models,
       "model endpoints; 0 is the profile's number", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &options.seconds,
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &options.measured_s,
       "measured seconds of a run", "N" },
-    { "warm", 0, 0, G_OPTION_ARG_INT, &options.warm, "seconds before them",
-      "N" },
-    { "held", 0, 0, G_OPTION_ARG_INT, &options.held,
+    { "warm", 0, 0, G_OPTION_ARG_INT, &options.warmup_s,
+      "seconds of warm-up before them", "N" },
+    { "held", 0, 0, G_OPTION_ARG_INT, &options.held_percent,
       "requests held at once, in percent of the profile's", "N" },
-    { "jobs", 0, 0, G_OPTION_ARG_INT, &options.jobs, "runs side by side",
-      "N" },
+    { "jobs", 0, 0, G_OPTION_ARG_INT, &options.max_running,
+      "runs side by side", "N" },
     { "exact-hints", 0, 0, G_OPTION_ARG_NONE, &options.exact_hints,
       "requests tell the true length of their answers", NULL },
     { "cold-again", 0, 0, G_OPTION_ARG_NONE, &options.cold_again,
-      "two engines turn cold in the steady part, one lies about its load",
-      NULL },
+      "two engines turn cold in the steady part, one reports no load", NULL },
     { "json", 0, 0, G_OPTION_ARG_NONE, &options.json,
       "also one JSON object a line for each run", NULL },
     { "keep", 0, 0, G_OPTION_ARG_NONE, &options.keep,
@@ -221,7 +221,7 @@
       "also the growth of the nodes' counters in the steady part", NULL },
     { "samples", 0, 0, G_OPTION_ARG_FILENAME, &options.samples,
       "with --one: write the service of each account over time", "FILE" },
-    { "one", 0, 0, G_OPTION_ARG_NONE, &options.one,
+    { "one", 0, 0, G_OPTION_ARG_NONE, &options.single_run,
       "a single run, in this process", NULL },
     { NULL }
   };
@@ -251,7 +251,7 @@
   options.routers = CLAMP (options.routers, 1, 64);
   if (strcmp (options.profile, "data-path") == 0)
     return measure_run_path (&options) ? 0 : 1;
-  if (strcmp (options.profile, "scale") == 0 && !options.one)
+  if (strcmp (options.profile, "scale") == 0 && !options.single_run)
     return measure_run_scale (&options) ? 0 : 1;
-  return options.one ? run_one (&options) : run_many (&options);
+  return options.single_run ? run_single (&options) : run_many (&options);
 }
