--- a/libcoltsfootdrum/admin/admin.c
+++ b/libcoltsfootdrum/admin/admin.c
@@ -84,7 +84,7 @@
                                       NULL))
     {
       web_respond_problem (
-          request, 400, "Invalid sequence",
+          request, 400, "Bad sequence",
           "since must be a whole number; leave it out for all", "not-run", -1);
       return;
     }
@@ -99,9 +99,8 @@
   const char *path = web_get_path (request);
 
   if (!g_str_equal (web_get_method (request), "GET"))
-    web_respond_problem (request, 405, "Method not allowed",
-                         "the admin port is read-only; use GET", "not-run",
-                         -1);
+    web_respond_problem (request, 405, "Only GET",
+                         "the admin port changes nothing", "not-run", -1);
   else if (g_str_equal (path, "/healthz"))
     respond_text (request, 200, "text/plain", "ok\n");
   else if (g_str_equal (path, "/readyz"))
@@ -114,9 +113,9 @@
     respond_events (admin, request);
   else
     web_respond_problem (
-        request, 404, "Not found",
-        "the pages are /healthz, /readyz, /metrics, /status, /events",
-        "not-run", -1);
+        request, 404, "No such page",
+        "there are /healthz, /readyz, /metrics, /status, /events", "not-run",
+        -1);
 }
 
 admin_t *
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -124,9 +124,9 @@
 get_detail (fetch_t *fetch, CURLcode code)
 {
   if (fetch->timed_out_idle)
-    return "no byte was received within the idle timeout";
+    return "no byte came within the silence limit";
   if (fetch->too_large)
-    return "the response body exceeds the client's size limit";
+    return "the answer is larger than the client takes";
   if (fetch->error[0] != '\0')
     return fetch->error;
   return code == CURLE_OK ? "" : curl_easy_strerror (code);
--- a/libcoltsfootdrum/http/web.c
+++ b/libcoltsfootdrum/http/web.c
@@ -124,16 +124,16 @@
 {
   web_respond_problem (
       request, MHD_HTTP_CONTENT_TOO_LARGE, "Request too large",
-      "The body exceeds the size limit; send a smaller one.", "not-run", -1);
+      "The body is over the limit; send a smaller one.", "not-run", -1);
 }
 
 static void
 refuse_over_memory_limit (web_request_t *request)
 {
-  web_respond_problem (request, MHD_HTTP_SERVICE_UNAVAILABLE,
-                       "Memory limit reached",
-                       "Too many large requests are in progress; retry later.",
-                       "not-run", MEMORY_RETRY_AFTER_S);
+  web_respond_problem (
+      request, MHD_HTTP_SERVICE_UNAVAILABLE, "No room",
+      "Too many large requests are held here; ask again later.", "not-run",
+      MEMORY_RETRY_AFTER_S);
 }
 
 /* Many large bodies at once, perhaps from one client account, must not exhaust
