--- a/libcoltsfootdrum/router/router-admin.c
+++ b/libcoltsfootdrum/router/router-admin.c
@@ -18,7 +18,7 @@
   if (router->draining)
     return "This router is shutting down.";
   if (store_get_revision (router->store) == 0)
-    return "No configuration has been read yet; check the platform.";
+    return "No configuration was read yet; check the platform.";
   return NULL;
 }
 
--- a/libcoltsfootdrum/router/router-claim.c
+++ b/libcoltsfootdrum/router/router-claim.c
@@ -54,8 +54,8 @@
     once_release (once, account, request->key);
   router_record_event (request->router, TL_CLAIM, request,
                        step->run == RUN_DONE      ? "finished"
-                       : step->run == RUN_NOT_RUN ? "released"
-                                                  : "kept: outcome unknown");
+                       : step->run == RUN_NOT_RUN ? "given back"
+                                                  : "left: outcome unknown");
 }
 
 /* ---- claims of new requests ---- */
@@ -73,8 +73,8 @@
                  answer->body, strlen (answer->body));
   else
     web_respond_problem (
-        request->web, 409, "Already completed",
-        "The request with this key was run; its answer could not be stored.",
+        request->web, 409, "Already done",
+        "The request with this key ran; its answer could not be kept.",
         "unknown", -1);
   request->web = NULL;
 }
@@ -88,32 +88,30 @@
       replay_answer (request, answer);
       return;
     case ONCE_RUNNING:
-      request_refuse (
-          request, REFUSED_CLAIM_CONFLICT, 409, "Request in progress",
-          "A request with this key is running or its outcome is not "
-          "known; retry with the same key.",
-          RUN_UNKNOWN, CLAIM_RETRY_AFTER_S);
+      request_refuse (request, REFUSED_CLAIM_CONFLICT, 409, "Already asked",
+                      "A request with this key is running or its outcome is "
+                      "not known; ask again with the same key.",
+                      RUN_UNKNOWN, CLAIM_RETRY_AFTER_S);
       return;
     case ONCE_OUTCOME_UNKNOWN:
       request_refuse (
           request, REFUSED_CLAIM_CONFLICT, 409, "Outcome unknown",
-          "A request with this key was sent to a router that is gone; "
-          "check whether it ran before you send it with another key.",
+          "A request with this key was given to a router that went away; find "
+          "out whether it ran before you send it with another key.",
           RUN_UNKNOWN, -1);
       return;
     case ONCE_KEY_REUSED:
       request_refuse (
-          request, REFUSED_CLAIM_CONFLICT, 422, "Key already used",
+          request, REFUSED_CLAIM_CONFLICT, 422, "Key used before",
           "This Idempotency-Key belongs to another request; choose a new "
           "one.",
           RUN_NOT_RUN, -1);
       return;
     default:
       request_refuse (
-          request, REFUSED_PLATFORM_DOWN, 503, "Platform unavailable",
-          "This call was not run, because its key cannot be claimed; an "
-          "earlier one with the same key may have been.  Retry with the same "
-          "key.",
+          request, REFUSED_PLATFORM_DOWN, 503, "Platform is down",
+          "This call was not run, for its key can't be claimed; an earlier "
+          "one with the same key may have been.  Ask again with it.",
           RUN_NOT_RUN, PLATFORM_RETRY_AFTER_S);
       return;
     }
@@ -132,7 +130,7 @@
     }
   router_record_event (request->router, TL_CLAIM, request,
                        answer->claim_status == ONCE_CLAIMED ? "made"
-                                                            : "not made");
+                                                            : "not ours");
   if (answer->claim_status == ONCE_CLAIMED)
     {
       request->claimed = true;
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -223,13 +223,13 @@
       || service->u.service.is_model != call->is_model)
     {
       refuse (router, web, REFUSED_BAD_REQUEST, 404, "Unknown service",
-              "Name a service that is configured.", -1);
+              "Name a service that the operators have set up.", -1);
       return NULL;
     }
   if (!agents_has_endpoint_for (router, call->service))
     {
       refuse (router, web, REFUSED_NO_CAPACITY, 503, "No capacity",
-              "The service has no endpoint at present; retry later.",
+              "The service has no endpoint at present; ask again later.",
               CAPACITY_RETRY_AFTER_S);
       return NULL;
     }
@@ -299,7 +299,7 @@
   web_set_response_header (web, "X-Request-Id", name);
   if (store_get_revision (router->store) == 0)
     refuse (router, web, REFUSED_NO_CAPACITY, 503, "Not ready",
-            "This router has no configuration yet; retry later.",
+            "This router has no configuration yet; ask again.",
             CONFIG_RETRY_AFTER_S);
   else if (strcmp (path, "/v1/chat/completions") == 0
            || strcmp (path, "/v1/completions") == 0)
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -307,7 +307,7 @@
   g_autofree char *detail = g_strdup_printf (
       "to %s: %s, virtual_time=%.0f attempt=%u", request->agent->name,
       grant != 0 ? "it offered a slot to the account that got least"
-                 : "it is the least loaded agent that this router knows",
+                 : "it has the least load known here",
       virtual_time, request->attempts);
 
   router_record_event (router, TL_ASSIGN, request, detail);
--- a/libcoltsfootdrum/router/router-request.c
+++ b/libcoltsfootdrum/router/router-request.c
@@ -69,14 +69,12 @@
 refuse_unserved (request_t *request, req_event_t event, req_run_t run)
 {
   if (event == REQ_EV_SHUTDOWN)
-    request_refuse (
-        request, REFUSED_SHUTDOWN, 503, "Shutting down",
-        "This router is shutting down; send the request to another one.", run,
-        SHUTDOWN_RETRY_AFTER_S);
+    request_refuse (request, REFUSED_SHUTDOWN, 503, "Shutting down",
+                    "This router is going away; ask another one.", run,
+                    SHUTDOWN_RETRY_AFTER_S);
   else
-    request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504,
-                    "Deadline exceeded",
-                    "No slot became free in time; retry later.", run,
+    request_refuse (request, REFUSED_DEADLINE_EXCEEDED, 504, "Waited too long",
+                    "No slot came free in time; ask again later.", run,
                     request->item.retry_after_s);
 }
 
@@ -91,12 +89,11 @@
                             : "failed: the agent was lost");
   if (request->web == NULL)
     return;
-  web_respond_problem (
-      request->web, stop ? 503 : 502,
-      stop ? "Shutting down" : "Connection to the endpoint lost",
-      "The request was sent to an endpoint and its outcome is not "
-      "known; it may have run.",
-      "unknown", -1);
+  web_respond_problem (request->web, stop ? 503 : 502,
+                       stop ? "Shutting down" : "Lost on the way",
+                       "The request was given to an endpoint and its outcome "
+                       "is not known; it may have run.",
+                       "unknown", -1);
   request->web = NULL;
 }
 
@@ -104,7 +101,7 @@
 truncate_answer (request_t *request)
 {
   request->router->counters.truncated++;
-  router_record_event (request->router, TL_END, request, "answer cut off");
+  router_record_event (request->router, TL_END, request, "broken off");
   if (request->web == NULL)
     return;
   web_stream_end (request->web, false);
@@ -171,7 +168,7 @@
 {
   request_refuse (
       request, REFUSED_QUEUE_FULL, 429, "Queue full",
-      "The client account has too many requests waiting; retry later.",
+      "The client account has too many requests waiting; ask again later.",
       RUN_NOT_RUN, retry_after_s);
 }
 
@@ -314,8 +311,7 @@
       return;
     case REQ_DO_DROP:
       router->counters.callers_gone++;
-      router_record_event (router, TL_END, request,
-                           "the caller has disconnected");
+      router_record_event (router, TL_END, request, "the caller has left");
       return;
     case REQ_DO_REPORT_BUG:
       INVARIANT ("request-life", false, req_state_name (request->state));
