--- a/libcoltsfootdrum/relay/plc.c
+++ b/libcoltsfootdrum/relay/plc.c
@@ -8,7 +8,7 @@
 #define ATTENTION_PAIRS_PER_TOKEN 25000.
 /* Added for an endpoint that is not the home of a prompt, so that routers
    without information about caches choose the same endpoint.  */
-#define NOT_HOME_COST_MS 8.
+#define NOT_PREFERRED_COST_MS 8.
 /* Added for running requests, in proportion to the load: engines generate
    their tokens between the chunks of a new request's prompt.  */
 #define FULL_LOAD_COST_MS 60.
@@ -121,7 +121,7 @@
          + MISSING_PREFIX_WEIGHT * request->ms_per_token
                * endpoint->missing_tokens
          + compute_load (endpoint) * FULL_LOAD_COST_MS
-         + (endpoint->is_home ? 0. : NOT_HOME_COST_MS)
+         + (endpoint->is_preferred ? 0. : NOT_PREFERRED_COST_MS)
          + (endpoint->in_other_zone ? request->other_zone_cost_ms : 0.);
 }
 
--- a/libcoltsfootdrum/relay/plc.h
+++ b/libcoltsfootdrum/relay/plc.h
@@ -26,7 +26,7 @@
   double fetch_ms;           /* time to copy a cached prefix from elsewhere */
   double context_tokens;     /* KV cache used by running requests */
   double kv_capacity_tokens; /* size of the KV cache; 0: unknown */
-  bool is_home; /* preferred by all routers for prompts with this prefix */
+  bool is_preferred;  /* the preferred endpoint of the prompt's prefix */
   bool in_other_zone; /* not in the router's availability zone */
 } plc_endpoint_t;
 
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -132,10 +132,10 @@
 /* Returns the endpoint that all routers prefer for prompts with this shared
    prefix, by rendezvous hashing.  */
 static const edp_t *
-find_home (const rly_round_t *round, const pfx_prompt_t *prompt)
+find_preferred_endpoint (const rly_round_t *round, const pfx_prompt_t *prompt)
 {
   uint64_t prefix_id = pfx_prompt_get_shared_id (prompt);
-  const edp_t *home = NULL;
+  const edp_t *preferred = NULL;
   uint64_t best = 0;
 
   for (guint i = 0; prefix_id != 0 && i < round->count; i++)
@@ -144,13 +144,13 @@
       uint64_t score
           = XXH3_64bits_withSeed (&edp->hash, sizeof edp->hash, prefix_id);
 
-      if (home == NULL || score > best)
+      if (preferred == NULL || score > best)
         {
-          home = edp;
+          preferred = edp;
           best = score;
         }
     }
-  return home;
+  return preferred;
 }
 
 /* Returns the milliseconds that an endpoint needs to copy TOKENS of a cached
@@ -196,7 +196,8 @@
 {
   const pfx_prompt_t *prompt = request->prompt;
   bool affinity = rly_is_enabled (round->rly, MECH_PREFIX_AFFINITY);
-  const edp_t *home = affinity ? find_home (round, prompt) : NULL;
+  const edp_t *preferred
+      = affinity ? find_preferred_endpoint (round, prompt) : NULL;
   double shared = pfx_prompt_count_shared_tokens (prompt);
 
   round->source = 0;
@@ -212,7 +213,7 @@
       set_prefill_work (round, prompt, i);
       round->loads[i].missing_tokens
           = affinity ? shared - round->cached_tokens[i] : 0.;
-      round->loads[i].is_home = round->endpoints[i] == home;
+      round->loads[i].is_preferred = round->endpoints[i] == preferred;
     }
   return round->count > 0
          && round->cached_tokens[round->source]
