--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -24,7 +24,7 @@
   char *name;
   uint64_t incarnation;
   uint64_t number; /* sequence number of its newest datagram */
-  cfd_time_t last_heard;
+  cfd_time_t last_received_at;
   int64_t stable_ms;
   int64_t revisions[PAL_LIST_COUNT];
   int64_t ages[PAL_LIST_COUNT]; /* at ages_received_at; -1: not known */
--- a/libcoltsfootdrum/relay/pal-receive.c
+++ b/libcoltsfootdrum/relay/pal-receive.c
@@ -303,7 +303,7 @@
     goto out;
   peer->incarnation = items[2].via.u64;
   peer->number = items[3].via.u64;
-  peer->last_heard = now;
+  peer->last_received_at = now;
   receive_loads (pal, peer, &items[5].via.array, items[4].via.u64 != 0);
   receive_usage (pal, peer, now, &items[6].via.array);
   receive_prefixes (pal, now, &items[7].via.array);
--- a/libcoltsfootdrum/relay/pal.c
+++ b/libcoltsfootdrum/relay/pal.c
@@ -229,7 +229,7 @@
     {
       pal_peer_t *peer = data;
 
-      if (now - peer->last_heard <= PEER_TIMEOUT_MS)
+      if (now - peer->last_received_at <= PEER_TIMEOUT_MS)
         continue;
       log_info ("peers", "A peer timed out: router=%s.", peer->name);
       pal_subtract_peer (pal, peer);
@@ -301,7 +301,7 @@
     {
       const pal_peer_t *peer = data;
 
-      if (now - peer->last_heard <= PEER_REPORT_VALID_MS)
+      if (now - peer->last_received_at <= PEER_REPORT_VALID_MS)
         max_stable_ms = MAX (max_stable_ms, peer->stable_ms);
     }
   return max_stable_ms;
@@ -327,7 +327,7 @@
     {
       const pal_peer_t *peer = data;
 
-      if (now - peer->last_heard <= PEER_REPORT_VALID_MS)
+      if (now - peer->last_received_at <= PEER_REPORT_VALID_MS)
         max_revision = MAX (max_revision, peer->revisions[list]);
     }
   return max_revision;
--- a/libcoltsfootdrum/router/test-router-config.c
+++ b/libcoltsfootdrum/router/test-router-config.c
@@ -282,7 +282,7 @@
 }
 
 static bool
-below_was_told (void *user)
+below_was_notified (void *user)
 {
   fake_peer_t *below
       = g_hash_table_lookup (((fixture_t *)user)->fake_peers, BELOW);
@@ -299,7 +299,8 @@
   start_router (f);
   sp_test_write (&f->test, ZONE, "z", OUT);
   show_revision (f, start_peer (f, ABOVE, f->test.loop));
-  g_assert_cmpint (run_until (f, below_was_told), <, SPREAD_ASK_PEER_AFTER_MS);
+  g_assert_cmpint (run_until (f, below_was_notified), <,
+                   SPREAD_ASK_PEER_AFTER_MS);
   g_assert_true (store_is_zone_out (f->router->store, "z"));
 }
 
