--- a/libcoltsfootdrum/admit/adm.h
+++ b/libcoltsfootdrum/admit/adm.h
@@ -65,7 +65,7 @@
 adm_item_t *adm_dequeue_allowed (
     adm_t *adm, const char *account, const char *service, cfd_time_t now,
     bool (*is_allowed) (void *user, const adm_item_t *item), void *user);
-/* Tells whether an item is waiting for which IS_ALLOWED returns true.  */
+/* Returns whether an item is waiting for which IS_ALLOWED returns true.  */
 bool adm_has_allowed (const adm_t *adm, const char *account,
                       const char *service,
                       bool (*is_allowed) (void *user, const adm_item_t *item),
--- a/libcoltsfootdrum/base/list.h
+++ b/libcoltsfootdrum/base/list.h
@@ -39,7 +39,8 @@
   return head->next == head;
 }
 
-/* Whether NODE is in a list; NODE must have been initialized by list_init.  */
+/* Returns whether NODE is in a list; NODE must have been initialized by
+   list_init.  */
 static inline bool
 list_is_linked (const list_node_t *node)
 {
--- a/libcoltsfootdrum/base/log.c
+++ b/libcoltsfootdrum/base/log.c
@@ -74,7 +74,8 @@
   return false;
 }
 
-/* Whether every JSON line has a member NAME, which a field would duplicate. */
+/* Returns whether every JSON line has a member NAME, which a field would
+   duplicate.  */
 static bool
 is_reserved_member (const char *name)
 {
@@ -273,8 +274,8 @@
   g_log_set_writer_func (write_log, NULL, NULL);
 }
 
-/* Whether a line of FORMAT may be written now.  *SUPPRESSED receives the
-   number of lines suppressed since the last one written.  */
+/* Returns whether a line of FORMAT may be written now.  *SUPPRESSED receives
+   the number of lines suppressed since the last one written.  */
 static bool
 check_rate_limit (const char *format, unsigned *suppressed)
 {
--- a/libcoltsfootdrum/config/rec.c
+++ b/libcoltsfootdrum/config/rec.c
@@ -182,9 +182,10 @@
   return NULL;
 }
 
-/* Whether PATH, without its query, begins with PREFIX.  A path with ".." never
-   matches: the endpoint could resolve it to a path outside of the prefix, and
-   a request that must not be repeated would be taken for one that may.  */
+/* Returns whether PATH, without its query, begins with PREFIX.  A path with
+   ".." never matches: the endpoint could resolve it to a path outside of the
+   prefix, and a request that must not be repeated would be taken for one that
+   may.  */
 static bool
 path_matches (const char *path, const char *prefix)
 {
--- a/libcoltsfootdrum/config/rec.h
+++ b/libcoltsfootdrum/config/rec.h
@@ -114,9 +114,9 @@
 const char *rec_kind_name (rec_kind_t kind);
 bool rec_kind_parse (const char *text, rec_kind_t *kind);
 
-/* Whether a request of METHOD on PATH may be repeated.  Requests to model
-   services always may; those to plain services only if the first rule that
-   matches says so.  */
+/* Returns whether a request of METHOD on PATH may be repeated.  Requests to
+   model services always may; those to plain services only if the first rule
+   that matches says so.  */
 bool rec_service_is_idempotent (const rec_service_t *service,
                                 const char *method, const char *path);
 
@@ -125,8 +125,8 @@
 unsigned rec_service_get_class_rank (const rec_service_t *service,
                                      const char *name);
 
-/* Whether KEY is one of the account's keys.  Each hash is compared in constant
-   time.  */
+/* Returns whether KEY is one of the account's keys.  Each hash is compared in
+   constant time.  */
 bool rec_account_has_key (const rec_account_t *account, const char *key);
 /* Returns the hash of KEY as it is stored in records; free with g_free.  */
 char *rec_hash_key_to_hex (const char *key);
--- a/libcoltsfootdrum/config/spread.h
+++ b/libcoltsfootdrum/config/spread.h
@@ -51,7 +51,7 @@
                            role_t role, const char *self,
                            spread_position_t *position);
 
-/* Whether instance A ranks before B by the hash of their names.  */
+/* Returns whether instance A ranks before B by the hash of their names.  */
 bool spread_ranks_before (const char *a, const char *b);
 
 bool spread_is_watcher (const spread_position_t *position);
--- a/libcoltsfootdrum/config/store-impl.h
+++ b/libcoltsfootdrum/config/store-impl.h
@@ -63,7 +63,7 @@
 /* Returns the newest text of ENTRY; free with g_free.  */
 char *store_entry_get_text (const store_entry_t *entry);
 
-/* Whether processes of ROLE keep records of KIND.  */
+/* Returns whether processes of ROLE keep records of KIND.  */
 bool store_role_keeps_kind (role_t role, rec_kind_t kind);
 
 /* Applies one object, unless it is not newer than the known one.  Returns its
--- a/libcoltsfootdrum/config/store-pieces.c
+++ b/libcoltsfootdrum/config/store-pieces.c
@@ -133,8 +133,8 @@
          && (a->kind == 0 || g_strcmp0 (a->name, b->name) == 0);
 }
 
-/* Whether PART continues the current snapshot at the position reached.  The
-   first piece of another snapshot is accepted too, and begins that one, if
+/* Returns whether PART continues the current snapshot at the position reached.
+   The first piece of another snapshot is accepted too, and begins that one, if
    there is none or the current one has stalled.  */
 static bool
 accept_piece (store_t *store, const msg_config_part_t *part, cfd_time_t now)
--- a/libcoltsfootdrum/config/store.c
+++ b/libcoltsfootdrum/config/store.c
@@ -174,8 +174,8 @@
   entry->revision = record->revision;
 }
 
-/* Whether OBJECT is an account in a process that keeps none.  Checked before
-   parsing, which takes most of the time and memory.  */
+/* Returns whether OBJECT is an account in a process that keeps none.  Checked
+   before parsing, which takes most of the time and memory.  */
 static bool
 is_skipped_account (const store_t *store, JsonObject *object)
 {
--- a/libcoltsfootdrum/config/store.h
+++ b/libcoltsfootdrum/config/store.h
@@ -47,12 +47,12 @@
    its memory.  Its revision still advances with their changes, so that it can
    tell whether it is behind a peer.  */
 void store_set_self (store_t *store, role_t role, const char *instance);
-/* Whether to send a CONFIG_ASK to a peer now, because no update came for a
-   while or a peer is known to have a newer revision.  Call it every second.
-   False while the process watches the platform.  */
+/* Returns whether to send a CONFIG_ASK to a peer now, because no update came
+   for a while or a peer is known to have a newer revision.  Call it every
+   second.  False while the process watches the platform.  */
 bool store_should_ask_peer (const store_t *store, cfd_time_t now);
-/* Whether the fleet is so large that most processes get changes only from
-   peers.  */
+/* Returns whether the fleet is so large that most processes get changes only
+   from peers.  */
 bool store_is_fleet_large (const store_t *store);
 /* Records that a peer has REVISION, as a frame of it showed.  */
 void store_record_peer_revision (store_t *store, uint64_t revision,
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -43,7 +43,8 @@
   sp_model_free (model);
 }
 
-/* Whether the part that FROM makes for a peer of ROLE has a record of KIND. */
+/* Returns whether the part that FROM makes for a peer of ROLE has a record of
+   KIND.  */
 static bool
 part_has_kind (const store_t *from, role_t role, uint64_t have,
                const char *kind)
--- a/libcoltsfootdrum/config/witness.h
+++ b/libcoltsfootdrum/config/witness.h
@@ -19,8 +19,8 @@
 
 #define WITNESS_PER_ZONE 2u
 
-/* Whether the router SELF is a witness for AGENT; ROUTERS is an array of
-   store_instance_t.  */
+/* Returns whether the router SELF is a witness for AGENT; ROUTERS is an array
+   of store_instance_t.  */
 bool witness_is_selected (const GPtrArray *routers, const char *self,
                           const char *agent);
 /* Counts the zones that have a router in ROUTERS which isn't leaving.  */
--- a/libcoltsfootdrum/ctl/ctl-logs.c
+++ b/libcoltsfootdrum/ctl/ctl-logs.c
@@ -149,9 +149,9 @@
   return scope;
 }
 
-/* Whether LINE belongs to no request and may show the cause of the outcome: it
-   concerns an endpoint of the request, on any instance, or the state of one of
-   the request's instances.  */
+/* Returns whether LINE belongs to no request and may show the cause of the
+   outcome: it concerns an endpoint of the request, on any instance, or the
+   state of one of the request's instances.  */
 static bool
 is_possible_cause (const line_t *line, const request_scope_t *scope)
 {
--- a/libcoltsfootdrum/ctl/ctl.h
+++ b/libcoltsfootdrum/ctl/ctl.h
@@ -106,7 +106,7 @@
 /* Sets a member of SPEC from WORD, which is MEMBER=VALUE.  Dots in MEMBER name
    a nested member.  VALUE is JSON, or taken as a string if it isn't.  */
 bool ctl_spec_assign (JsonObject *spec, const char *word, GError **error);
-/* Whether the daemons would accept SPEC.  */
+/* Returns whether the daemons would accept SPEC.  */
 bool ctl_spec_check (const char *kind, const char *name, JsonObject *spec,
                      GError **error);
 /* Returns the word of WORDS (NULL-terminated) with the smallest edit distance
--- a/libcoltsfootdrum/dispatch/disp-entry.c
+++ b/libcoltsfootdrum/dispatch/disp-entry.c
@@ -184,7 +184,7 @@
   g_array_set_size (entry->views, entry->fanout);
 }
 
-/* Tells whether AGENT must be sent ENTRY, which it is at least once each
+/* Returns whether AGENT must be sent ENTRY, which it is at least once each
    REFRESH_MS.  */
 static bool
 needs_update (const service_t *service, const entry_t *entry,
--- a/libcoltsfootdrum/dispatch/pick.c
+++ b/libcoltsfootdrum/dispatch/pick.c
@@ -8,7 +8,7 @@
 /* Usual round trips that an answer may take beyond PICK_ANSWER_TIMEOUT_MS.  */
 #define ALLOWED_ROUND_TRIPS 2
 
-/* Tells whether the router let a grant expire or its answer is overdue.  */
+/* Returns whether the router let a grant expire or its answer is overdue.  */
 static bool
 router_is_unresponsive (const router_t *router, cfd_time_t now)
 {
--- a/libcoltsfootdrum/dispatch/pick.h
+++ b/libcoltsfootdrum/dispatch/pick.h
@@ -62,7 +62,7 @@
 unsigned pick_expire_grants (pick_t *pick, cfd_time_t now);
 /* Counts the waiting requests that are not covered by a grant.  */
 unsigned pick_count_waiting (const pick_t *pick);
-/* Tells whether that count is above 0; cheaper than counting.  */
+/* Returns whether that count is above 0; cheaper than counting.  */
 bool pick_has_waiting (const pick_t *pick);
 /* Returns the difference between the greatest and the least virtual time of
    the accounts with waiting work.  */
--- a/libcoltsfootdrum/dispatch/view.h
+++ b/libcoltsfootdrum/dispatch/view.h
@@ -27,16 +27,16 @@
 
 void view_update (view_t *view, const msg_waiting_t *waiting, cfd_time_t now);
 
-/* Tells whether VIRTUAL_TIME lags so far behind the agent's estimate that the
-   agent would pass over the account.  An account ahead of the estimate needs
-   no update: the agent's next grant for it is declined with the new value,
-   which costs one frame instead of one to each agent.  */
+/* Returns whether VIRTUAL_TIME lags so far behind the agent's estimate that
+   the agent would pass over the account.  An account ahead of the estimate
+   needs no update: the agent's next grant for it is declined with the new
+   value, which costs one frame instead of one to each agent.  */
 bool view_is_behind (const view_t *view, double virtual_time,
                      double tokens_per_ms, cfd_time_t now);
 
-/* Tells whether the agent must be sent WAITING: it does not know of the work,
-   still lists work that is gone, would pass over the account, or was last
-   updated REFRESH_MS ago and will let the entry expire.  */
+/* Returns whether the agent must be sent WAITING: it does not know of the
+   work, still lists work that is gone, would pass over the account, or was
+   last updated REFRESH_MS ago and will let the entry expire.  */
 bool view_needs_update (const view_t *view, const msg_waiting_t *waiting,
                         double tokens_per_ms, cfd_time_t refresh_ms,
                         cfd_time_t now);
--- a/libcoltsfootdrum/events/tl.h
+++ b/libcoltsfootdrum/events/tl.h
@@ -57,7 +57,7 @@
   const char *request;
 } tl_filter_t;
 
-/* Whether REQUEST is WANTED or one of its attempts "WANTED-N".  */
+/* Returns whether REQUEST is WANTED or one of its attempts "WANTED-N".  */
 bool tl_matches_request (const char *request, const char *wanted);
 
 /* Returns a JSON array of the events after sequence SINCE that match FILTER
--- a/libcoltsfootdrum/http/fetch.c
+++ b/libcoltsfootdrum/http/fetch.c
@@ -87,7 +87,7 @@
   ev_timer_again (fetch->pool->loop, &fetch->idle_timer);
 }
 
-/* Whether any byte of the request may have been sent.  */
+/* Returns whether any byte of the request may have been sent.  */
 static bool
 may_have_been_sent (fetch_t *fetch, CURLcode code)
 {
--- a/libcoltsfootdrum/http/web-answer.c
+++ b/libcoltsfootdrum/http/web-answer.c
@@ -9,8 +9,8 @@
    stream is aborted, so that a faulty sender can't exhaust the memory.  */
 #define MAX_STREAM_BUFFER_BYTES (4u * 1024 * 1024)
 
-/* Whether MHD generates HEADER itself.  A stream's Content-Length is passed to
-   MHD by get_stream_size.  */
+/* Returns whether MHD generates HEADER itself.  A stream's Content-Length is
+   passed to MHD by get_stream_size.  */
 static bool
 is_framing_header (const char *header)
 {
--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -99,7 +99,7 @@
   return busy < slots ? slots - busy : 0;
 }
 
-/* Tells whether VALUE is over its LIMIT (0: no limit) and over FACTOR times
+/* Returns whether VALUE is over its LIMIT (0: no limit) and over FACTOR times
    this endpoint's AVERAGE.  The limit holds for the whole fleet; an endpoint
    that is always a little over it is not overloaded by one request more or
    less.  */
--- a/libcoltsfootdrum/relay/hdr.c
+++ b/libcoltsfootdrum/relay/hdr.c
@@ -76,7 +76,7 @@
   return NULL;
 }
 
-/* Whether the comma-separated LIST contains ITEM, ignoring case.  */
+/* Returns whether the comma-separated LIST contains ITEM, ignoring case.  */
 static bool
 list_contains (const char *list, const char *item)
 {
--- a/libcoltsfootdrum/relay/pal-receive.c
+++ b/libcoltsfootdrum/relay/pal-receive.c
@@ -28,7 +28,8 @@
   return g_strndup (object->via.str.ptr, object->via.str.size);
 }
 
-/* Whether OBJECT is an array of rows, each a string and NUMBERS numbers.  */
+/* Returns whether OBJECT is an array of rows, each a string and NUMBERS
+   numbers.  */
 static bool
 is_text_rows (const msgpack_object *object, unsigned numbers)
 {
@@ -43,7 +44,7 @@
   return true;
 }
 
-/* Whether OBJECT is an array of numbers, in rows of COUNT.  */
+/* Returns whether OBJECT is an array of numbers, in rows of COUNT.  */
 static bool
 is_number_rows (const msgpack_object *object, unsigned count)
 {
--- a/libcoltsfootdrum/relay/rd.c
+++ b/libcoltsfootdrum/relay/rd.c
@@ -95,8 +95,8 @@
   return parser->type == HTTP_RESPONSE && parser->status_code / 100 == 1;
 }
 
-/* Whether a message that has neither a length nor chunked encoding has no
-   body: requests, and responses with these statuses.  */
+/* Returns whether a message that has neither a length nor chunked encoding has
+   no body: requests, and responses with these statuses.  */
 static bool
 has_no_body (const http_parser *parser)
 {
--- a/libcoltsfootdrum/relay/ups.c
+++ b/libcoltsfootdrum/relay/ups.c
@@ -137,8 +137,8 @@
 
 static const rd_ops_t parser_ops = { .head = on_head, .body = on_body };
 
-/* Whether the connection can be used for another request: this one was written
-   completely, and nothing was received after its response.  */
+/* Returns whether the connection can be used for another request: this one was
+   written completely, and nothing was received after its response.  */
 static bool
 is_reusable (ups_connection_t *connection, bool has_excess_bytes)
 {
--- a/libcoltsfootdrum/router/router-answer.c
+++ b/libcoltsfootdrum/router/router-answer.c
@@ -340,9 +340,10 @@
     }
 }
 
-/* Whether a link was just closed for silence.  Several are closed in one sweep
-   before the first loss is reported.  Another link's silence may be attributed
-   to this one: its agent is then waited for longer, which does no harm.  */
+/* Returns whether a link was just closed for silence.  Several are closed in
+   one sweep before the first loss is reported.  Another link's silence may be
+   attributed to this one: its agent is then waited for longer, which does no
+   harm.  */
 static bool
 was_closed_for_silence (cfd_router_t *router, cfd_time_t now)
 {
--- a/libcoltsfootdrum/router/router-front.c
+++ b/libcoltsfootdrum/router/router-front.c
@@ -153,9 +153,9 @@
   double cost;
 } call_t;
 
-/* Whether the rules and the service certainly read the path alike.  Others,
-   such as "/past/../invoices" or the same with escapes, are not assumed to be
-   idempotent.  */
+/* Returns whether the rules and the service certainly read the path alike.
+   Others, such as "/past/../invoices" or the same with escapes, are not
+   assumed to be idempotent.  */
 static bool
 is_unambiguous_path (const char *path)
 {
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -151,8 +151,8 @@
   least->time = time;
 }
 
-/* Whether the agent's choice rests on outdated virtual times.  Up to one
-   request's cost beyond the second least is within what any order would
+/* Returns whether the agent's choice rests on outdated virtual times.  Up to
+   one request's cost beyond the second least is within what any order would
    do.  */
 static bool
 is_stale_grant (cfd_router_t *router, const msg_grant_t *grant,
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -261,17 +261,17 @@
 void agents_instances_changed (cfd_router_t *router);
 /* Recomputes which agents serve each service, if agents_changed is set.  */
 void agents_refresh_services (cfd_router_t *router);
-/* Whether new work may go to AGENT: to this router's knowledge neither the
-   agent, its endpoint nor its availability zone is leaving.  */
+/* Returns whether new work may go to AGENT: to this router's knowledge neither
+   the agent, its endpoint nor its availability zone is leaving.  */
 bool agents_accepts_work (const cfd_router_t *router, const agent_t *agent);
 /* AGENT named SERVICE as its own in a message.  */
 void agents_set_service (cfd_router_t *router, agent_t *agent,
                          const char *service);
-/* Whether REQUEST may go to AGENT: not to one that recently failed it, unless
-   there is no alternative.  */
+/* Returns whether REQUEST may go to AGENT: not to one that recently failed it,
+   unless there is no alternative.  */
 bool agents_is_eligible (const cfd_router_t *router, const agent_t *agent,
                          const request_t *request, cfd_time_t now);
-/* Whether SERVICE has an endpoint.  */
+/* Returns whether SERVICE has an endpoint.  */
 bool agents_has_endpoint_for (const cfd_router_t *router, const char *service);
 void agents_hold_link (cfd_router_t *router, agent_t *agent);
 /* Releases unused links; returns when the next one can be released.  */
--- a/libcoltsfootdrum/share/home.c
+++ b/libcoltsfootdrum/share/home.c
@@ -276,8 +276,9 @@
     }
 }
 
-/* Tells whether the report came within the refresh interval and so adds a few
-   charges at most.  After a silence it adds all that was charged meanwhile. */
+/* Returns whether the report came within the refresh interval and so adds a
+   few charges at most.  After a silence it adds all that was charged
+   meanwhile.  */
 static bool
 is_regular_report (const reporter_t *reporter, bool is_known, cfd_time_t now)
 {
@@ -293,8 +294,8 @@
   return false;
 }
 
-/* Tells whether the account was idle before REPORT.  A new home does not know
-   when work last waited; if another home had the account, its router has
+/* Returns whether the account was idle before REPORT.  A new home does not
+   know when work last waited; if another home had the account, its router has
    raised it already where needed.  A home that was frozen or cut off received
    no reports of work that waited all the while.  If it took the account for
    idle, the first report would raise it to the floor, and what the other
@@ -311,7 +312,7 @@
          && !is_any_backlogged (entry);
 }
 
-/* Tells whether a backlogged reporter was out of contact until now.  For the
+/* Returns whether a backlogged reporter was out of contact until now.  For the
    reason given at is_idle, the bounds do not apply until all reporters have
    reported.  */
 static bool
--- a/libcoltsfootdrum/wire/msg.h
+++ b/libcoltsfootdrum/wire/msg.h
@@ -384,7 +384,7 @@
 
 const char *msg_kind_name (msg_kind_t kind);
 
-/* Whether KIND carries no part of a request or response.  */
+/* Returns whether KIND carries no part of a request or response.  */
 bool msg_is_control (msg_kind_t kind);
 
 #endif
--- a/libcoltsfootdrum/wire/peer.h
+++ b/libcoltsfootdrum/wire/peer.h
@@ -85,8 +85,9 @@
 void peer_hub_release (peer_hub_t *hub, const char *instance);
 
 bool peer_hub_is_up (const peer_hub_t *hub, const char *instance);
-/* Whether the link is up but the other side does not answer a PING.  It is
-   frozen or disconnected, which is certain after PEER_SILENCE_TIMEOUT_MS.  */
+/* Returns whether the link is up but the other side does not answer a PING.
+   It is frozen or disconnected, which is certain after
+   PEER_SILENCE_TIMEOUT_MS.  */
 bool peer_hub_is_unresponsive (const peer_hub_t *hub, const char *instance,
                                cfd_time_t now);
 
