--- a/libcoltsfootdrum/dispatch/disp.h
+++ b/libcoltsfootdrum/dispatch/disp.h
@@ -12,7 +12,7 @@
    The router tracks what each agent was sent, by an announcement or with the
    answer to a grant (dispatch/view.h).  An agent is sent an update on an
    account only when its view would make it choose wrongly or the entry would
-   expire.  Other changes of the numbers go out with the next refresh.  */
+   expire.  Other changes of its numbers are sent with the next refresh.  */
 
 #ifndef DISPATCH_DISP_H
 #define DISPATCH_DISP_H
@@ -72,7 +72,7 @@
 /* Calls SEND for each agent with the entries that are due for it.  */
 void disp_send_due (disp_t *disp, cfd_time_t now, disp_send_t *send,
                     void *user);
-/* Records that AGENT received the account's newest numbers, LEFT, with the
+/* Records that AGENT received LEFT, the account's remaining work, with the
    answer to its grant.  */
 void disp_record_answer (disp_t *disp, const char *service, const char *agent,
                          const msg_waiting_t *left, cfd_time_t now);
--- a/libcoltsfootdrum/dispatch/pick.h
+++ b/libcoltsfootdrum/dispatch/pick.h
@@ -40,7 +40,7 @@
 
 void pick_apply_announcement (pick_t *pick, const char *router,
                               const msg_announce_t *announce, cfd_time_t now);
-/* Applies the newest numbers of ROUTER for one account, from an assign or
+/* Applies LEFT, the remaining work of one account at ROUTER, from an assign or
    decline message.  */
 void pick_update_waiting (pick_t *pick, const char *router,
                           const msg_waiting_t *left, cfd_time_t now);
@@ -56,8 +56,8 @@
 bool pick_complete_grant (pick_t *pick, uint64_t grant, cfd_time_t now);
 /* Removes expired grants; returns how many of the others hold a slot.  Those
    to a router whose answer is overdue do not, though they stay valid: a late
-   answer is accepted if a slot is free then, and otherwise the router is told
-   that its request was not started.  Without this, each slot offered to a
+   answer is accepted if a slot is free then, and otherwise the router is sent
+   NOT_STARTED.  Without this, each slot offered to a
    router that is cut off would idle for PICK_GRANT_LIFETIME_MS.  */
 unsigned pick_expire_grants (pick_t *pick, cfd_time_t now);
 /* Counts the waiting requests that are not covered by a grant.  */
--- a/libcoltsfootdrum/dispatch/vt-rate.h
+++ b/libcoltsfootdrum/dispatch/vt-rate.h
@@ -27,7 +27,7 @@
 
 /* Adds a sample: an account's virtual time grew by TOKENS in INTERVAL_MS.  */
 void vt_rate_update (vt_rate_t *rate, double tokens, cfd_time_t interval_ms);
-/* Weighted tokens per millisecond; never negative.  */
+/* Returns weighted tokens per millisecond; never negative.  */
 double vt_rate_tokens_per_ms (const vt_rate_t *rate);
 
 #endif
--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -203,7 +203,7 @@
       lim_check_token_interval (lim, token_interval_ms, now);
       return;
     }
-  /* Only token times show that a model endpoint bears its load well.  Counting
+  /* Only token times show that a model endpoint sustains its load.  Counting
      a response without them as good would let the limit of a cold endpoint
      grow.  */
   if (lim->settings.token_interval_ms > 0 && token_interval_ms <= 0)
--- a/libcoltsfootdrum/limits/lim.h
+++ b/libcoltsfootdrum/limits/lim.h
@@ -1,8 +1,8 @@
 /* Concurrency limit.  An agent's limit of concurrent requests at its endpoint.
    Does no I/O; callers pass the current time.
 
-   The limit begins at the load that the endpoint bears during a cold start and
-   grows by one slot for each full round of completed work with good token
+   The limit begins at the load that the endpoint sustains during a cold start
+   and grows by one slot for each full round of completed work with good token
    times, up to the maximum in the endpoint's record.  It is cut back when the
    first token or the interval between tokens shows that the endpoint is slow,
    and to the cold start's load when it seems to have become cold again.  The
@@ -108,7 +108,7 @@
 /* Confirms that the endpoint is warm if TOKEN_INTERVAL_MS is good: the newest
    interval between tokens of a request, the last received at SEEN_AT.  The
    mean or median of several intervals would hide a cold end behind a good
-   beginning, and with few requests the slow tokens of a cold endpoint would go
+   start, and with few requests the slow tokens of a cold endpoint would go
    on confirming that it is warm.  */
 void lim_confirm_warm (lim_t *lim, double token_interval_ms,
                        cfd_time_t seen_at, cfd_time_t now);
--- a/libcoltsfootdrum/relay/evs.h
+++ b/libcoltsfootdrum/relay/evs.h
@@ -20,7 +20,7 @@
 void evs_clear (evs_t *stream);
 
 /* Adds BYTES to the stream and appends the events that are now complete to
-   OUT. Events whose id was passed on before are dropped.  Returns the number
+   OUT.  Events whose id was passed on before are dropped.  Returns the number
    of events appended.  */
 unsigned evs_feed (evs_t *stream, const char *bytes, size_t length,
                    GString *out);
--- a/libcoltsfootdrum/relay/plc.c
+++ b/libcoltsfootdrum/relay/plc.c
@@ -6,8 +6,9 @@
    attention: 4 x layers x width operations a pair against 2 x parameters a
    token, for dense models of some billion parameters.  */
 #define ATTENTION_PAIRS_PER_TOKEN 25000.
-/* Added for an endpoint that is not the home of a prompt, so that routers
-   without information about caches choose the same endpoint.  */
+/* Added for an endpoint that is not the preferred one of the prompt's prefix,
+   so that routers without information about caches choose the same
+   endpoint.  */
 #define NOT_PREFERRED_COST_MS 8.
 /* Added for running requests, in proportion to the load: engines generate
    their tokens between the chunks of a new request's prompt.  */
--- a/libcoltsfootdrum/relay/plc.h
+++ b/libcoltsfootdrum/relay/plc.h
@@ -6,7 +6,10 @@
    expected in time, and stays in the router's queue while there is no such
    endpoint.  Prompts with a common prefix go to the same endpoints while that
    costs little: each engine that prefills the prefix again spends the time for
-   it, and the memory to cache it.  */
+   it, and the memory to cache it.
+
+   Preferred endpoint: the one that all routers prefer for prompts with the
+   same prefix, chosen by rendezvous hashing.  */
 
 #ifndef RELAY_PLC_H
 #define RELAY_PLC_H
--- a/libcoltsfootdrum/relay/ret.h
+++ b/libcoltsfootdrum/relay/ret.h
@@ -38,7 +38,7 @@
 cfd_time_t ret_take_first_attempt (ret_t *ret, cfd_time_t now, uint64_t key);
 
 /* Removes the refusal of KEY, since a caller with that request is being
-   served. A later request with this key is no retry of an earlier refusal.  */
+   served.  A later request with this key is no retry of an earlier refusal. */
 void ret_mark_served (ret_t *ret, uint64_t key);
 
 /* A refusal to send to the other routers.  */
--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -129,8 +129,8 @@
   return bytes / 1024. * OTHER_ZONE_MS_PER_KB;
 }
 
-/* Returns the endpoint that all routers prefer for prompts with this shared
-   prefix, by rendezvous hashing.  */
+/* Returns the preferred endpoint of PROMPT's shared prefix, by rendezvous
+   hashing; NULL when it has none.  */
 static const edp_t *
 find_preferred_endpoint (const rly_round_t *round, const pfx_prompt_t *prompt)
 {
--- a/libcoltsfootdrum/relay/rly.h
+++ b/libcoltsfootdrum/relay/rly.h
@@ -21,7 +21,7 @@
 {
   const char *request_id;
   const char *deadline_ms;     /* how long the caller waits */
-  const char *account;         /* client account, told to endpoints */
+  const char *account;         /* client account, sent to endpoints */
   const char *expect_endpoint; /* id; any other endpoint refuses */
   const char *not_run;         /* in an answer: the request was not run */
   const char *response_stamp;  /* in an answer: it is from an endpoint */
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -49,8 +49,8 @@
       { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     0 },
-  /* The home is prefilling a long prompt: a short request goes where its first
-     token is in time.  */
+  /* The preferred endpoint is prefilling a long prompt: a short request goes
+     where its first token is in time.  */
   { "behind-a-long-prompt",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 50000.,
