--- a/libcoltsfootdrum/router/fairness.h
+++ b/libcoltsfootdrum/router/fairness.h
@@ -4,9 +4,9 @@
    A slot goes to the account with the least virtual time of all that wait at
    this router and could take it.  So an account that takes a slot in another's
    place has at most its virtual time, and exceeds it afterwards by at most the
-   charge.  Its virtual time rises by each charge and falls only where a home
-   or a correction lowers it.  While account A waits unserved, all that B takes
-   in A's place is therefore at most
+   charge.  Its virtual time rises by each charge and falls only where its home
+   router or a correction lowers it.  While account A waits unserved, all that
+   B takes in A's place is therefore at most
 
         how far B was behind A before B's first slot in that time
         + how far A's own virtual time rose meanwhile
--- a/libcoltsfootdrum/router/peer-view.h
+++ b/libcoltsfootdrum/router/peer-view.h
@@ -1,9 +1,10 @@
 /* Peer view.  Estimates the virtual times that another router computes for the
-   accounts whose home is this one, to decide whether that router needs an
-   update.  A router that charges its own work to the last virtual time that it
-   was sent arrives at the home's value, as long as no other router charges the
-   account; so the home answers a report only if the two would differ.  Without
-   I/O.  */
+   accounts whose home router is this one, to decide whether that router needs
+   an update.  Home router: the router that adds up the account's virtual time,
+   chosen by rendezvous hashing.  A router that charges its own work to the
+   last virtual time that it was sent arrives at the home's value, as long as
+   no other router charges the account; so the home answers a report only if
+   the two would differ.  Without I/O.  */
 
 #ifndef ROUTER_PEER_VIEW_H
 #define ROUTER_PEER_VIEW_H
@@ -16,7 +17,7 @@
    the cost of one request, above the rounding error of the wire format.  */
 #define PEER_VIEW_MAX_ERROR_TOKENS 8.0
 /* A report this long after the last answer is answered in any case: its router
-   regards a home that does not answer reports as dead.  */
+   treats a home that does not answer reports as failed.  */
 #define PEER_VIEW_MAX_SILENCE_MS 250
 /* A table of this size is cleared, since accounts come and go; that costs one
    answer for each account.  */
@@ -29,8 +30,8 @@
 void peer_view_free (peer_view_t *view);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (peer_view_t, peer_view_free)
 
-/* The router reported the virtual time that it computed.  This replaces the
-   value that it was sent: an answer may still be on its way, or the router
+/* Records the virtual time that the router computed and reported.  It replaces
+   the value that it was sent: an answer may still be on its way, or the router
    lifted an account that returned from idle when the home did not.  Otherwise
    the account would be passed over for as long as no other router charges
    it.  */
--- a/libcoltsfootdrum/router/router-homes.c
+++ b/libcoltsfootdrum/router/router-homes.c
@@ -1,5 +1,6 @@
-/* Selection of the home router of an account, among the routers that are
-   reachable and answer, in this router's view.  */
+/* Selection of home routers.  Home router: the router that adds up the
+   account's virtual time, chosen by rendezvous hashing.  It is chosen among
+   the routers that, in this router's view, are reachable and answer.  */
 
 #include "router/router-private.h"
 
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -111,7 +111,8 @@
   unsigned pushed; /* by this router since the last LOAD message */
 } agent_t;
 
-/* Another router, as a possible home of accounts.  */
+/* Another router, as a possible home router of accounts: the router that adds
+   up an account's virtual time, chosen by rendezvous hashing.  */
 typedef struct
 {
   char *name;
@@ -177,8 +178,8 @@
   bool resume_requested; /* a RESUME for missing data was sent */
   uint64_t resume_requested_offset;
   unsigned premature_ends; /* END messages before the whole answer */
-  GByteArray
-      *answer_copy; /* for the claim, up to ONCE_MAX_ANSWER_BYTES bytes */
+  /* For the claim, up to ONCE_MAX_ANSWER_BYTES.  */
+  GByteArray *answer_copy;
   bool answer_copy_complete;
 } request_t;
 
@@ -247,7 +248,7 @@
 void router_schedule (cfd_router_t *router, cfd_time_t at);
 /* Returns false without a link; the peer is then dialled.  */
 bool router_send (cfd_router_t *router, const char *peer, msg_t *message);
-/* A request id that is unique in the fleet; free with g_free.  */
+/* Returns a request id that is unique in the fleet; free with g_free.  */
 char *router_new_request_id (cfd_router_t *router);
 void router_record_event (cfd_router_t *router, tl_kind_t kind,
                           const request_t *request, const char *detail);
@@ -264,7 +265,7 @@
 /* Returns whether new work may go to AGENT: to this router's knowledge neither
    the agent, its endpoint nor its availability zone is leaving.  */
 bool agents_accepts_work (const cfd_router_t *router, const agent_t *agent);
-/* AGENT named SERVICE as its own in a message.  */
+/* Records that AGENT named SERVICE as its own in a message.  */
 void agents_set_service (cfd_router_t *router, agent_t *agent,
                          const char *service);
 /* Returns whether REQUEST may go to AGENT: not to one that recently failed it,
@@ -310,16 +311,16 @@
 void claim_start_sweep (cfd_router_t *router, const cfd_settings_t *settings);
 
 /* ---- router-config.c ---- */
-/* A frame of PEER other than a CONFIG_PART carried REVISION.  */
+/* Handles REVISION, carried by a frame of PEER other than a CONFIG_PART.  */
 void conf_observe_revision (cfd_router_t *router, const peer_id_t *peer,
                             uint64_t revision, cfd_time_t now);
-/* PEER, which is at REVISION, sent PART.  */
+/* Applies PART, sent by PEER, which is at REVISION.  */
 void conf_handle_part (cfd_router_t *router, const peer_id_t *peer,
                        const msg_config_part_t *part, uint64_t revision,
                        cfd_time_t now);
 void conf_handle_ask (cfd_router_t *router, const peer_id_t *peer,
                       const msg_config_ask_t *ask, cfd_time_t now);
-/* The revision in force increased: notifies peers.  */
+/* Notifies peers that the revision in force increased.  */
 void conf_announce_revision (cfd_router_t *router);
 void conf_peer_up (cfd_router_t *router, const peer_id_t *peer);
 /* Rebuilds the distribution tree from the changed list of instances.  */
@@ -348,8 +349,8 @@
    unknown and the charge stays.  */
 void grant_correct_charge (request_t *request, double actual_tokens,
                            cfd_time_t now);
-/* OUTPUT_TOKENS have been received: raises the charge of a running attempt
-   that exceeds it.  */
+/* Raises the charge of a running attempt when the OUTPUT_TOKENS received so
+   far exceed it.  */
 void grant_charge_streamed (request_t *request, uint32_t output_tokens,
                             cfd_time_t now);
 void grant_announce (cfd_router_t *router, cfd_time_t now);
@@ -366,7 +367,7 @@
                                 cfd_time_t now);
 void answer_ack_done (request_t *request);
 void answer_send_cancel (request_t *request);
-/* TOTAL bytes were sent to the caller; a callback of web_stream_begin.  */
+/* Callback of web_stream_begin: TOTAL bytes were sent to the caller.  */
 void answer_on_drained (void *request, uint64_t total);
 void answer_agent_up (cfd_router_t *router, const peer_id_t *peer,
                       cfd_time_t now);
@@ -380,25 +381,27 @@
 void homes_init (cfd_router_t *router);
 void homes_instances_changed (cfd_router_t *router, cfd_time_t now);
 router_peer_t *homes_find_or_add (cfd_router_t *router, const char *name);
-/* The home of an account in this router's view; may be this router.  */
+/* Returns the home router of an account in this router's view; may be this
+   router.  */
 const char *homes_lookup (cfd_router_t *router, const char *account,
                           const char *service);
-/* Hash of a home's name.  */
+/* Returns the hash of a home's name.  */
 uint64_t homes_hash (const char *home);
-/* Hash of the name of an account's home; USER is the router.  */
+/* Returns the hash of the name of an account's home; USER is the router.  */
 uint64_t homes_hash_of_account (void *user, const char *account,
                                 const char *service);
-/* PEER is unreachable: excludes it as a home.  */
+/* Excludes PEER, which is unreachable, as a home.  */
 void homes_exclude (cfd_router_t *router, router_peer_t *peer, cfd_time_t now);
-/* PEER is reachable again.  */
+/* Uses PEER, which is reachable again, as a home.  */
 void homes_readmit (cfd_router_t *router, router_peer_t *peer, cfd_time_t now);
 /* Holds the link to PEER, to be called before a report.  */
 void homes_hold_link (cfd_router_t *router, router_peer_t *peer,
                       cfd_time_t now);
-/* A report to PEER was sent.  */
+/* Records that a report to PEER was sent.  */
 void homes_report_sent (cfd_router_t *router, router_peer_t *peer,
                         cfd_time_t now);
-/* A report to PEER could not be sent for want of a link.  */
+/* Records that a report to PEER could not be sent because there is no link.
+ */
 void homes_report_failed (cfd_router_t *router, router_peer_t *peer,
                           cfd_time_t now);
 void homes_peer_down (cfd_router_t *router, const char *name, cfd_time_t now);
--- a/libcoltsfootdrum/share/share.h
+++ b/libcoltsfootdrum/share/share.h
@@ -4,14 +4,15 @@
 
    Each router keeps, for each account and service, an absolute counter of the
    weighted tokens that it charged: the expected cost is charged when a request
-   is assigned and corrected when it ends.  The account's home (the rendezvous
-   hash choice among the live routers) adds up what the routers report into one
-   virtual time and answers with it.  Reports are absolute and numbered, so
-   lost, duplicated and reordered ones do no harm; a new home is rebuilt from
-   the virtual time that each router last received.
+   is assigned and corrected when it ends.  Home router: the router that adds
+   up the account's virtual time, chosen by rendezvous hashing among the live
+   routers.  It computes the virtual time from the counters that the routers
+   report, and answers with it.  Reports are absolute and numbered, so lost,
+   duplicated and reordered ones do no harm; a new home is rebuilt from the
+   virtual time that each router last received.
 
    Virtual time is kept for each pair of account and service: accounts compete
-   for one service's capacity, and what they use elsewhere says nothing about
+   for one service's capacity, and their use of other services does not affect
    their claim on it.
 
    An account that returns from idle is raised to the floor, the virtual time
@@ -72,7 +73,8 @@
    last known one.  */
 double share_get_floor (const share_t *share, const char *service,
                         cfd_time_t now);
-/* Returns a number that identifies the home of an account and service.  */
+/* Returns a number that identifies the home router of an account and
+   service.  */
 typedef uint64_t (*share_find_home_t) (void *user, const char *account,
                                        const char *service);
 /* Called when the virtual time of an account changed by TOKENS without a
@@ -108,7 +110,7 @@
 void share_expire (share_t *share, cfd_time_t now);
 unsigned share_count_accounts (const share_t *share);
 
-/* ---- virtual times of a home ---- */
+/* ---- virtual times that a home router adds up ---- */
 typedef struct home home_t;
 
 home_t *home_new (void);
--- a/libcoltsfootdrum/share/vt-window.h
+++ b/libcoltsfootdrum/share/vt-window.h
@@ -1,6 +1,6 @@
-/* Virtual time window.  For one service at a home: the floor, and how far the
-   virtual time of an account may be from it.  Does no I/O; callers pass the
-   current time.  */
+/* Virtual time window.  For one service at a home router: the floor, and how
+   far the virtual time of an account may be from it.  Does no I/O; callers
+   pass the current time.  */
 
 #ifndef SHARE_VT_WINDOW_H
 #define SHARE_VT_WINDOW_H
