--- a/libcoltsfootdrum/config/rec-text.c
+++ b/libcoltsfootdrum/config/rec-text.c
@@ -43,8 +43,8 @@
                           account->keys[i].bytes, REC_KEY_HASH_SIZE);
 }
 
-/* Returns whether VALUE, that of PLACEHOLDER, is the whole JSON value at POS.
- */
+/* Returns whether VALUE, that of PLACEHOLDER, is the whole JSON value at
+   POS.  */
 static bool
 is_value_at (const char *pos, const char *value, int placeholder)
 {
--- a/libcoltsfootdrum/config/store-follow.c
+++ b/libcoltsfootdrum/config/store-follow.c
@@ -198,8 +198,8 @@
       follow->cursor == NULL ? "" : follow->cursor, on_list_page, follow);
 }
 
-/* Returns whether a process that is no watcher has to read the platform now.
- */
+/* Returns whether a process that is no watcher has to read the platform
+   now.  */
 static bool
 should_read_platform (const follow_t *follow,
                       const spread_position_t *position, cfd_time_t now)
--- a/libcoltsfootdrum/dispatch/pick.h
+++ b/libcoltsfootdrum/dispatch/pick.h
@@ -57,8 +57,8 @@
 /* Removes expired grants; returns how many of the others hold a slot.  Those
    to a router whose answer is overdue do not, though they stay valid: a late
    answer is accepted if a slot is free then, and otherwise the router is sent
-   NOT_STARTED.  Without this, each slot offered to a
-   router that is cut off would idle for PICK_GRANT_LIFETIME_MS.  */
+   NOT_STARTED.  Without this, each slot offered to a router that is cut off
+   would idle for PICK_GRANT_LIFETIME_MS.  */
 unsigned pick_expire_grants (pick_t *pick, cfd_time_t now);
 /* Counts the waiting requests that are not covered by a grant.  */
 unsigned pick_count_waiting (const pick_t *pick);
--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -13,9 +13,8 @@
 #define STATE_FORMAT 0xcfd8
 /* First item of each update datagram.  */
 #define UPDATE_FORMAT 0xcfe1
-/* Units of pending_prefill and of context_tokens in datagrams.  Small
-   numbers take fewer bytes in msgpack, and no decision depends on finer
-   values.  */
+/* Units of pending_prefill and of context_tokens in datagrams.  Small numbers
+   take fewer bytes in msgpack, and no decision depends on finer values.  */
 #define PREFILL_TOKENS_PER_UNIT 10.
 #define CONTEXT_TOKENS_PER_UNIT 100.
 
--- a/libcoltsfootdrum/router/router-private.h
+++ b/libcoltsfootdrum/router/router-private.h
@@ -392,7 +392,7 @@
                                 const char *service);
 /* Excludes PEER, which is unreachable, as a home.  */
 void homes_exclude (cfd_router_t *router, router_peer_t *peer, cfd_time_t now);
-/* Uses PEER, which is reachable again, as a home.  */
+/* Admits PEER, which is reachable again, as a home.  */
 void homes_readmit (cfd_router_t *router, router_peer_t *peer, cfd_time_t now);
 /* Holds the link to PEER, to be called before a report.  */
 void homes_hold_link (cfd_router_t *router, router_peer_t *peer,
@@ -400,8 +400,7 @@
 /* Records that a report to PEER was sent.  */
 void homes_report_sent (cfd_router_t *router, router_peer_t *peer,
                         cfd_time_t now);
-/* Records that a report to PEER could not be sent because there is no link.
- */
+/* Records that there was no link to send a report to PEER.  */
 void homes_report_failed (cfd_router_t *router, router_peer_t *peer,
                           cfd_time_t now);
 void homes_peer_down (cfd_router_t *router, const char *name, cfd_time_t now);
