--- a/libcoltsfootdrum/limits/lim.c
+++ b/libcoltsfootdrum/limits/lim.c
@@ -99,7 +99,7 @@
   return busy < slots ? slots - busy : 0;
 }
 
-/* Tells whether VALUE is over its LIMIT (0: no limit) and over FACTOR times
+/* Returns whether VALUE is over its LIMIT (0: no limit) and over FACTOR times
    this endpoint's AVERAGE.  The limit holds for the whole fleet; an endpoint
    that is always a little over it is not overloaded by one request more or
    less.  */
@@ -203,7 +203,7 @@
       lim_check_token_interval (lim, token_interval_ms, now);
       return;
     }
-  /* Only token times show that a model endpoint bears its load well.  Counting
+  /* Only token times show that a model endpoint sustains its load.  Counting
      a response without them as good would let the limit of a cold endpoint
      grow.  */
   if (lim->settings.token_interval_ms > 0 && token_interval_ms <= 0)
--- a/libcoltsfootdrum/relay/pal-private.h
+++ b/libcoltsfootdrum/relay/pal-private.h
@@ -13,9 +13,8 @@
 #define STATE_FORMAT 0xcfd8
 /* First item of each update datagram.  */
 #define UPDATE_FORMAT 0xcfe1
-/* Units of pending prefill and of context_tokens memory in datagrams.  Small
-   numbers take fewer bytes in msgpack, and no decision depends on finer
-   values.  */
+/* Units of pending_prefill and of context_tokens in datagrams.  Small numbers
+   take fewer bytes in msgpack, and no decision depends on finer values.  */
 #define PREFILL_TOKENS_PER_UNIT 10.
 #define CONTEXT_TOKENS_PER_UNIT 100.
 
@@ -24,7 +23,7 @@
   char *name;
   uint64_t incarnation;
   uint64_t number; /* sequence number of its newest datagram */
-  cfd_time_t last_heard;
+  cfd_time_t last_received_at;
   int64_t stable_ms;
   int64_t revisions[PAL_LIST_COUNT];
   int64_t ages[PAL_LIST_COUNT]; /* at ages_received_at; -1: not known */
--- a/libcoltsfootdrum/relay/pal-receive.c
+++ b/libcoltsfootdrum/relay/pal-receive.c
@@ -28,7 +28,8 @@
   return g_strndup (object->via.str.ptr, object->via.str.size);
 }
 
-/* Whether OBJECT is an array of rows, each a string and NUMBERS numbers.  */
+/* Returns whether OBJECT is an array of rows, each a string and NUMBERS
+   numbers.  */
 static bool
 is_text_rows (const msgpack_object *object, unsigned numbers)
 {
@@ -43,7 +44,7 @@
   return true;
 }
 
-/* Whether OBJECT is an array of numbers, in rows of COUNT.  */
+/* Returns whether OBJECT is an array of numbers, in rows of COUNT.  */
 static bool
 is_number_rows (const msgpack_object *object, unsigned count)
 {
@@ -303,7 +304,7 @@
     goto out;
   peer->incarnation = items[2].via.u64;
   peer->number = items[3].via.u64;
-  peer->last_heard = now;
+  peer->last_received_at = now;
   receive_loads (pal, peer, &items[5].via.array, items[4].via.u64 != 0);
   receive_usage (pal, peer, now, &items[6].via.array);
   receive_prefixes (pal, now, &items[7].via.array);
--- a/libcoltsfootdrum/relay/plc.h
+++ b/libcoltsfootdrum/relay/plc.h
@@ -6,7 +6,10 @@
    expected in time, and stays in the router's queue while there is no such
    endpoint.  Prompts with a common prefix go to the same endpoints while that
    costs little: each engine that prefills the prefix again spends the time for
-   it, and the memory to cache it.  */
+   it, and the memory to cache it.
+
+   Preferred endpoint: the one that all routers prefer for prompts with the
+   same prefix, chosen by rendezvous hashing.  */
 
 #ifndef RELAY_PLC_H
 #define RELAY_PLC_H
@@ -26,7 +29,7 @@
   double fetch_ms;           /* time to copy a cached prefix from elsewhere */
   double context_tokens;     /* KV cache used by running requests */
   double kv_capacity_tokens; /* size of the KV cache; 0: unknown */
-  bool is_home; /* preferred by all routers for prompts with this prefix */
+  bool is_preferred;  /* the preferred endpoint of the prompt's prefix */
   bool in_other_zone; /* not in the router's availability zone */
 } plc_endpoint_t;
 
--- a/libcoltsfootdrum/relay/test-plc.c
+++ b/libcoltsfootdrum/relay/test-plc.c
@@ -30,14 +30,14 @@
   { "idle-home",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800. },
-      { FREE_ENDPOINT, .own_prefill = 800., .is_home = true } },
+      { FREE_ENDPOINT, .own_prefill = 800., .is_preferred = true } },
     2,
     1 },
   /* Traffic between availability zones is billed.  */
   { "own-zone-first",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800., .in_other_zone = true,
-        .is_home = true },
+        .is_preferred = true },
       { FREE_ENDPOINT, .own_prefill = 800. } },
     2,
     1 },
@@ -49,12 +49,12 @@
       { FREE_ENDPOINT, .own_prefill = 12000., .missing_tokens = 5000. } },
     2,
     0 },
-  /* The home is prefilling a long prompt: a short request goes where its first
-     token is in time.  */
+  /* The preferred endpoint is prefilling a long prompt: a short request goes
+     where its first token is in time.  */
   { "behind-a-long-prompt",
     REQUEST (300., 150.),
     { { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 50000.,
-        .is_home = true },
+        .is_preferred = true },
       { FREE_ENDPOINT, .own_prefill = 800., .pending_prefill = 2000. } },
     2,
     1 },
--- a/libcoltsfootdrum/router/router-grant.c
+++ b/libcoltsfootdrum/router/router-grant.c
@@ -151,8 +151,8 @@
   least->time = time;
 }
 
-/* Whether the agent's choice rests on outdated virtual times.  Up to one
-   request's cost beyond the second least is within what any order would
+/* Returns whether the agent's choice rests on outdated virtual times.  Up to
+   one request's cost beyond the second least is within what any order would
    do.  */
 static bool
 is_stale_grant (cfd_router_t *router, const msg_grant_t *grant,
@@ -307,7 +307,7 @@
   g_autofree char *detail = g_strdup_printf (
       "to %s: %s, virtual_time=%.0f attempt=%u", request->agent->name,
       grant != 0 ? "it offered a slot to the account that got least"
-                 : "it is the least loaded agent that this router knows",
+                 : "it has the least load known here",
       virtual_time, request->attempts);
 
   router_record_event (router, TL_ASSIGN, request, detail);
