--- a/libcoltsfootdrum/agent/agent-control.c
+++ b/libcoltsfootdrum/agent/agent-control.c
@@ -46,7 +46,7 @@
   if (!stream_resume (&run->stream, resume->offset, resume->head))
     {
       answer_send_unknown (agent, peer->instance, run->request,
-                           "the requested bytes are no longer kept");
+                           "the bytes asked for are gone");
       return;
     }
   agent->counters.resumed_links++;
--- a/libcoltsfootdrum/agent/agent-peers.c
+++ b/libcoltsfootdrum/agent/agent-peers.c
@@ -49,10 +49,10 @@
     run_resume (run, peer, resume, now);
   else if (ids_get_state (agent->ids, resume->request) == IDS_REFUSED)
     agent_send_not_started (agent, peer->instance, resume->request,
-                            "the request was refused before", now);
+                            "it was refused before", now);
   else
     answer_send_unknown (agent, peer->instance, resume->request,
-                         "the agent does not know the request");
+                         "this agent knows no such request");
 }
 
 static void
--- a/libcoltsfootdrum/agent/agent-run.c
+++ b/libcoltsfootdrum/agent/agent-run.c
@@ -379,9 +379,8 @@
       return;
     case FETCH_SEND_DENIED:
       run->was_withheld = true;
-      run_finish (
-          run, OUTCOME_UNREACHED,
-          "suspended before sending, configuration not confirmed since", now);
+      run_finish (run, OUTCOME_UNREACHED,
+                  "stopped before it was sent, and in doubt since", now);
       return;
     case FETCH_INCOMPLETE:
     case FETCH_TIMEOUT:
--- a/libcoltsfootdrum/agent/agent-work.c
+++ b/libcoltsfootdrum/agent/agent-work.c
@@ -99,7 +99,7 @@
   grant_reason_t reason = agent_update_grant_reason (agent, now);
 
   if (!is_grant_valid)
-    return "the grant has expired";
+    return "the grant is dead";
   if (assign->incarnation != agent->incarnation)
     return "the grant is of another incarnation";
   if (reason != GRANT_ALLOWED)
@@ -151,7 +151,7 @@
                 assign->request);
       if (!g_hash_table_contains (agent->runs, assign->request))
         answer_send_unknown (agent, peer->instance, assign->request,
-                             "the request was started before");
+                             "it was started before");
       return;
     }
   refusal = get_refusal (agent, assign, is_grant_valid, now);
