--- a/libcoltsfootdrum/agent/agent-grant.h
+++ b/libcoltsfootdrum/agent/agent-grant.h
@@ -1,6 +1,6 @@
 /* Grant eligibility: whether this agent may grant a slot, and start the
-   request that is assigned to the grant.  Pure: takes plain state and returns
-   a typed reason.  */
+   request that is assigned to the grant.  Pure: computes the reason from a
+   grant_state_t alone.  */
 
 #ifndef AGENT_AGENT_GRANT_H
 #define AGENT_AGENT_GRANT_H
@@ -9,16 +9,16 @@
 #include <stdint.h>
 
 /* Consecutive stale declines after which a grant carries no limit, so that a
-   slot is filled in the end.  The agent's virtual times, carried forward by
-   the round trip, are usually accurate enough, but not after a sudden change
+   slot is filled in the end.  The agent extrapolates virtual times over the
+   round trip.  That is usually accurate enough, but not after a sudden change
    of rate.  A small number costs fairness: it accepts stale choices under
    ordinary load.  */
 #define AGENT_MAX_STALE_DECLINES 16u
 
-/* Age of the last contact with the platform above which no connected peer can
-   have a newer one: an agent asks a peer after 4 s (SPREAD_ASK_PEER_AFTER_MS),
-   and by then the witness routers of other zones (config/witness.h) have
-   connected.  */
+/* When the newest known contact with the platform is this old, no connected
+   peer has a newer one: an agent asks a peer after 4 s
+   (SPREAD_ASK_PEER_AFTER_MS), and by then the witness routers of other zones
+   (config/witness.h) have connected.  */
 #define AGENT_STALE_PLATFORM_MS 5000u
 
 typedef enum
@@ -47,10 +47,10 @@
   bool is_behind;
   bool is_platform_up;
   unsigned routers_known;
-  unsigned routers_connected; /* of those known, their link is up */
-  uint32_t platform_age_ms; /* since any connected peer reached the platform */
-  unsigned zones_known;     /* with a router, by the platform's last list */
-  unsigned zones_connected; /* of the connected routers */
+  unsigned routers_connected; /* known routers whose link is up */
+  uint32_t platform_age_ms;   /* since the newest known platform contact */
+  unsigned zones_known;     /* zones of routers in the platform's last list */
+  unsigned zones_connected; /* zones of the connected routers */
   bool is_ejected;          /* and its backoff is not over */
 } grant_state_t;
 
--- a/libcoltsfootdrum/agent/agent-ids.h
+++ b/libcoltsfootdrum/agent/agent-ids.h
@@ -1,8 +1,8 @@
 /* Request ids that this agent started or refused, so that no request is
    started twice, and none after the agent reported that it will not be
-   started.  Pure.  Bounded: an id is removed IDS_RETENTION_MS after its last
-   update, and the oldest one when there are more than IDS_MAX_COUNT; a grant
-   and a router's resume window last far shorter.  */
+   started.  Pure.  An id is removed IDS_RETENTION_MS after its last update,
+   far longer than a grant or a router's resume window lasts.  When there are
+   more than IDS_MAX_COUNT ids, the oldest one is removed.  */
 
 #ifndef AGENT_AGENT_IDS_H
 #define AGENT_AGENT_IDS_H
--- a/libcoltsfootdrum/agent/agent-links.h
+++ b/libcoltsfootdrum/agent/agent-links.h
@@ -3,9 +3,9 @@
 
    A router is connected while its link is up.  While the platform is
    unreachable the agent holds all its links, and a held link that is silent is
-   closed after PEER_SILENCE_TIMEOUT_MS.  Known are the connected routers and
-   those whose link timed out.  A router that closed its link itself (idle,
-   restarted or shut down) is removed.  A router whose link timed out is
+   closed after PEER_SILENCE_TIMEOUT_MS.  The known routers are the connected
+   ones and those whose link timed out.  A router that closed its link itself
+   (idle, restarted or shut down) is removed.  A router whose link timed out is
    removed after LINKS_LOST_RETENTION_MS, but never while the platform is
    unreachable; otherwise an agent in a network partition would in time take
    the routers in it for the whole fleet.  */
--- a/libcoltsfootdrum/agent/agent-private.h
+++ b/libcoltsfootdrum/agent/agent-private.h
@@ -102,7 +102,7 @@
   cfd_time_t update_checked_at; /* last check whether to ask a peer */
   unsigned next_peer;           /* round-robin index */
   GPtrArray *held_routers;      /* while the platform is unreachable */
-  uint64_t timeouts[2];         /* links timed out, as of the last two ticks */
+  uint64_t timeouts[2];         /* links timed out until the last two ticks */
   grant_reason_t grant_reason;  /* last logged */
 
   bool is_settling; /* waits for requests of a previous process */
@@ -161,7 +161,7 @@
 
 /* ---- agent-config.c ---- */
 extern const store_events_t agent_store_events;
-/* Evaluates agent_evaluate_grant for the present state and logs a change.  */
+/* Returns the present result of agent_evaluate_grant and logs a change.  */
 grant_reason_t agent_update_grant_reason (cfd_agent_t *agent, cfd_time_t now);
 /* Whether the newest records known here take the endpoint or its zone out of
    service.  Looks the records up again, for the check at each start.  */
@@ -183,8 +183,8 @@
 extern const peer_events_t agent_peer_events;
 /* Returns false when MESSAGE was not sent.  */
 bool agent_send (cfd_agent_t *agent, const char *router, msg_t *message);
-/* Holds all links, which exchange heartbeats then, while the platform is
-   unreachable.  */
+/* Holds all links while the platform is unreachable, so that they exchange
+   heartbeats.  Removes routers whose link timed out long ago.  */
 void peers_tick (cfd_agent_t *agent, cfd_time_t now);
 
 /* ---- agent-work.c ---- */
@@ -232,7 +232,8 @@
 /* ---- agent-answer.c ---- */
 /* Sends as much of head, body and end as the link accepts.  */
 void answer_flush (run_t *run, cfd_time_t now);
-/* Reports the end of a request that this agent doesn't know.  */
+/* Reports that the outcome of REQUEST is unknown: this agent doesn't know the
+   request, or no longer has its answer.  */
 void answer_send_unknown (cfd_agent_t *agent, const char *router,
                           const char *request, const char *detail);
 
--- a/libcoltsfootdrum/agent/agent-stream.h
+++ b/libcoltsfootdrum/agent/agent-stream.h
@@ -1,6 +1,6 @@
-/* Answer buffer: the answer to one request as the agent keeps it, that is the
-   bytes which the router hasn't acknowledged, how far they were sent over the
-   present link, and the end.  Pure.
+/* Answer buffer: holds the answer to one request until the router has
+   acknowledged it: the head, the unacknowledged bytes, how far they were sent
+   over the present link, and the end.  Pure.
 
    Offsets count body bytes from the start of the answer:
 
@@ -49,12 +49,12 @@
 size_t stream_count_retained_bytes (const stream_t *stream);
 bool stream_is_full (const stream_t *stream);
 
-/* The caller has received the bytes up to OFFSET: drops them.  False, and
-   nothing is dropped, when bytes before OFFSET don't exist yet: an error of
-   the peer.  */
+/* Drops the bytes before OFFSET, which the caller has received.  False, with
+   nothing dropped, when OFFSET is beyond the length: an error of the peer.  */
 bool stream_acknowledge (stream_t *stream, uint64_t offset);
-/* Sends all from OFFSET over the next link.  False when those bytes were
-   dropped or don't exist yet.  */
+/* Prepares to send everything from OFFSET over the next link, and the head
+   again when HEAD is true.  False when OFFSET is in the dropped bytes or
+   beyond the length.  */
 bool stream_resume (stream_t *stream, uint64_t offset, bool head);
 /* Gets the next unsent piece, of at most MSG_DATA_MAX bytes; false when there
    is none.  It counts as unsent until stream_mark_sent.  */
--- a/libcoltsfootdrum/once/write-ages.h
+++ b/libcoltsfootdrum/once/write-ages.h
@@ -29,8 +29,9 @@
 /* Free with json_object_unref.  */
 JsonObject *write_ages_to_spec (const write_ages_t *ages);
 
-/* Adds HELD_MS to each age, and a bound of that age for REVISION.  AGES were
-   read from the state that REVISION wrote, held for HELD_MS since.  */
+/* Adds HELD_MS to each age, and adds the pair of REVISION and HELD_MS.
+   REVISION wrote the state that AGES were read from, and the caller has held
+   that state for HELD_MS.  */
 void write_ages_advance (write_ages_t *ages, uint64_t revision,
                          int64_t held_ms);
 
