--- a/tests/fault-events.c
+++ b/tests/fault-events.c
@@ -9,8 +9,8 @@
 #define RETRY_GIVEN_BACK "the agent gave it back unstarted"
 
 JsonArray *
-fault_events (const run_t *run, fleet_sort_t sort, unsigned index,
-              JsonParser *parser)
+fault_fetch_events (const fault_run_t *run, fleet_sort_t sort, unsigned index,
+                    JsonParser *parser)
 {
   g_autofree char *base = fleet_admin_url (run->fleet, sort, index);
   g_autofree char *url = g_strconcat (base, "/events?since=0", NULL);
@@ -25,10 +25,11 @@
 }
 
 unsigned
-fault_agent_events (const run_t *run, unsigned agent, const char *kind)
+fault_count_agent_events (const fault_run_t *run, unsigned agent,
+                          const char *kind)
 {
   g_autoptr (JsonParser) parser = json_parser_new ();
-  JsonArray *events = fault_events (run, FLEET_AGENT, agent, parser);
+  JsonArray *events = fault_fetch_events (run, FLEET_AGENT, agent, parser);
   unsigned count = 0;
 
   for (guint i = 0; i < json_array_get_length (events); i++)
@@ -42,34 +43,35 @@
 }
 
 void
-fault_count_retries (JsonArray *all, unsigned places[2])
+fault_count_retries (JsonArray *events, unsigned places[2])
 {
-  g_autoptr (GHashTable) lost
+  g_autoptr (GHashTable) failed_agents
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
-  for (guint i = 0; i < json_array_get_length (all); i++)
+  for (guint i = 0; i < json_array_get_length (events); i++)
     {
-      JsonObject *event = json_array_get_object_element (all, i);
+      JsonObject *event = json_array_get_object_element (events, i);
       const char *kind = json_object_get_string_member (event, "kind");
       const char *id
           = json_object_get_string_member_with_default (event, "request", "");
       const char *agent
           = json_object_get_string_member_with_default (event, "endpoint", "");
-      const char *number = strrchr (id, '-');
-      g_autofree char *trace
-          = g_strndup (id, number != NULL ? (gsize)(number - id) : 0);
-      const char *failed = g_hash_table_lookup (lost, trace);
+      const char *attempt = strrchr (id, '-');
+      g_autofree char *request
+          = g_strndup (id, attempt != NULL ? (gsize)(attempt - id) : 0);
+      const char *failed_agent = g_hash_table_lookup (failed_agents, request);
       const char *detail
           = json_object_get_string_member_with_default (event, "detail", "");
 
-      if (failed != NULL || strcmp (kind, "retry") == 0)
+      if (failed_agent != NULL || strcmp (kind, "retry") == 0)
         g_test_message ("%" G_GINT64_FORMAT " %s %s %s: %s",
                         json_object_get_int_member (event, "wall_ms"), kind,
                         id, agent, detail);
       if (strcmp (kind, "retry") == 0
           && strcmp (detail, RETRY_GIVEN_BACK) != 0)
-        g_hash_table_insert (lost, g_steal_pointer (&trace), (char *)agent);
-      else if (strcmp (kind, "assign") == 0 && failed != NULL)
-        places[strcmp (failed, agent) != 0]++;
+        g_hash_table_insert (failed_agents, g_steal_pointer (&request),
+                             (char *)agent);
+      else if (strcmp (kind, "assign") == 0 && failed_agent != NULL)
+        places[strcmp (failed_agent, agent) != 0]++;
     }
 }
--- a/tests/fault-events.h
+++ b/tests/fault-events.h
@@ -9,11 +9,11 @@
 #include <json-glib/json-glib.h>
 
 /* All events of one process; they live as long as PARSER.  */
-JsonArray *fault_events (const run_t *run, fleet_sort_t sort, unsigned index,
-                         JsonParser *parser);
+JsonArray *fault_fetch_events (const fault_run_t *run, fleet_sort_t sort,
+                               unsigned index, JsonParser *parser);
 /* How many events of KIND an agent has.  */
-unsigned fault_agent_events (const run_t *run, unsigned agent,
-                             const char *kind);
+unsigned fault_count_agent_events (const fault_run_t *run, unsigned agent,
+                                   const char *kind);
 /* Adds to PLACES how many of a router's retries went to the agent that had
    just failed the request ([0]), and to another ([1]).  Each step of a retried
    request is printed.  */
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -27,7 +27,7 @@
                                   .accounts = accounts };
 
 static void
-tell_failures (const load_t *load)
+print_failures (const load_t *load)
 {
   const GPtrArray *requests = load_requests (load);
 
@@ -47,28 +47,29 @@
 }
 
 static load_account_t *
-account_load (const fleet_account_t *account, const case_t *it, double *spread)
+make_account_load (const fleet_account_t *account,
+                   const fault_case_t *fault_case, double *spread)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
   load->name = (char *)account->name;
   load->key = (char *)account->key;
   load->weight = account->weight;
-  load->outstanding = it->models ? 14 : 60;
-  if (it->models)
+  load->outstanding = fault_case->use_models ? 14 : 60;
+  if (fault_case->use_models)
     {
       load->kinds[LOAD_STREAM] = 4;
       load->kinds[LOAD_COMPLETION] = 2;
       load->kinds[LOAD_WHOLE] = 1;
     }
-  if (!it->models || it->zone_ms > 0)
+  if (!fault_case->use_models || fault_case->zone_ms > 0)
     {
       load->kinds[LOAD_LOOKUP] = 2;
       load->kinds[LOAD_POST] = 2;
       load->kinds[LOAD_POST_BARE] = 4;
     }
-  load->on_ms = it->on_ms;
-  load->off_ms = it->off_ms;
+  load->on_ms = fault_case->on_ms;
+  load->off_ms = fault_case->off_ms;
   load->spread = spread;
   load->least_tokens = 16;
   load->most_tokens = 48;
@@ -78,47 +79,51 @@
 static void
 on_check (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  run_t *run = watcher->data;
-  const case_t *it = run->it;
-  int64_t ms = (clock_now_us () - run->began_us) / 1000;
+  fault_run_t *run = watcher->data;
+  const fault_case_t *fault_case = run->fault_case;
+  int64_t ms = (clock_now_us () - run->start_us) / 1000;
 
-  if (run->stage == 0 && it->first != NULL && ms >= it->first_ms)
+  if (run->actions_done == 0 && fault_case->first_action != NULL
+      && ms >= fault_case->first_action_ms)
     {
-      it->first (run);
-      run->stage = 1;
+      fault_case->first_action (run);
+      run->actions_done = 1;
     }
-  if (run->stage == 1 && it->second != NULL && ms >= it->second_ms)
+  if (run->actions_done == 1 && fault_case->second_action != NULL
+      && ms >= fault_case->second_action_ms)
     {
-      it->second (run);
-      run->stage = 2;
+      fault_case->second_action (run);
+      run->actions_done = 2;
     }
   /* Callers may all pause in the middle; the end is when none asks again.  */
-  run->idle = load_active (run->load) > 0
-                      || load_requests (run->load)->len < it->requests
-                  ? 0
-                  : run->idle + 1;
-  if (ms >= LIMIT_S * 1000 || (run->idle > 20 && ms > it->second_ms))
+  run->idle_checks
+      = load_active (run->load) > 0
+                || load_requests (run->load)->len < fault_case->requests
+            ? 0
+            : run->idle_checks + 1;
+  if (ms >= LIMIT_S * 1000
+      || (run->idle_checks > 20 && ms > fault_case->second_action_ms))
     ev_break (loop, EVBREAK_ALL);
 }
 
 static void
-run_load (run_t *run, struct ev_loop *loop)
+run_load (fault_run_t *run, struct ev_loop *loop)
 {
   ev_timer check;
 
   ev_timer_init (&check, on_check, 0.02, 0.02);
   check.data = run;
   ev_timer_start (loop, &check);
-  run->began_us = clock_now_us ();
+  run->start_us = clock_now_us ();
   load_start (run->load);
   ev_run (loop, 0);
   ev_timer_stop (loop, &check);
 }
 
 void
-fault_run (gconstpointer data)
+fault_run_case (gconstpointer data)
 {
-  run_t run = { .it = data };
+  fault_run_t run = { .fault_case = data };
   fleet_plan_t plan = fault_plan;
   double spread[] = { 0.5, 0.5 };
   char *urls[2];
@@ -130,47 +135,48 @@
                             .urls = urls,
                             .model = FLEET_MODEL,
                             .plain = FLEET_PLAIN,
-                            .request_limit = run.it->requests,
+                            .request_limit = run.fault_case->requests,
                             .idle_timeout_ms = 20000,
                             .accounts = members };
   struct ev_loop *loop = ev_loop_new (0);
 
-  if (run.it->zone_ms > 0)
+  if (run.fault_case->zone_ms > 0)
     {
-      plan.zone_ms = run.it->zone_ms;
+      plan.zone_ms = run.fault_case->zone_ms;
       spread[0] = 0;
       spread[1] = 1;
     }
-  if (run.it->slots > 0)
+  if (run.fault_case->slots > 0)
     {
-      plan.slots = run.it->slots;
-      plan.slots_cold = run.it->slots / 2;
+      plan.slots = run.fault_case->slots;
+      plan.slots_cold = run.fault_case->slots / 2;
       plan.cold_ms = LONG_COLD_MS;
     }
   run.fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   for (unsigned i = 0; i < plan.routers; i++)
     urls[i] = fleet_url (run.fleet, FLEET_ROUTER, i);
-  for (unsigned i = 0; i < run.it->accounts; i++)
+  for (unsigned i = 0; i < run.fault_case->accounts; i++)
     {
-      load_account_t *load = account_load (&accounts[i], run.it, spread);
+      load_account_t *load
+          = make_account_load (&accounts[i], run.fault_case, spread);
 
-      if (run.it->flood > 0)
-        load->outstanding = i == 0 ? run.it->flood : 1;
+      if (run.fault_case->flood_outstanding > 0)
+        load->outstanding = i == 0 ? run.fault_case->flood_outstanding : 1;
       g_ptr_array_add (members, load);
     }
   run.load = load_new (loop, &load_plan);
   run_load (&run, loop);
-  g_assert_true (collect (run.fleet, run.load, &run.sum));
+  g_assert_true (collect (run.fleet, run.load, &run.totals));
   g_test_message ("%u requests: %u right, %u refused, %u broken, "
                   "%u unfinished, %u overloads, %u in grace",
-                  run.sum.requests, run.sum.right, run.sum.refused,
-                  run.sum.broken, run.sum.unfinished, run.sum.overload_count,
-                  run.sum.overload_in_grace);
-  tell_failures (run.load);
-  run.it->judge (&run);
-  g_assert_true (collect_is_clean (&run.sum));
-  g_assert_cmpuint (run.sum.unfinished, ==, 0);
+                  run.totals.requests, run.totals.right, run.totals.refused,
+                  run.totals.broken, run.totals.unfinished,
+                  run.totals.overload_count, run.totals.overload_in_grace);
+  print_failures (run.load);
+  run.fault_case->verify (&run);
+  g_assert_true (collect_is_clean (&run.totals));
+  g_assert_cmpuint (run.totals.unfinished, ==, 0);
   load_free (run.load);
   ev_loop_destroy (loop);
   fleet_free (run.fleet, g_test_failed ());
--- a/tests/test-starve.c
+++ b/tests/test-starve.c
@@ -6,15 +6,15 @@
 #include "fault-run.h"
 #include <signal.h>
 
-#define SMALL 1u
+#define SMALL_ACCOUNT 1u
 /* Served in turn it waits for under a second; a fault is noticed within 3 s.
  */
-#define WAIT_MOST_MS 6000.0
-#define FLOOD 300u
+#define MAX_WAIT_MS 6000.0
+#define FLOOD_REQUESTS 300u
 #define REQUESTS 900u
 
 static void
-platform_goes_down (run_t *run)
+stop_platform (fault_run_t *run)
 {
   g_autofree char *base = fleet_url (run->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/faults", NULL);
@@ -25,25 +25,25 @@
 }
 
 static void
-freeze_agent (run_t *run)
+freeze_agent (fault_run_t *run)
 {
   proc_stop (fleet_proc (run->fleet, FLEET_AGENT, 0), SIGSTOP, 0);
 }
 
 static void
-wake_agent (run_t *run)
+resume_agent (fault_run_t *run)
 {
   proc_stop (fleet_proc (run->fleet, FLEET_AGENT, 0), SIGCONT, 0);
 }
 
 static void
-cut_links (run_t *run)
+cut_links (fault_run_t *run)
 {
   g_assert_true (fleet_relay (run->fleet, "zone-0>zone-1", "cut"));
 }
 
 static void
-pass_links (run_t *run)
+restore_links (fault_run_t *run)
 {
   g_assert_true (fleet_relay (run->fleet, "zone-0>zone-1", "pass"));
 }
@@ -52,7 +52,7 @@
    router that made it, and the other one would still serve the small account
    in time.  */
 static void
-judge_programs (const run_t *run)
+verify_invariants (const fault_run_t *run)
 {
   static const fleet_sort_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
 
@@ -67,7 +67,7 @@
 }
 
 static void
-judge_small (run_t *run)
+verify_small_account (fault_run_t *run)
 {
   const GPtrArray *requests = load_requests (run->load);
   double longest_ms = 0;
@@ -77,7 +77,7 @@
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->account != SMALL || request->first_us == 0)
+      if (request->account != SMALL_ACCOUNT || request->first_us == 0)
         continue;
       served += request->end == LOAD_RIGHT;
       longest_ms
@@ -86,34 +86,34 @@
     }
   g_test_message ("%u served, longest wait %.0f ms", served, longest_ms);
   g_assert_cmpuint (served, >, 5);
-  g_assert_cmpfloat (longest_ms, <, WAIT_MOST_MS);
-  judge_programs (run);
+  g_assert_cmpfloat (longest_ms, <, MAX_WAIT_MS);
+  verify_invariants (run);
 }
 
 #define STARVE_CASE                                                           \
-  .requests = REQUESTS, .accounts = 2, .models = true, .flood = FLOOD,        \
-  .judge = judge_small
+  .requests = REQUESTS, .accounts = 2, .use_models = true,                    \
+  .flood_outstanding = FLOOD_REQUESTS, .verify = verify_small_account
 
-static const case_t cases[] = {
+static const fault_case_t cases[] = {
   { .name = "flood", STARVE_CASE },
   /* An agent stops with half of the work; the other one has both accounts'. */
   { .name = "frozen",
-    .first_ms = 3000,
-    .second_ms = 6000,
-    .first = freeze_agent,
-    .second = wake_agent,
+    .first_action_ms = 3000,
+    .second_action_ms = 6000,
+    .first_action = freeze_agent,
+    .second_action = resume_agent,
     STARVE_CASE },
   /* Routers lose the homes of the accounts, and agents, in the other zone:
      each side goes on with what it knows of who got what.  */
   { .name = "cut",
-    .first_ms = 3000,
-    .second_ms = 7000,
-    .first = cut_links,
-    .second = pass_links,
+    .first_action_ms = 3000,
+    .second_action_ms = 7000,
+    .first_action = cut_links,
+    .second_action = restore_links,
     STARVE_CASE },
   { .name = "platform-down",
-    .first_ms = 3000,
-    .first = platform_goes_down,
+    .first_action_ms = 3000,
+    .first_action = stop_platform,
     STARVE_CASE },
 };
 
@@ -125,7 +125,7 @@
     {
       g_autofree char *path = g_strconcat ("/starve/", cases[i].name, NULL);
 
-      g_test_add_data_func (path, &cases[i], fault_run);
+      g_test_add_data_func (path, &cases[i], fault_run_case);
     }
   return g_test_run ();
 }
