--- a/tests/soak-faults.c
+++ b/tests/soak-faults.c
@@ -3,19 +3,19 @@
 #include <stdio.h>
 #include <string.h>
 
-#define PAUSE_LEAST_MS 400
-#define PAUSE_MOST_MS 2500
+#define MIN_PAUSE_MS 400
+#define MAX_PAUSE_MS 2500
 /* Between faults of one kind alone.  */
-#define QUICK_LEAST_MS 200
-#define QUICK_MOST_MS 500
+#define MIN_QUICK_PAUSE_MS 200
+#define MAX_QUICK_PAUSE_MS 500
 
 static void
-running_free (gpointer data)
+active_fault_free (gpointer data)
 {
-  running_t *running = data;
+  active_fault_t *active = data;
 
-  g_free (running->group);
-  g_free (running);
+  g_free (active->group);
+  g_free (active);
 }
 
 static const fault_t *
@@ -28,21 +28,22 @@
 }
 
 faults_t *
-faults_new (fleet_t *fleet, uint64_t seed, const char *only, unsigned kinds)
+faults_new (fleet_t *fleet, uint64_t seed, const char *only_kind,
+            unsigned kind_count)
 {
-  const fault_t *kind = only != NULL ? find_kind (only) : NULL;
+  const fault_t *kind = only_kind != NULL ? find_kind (only_kind) : NULL;
   faults_t *faults;
 
-  if (only != NULL && kind == NULL)
+  if (only_kind != NULL && kind == NULL)
     return NULL;
   faults = g_new0 (faults_t, 1);
-  faults->only = kind;
+  faults->only_kind = kind;
   faults->fleet = fleet;
-  faults->kinds
-      = kinds == 0 ? fault_kind_count : MIN (kinds, fault_kind_count);
+  faults->kind_count = kind_count == 0 ? fault_kind_count
+                                       : MIN (kind_count, fault_kind_count);
   faults->rand = g_rand_new_with_seed ((guint32)seed);
-  faults->running = g_ptr_array_new_with_free_func (running_free);
-  faults->done = g_new0 (unsigned, fault_kind_count);
+  faults->active = g_ptr_array_new_with_free_func (active_fault_free);
+  faults->injected = g_new0 (unsigned, fault_kind_count);
   return faults;
 }
 
@@ -52,78 +53,80 @@
   if (faults == NULL)
     return;
   g_rand_free (faults->rand);
-  g_ptr_array_unref (faults->running);
-  g_free (faults->done);
+  g_ptr_array_unref (faults->active);
+  g_free (faults->injected);
   g_free (faults);
 }
 
 static unsigned
 choose_kind (faults_t *faults)
 {
-  if (faults->only != NULL)
-    return (unsigned)(faults->only - fault_kinds);
-  return (unsigned)g_rand_int_range (faults->rand, 0, (gint32)faults->kinds);
+  if (faults->only_kind != NULL)
+    return (unsigned)(faults->only_kind - fault_kinds);
+  return (unsigned)g_rand_int_range (faults->rand, 0,
+                                     (gint32)faults->kind_count);
 }
 
 static cfd_time_t
-choose_pause (faults_t *faults)
+choose_pause_ms (faults_t *faults)
 {
-  if (faults->only != NULL)
-    return g_rand_int_range (faults->rand, QUICK_LEAST_MS, QUICK_MOST_MS);
-  return g_rand_int_range (faults->rand, PAUSE_LEAST_MS, PAUSE_MOST_MS);
+  if (faults->only_kind != NULL)
+    return g_rand_int_range (faults->rand, MIN_QUICK_PAUSE_MS,
+                             MAX_QUICK_PAUSE_MS);
+  return g_rand_int_range (faults->rand, MIN_PAUSE_MS, MAX_PAUSE_MS);
 }
 
 static void
-begin_one (faults_t *faults, cfd_time_t now)
+inject_one (faults_t *faults, cfd_time_t now)
 {
   unsigned kind = choose_kind (faults);
-  running_t *running = g_new0 (running_t, 1);
+  active_fault_t *active = g_new0 (active_fault_t, 1);
 
-  running->fault = &fault_kinds[kind];
-  if (!running->fault->begin (faults, running))
+  active->fault = &fault_kinds[kind];
+  if (!active->fault->inject (faults, active))
     {
-      running_free (running);
+      active_fault_free (active);
       return;
     }
-  faults->done[kind]++;
-  running->began = clock_now ();
-  running->until
+  faults->injected[kind]++;
+  active->started_at = clock_now ();
+  active->ends_at
       = now
-        + g_rand_int_range (faults->rand, (gint32)running->fault->least_ms,
-                            (gint32)running->fault->most_ms);
-  g_ptr_array_add (faults->running, running);
-  printf ("soak: %s %s%u\n", running->fault->name,
-          running->group != NULL ? running->group : "", running->victim);
+        + g_rand_int_range (faults->rand, (gint32)active->fault->min_ms,
+                            (gint32)active->fault->max_ms);
+  g_ptr_array_add (faults->active, active);
+  printf ("soak: %s %s%u\n", active->fault->name,
+          active->group != NULL ? active->group : "", active->target);
 }
 
 static void
-end_due (faults_t *faults, cfd_time_t now)
+revert_due (faults_t *faults, cfd_time_t now)
 {
-  for (guint i = faults->running->len; i > 0; i--)
+  for (guint i = faults->active->len; i > 0; i--)
     {
-      running_t *running = g_ptr_array_index (faults->running, i - 1);
+      active_fault_t *active = g_ptr_array_index (faults->active, i - 1);
 
-      if (running->until > now)
+      if (active->ends_at > now)
         continue;
       /* Else the zone would stay out for the rest of the run.  */
-      if (running->fault->needs_platform && faults->platform_faulty)
+      if (active->fault->needs_platform && faults->platform_faulty)
         continue;
-      running->fault->end (faults, running);
-      g_ptr_array_remove_index (faults->running, i - 1);
+      active->fault->revert (faults, active);
+      g_ptr_array_remove_index (faults->active, i - 1);
     }
 }
 
 static void
-look_for_deaths (faults_t *faults, fleet_sort_t sort)
+restart_exited (faults_t *faults, fleet_sort_t sort)
 {
   for (unsigned i = 0; i < fleet_count (faults->fleet, sort); i++)
     {
       proc_t *proc = fleet_proc (faults->fleet, sort, i);
       g_autoptr (GError) error = NULL;
 
-      if (faults_is_victim (faults, sort, i) || proc_runs (proc))
+      if (faults_is_target (faults, sort, i) || proc_runs (proc))
         continue;
-      faults->deaths++;
+      faults->unexpected_exits++;
       fprintf (stderr, "soak: %s ended by itself; its log is in %s\n",
                proc->name, proc_set_folder (fleet_procs (faults->fleet)));
       (void)proc_again (fleet_procs (faults->fleet), proc, &error);
@@ -133,31 +136,31 @@
 void
 faults_step (faults_t *faults, cfd_time_t now)
 {
-  look_for_deaths (faults, FLEET_ROUTER);
-  look_for_deaths (faults, FLEET_AGENT);
-  end_due (faults, now);
-  if (now < faults->next)
+  restart_exited (faults, FLEET_ROUTER);
+  restart_exited (faults, FLEET_AGENT);
+  revert_due (faults, now);
+  if (now < faults->next_at)
     return;
-  if (faults->next != 0)
-    begin_one (faults, now);
-  faults->next = now + choose_pause (faults);
+  if (faults->next_at != 0)
+    inject_one (faults, now);
+  faults->next_at = now + choose_pause_ms (faults);
 }
 
 /* Zones that have not been out for the grace are not judged.  */
 void
-faults_end (faults_t *faults, cfd_time_t now)
+faults_revert_all (faults_t *faults, cfd_time_t now)
 {
   /* First the platform's faults, then what waits for it.  */
-  end_due (faults, CFD_TIME_NEVER);
-  end_due (faults, CFD_TIME_NEVER);
-  look_for_deaths (faults, FLEET_ROUTER);
-  look_for_deaths (faults, FLEET_AGENT);
+  revert_due (faults, CFD_TIME_NEVER);
+  revert_due (faults, CFD_TIME_NEVER);
+  restart_exited (faults, FLEET_ROUTER);
+  restart_exited (faults, FLEET_AGENT);
 }
 
 unsigned
 faults_zone_violations (const faults_t *faults)
 {
-  return faults->violations;
+  return faults->zone_violations;
 }
 
 unsigned
@@ -167,9 +170,9 @@
 }
 
 unsigned
-faults_deaths (const faults_t *faults)
+faults_unexpected_exits (const faults_t *faults)
 {
-  return faults->deaths;
+  return faults->unexpected_exits;
 }
 
 void
@@ -177,6 +180,6 @@
 {
   printf ("faults:");
   for (unsigned i = 0; i < fault_kind_count; i++)
-    printf (" %s %u", fault_kinds[i].name, faults->done[i]);
+    printf (" %s %u", fault_kinds[i].name, faults->injected[i]);
   printf ("\n");
 }
--- a/tests/soak-kinds.c
+++ b/tests/soak-kinds.c
@@ -10,77 +10,77 @@
 #define ZONE_GRACE_MS 6000
 
 static unsigned
-choose (faults_t *faults, unsigned count)
+choose_index (faults_t *faults, unsigned count)
 {
   return (unsigned)g_rand_int_range (faults->rand, 0, (gint32)count);
 }
 
 bool
-faults_is_victim (const faults_t *faults, fleet_sort_t sort, unsigned index)
+faults_is_target (const faults_t *faults, fleet_sort_t sort, unsigned index)
 {
-  for (guint i = 0; i < faults->running->len; i++)
+  for (guint i = 0; i < faults->active->len; i++)
     {
-      const running_t *running = g_ptr_array_index (faults->running, i);
+      const active_fault_t *active = g_ptr_array_index (faults->active, i);
 
-      if (running->sort == sort && running->victim == index
-          && running->group == NULL)
+      if (active->sort == sort && active->target == index
+          && active->group == NULL)
         return true;
-      if (running->has_partner && sort == FLEET_ROUTER
-          && running->partner == index)
+      if (active->has_router && sort == FLEET_ROUTER
+          && active->router == index)
         return true;
     }
   return false;
 }
 
 static bool
-choose_victim (faults_t *faults, running_t *running, fleet_sort_t sort)
+choose_target (faults_t *faults, active_fault_t *active, fleet_sort_t sort)
 {
-  running->sort = sort;
-  running->victim = choose (faults, fleet_count (faults->fleet, sort));
-  return !faults_is_victim (faults, sort, running->victim);
+  active->sort = sort;
+  active->target = choose_index (faults, fleet_count (faults->fleet, sort));
+  return !faults_is_target (faults, sort, active->target);
 }
 
 /* ---- processes ---- */
 
 static bool
-kill_victim (faults_t *faults, running_t *running)
+kill_target (faults_t *faults, active_fault_t *active)
 {
-  return proc_stop (fleet_proc (faults->fleet, running->sort, running->victim),
+  return proc_stop (fleet_proc (faults->fleet, active->sort, active->target),
                     SIGKILL, 2000);
 }
 
 static bool
-kill_one (faults_t *faults, running_t *running)
+kill_one_process (faults_t *faults, active_fault_t *active)
 {
-  return choose_victim (faults, running, running->fault->sort)
-         && kill_victim (faults, running);
+  return choose_target (faults, active, active->fault->sort)
+         && kill_target (faults, active);
 }
 
 static void
-start_again (faults_t *faults, running_t *running)
+restart_target (faults_t *faults, active_fault_t *active)
 {
   g_autoptr (GError) error = NULL;
 
   if (!proc_again (fleet_procs (faults->fleet),
-                   fleet_proc (faults->fleet, running->sort, running->victim),
+                   fleet_proc (faults->fleet, active->sort, active->target),
                    &error))
     fprintf (stderr, "soak: %s\n", error->message);
 }
 
 static bool
-freeze_one (faults_t *faults, running_t *running)
+freeze_one_process (faults_t *faults, active_fault_t *active)
 {
-  if (!choose_victim (faults, running, running->fault->sort))
+  if (!choose_target (faults, active, active->fault->sort))
     return false;
-  (void)proc_stop (fleet_proc (faults->fleet, running->sort, running->victim),
+  (void)proc_stop (fleet_proc (faults->fleet, active->sort, active->target),
                    SIGSTOP, 0);
   return true;
 }
 
 static void
-thaw (faults_t *faults, running_t *running)
+resume_target (faults_t *faults, active_fault_t *active)
 {
-  (void)proc_stop (fleet_proc (faults->fleet, running->sort, running->victim),
+  (void)proc_stop (fleet_proc (faults->fleet, active->sort, active->target),
                    SIGCONT, 0);
 }
 
@@ -88,7 +88,7 @@
 
 /* What a rack's switch carried goes silent; new links work.  */
 static void
-silence_zone (faults_t *faults, unsigned zone, const char *mode)
+set_zone_links (faults_t *faults, unsigned zone, const char *mode)
 {
   unsigned zones = fleet_plan (faults->fleet)->zones;
 
@@ -107,31 +107,30 @@
 /* An agent and a router of its zone die together and their links go silent,
    so that nobody is told: the others have to notice by themselves.  */
 static bool
-rack_dies (faults_t *faults, running_t *running)
+fail_rack (faults_t *faults, active_fault_t *active)
 {
-  if (!choose_victim (faults, running, FLEET_AGENT))
+  if (!choose_target (faults, active, FLEET_AGENT))
     return false;
   /* The router of that number is in that zone.  */
-  running->partner
-      = fleet_zone_of (faults->fleet, FLEET_AGENT, running->victim);
-  if (faults_is_victim (faults, FLEET_ROUTER, running->partner))
+  active->router = fleet_zone_of (faults->fleet, FLEET_AGENT, active->target);
+  if (faults_is_target (faults, FLEET_ROUTER, active->router))
     return false;
-  running->has_partner = true;
-  silence_zone (faults, running->partner, "silent");
-  (void)proc_stop (fleet_proc (faults->fleet, FLEET_ROUTER, running->partner),
+  active->has_router = true;
+  set_zone_links (faults, active->router, "silent");
+  (void)proc_stop (fleet_proc (faults->fleet, FLEET_ROUTER, active->router),
                    SIGKILL, 2000);
-  return kill_victim (faults, running);
+  return kill_target (faults, active);
 }
 
 static void
-rack_returns (faults_t *faults, running_t *running)
+restore_rack (faults_t *faults, active_fault_t *active)
 {
   g_autoptr (GError) error = NULL;
 
-  silence_zone (faults, running->partner, "pass");
-  start_again (faults, running);
+  set_zone_links (faults, active->router, "pass");
+  restart_target (faults, active);
   if (!proc_again (fleet_procs (faults->fleet),
-                   fleet_proc (faults->fleet, FLEET_ROUTER, running->partner),
+                   fleet_proc (faults->fleet, FLEET_ROUTER, active->router),
                    &error))
     fprintf (stderr, "soak: %s\n", error->message);
 }
@@ -139,35 +138,35 @@
 /* ---- the network between zones ---- */
 
 static bool
-choose_group (faults_t *faults, running_t *running)
+choose_link_group (faults_t *faults, active_fault_t *active)
 {
   unsigned zones = fleet_plan (faults->fleet)->zones;
-  unsigned from = choose (faults, zones);
-  unsigned to = (from + 1 + choose (faults, zones - 1)) % zones;
+  unsigned from = choose_index (faults, zones);
+  unsigned to = (from + 1 + choose_index (faults, zones - 1)) % zones;
 
-  running->group = g_strdup_printf ("zone-%u>zone-%u", from, to);
+  active->group = g_strdup_printf ("zone-%u>zone-%u", from, to);
   return true;
 }
 
 static bool
-spoil_link (faults_t *faults, running_t *running)
+impair_link (faults_t *faults, active_fault_t *active)
 {
-  return choose_group (faults, running)
-         && fleet_relay (faults->fleet, running->group, running->fault->spec);
+  return choose_link_group (faults, active)
+         && fleet_relay (faults->fleet, active->group, active->fault->spec);
 }
 
 static void
-pass_link (faults_t *faults, running_t *running)
+restore_link (faults_t *faults, active_fault_t *active)
 {
-  (void)fleet_relay (faults->fleet, running->group, "pass");
+  (void)fleet_relay (faults->fleet, active->group, "pass");
 }
 
 /* ---- the platform ---- */
 
 /* Tells a stand-in how to behave.  */
 static bool
-control (const faults_t *faults, fleet_sort_t sort, unsigned index,
-         const char *path, const char *spec)
+control_standin (const faults_t *faults, fleet_sort_t sort, unsigned index,
+                 const char *path, const char *spec)
 {
   g_autofree char *base = fleet_url (faults->fleet, sort, index);
   g_autofree char *url = g_strconcat (base, path, NULL);
@@ -178,76 +177,77 @@
 }
 
 bool
-faults_platform (faults_t *faults, const char *spec)
+faults_set_platform_mode (faults_t *faults, const char *spec)
 {
-  return control (faults, FLEET_PLATFORM, 0, "/control/faults", spec);
+  return control_standin (faults, FLEET_PLATFORM, 0, "/control/faults", spec);
 }
 
 static bool
-platform_fault (faults_t *faults, running_t *running)
+inject_platform_fault (faults_t *faults, active_fault_t *active)
 {
-  running->sort = FLEET_PLATFORM;
+  active->sort = FLEET_PLATFORM;
   if (faults->platform_faulty
-      || !faults_platform (faults, running->fault->spec))
+      || !faults_set_platform_mode (faults, active->fault->spec))
     return false;
   faults->platform_faulty = true;
   return true;
 }
 
 static void
-platform_up (faults_t *faults, running_t *running)
+restore_platform (faults_t *faults, active_fault_t *active)
 {
-  (void)faults_platform (faults, "{\"mode\":\"up\"}");
+  (void)faults_set_platform_mode (faults, "{\"mode\":\"up\"}");
   faults->platform_faulty = false;
 }
 
 /* ---- endpoints ---- */
 
 static bool
-endpoint_control (const faults_t *faults, const running_t *running,
+control_endpoint (const faults_t *faults, const active_fault_t *active,
                   const char *spec)
 {
-  return control (faults, FLEET_ENDPOINT, running->victim, "/control", spec);
+  return control_standin (faults, FLEET_ENDPOINT, active->target, "/control",
+                          spec);
 }
 
 static bool
-choose_engine (faults_t *faults, running_t *running)
+choose_engine (faults_t *faults, active_fault_t *active)
 {
-  running->sort = FLEET_ENDPOINT;
-  running->victim = choose (faults, fleet_plan (faults->fleet)->models);
-  return !faults_is_victim (faults, FLEET_ENDPOINT, running->victim);
+  active->sort = FLEET_ENDPOINT;
+  active->target = choose_index (faults, fleet_plan (faults->fleet)->models);
+  return !faults_is_target (faults, FLEET_ENDPOINT, active->target);
 }
 
 static bool
-engine_fault (faults_t *faults, running_t *running)
+inject_engine_fault (faults_t *faults, active_fault_t *active)
 {
-  return choose_engine (faults, running)
-         && endpoint_control (faults, running, running->fault->spec);
+  return choose_engine (faults, active)
+         && control_endpoint (faults, active, active->fault->spec);
 }
 
 static bool
-endpoint_fault (faults_t *faults, running_t *running)
+inject_endpoint_fault (faults_t *faults, active_fault_t *active)
 {
-  return choose_victim (faults, running, FLEET_ENDPOINT)
-         && endpoint_control (faults, running, running->fault->spec);
+  return choose_target (faults, active, FLEET_ENDPOINT)
+         && control_endpoint (faults, active, active->fault->spec);
 }
 
 static void
-endpoint_mended (faults_t *faults, running_t *running)
+restore_endpoint (faults_t *faults, active_fault_t *active)
 {
-  (void)endpoint_control (faults, running,
+  (void)control_endpoint (faults, active,
                           "{\"refuse\":false,\"break\":false}");
 }
 
 static void
-nothing (faults_t *faults, running_t *running)
+revert_nothing (faults_t *faults, active_fault_t *active)
 {
 }
 
 /* ---- zones ---- */
 
 static bool
-put_zone (faults_t *faults, unsigned zone, const char *state)
+write_zone_state (faults_t *faults, unsigned zone, const char *state)
 {
   g_autofree char *name = g_strdup_printf ("zone-%u", zone);
   g_autofree char *spec = g_strdup_printf (
@@ -259,24 +259,24 @@
 
 /* At most one zone is out, so that others can serve.  */
 static bool
-zone_out (faults_t *faults, running_t *running)
+take_zone_out (faults_t *faults, active_fault_t *active)
 {
-  for (guint i = 0; i < faults->running->len; i++)
+  for (guint i = 0; i < faults->active->len; i++)
     {
-      const running_t *other = g_ptr_array_index (faults->running, i);
+      const active_fault_t *other = g_ptr_array_index (faults->active, i);
 
-      if (other != running && other->fault->begin == zone_out)
+      if (other != active && other->fault->inject == take_zone_out)
         return false;
     }
   if (faults->platform_faulty)
     return false;
-  running->sort = FLEET_SORTS;
-  running->victim = choose (faults, fleet_plan (faults->fleet)->zones);
-  return put_zone (faults, running->victim, "out");
+  active->sort = FLEET_SORTS;
+  active->target = choose_index (faults, fleet_plan (faults->fleet)->zones);
+  return write_zone_state (faults, active->target, "out");
 }
 
 static double
-last_start (faults_t *faults, unsigned endpoint)
+read_last_start_ms (faults_t *faults, unsigned endpoint)
 {
   g_autofree char *base = fleet_url (faults->fleet, FLEET_ENDPOINT, endpoint);
   g_autofree char *url = g_strconcat (base, "/control/counters", NULL);
@@ -295,61 +295,66 @@
 /* Before the zone comes back: no endpoint of it may have started anything
    after the grace.  The grace begins when the write was known to be done.  */
 static void
-zone_in (faults_t *faults, running_t *running)
+check_and_restore_zone (faults_t *faults, active_fault_t *active)
 {
   unsigned count = fleet_count (faults->fleet, FLEET_ENDPOINT);
 
   for (unsigned i = 0; i < count; i++)
     {
-      double start;
+      double start_ms;
 
-      if (fleet_zone_of (faults->fleet, FLEET_ENDPOINT, i) != running->victim)
+      if (fleet_zone_of (faults->fleet, FLEET_ENDPOINT, i) != active->target)
         continue;
-      start = last_start (faults, i);
-      if (start <= (double)(running->began + ZONE_GRACE_MS))
+      start_ms = read_last_start_ms (faults, i);
+      if (start_ms <= (double)(active->started_at + ZONE_GRACE_MS))
         continue;
-      faults->violations++;
+      faults->zone_violations++;
       fprintf (stderr,
                "soak: endpoint-%u started work %.0f ms after its zone-%u "
                "went out\n",
-               i, start - (double)running->began, running->victim);
+               i, start_ms - (double)active->started_at, active->target);
     }
   for (unsigned tries = 0; tries < 20; tries++)
-    if (put_zone (faults, running->victim, "in"))
+    if (write_zone_state (faults, active->target, "in"))
       return;
     else
       g_usleep (100000);
   fprintf (stderr, "soak: zone-%u could not be brought back\n",
-           running->victim);
+           active->target);
 }
 
 const fault_t fault_kinds[] = {
-  { "kill-router", 300, 2500, kill_one, start_again, .sort = FLEET_ROUTER },
-  { "kill-agent", 300, 2500, kill_one, start_again, .sort = FLEET_AGENT },
-  { "freeze-router", 500, 4000, freeze_one, thaw, .sort = FLEET_ROUTER },
-  { "freeze-agent", 500, 4000, freeze_one, thaw, .sort = FLEET_AGENT },
-  { "cut-link", 500, 5000, spoil_link, pass_link, .spec = "cut" },
-  { "silence-link", 100, 500, spoil_link, pass_link, .spec = "silent" },
-  { "hole-link", 500, 4000, spoil_link, pass_link, .spec = "hole" },
-  { "platform-down", 1000, 8000, platform_fault, platform_up,
+  { "kill-router", 300, 2500, kill_one_process, restart_target,
+    .sort = FLEET_ROUTER },
+  { "kill-agent", 300, 2500, kill_one_process, restart_target,
+    .sort = FLEET_AGENT },
+  { "freeze-router", 500, 4000, freeze_one_process, resume_target,
+    .sort = FLEET_ROUTER },
+  { "freeze-agent", 500, 4000, freeze_one_process, resume_target,
+    .sort = FLEET_AGENT },
+  { "cut-link", 500, 5000, impair_link, restore_link, .spec = "cut" },
+  { "silence-link", 100, 500, impair_link, restore_link, .spec = "silent" },
+  { "hole-link", 500, 4000, impair_link, restore_link, .spec = "hole" },
+  { "platform-down", 1000, 8000, inject_platform_fault, restore_platform,
     .spec = "{\"mode\":\"down\"}" },
-  { "platform-loses-answers", 500, 3000, platform_fault, platform_up,
-    .spec = "{\"mode\":\"lose-answer\"}" },
-  { "platform-slow", 1000, 4000, platform_fault, platform_up,
+  { "platform-loses-answers", 500, 3000, inject_platform_fault,
+    restore_platform, .spec = "{\"mode\":\"lose-answer\"}" },
+  { "platform-slow", 1000, 4000, inject_platform_fault, restore_platform,
     .spec = "{\"mode\":\"slow\",\"delay_ms\":1500}" },
-  { "platform-stale", 1000, 5000, platform_fault, platform_up,
+  { "platform-stale", 1000, 5000, inject_platform_fault, restore_platform,
     .spec = "{\"mode\":\"stale\",\"lag_ms\":3000}" },
-  { "engine-cold", 1000, 2000, engine_fault, nothing,
+  { "engine-cold", 1000, 2000, inject_engine_fault, revert_nothing,
     .spec = "{\"cold\":true}" },
-  { "engine-silent", 100, 500, engine_fault, nothing,
+  { "engine-silent", 100, 500, inject_engine_fault, revert_nothing,
     .spec = "{\"silent\":true}" },
-  { "endpoint-refuses", 500, 3000, endpoint_fault, endpoint_mended,
+  { "endpoint-refuses", 500, 3000, inject_endpoint_fault, restore_endpoint,
     .spec = "{\"refuse\":true}" },
-  { "endpoint-breaks", 500, 3000, endpoint_fault, endpoint_mended,
+  { "endpoint-breaks", 500, 3000, inject_endpoint_fault, restore_endpoint,
     .spec = "{\"break\":true}" },
-  { "zone-out", 8000, 14000, zone_out, zone_in, .needs_platform = true },
+  { "zone-out", 8000, 14000, take_zone_out, check_and_restore_zone,
+    .needs_platform = true },
   /* Kinds are added at the end: a seed with --kinds stays what it was.  */
-  { "rack", 500, 4000, rack_dies, rack_returns, .needs_platform = false },
+  { "rack", 500, 4000, fail_rack, restore_rack, .needs_platform = false },
   { "operators-race", 500, 2000, race_begin, race_end,
     .needs_platform = false },
 };
--- a/tests/soak-race.c
+++ b/tests/soak-race.c
@@ -9,15 +9,15 @@
 #include <sys/wait.h>
 
 #define RECORD "client-account alpha"
-#define OBJECT "/v1/objects/client-account/alpha"
+#define OBJECT_PATH "/v1/objects/client-account/alpha"
 /* Values that nothing else writes; all of them bound no queue here.  */
 #define FIRST_VALUE 100000u
 
 typedef enum
 {
-  TOLD_DONE = 0,
-  TOLD_OTHER_FIRST = 3
-} told_t;
+  CFDCTL_DONE = 0,
+  CFDCTL_CONFLICT = 3
+} cfdctl_status_t;
 
 /* The record's version or, with it NULL, its value; 0 when it can't be read.
  */
@@ -25,7 +25,7 @@
 read_record (const faults_t *faults, char **version)
 {
   g_autofree char *base = fleet_url (faults->fleet, FLEET_PLATFORM, 0);
-  g_autofree char *url = g_strconcat (base, OBJECT, NULL);
+  g_autofree char *url = g_strconcat (base, OBJECT_PATH, NULL);
   long status = 0;
   g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) node
@@ -46,14 +46,14 @@
 {
   g_autofree char *build = proc_build_folder ();
   g_autofree char *platform = fleet_url (faults->fleet, FLEET_PLATFORM, 0);
-  g_autofree char *line = g_strdup_printf (
+  g_autofree char *command = g_strdup_printf (
       "%s/cli/cfdctl --platform %s set " RECORD " queue_max=%u --if-version "
       "%s",
       build, platform, value, version);
-  g_auto (GStrv) words = g_strsplit (line, " ", -1);
+  g_auto (GStrv) argv = g_strsplit (command, " ", -1);
   GPid pid = 0;
 
-  (void)g_spawn_async (NULL, words, NULL,
+  (void)g_spawn_async (NULL, argv, NULL,
                        G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDOUT_TO_DEV_NULL
                            | G_SPAWN_STDERR_TO_DEV_NULL,
                        NULL, NULL, &pid, NULL);
@@ -61,7 +61,7 @@
 }
 
 bool
-race_begin (faults_t *faults, running_t *running)
+race_begin (faults_t *faults, active_fault_t *active)
 {
   g_autofree char *version = NULL;
 
@@ -69,19 +69,18 @@
     return false;
   (void)read_record (faults, &version);
   if (version == NULL
-      || !faults_platform (faults, "{\"mode\":\"lose-answer\"}"))
+      || !faults_set_platform_mode (faults, "{\"mode\":\"lose-answer\"}"))
     return false;
   faults->platform_faulty = true;
-  running->sort = FLEET_PLATFORM;
-  running->value = FIRST_VALUE + 2 * faults->races++;
-  for (unsigned i = 0; i < RACERS; i++)
-    running->operators[i]
-        = start_operator (faults, version, running->value + i);
+  active->sort = FLEET_PLATFORM;
+  active->value = FIRST_VALUE + 2 * faults->race_count++;
+  for (unsigned i = 0; i < RACE_OPERATORS; i++)
+    active->operators[i] = start_operator (faults, version, active->value + i);
   return true;
 }
 
 static int
-wait_for_word (GPid pid)
+wait_for_exit_status (GPid pid)
 {
   int status = 0;
 
@@ -92,27 +91,28 @@
 }
 
 void
-race_end (faults_t *faults, running_t *running)
+race_end (faults_t *faults, active_fault_t *active)
 {
-  int told[RACERS];
+  int statuses[RACE_OPERATORS];
   unsigned value;
 
-  for (unsigned i = 0; i < RACERS; i++)
-    told[i] = wait_for_word (running->operators[i]);
-  (void)faults_platform (faults, "{\"mode\":\"up\"}");
+  for (unsigned i = 0; i < RACE_OPERATORS; i++)
+    statuses[i] = wait_for_exit_status (active->operators[i]);
+  (void)faults_set_platform_mode (faults, "{\"mode\":\"up\"}");
   faults->platform_faulty = false;
   value = read_record (faults, NULL);
-  for (unsigned i = 0; i < RACERS; i++)
+  for (unsigned i = 0; i < RACE_OPERATORS; i++)
     {
-      bool is_in_force = value == running->value + i;
+      bool is_stored = value == active->value + i;
 
-      if (told[i] == TOLD_DONE ? is_in_force
-                               : told[i] != TOLD_OTHER_FIRST || !is_in_force)
+      if (statuses[i] == CFDCTL_DONE
+              ? is_stored
+              : statuses[i] != CFDCTL_CONFLICT || !is_stored)
         continue;
       faults->race_violations++;
       fprintf (stderr,
                "soak: an operator was told %d, the record has %u and "
                "not %u\n",
-               told[i], value, running->value + i);
+               statuses[i], value, active->value + i);
     }
 }
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -41,9 +41,9 @@
 {
   gint64 seed;
   int seconds;
-  char *only;     /* the one kind of fault; NULL: all */
-  int kinds;      /* the first so many; 0: all */
-  gboolean light; /* load that leaves most slots free */
+  char *only_kind; /* the one kind of fault; NULL: all */
+  int kind_count;  /* the first so many; 0: all */
+  gboolean light;  /* load that leaves most slots free */
   gboolean keep;
 } options_t;
 
@@ -55,14 +55,14 @@
   cfd_time_t faults_until;
   cfd_time_t load_until;
   cfd_time_t until;
-  guint quiet_from; /* first request of the quiet time */
-  bool calm;
-  bool stopped;
+  guint first_quiet_request; /* first request of the quiet time */
+  bool faults_reverted;
+  bool load_stopped;
 } soak_t;
 
 static load_account_t *
-soak_account (const fleet_account_t *account, unsigned index, bool light,
-              double *spread)
+make_account_load (const fleet_account_t *account, unsigned index, bool light,
+                   double *spread)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -86,7 +86,7 @@
 }
 
 static void
-on_step (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   soak_t *soak = watcher->data;
   cfd_time_t now = clock_now ();
@@ -96,21 +96,21 @@
       faults_step (soak->faults, now);
       return;
     }
-  if (!soak->calm)
+  if (!soak->faults_reverted)
     {
-      soak->calm = true;
-      faults_end (soak->faults, now);
+      soak->faults_reverted = true;
+      faults_revert_all (soak->faults, now);
       now = clock_now ();
       soak->load_until = now + QUIET_S * 1000;
       soak->until = now + (QUIET_S + SETTLE_S) * 1000;
-      soak->quiet_from = load_requests (soak->load)->len;
+      soak->first_quiet_request = load_requests (soak->load)->len;
       return;
     }
   if (now < soak->load_until)
     return;
-  if (!soak->stopped)
+  if (!soak->load_stopped)
     {
-      soak->stopped = true;
+      soak->load_stopped = true;
       load_stop (soak->load);
     }
   if (load_active (soak->load) == 0 || now >= soak->until)
@@ -119,13 +119,13 @@
 
 /* Accounts without one right answer among the requests of the quiet time.  */
 static unsigned
-starved (const soak_t *soak)
+count_starved_accounts (const soak_t *soak)
 {
   const GPtrArray *requests = load_requests (soak->load);
   unsigned right[G_N_ELEMENTS (accounts)] = { 0 };
   unsigned count = 0;
 
-  for (guint i = soak->quiet_from; i < requests->len; i++)
+  for (guint i = soak->first_quiet_request; i < requests->len; i++)
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
@@ -144,7 +144,7 @@
 
 /* Sum of the counter that INVARIANT keeps in all processes now running.  */
 static double
-invariant_count (const fleet_t *fleet)
+count_invariant_failures (const fleet_t *fleet)
 {
   static const fleet_sort_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
   double sum = 0;
@@ -161,7 +161,7 @@
 }
 
 static unsigned
-judge (const char *invariant, double failures)
+report_invariant (const char *invariant, double failures)
 {
   printf ("%s - %s: %g\n", failures > 0 ? "not ok" : "ok", invariant,
           failures);
@@ -169,7 +169,7 @@
 }
 
 static bool
-verdict (const soak_t *soak, const fleet_t *fleet)
+report_invariants (const soak_t *soak, const fleet_t *fleet)
 {
   collect_t sum;
   unsigned total = 9;
@@ -183,21 +183,24 @@
   faults_print (soak->faults);
   printf ("%u requests: %u right, %u refused, %u broken, %u unfinished\n",
           sum.requests, sum.right, sum.refused, sum.broken, sum.unfinished);
-  failed += judge ("every answer is whole and the caller's own",
-                   sum.wrong_answers);
-  failed += judge ("a refusal that says not run is true", sum.false_not_run);
-  failed
-      += judge ("a non-idempotent request runs at most once", sum.double_runs);
-  failed += judge ("no endpoint gets more than it bears", sum.overload_count);
-  failed += judge ("a zone that is out gets no new work",
-                   faults_zone_violations (soak->faults));
-  failed += judge ("what racing operators are told is true",
-                   faults_race_violations (soak->faults));
-  failed += judge ("every request comes to an end", sum.unfinished);
-  failed
-      += judge ("no account starves once the faults are over", starved (soak));
-  failed += judge ("no check inside the programs failed",
-                   invariant_count (fleet) + faults_deaths (soak->faults));
+  failed += report_invariant ("every answer is whole and the caller's own",
+                              sum.wrong_answers);
+  failed += report_invariant ("a refusal that says not run is true",
+                              sum.false_not_run);
+  failed += report_invariant ("a non-idempotent request runs at most once",
+                              sum.double_runs);
+  failed += report_invariant ("no endpoint gets more than it bears",
+                              sum.overload_count);
+  failed += report_invariant ("a zone that is out gets no new work",
+                              faults_zone_violations (soak->faults));
+  failed += report_invariant ("what racing operators are told is true",
+                              faults_race_violations (soak->faults));
+  failed += report_invariant ("every request comes to an end", sum.unfinished);
+  failed += report_invariant ("no account starves once the faults are over",
+                              count_starved_accounts (soak));
+  failed += report_invariant ("no check inside the programs failed",
+                              count_invariant_failures (fleet)
+                                  + faults_unexpected_exits (soak->faults));
   printf ("%u passed, %u failed\n", total - failed, failed);
   return failed == 0;
 }
@@ -219,31 +222,31 @@
                             .accounts = members };
   soak_t soak = { .loop = loop };
   ev_timer step;
-  bool good;
+  bool passed;
 
   for (unsigned i = 0; i < ROUTERS; i++)
     urls[i] = fleet_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
-    g_ptr_array_add (members,
-                     soak_account (&accounts[i], i, options->light, spread));
+    g_ptr_array_add (
+        members, make_account_load (&accounts[i], i, options->light, spread));
   soak.load = load_new (loop, &load_plan);
-  soak.faults = faults_new (fleet, (uint64_t)options->seed, options->only,
-                            (unsigned)options->kinds);
+  soak.faults = faults_new (fleet, (uint64_t)options->seed, options->only_kind,
+                            (unsigned)options->kind_count);
   if (soak.faults == NULL)
-    g_error ("--only names no kind of fault: %s", options->only);
+    g_error ("--only names no kind of fault: %s", options->only_kind);
   soak.faults_until = clock_now () + (cfd_time_t)options->seconds * 1000;
-  ev_timer_init (&step, on_step, 0.1, 0.1);
+  ev_timer_init (&step, on_timer, 0.1, 0.1);
   step.data = &soak;
   ev_timer_start (loop, &step);
   load_start (soak.load);
   ev_run (loop, 0);
   ev_timer_stop (loop, &step);
-  good = verdict (&soak, fleet);
+  passed = report_invariants (&soak, fleet);
   faults_free (soak.faults);
   load_free (soak.load);
   for (unsigned i = 0; i < ROUTERS; i++)
     g_free (urls[i]);
-  return good;
+  return passed;
 }
 
 static bool
@@ -254,11 +257,11 @@
             "Fixes the load and the faults", "N" },
           { "seconds", 0, 0, G_OPTION_ARG_INT, &options->seconds,
             "Length of the time with faults", "N" },
-          { "only", 0, 0, G_OPTION_ARG_STRING, &options->only,
+          { "only", 0, 0, G_OPTION_ARG_STRING, &options->only_kind,
             "Does faults of one kind alone, in quick turns", "KIND" },
           { "light", 0, 0, G_OPTION_ARG_NONE, &options->light,
             "Load that leaves most slots free", NULL },
-          { "kinds", 0, 0, G_OPTION_ARG_INT, &options->kinds,
+          { "kinds", 0, 0, G_OPTION_ARG_INT, &options->kind_count,
             "Use only the first N kinds of fault, as older seeds did", "N" },
           { "keep", 0, 0, G_OPTION_ARG_NONE, &options->keep,
             "Keep the logs also when all is well", NULL },
@@ -281,7 +284,7 @@
   options_t options = { .seed = 1, .seconds = 60 };
   g_autoptr (GError) error = NULL;
   fleet_t *fleet;
-  bool good;
+  bool passed;
 
   if (!read_options (argc, argv, &options))
     return 2;
@@ -294,8 +297,8 @@
       fprintf (stderr, "soak: %s\n", error->message);
       return 1;
     }
-  good = run (fleet, &options);
-  fleet_free (fleet, options.keep || !good);
-  g_free (options.only);
-  return good ? 0 : 1;
+  passed = run (fleet, &options);
+  fleet_free (fleet, options.keep || !passed);
+  g_free (options.only_kind);
+  return passed ? 0 : 1;
 }
