--- a/tests/test-cfdctl.c
+++ b/tests/test-cfdctl.c
@@ -18,12 +18,12 @@
   char *platform;
   char *out; /* of the last run */
   char *err;
-} desk_t;
+} fixture_t;
 
 static const fleet_account_t account = { "branch", KEY, 1 };
 
-static desk_t *
-desk_new (void)
+static fixture_t *
+fixture_new (void)
 {
   static const fleet_plan_t plan = { .zones = ZONES,
                                      .routers = 2,
@@ -41,69 +41,70 @@
                                      .accounts = &account };
   g_autoptr (GError) error = NULL;
   g_autofree char *build = proc_build_folder ();
-  desk_t *desk = g_new0 (desk_t, 1);
+  fixture_t *fixture = g_new0 (fixture_t, 1);
 
-  desk->fleet = fleet_new (&plan, &error);
+  fixture->fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
-  desk->program = g_build_filename (build, "cli", "cfdctl", NULL);
-  desk->platform = fleet_url (desk->fleet, FLEET_PLATFORM, 0);
-  return desk;
+  fixture->program = g_build_filename (build, "cli", "cfdctl", NULL);
+  fixture->platform = fleet_url (fixture->fleet, FLEET_PLATFORM, 0);
+  return fixture;
 }
 
 static void
-desk_free (desk_t *desk)
+fixture_free (fixture_t *fixture)
 {
-  fleet_free (desk->fleet, false);
-  g_free (desk->program);
-  g_free (desk->platform);
-  g_free (desk->out);
-  g_free (desk->err);
-  g_free (desk);
+  fleet_free (fixture->fleet, false);
+  g_free (fixture->program);
+  g_free (fixture->platform);
+  g_free (fixture->out);
+  g_free (fixture->err);
+  g_free (fixture);
 }
 
 /* Runs cfdctl with WORDS, split as a shell would; returns its exit status.  */
 static int
-ctl (desk_t *desk, const char *words)
+run_cfdctl (fixture_t *fixture, const char *arguments)
 {
-  g_auto (GStrv) split = NULL;
+  g_auto (GStrv) argv_tail = NULL;
   g_autoptr (GPtrArray) argv = g_ptr_array_new ();
   g_autoptr (GError) error = NULL;
   int status;
 
-  g_assert_true (g_shell_parse_argv (words, NULL, &split, NULL));
-  g_ptr_array_add (argv, desk->program);
+  g_assert_true (g_shell_parse_argv (arguments, NULL, &argv_tail, NULL));
+  g_ptr_array_add (argv, fixture->program);
   g_ptr_array_add (argv, (gpointer) "--platform");
-  g_ptr_array_add (argv, desk->platform);
-  for (unsigned i = 0; split[i] != NULL; i++)
-    g_ptr_array_add (argv, split[i]);
+  g_ptr_array_add (argv, fixture->platform);
+  for (unsigned i = 0; argv_tail[i] != NULL; i++)
+    g_ptr_array_add (argv, argv_tail[i]);
   g_ptr_array_add (argv, NULL);
-  g_free (desk->out);
-  g_free (desk->err);
+  g_free (fixture->out);
+  g_free (fixture->err);
   g_spawn_sync (NULL, (char **)argv->pdata, NULL, G_SPAWN_DEFAULT, NULL, NULL,
-                &desk->out, &desk->err, &status, &error);
+                &fixture->out, &fixture->err, &status, &error);
   g_assert_no_error (error);
   g_assert_true (WIFEXITED (status));
-  g_test_message ("cfdctl %s: %d\n%s%s", words, WEXITSTATUS (status),
-                  desk->out, desk->err);
+  g_test_message ("cfdctl %s: %d\n%s%s", arguments, WEXITSTATUS (status),
+                  fixture->out, fixture->err);
   return WEXITSTATUS (status);
 }
 
 static void
-check (desk_t *desk, const char *words, int status, const char *told)
+check_cfdctl (fixture_t *fixture, const char *arguments, int status,
+              const char *expected)
 {
-  g_assert_cmpint (ctl (desk, words), ==, status);
-  if (told != NULL)
-    g_assert_true (strstr (desk->out, told) != NULL
-                   || strstr (desk->err, told) != NULL);
+  g_assert_cmpint (run_cfdctl (fixture, arguments), ==, status);
+  if (expected != NULL)
+    g_assert_true (strstr (fixture->out, expected) != NULL
+                   || strstr (fixture->err, expected) != NULL);
 }
 
 /* ---- records ---- */
 
 typedef struct
 {
-  const char *words;
+  const char *arguments;
   int status;
-  const char *told;
+  const char *expected;
 } record_case_t;
 
 /* In this order.  */
@@ -133,23 +134,23 @@
 static void
 test_records (void)
 {
-  desk_t *desk = desk_new ();
+  fixture_t *fixture = fixture_new ();
 
   for (unsigned i = 0; i < G_N_ELEMENTS (record_cases); i++)
-    check (desk, record_cases[i].words, record_cases[i].status,
-           record_cases[i].told);
-  desk_free (desk);
+    check_cfdctl (fixture, record_cases[i].arguments, record_cases[i].status,
+                  record_cases[i].expected);
+  fixture_free (fixture);
 }
 
 static char *
-version_of (desk_t *desk, const char *kind, const char *name)
+read_version (fixture_t *fixture, const char *kind, const char *name)
 {
-  g_autofree char *words
+  g_autofree char *arguments
       = g_strdup_printf ("--output json get %s %s", kind, name);
   g_autoptr (JsonNode) root = NULL;
 
-  g_assert_cmpint (ctl (desk, words), ==, 0);
-  root = json_from_string (desk->out, NULL);
+  g_assert_cmpint (run_cfdctl (fixture, arguments), ==, 0);
+  root = json_from_string (fixture->out, NULL);
   return g_strdup (
       json_object_get_string_member (json_node_get_object (root), "version"));
 }
@@ -159,17 +160,18 @@
 static void
 test_race (void)
 {
-  desk_t *desk = desk_new ();
-  g_autofree char *version = version_of (desk, "client-account", "branch");
+  fixture_t *fixture = fixture_new ();
+  g_autofree char *version
+      = read_version (fixture, "client-account", "branch");
   g_autofree char *first = g_strdup_printf (
       "set client-account branch weight=2 --if-version %s", version);
   g_autofree char *second = g_strdup_printf (
       "set client-account branch weight=5 --if-version %s", version);
 
-  check (desk, first, 0, "\"weight\":2");
-  check (desk, second, 3, "another writer was first");
-  check (desk, "get client-account branch", 0, "\"weight\":2");
-  desk_free (desk);
+  check_cfdctl (fixture, first, 0, "\"weight\":2");
+  check_cfdctl (fixture, second, 3, "another writer was first");
+  check_cfdctl (fixture, "get client-account branch", 0, "\"weight\":2");
+  fixture_free (fixture);
 }
 
 /* ---- zones ---- */
@@ -180,36 +182,40 @@
 static void
 test_zone (void)
 {
-  desk_t *desk = desk_new ();
-  proc_t *agent = fleet_proc (desk->fleet, FLEET_AGENT, 0);
+  fixture_t *fixture = fixture_new ();
+  proc_t *agent = fleet_proc (fixture->fleet, FLEET_AGENT, 0);
 
-  check (desk, "zone out zone-9", 2, NULL);
-  check (desk, "zone off zone-1", 1, "out|in");
-  check (desk, "zone out zone-1", 0, "in force at all 4 instances");
+  check_cfdctl (fixture, "zone out zone-9", 2, NULL);
+  check_cfdctl (fixture, "zone off zone-1", 1, "out|in");
+  check_cfdctl (fixture, "zone out zone-1", 0, "in force at all 4 instances");
   for (unsigned i = 0; i < ZONES; i++)
     {
       g_assert_cmpfloat (
-          fleet_metric (desk->fleet, FLEET_ROUTER, i, "cfd_zones_out"), ==, 1);
+          fleet_metric (fixture->fleet, FLEET_ROUTER, i, "cfd_zones_out"), ==,
+          1);
       g_assert_cmpfloat (
-          fleet_metric (desk->fleet, FLEET_AGENT, i, "cfd_zones_out"), ==, 1);
+          fleet_metric (fixture->fleet, FLEET_AGENT, i, "cfd_zones_out"), ==,
+          1);
       g_assert_cmpfloat (
-          fleet_metric (desk->fleet, FLEET_AGENT, i, "cfd_ready"), ==, i == 0);
+          fleet_metric (fixture->fleet, FLEET_AGENT, i, "cfd_ready"), ==,
+          i == 0);
     }
-  check (desk, "status", 0, "why-not=zone-out");
-  check (desk, "--output json zone in zone-1", 0, "\"instances\":4");
+  check_cfdctl (fixture, "status", 0, "why-not=zone-out");
+  check_cfdctl (fixture, "--output json zone in zone-1", 0, "\"instances\":4");
   proc_stop (agent, SIGSTOP, 0);
-  check (desk, "zone out zone-1 --deadline 2 --timeout 1", 5, "at: agent-0;");
-  check (desk, "status --timeout 1", 0, "no answer");
+  check_cfdctl (fixture, "zone out zone-1 --deadline 2 --timeout 1", 5,
+                "at: agent-0;");
+  check_cfdctl (fixture, "status --timeout 1", 0, "no answer");
   proc_stop (agent, SIGCONT, 0);
-  check (desk, "zone in zone-1", 0, "in force at all 4 instances");
-  desk_free (desk);
+  check_cfdctl (fixture, "zone in zone-1", 0, "in force at all 4 instances");
+  fixture_free (fixture);
 }
 
 /* ---- what happened ---- */
 
 /* The value of a header of the answer; free with g_free.  */
 static char *
-header_of (const call_t *answer, const char *name)
+copy_header (const call_t *answer, const char *name)
 {
   g_autofree char *start = g_strdup_printf ("\r\n%s: ", name);
   const char *value = strstr (answer->text->str, start);
@@ -221,9 +227,9 @@
 
 /* Asks for a short answer; the request's name.  */
 static char *
-serve_one (desk_t *desk)
+serve_request (fixture_t *fixture)
 {
-  g_autofree char *url = fleet_direct_url (desk->fleet, 0);
+  g_autofree char *url = fleet_direct_url (fixture->fleet, 0);
   g_autoptr (call_t) call
       = call_start (url, "POST", "/v1/chat/completions", KEY,
                     "X-Request-Id: the-callers-own\r\n",
@@ -232,23 +238,24 @@
 
   g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (call), ==, 200);
-  return header_of (call, "X-Request-Id");
+  return copy_header (call, "X-Request-Id");
 }
 
 /* The place of the first line with both texts, from 0; -1 without.  */
 static int
-line_with (const char *text, const char *one, const char *other)
+find_line (const char *text, const char *first_text, const char *second_text)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", 0);
 
   for (int i = 0; lines[i] != NULL; i++)
-    if (strstr (lines[i], one) != NULL && strstr (lines[i], other) != NULL)
+    if (strstr (lines[i], first_text) != NULL
+        && strstr (lines[i], second_text) != NULL)
       return i;
   return -1;
 }
 
 static void
-check_life (const char *text, const char *id)
+check_event_order (const char *text, const char *id)
 {
   static const char *const kinds[]
       = { " admit ", " assign ", " run ", " end " };
@@ -256,7 +263,7 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
-      int line = line_with (text, kinds[i], id);
+      int line = find_line (text, kinds[i], id);
 
       g_test_message ("%s: line %d", kinds[i], line);
       g_assert_cmpint (line, >, last);
@@ -270,46 +277,46 @@
 static void
 test_timeline (void)
 {
-  desk_t *desk = desk_new ();
-  g_autofree char *id = serve_one (desk);
-  g_autofree char *other = serve_one (desk);
+  fixture_t *fixture = fixture_new ();
+  g_autofree char *id = serve_request (fixture);
+  g_autofree char *other_id = serve_request (fixture);
   g_autofree char *explain = g_strdup_printf ("explain %s", id);
   g_autofree char *filter
       = g_strdup_printf ("--output json timeline --request %s", id);
 
   g_assert_cmpstr (id, !=, "the-callers-own");
-  check (desk, "timeline", 0, id);
-  check_life (desk->out, id);
-  check (desk, explain, 0, "got least");
-  check_life (desk->out, id);
-  g_assert_null (strstr (desk->out, other));
-  check (desk, filter, 0, "\"kind\":\"assign\"");
-  g_assert_null (strstr (desk->out, other));
-  check (desk, "timeline --kind assign", 0, other);
-  g_assert_cmpint (line_with (desk->out, " admit ", ""), ==, -1);
-  check (desk, "timeline --account branch", 0, id);
-  g_assert_cmpint (line_with (desk->out, " config ", ""), ==, -1);
-  check (desk, "timeline --endpoint endpoint-0", 0, " assign ");
-  g_assert_nonnull (strstr (desk->out, " run "));
-  g_assert_null (strstr (desk->out, "endpoint-1"));
-  check (desk, "timeline --kind asign", 1, "did you mean assign?");
-  check (desk, "explain router-0.none.1", 2, "bounded");
-  desk_free (desk);
+  check_cfdctl (fixture, "timeline", 0, id);
+  check_event_order (fixture->out, id);
+  check_cfdctl (fixture, explain, 0, "got least");
+  check_event_order (fixture->out, id);
+  g_assert_null (strstr (fixture->out, other_id));
+  check_cfdctl (fixture, filter, 0, "\"kind\":\"assign\"");
+  g_assert_null (strstr (fixture->out, other_id));
+  check_cfdctl (fixture, "timeline --kind assign", 0, other_id);
+  g_assert_cmpint (find_line (fixture->out, " admit ", ""), ==, -1);
+  check_cfdctl (fixture, "timeline --account branch", 0, id);
+  g_assert_cmpint (find_line (fixture->out, " config ", ""), ==, -1);
+  check_cfdctl (fixture, "timeline --endpoint endpoint-0", 0, " assign ");
+  g_assert_nonnull (strstr (fixture->out, " run "));
+  g_assert_null (strstr (fixture->out, "endpoint-1"));
+  check_cfdctl (fixture, "timeline --kind asign", 1, "did you mean assign?");
+  check_cfdctl (fixture, "explain router-0.none.1", 2, "bounded");
+  fixture_free (fixture);
 }
 
 static void
-signal_endpoints (desk_t *desk, int number)
+signal_endpoints (fixture_t *fixture, int number)
 {
   for (unsigned i = 0; i < ZONES; i++)
-    proc_stop (fleet_proc (desk->fleet, FLEET_ENDPOINT, i), number, 0);
+    proc_stop (fleet_proc (fixture->fleet, FLEET_ENDPOINT, i), number, 0);
 }
 
 /* A refused caller also has a name by which to ask.  */
 static void
 test_refused (void)
 {
-  desk_t *desk = desk_new ();
-  g_autofree char *url = fleet_direct_url (desk->fleet, 1);
+  fixture_t *fixture = fixture_new ();
+  g_autofree char *url = fleet_direct_url (fixture->fleet, 1);
   g_autoptr (call_t) call
       = call_start (url, "POST", "/v1/completions", "not-a-key", NULL, "{}");
   g_autofree char *id = NULL;
@@ -317,10 +324,10 @@
 
   g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (call), ==, 401);
-  id = header_of (call, "X-Request-Id");
+  id = copy_header (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
-  check (desk, explain, 0, "Unknown key");
-  desk_free (desk);
+  check_cfdctl (fixture, explain, 0, "Unknown key");
+  fixture_free (fixture);
 }
 
 /* An agent gets a request and is killed before its endpoint, which is frozen
@@ -330,38 +337,39 @@
 static void
 test_retried (void)
 {
-  desk_t *desk = desk_new ();
-  g_autofree char *url = fleet_direct_url (desk->fleet, 0);
+  fixture_t *fixture = fixture_new ();
+  g_autofree char *url = fleet_direct_url (fixture->fleet, 0);
   g_autoptr (call_t) call = NULL;
   g_autofree char *id = NULL;
   g_autofree char *explain = NULL;
-  const char *lost;
+  const char *first_agent;
 
-  signal_endpoints (desk, SIGSTOP);
+  signal_endpoints (fixture, SIGSTOP);
   call = call_start (url, "POST", "/v1/chat/completions", KEY, NULL,
                      "{\"model\":\"draft\",\"max_tokens\":400,\"messages\":"
                      "[{\"role\":\"user\",\"content\":\"hello\"}]}");
   for (unsigned i = 0; i < WAIT_MS / 10; i++)
-    if (fleet_metric (desk->fleet, FLEET_ROUTER, 0, "cfd_router_in_flight")
+    if (fleet_metric (fixture->fleet, FLEET_ROUTER, 0, "cfd_router_in_flight")
         > 0)
       break;
     else
       g_usleep (10000);
-  check (desk, "status", 0, "in_flight=1");
-  lost = line_with (desk->out, "agent-0", "in_flight=1") >= 0 ? "agent-0"
-                                                              : "agent-1";
-  proc_stop (fleet_proc (desk->fleet, FLEET_AGENT, lost[6] - '0'), SIGKILL,
-             2000);
-  signal_endpoints (desk, SIGCONT);
+  check_cfdctl (fixture, "status", 0, "in_flight=1");
+  first_agent = find_line (fixture->out, "agent-0", "in_flight=1") >= 0
+                    ? "agent-0"
+                    : "agent-1";
+  proc_stop (fleet_proc (fixture->fleet, FLEET_AGENT, first_agent[6] - '0'),
+             SIGKILL, 2000);
+  signal_endpoints (fixture, SIGCONT);
   g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (call), ==, 200);
-  id = header_of (call, "X-Request-Id");
+  id = copy_header (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
-  check (desk, explain, 0, lost);
-  g_assert_cmpint (line_with (desk->out, " retry ", id), >=, 0);
-  g_assert_cmpint (line_with (desk->out, " assign ", "attempt=2"), >,
-                   line_with (desk->out, " assign ", "attempt=1"));
-  desk_free (desk);
+  check_cfdctl (fixture, explain, 0, first_agent);
+  g_assert_cmpint (find_line (fixture->out, " retry ", id), >=, 0);
+  g_assert_cmpint (find_line (fixture->out, " assign ", "attempt=2"), >,
+                   find_line (fixture->out, " assign ", "attempt=1"));
+  fixture_free (fixture);
 }
 
 int
--- a/tests/test-engine.c
+++ b/tests/test-engine.c
@@ -10,7 +10,7 @@
 };
 
 static engine_run_t *
-start (engine_t *engine, const char *nonce, cfd_time_t now)
+start_request (engine_t *engine, const char *nonce, cfd_time_t now)
 {
   g_autofree char *prompt = g_strdup_printf ("nonce=%s length=3", nonce);
 
@@ -18,11 +18,11 @@
 }
 
 static void
-count_pieces (void *user, engine_run_t *run, const char *bytes, size_t length)
+count_chunk (void *user, engine_run_t *run, const char *bytes, size_t length)
 {
-  unsigned *pieces = user;
+  unsigned *chunks = user;
 
-  (*pieces)++;
+  (*chunks)++;
 }
 
 /* Requests beyond what is bearable at that moment are overloads, but not just
@@ -32,15 +32,15 @@
 {
   g_autoptr (engine_t) engine = engine_new (&settings, 0);
 
-  start (engine, "a", 10);
+  start_request (engine, "a", 10);
   g_assert_cmpuint (engine_counters (engine, 10)->overload_count, ==, 0);
-  start (engine, "b", 20);
+  start_request (engine, "b", 20);
   g_assert_cmpuint (engine_counters (engine, 20)->overload_count, ==, 1);
   engine_set_cold (engine, 5000);
-  start (engine, "c", 5100);
+  start_request (engine, "c", 5100);
   g_assert_cmpuint (engine_counters (engine, 5100)->overload_count, ==, 1);
   g_assert_cmpuint (engine_counters (engine, 5100)->overload_in_grace, ==, 1);
-  start (engine, "d", 5000 + ENGINE_GRACE_MS);
+  start_request (engine, "d", 5000 + ENGINE_GRACE_MS);
   g_assert_cmpuint (engine_counters (engine, 6000)->overload_count, ==, 2);
 }
 
@@ -48,15 +48,15 @@
 test_answer (void)
 {
   g_autoptr (engine_t) engine = engine_new (&settings, 0);
-  engine_run_t *run = start (engine, "a", 2000);
-  unsigned pieces = 0;
+  engine_run_t *run = start_request (engine, "a", 2000);
+  unsigned chunks = 0;
   cfd_time_t now = 2000;
 
-  engine_step (engine, now, count_pieces, &pieces);
-  g_assert_cmpuint (pieces, ==, 0); /* in prefill */
+  engine_step (engine, now, count_chunk, &chunks);
+  g_assert_cmpuint (chunks, ==, 0); /* in prefill */
   for (unsigned i = 0; i < 5; i++)
-    engine_step (engine, now += 100, count_pieces, &pieces);
-  g_assert_cmpuint (pieces, ==, 3);
+    engine_step (engine, now += 100, count_chunk, &chunks);
+  g_assert_cmpuint (chunks, ==, 3);
   g_assert_cmpuint (engine_running (engine), ==, 0);
   g_assert_nonnull (strstr (run->body->str, "\"content\":\"a \""));
   g_assert_nonnull (strstr (run->body->str, "\"completion_tokens\":3"));
@@ -69,13 +69,13 @@
 test_cancel (void)
 {
   g_autoptr (engine_t) engine = engine_new (&settings, 0);
-  engine_run_t *run = start (engine, "a", 2000);
+  engine_run_t *run = start_request (engine, "a", 2000);
 
   engine_cancel (engine, run, 2100);
   engine_cancel (engine, run, 2200);
   g_assert_cmpuint (engine_running (engine), ==, 0);
   g_assert_true (engine_find (engine, "a") == run);
-  engine_step (engine, 2101 + ENGINE_KEEP_MS, count_pieces, NULL);
+  engine_step (engine, 2101 + ENGINE_KEEP_MS, count_chunk, NULL);
   g_assert_null (engine_find (engine, "a"));
 }
 
@@ -83,16 +83,15 @@
 test_slow (void)
 {
   g_autoptr (engine_t) engine = engine_new (&settings, 0);
-  unsigned pieces = 0;
+  unsigned chunks = 0;
 
-  start (engine, "a", 2000);
-  g_assert_cmpfloat (engine_step (engine, 2000, count_pieces, &pieces), ==,
+  start_request (engine, "a", 2000);
+  g_assert_cmpfloat (engine_step (engine, 2000, count_chunk, &chunks), ==,
                      12.5);
   engine_set_slow (engine, 4);
-  g_assert_cmpfloat (engine_step (engine, 2000, count_pieces, &pieces), ==,
-                     50);
+  g_assert_cmpfloat (engine_step (engine, 2000, count_chunk, &chunks), ==, 50);
   engine_set_slow (engine, 1);
-  g_assert_cmpfloat (engine_step (engine, 2000, count_pieces, &pieces), ==,
+  g_assert_cmpfloat (engine_step (engine, 2000, count_chunk, &chunks), ==,
                      12.5);
 }
 
--- a/tests/test-fair.c
+++ b/tests/test-fair.c
@@ -6,12 +6,12 @@
 {
   double service[2];
   unsigned waiting[2];
-} moment_t;
+} gap_sample_t;
 
 typedef struct
 {
   const char *name;
-  moment_t moments[6];
+  gap_sample_t samples[6];
   unsigned count;
   int64_t from_us;
   double gap;
@@ -59,8 +59,8 @@
     {
       samples[i]
           = (load_sample_t){ .at_us = i,
-                             .service = (double *)c->moments[i].service,
-                             .waiting = (unsigned *)c->moments[i].waiting };
+                             .service = (double *)c->samples[i].service,
+                             .waiting = (unsigned *)c->samples[i].waiting };
       g_ptr_array_add (list, &samples[i]);
     }
   g_assert_cmpfloat_with_epsilon (
@@ -96,7 +96,7 @@
 }
 
 static load_sample_t
-two_accounts (int64_t at_us, double *service, unsigned *waiting)
+make_sample (int64_t at_us, double *service, unsigned *waiting)
 {
   return (load_sample_t){
     .at_us = at_us, .service = service, .started = service, .waiting = waiting
@@ -112,11 +112,11 @@
   double first[] = { 10, 12 };
   double second[] = { 700, 0 };
   unsigned waiting[] = { 1, 1 };
-  unsigned one_waits[] = { 1, 0 };
-  load_sample_t before[] = { two_accounts (0, early, waiting),
-                             two_accounts (0, early, one_waits) };
-  load_sample_t after[] = { two_accounts (1, first, waiting),
-                            two_accounts (1, second, one_waits) };
+  unsigned one_waiting[] = { 1, 0 };
+  load_sample_t before[] = { make_sample (0, early, waiting),
+                             make_sample (0, early, one_waiting) };
+  load_sample_t after[] = { make_sample (1, first, waiting),
+                            make_sample (1, second, one_waiting) };
   load_sample_t samples[]
       = { { .at_us = 0, .routers = 2, .by_router = before },
           { .at_us = 1, .routers = 2, .by_router = after } };
@@ -181,7 +181,7 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (service); i++)
     {
-      samples[i] = two_accounts (i * G_USEC_PER_SEC, service[i], waiting);
+      samples[i] = make_sample (i * G_USEC_PER_SEC, service[i], waiting);
       g_ptr_array_add (list, &samples[i]);
     }
   g_assert_cmpfloat_with_epsilon (
--- a/tests/test-logs.c
+++ b/tests/test-logs.c
@@ -15,7 +15,7 @@
 static const fleet_account_t account = { "branch", KEY, 1 };
 
 static fleet_t *
-start (void)
+start_fleet (void)
 {
   static const fleet_plan_t plan = { .zones = 1,
                                      .routers = 1,
@@ -54,7 +54,7 @@
   "{\"model\":\"draft\",\"stream\":true,\"max_tokens\":5,\"messages\":"       \
   "[{\"role\":\"user\",\"content\":\"hello\"}]}"
 
-static const call_case_t calls[] = {
+static const call_case_t call_cases[] = {
   { "/v1/chat/completions", KEY, NULL, CHAT, 200 },
   { "/v1/chat/completions", WRONG_KEY, NULL, CHAT, 401 },
   { "/v1/chat/completions", KEY, NULL, "{", 400 },
@@ -70,9 +70,9 @@
 {
   g_autofree char *url = fleet_direct_url (fleet, 0);
 
-  for (unsigned i = 0; i < G_N_ELEMENTS (calls); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (call_cases); i++)
     {
-      const call_case_t *c = &calls[i];
+      const call_case_t *c = &call_cases[i];
       g_autoptr (call_t) call
           = call_start (url, "POST", c->path, c->key, c->headers, c->body);
 
@@ -83,7 +83,7 @@
 }
 
 static void
-check_no_secret (const char *text, const char *where)
+check_no_secrets (const char *text, const char *where)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (secrets); i++)
     if (strstr (text, secrets[i]) != NULL)
@@ -91,7 +91,7 @@
 }
 
 static void
-check_pages (fleet_t *fleet, fleet_sort_t sort, unsigned index)
+check_admin_pages (fleet_t *fleet, fleet_sort_t sort, unsigned index)
 {
   static const char *const paths[]
       = { "/status", "/metrics", "/events", "/readyz" };
@@ -104,7 +104,7 @@
       g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
 
       g_assert_nonnull (text);
-      check_no_secret (text, url);
+      check_no_secrets (text, url);
     }
 }
 
@@ -141,7 +141,7 @@
   unsigned seen = 0;
 
   g_assert_true (g_file_get_contents (path, &text, NULL, NULL));
-  check_no_secret (text, name);
+  check_no_secrets (text, name);
   g_assert_nonnull (strstr (text, "\"level\":\"debug\""));
   lines = g_strsplit (text, "\n", 0);
   for (unsigned i = 0; lines[i] != NULL; i++)
@@ -159,12 +159,12 @@
 static void
 test_no_secrets (void)
 {
-  fleet_t *fleet = start ();
+  fleet_t *fleet = start_fleet ();
 
   make_calls (fleet);
   proc_stop (fleet_proc (fleet, FLEET_AGENT, 1), SIGKILL, 2000);
-  check_pages (fleet, FLEET_ROUTER, 0);
-  check_pages (fleet, FLEET_AGENT, 0);
+  check_admin_pages (fleet, FLEET_ROUTER, 0);
+  check_admin_pages (fleet, FLEET_AGENT, 0);
   proc_stop (fleet_proc (fleet, FLEET_ROUTER, 0), SIGTERM, WAIT_MS);
   proc_stop (fleet_proc (fleet, FLEET_AGENT, 0), SIGTERM, WAIT_MS);
   check_log (fleet, "router-0");
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -5,7 +5,8 @@
 
 /* "NAME TYPE" of each metric that a process shows.  */
 static void
-add_shown (const fleet_t *fleet, fleet_sort_t sort, GHashTable *shown)
+add_exported_metrics (const fleet_t *fleet, fleet_sort_t sort,
+                      GHashTable *exported)
 {
   g_autofree char *base = fleet_admin_url (fleet, sort, 0);
   g_autofree char *url = g_strconcat (base, "/metrics", NULL);
@@ -17,14 +18,14 @@
   lines = g_strsplit (text, "\n", 0);
   for (unsigned i = 0; lines[i] != NULL; i++)
     if (g_str_has_prefix (lines[i], "# TYPE "))
-      g_hash_table_add (shown, g_strdup (lines[i] + strlen ("# TYPE ")));
+      g_hash_table_add (exported, g_strdup (lines[i] + strlen ("# TYPE ")));
 }
 
 /* The same of each row of the page.  */
 static GHashTable *
-read_page (void)
+read_documented_metrics (void)
 {
-  GHashTable *told
+  GHashTable *documented
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_autofree char *text = NULL;
   g_auto (GStrv) lines = NULL;
@@ -39,21 +40,22 @@
         continue;
       cells = g_strsplit (lines[i], "|", 0);
       g_strdelimit (cells[1], "`", ' ');
-      g_hash_table_add (told, g_strdup_printf ("%s %s", g_strstrip (cells[1]),
-                                               g_strstrip (cells[2])));
+      g_hash_table_add (documented,
+                        g_strdup_printf ("%s %s", g_strstrip (cells[1]),
+                                         g_strstrip (cells[2])));
     }
-  return told;
+  return documented;
 }
 
 static void
-check_within (GHashTable *rows, GHashTable *whole, const char *missing_in)
+check_subset (GHashTable *subset, GHashTable *superset, const char *missing_in)
 {
   GHashTableIter iter;
   gpointer row;
 
-  g_hash_table_iter_init (&iter, rows);
+  g_hash_table_iter_init (&iter, subset);
   while (g_hash_table_iter_next (&iter, &row, NULL))
-    if (!g_hash_table_contains (whole, row))
+    if (!g_hash_table_contains (superset, row))
       g_error ("%s is missing in %s", (const char *)row, missing_in);
 }
 
@@ -74,17 +76,17 @@
                                      .account_count = 1,
                                      .accounts = &account };
   g_autoptr (GError) error = NULL;
-  g_autoptr (GHashTable) told = read_page ();
-  g_autoptr (GHashTable) shown
+  g_autoptr (GHashTable) documented = read_documented_metrics ();
+  g_autoptr (GHashTable) exported
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   fleet_t *fleet = fleet_new (&plan, &error);
 
   g_assert_no_error (error);
-  add_shown (fleet, FLEET_ROUTER, shown);
-  add_shown (fleet, FLEET_AGENT, shown);
+  add_exported_metrics (fleet, FLEET_ROUTER, exported);
+  add_exported_metrics (fleet, FLEET_AGENT, exported);
   fleet_free (fleet, false);
-  check_within (shown, told, "docs/METRICS.md");
-  check_within (told, shown, "the processes' metrics");
+  check_subset (exported, documented, "docs/METRICS.md");
+  check_subset (documented, exported, "the processes' metrics");
 }
 
 int
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -5,17 +5,17 @@
 
 #include <signal.h>
 
-#define LIMIT_S 20
-#define WARM_S 3
+#define MAX_DRAIN_S 20
+#define WARM_UP_S 3
 /* The platform's word and links that went silent need some time.  */
 #define REJOIN_S 3
 /* Virtual times may be the window off the floor on either side of it; the rest
    is what running requests and rough hints add, as without faults.  */
-#define GAP_MAX 1700
+#define MAX_GAP_TOKENS 1700
 /* A home that moves takes no bound.  */
-#define MOVED_GAP_MAX 900
+#define MAX_MOVED_GAP_TOKENS 900
 #define ROUTERS 5u
-#define HOME 4u
+#define HOME_ROUTER 4u
 
 /* Router 4 of 5 is the home of the first two.  */
 static const fleet_account_t accounts[] = { { "trat", "key-of-trat", 1 },
@@ -86,7 +86,7 @@
 }
 
 static void
-on_over (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timeout (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   ev_break (loop, EVBREAK_ALL);
 }
@@ -94,10 +94,10 @@
 static void
 scene_run (scene_t *scene, double seconds)
 {
-  ev_timer over;
+  ev_timer timeout;
 
-  ev_timer_init (&over, on_over, seconds, 0);
-  ev_timer_start (scene->loop, &over);
+  ev_timer_init (&timeout, on_timeout, seconds, 0);
+  ev_timer_start (scene->loop, &timeout);
   ev_run (scene->loop, 0);
 }
 
@@ -108,7 +108,7 @@
   collect_t sum;
 
   load_stop (scene->load);
-  for (unsigned i = 0; i < LIMIT_S && load_active (scene->load) > 0; i++)
+  for (unsigned i = 0; i < MAX_DRAIN_S && load_active (scene->load) > 0; i++)
     scene_run (scene, 1);
   g_assert_true (collect (scene->fleet, scene->load, &sum));
   g_assert_cmpuint (sum.wrong_answers + sum.double_runs + sum.false_not_run,
@@ -122,7 +122,7 @@
 }
 
 static double
-gap_since (const scene_t *scene, int64_t from_us)
+measure_gap_since (const scene_t *scene, int64_t from_us)
 {
   fair_gap_t gap = fair_gap (load_samples (scene->load), FAIR_RECEIVED,
                              ACCOUNTS, from_us, clock_now_us ());
@@ -147,23 +147,24 @@
   const unsigned sides[] = { 0, 1 };
   scene_t *scene = scene_new (&plan, spreads);
 
-  scene_run (scene, WARM_S);
+  scene_run (scene, WARM_UP_S);
   g_assert_true (fleet_part (scene->fleet, sides, true));
   g_assert_true (fleet_part_platform (scene->fleet, sides, 1, true));
   scene_run (scene, 20);
   g_assert_true (fleet_part (scene->fleet, sides, false));
   g_assert_true (fleet_part_platform (scene->fleet, sides, 1, false));
   scene_run (scene, REJOIN_S);
-  int64_t joined_us = clock_now_us ();
+  int64_t rejoined_us = clock_now_us ();
   scene_run (scene, 7);
-  g_assert_cmpfloat (gap_since (scene, joined_us), <, GAP_MAX);
+  g_assert_cmpfloat (measure_gap_since (scene, rejoined_us), <,
+                     MAX_GAP_TOKENS);
   scene_free (scene);
 }
 
 /* Two accounts have work at four routers and a fifth as their home, which gets
    SIGNAL and is back 5 s later.  The greatest gap from the signal on.  */
 static double
-gap_without_home (int signal)
+measure_gap_without_home (int signal)
 {
   double spreads[ACCOUNTS][ROUTERS] = { { 0.25, 0.25, 0.25, 0.25, 0 },
                                         { 0.25, 0.25, 0.25, 0.25, 0 },
@@ -174,13 +175,13 @@
   one_zone.zones = 1;
   one_zone.routers = ROUTERS;
   scene_t *scene = scene_new (&one_zone, spreads);
-  proc_t *home = fleet_proc (scene->fleet, FLEET_ROUTER, HOME);
+  proc_t *home = fleet_proc (scene->fleet, FLEET_ROUTER, HOME_ROUTER);
 
-  scene_run (scene, WARM_S);
-  g_assert_cmpfloat (fleet_metric (scene->fleet, FLEET_ROUTER, HOME,
+  scene_run (scene, WARM_UP_S);
+  g_assert_cmpfloat (fleet_metric (scene->fleet, FLEET_ROUTER, HOME_ROUTER,
                                    "cfd_router_accounts{side=\"home\"}"),
                      ==, 2);
-  int64_t gone_us = clock_now_us ();
+  int64_t failed_us = clock_now_us ();
   /* Without a wait, in which the callers here would stand still too.  */
   (void)proc_stop (home, signal, 0);
   scene_run (scene, 5);
@@ -189,7 +190,7 @@
   else
     g_assert_true (proc_again (fleet_procs (scene->fleet), home, NULL));
   scene_run (scene, 5);
-  double gap = gap_since (scene, gone_us);
+  double gap = measure_gap_since (scene, failed_us);
   scene_free (scene);
   return gap;
 }
@@ -201,9 +202,9 @@
 static void
 test_home_killed (void)
 {
-  double gap = gap_without_home (SIGKILL);
+  double gap = measure_gap_without_home (SIGKILL);
 
-  g_assert_cmpfloat (gap, <, MOVED_GAP_MAX);
+  g_assert_cmpfloat (gap, <, MAX_MOVED_GAP_TOKENS);
 }
 
 /* The home freezes: its links stay open, reports go in and no answer comes.
@@ -213,9 +214,9 @@
 static void
 test_home_frozen (void)
 {
-  double gap = gap_without_home (SIGSTOP);
+  double gap = measure_gap_without_home (SIGSTOP);
 
-  g_assert_cmpfloat (gap, <, MOVED_GAP_MAX);
+  g_assert_cmpfloat (gap, <, MAX_MOVED_GAP_TOKENS);
 }
 
 int
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -8,13 +8,13 @@
 #define ZONES 3u
 #define MODELS 6u
 #define PLAINS 3u
-#define LOST_MS 9000
-#define BACK_MS 19000
+#define FAIL_MS 9000
+#define RESTORE_MS 19000
 #define END_MS 29000
-#define LIMIT_MS 50000
+#define END_LIMIT_MS 50000
 #define STOP_MS 10000
 /* Service is looked at over windows of so many samples: a second.  */
-#define WINDOW (1000u / LOAD_SAMPLE_MS)
+#define WINDOW_SAMPLES (1000u / LOAD_SAMPLE_MS)
 
 static const fleet_account_t accounts[] = { { "lampang", "key-1", 2 },
                                             { "trang", "key-2", 1 },
@@ -41,47 +41,50 @@
 typedef struct
 {
   const char *name;
-  int number;   /* signal that takes the agents */
-  double least; /* service while they are gone, by the share that remains */
-} case_t;
+  int signal_number; /* signal that takes the agents */
+  double
+      min_share; /* service while they are gone, by the share that remains */
+} rack_case_t;
 
 typedef struct
 {
-  const case_t *it;
+  const rack_case_t *rack_case;
   fleet_t *fleet;
   load_t *load;
-  int64_t began_us;
-  int64_t lost_us;
-  int64_t back_us;
-  double doubted; /* agents that each router doubts, or more, at BACK_US */
+  int64_t start_us;
+  int64_t failed_us;
+  int64_t restored_us;
+  double suspected_agents; /* agents that each router doubts, or more, at
+                              BACK_US */
   bool ended;
-  collect_t sum;
-} run_t;
+  collect_t totals;
+} rack_run_t;
 
 /* ---- the rack: all endpoints of zone 0, with their agents ---- */
 
 static void
-each_of_rack (run_t *run, void (*act) (run_t *run, unsigned index))
+for_each_in_rack (rack_run_t *run,
+                  void (*action) (rack_run_t *run, unsigned index))
 {
   for (unsigned i = 0; i < MODELS + PLAINS; i++)
     if (i % ZONES == 0)
-      act (run, i);
+      action (run, i);
 }
 
 /* The stand-in of an endpoint is stopped, not killed: its counts of what it
    ran are needed for the verdict.  */
 static void
-lose (run_t *run, unsigned index)
+fail_member (rack_run_t *run, unsigned index)
 {
-  int number = run->it->number;
+  int signal_number = run->rack_case->signal_number;
 
   proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, index), SIGSTOP, 0);
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, index), number,
-             number == SIGSTOP ? 0 : STOP_MS);
+  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, index), signal_number,
+             signal_number == SIGSTOP ? 0 : STOP_MS);
 }
 
 static void
-bring_back (run_t *run, unsigned index)
+restore_member (rack_run_t *run, unsigned index)
 {
   proc_t *agent = fleet_proc (run->fleet, FLEET_AGENT, index);
   g_autofree char *base = fleet_url (run->fleet, FLEET_ENDPOINT, index);
@@ -89,7 +92,7 @@
   g_autoptr (GError) error = NULL;
   long status = 200;
 
-  if (run->it->number == SIGSTOP)
+  if (run->rack_case->signal_number == SIGSTOP)
     proc_stop (agent, SIGKILL, STOP_MS);
   proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, index), SIGCONT, 0);
   if (index < MODELS)
@@ -100,44 +103,44 @@
 }
 
 static double
-least_doubted (const run_t *run)
+min_suspected_agents (const rack_run_t *run)
 {
-  double least = MODELS + PLAINS;
+  double min_count = MODELS + PLAINS;
 
   for (unsigned i = 0; i < plan.routers; i++)
     {
-      double doubted = fleet_metric (run->fleet, FLEET_ROUTER, i,
-                                     "cfd_router_agents_doubted");
+      double suspected_agents = fleet_metric (run->fleet, FLEET_ROUTER, i,
+                                              "cfd_router_agents_doubted");
 
-      least = MIN (least, doubted);
+      min_count = MIN (min_count, suspected_agents);
     }
-  return least;
+  return min_count;
 }
 
 static void
 on_check (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  run_t *run = watcher->data;
+  rack_run_t *run = watcher->data;
   int64_t now = clock_now_us ();
-  int64_t ms = (now - run->began_us) / 1000;
+  int64_t ms = (now - run->start_us) / 1000;
 
-  if (run->lost_us == 0 && ms >= LOST_MS)
+  if (run->failed_us == 0 && ms >= FAIL_MS)
     {
-      run->lost_us = now;
-      each_of_rack (run, lose);
+      run->failed_us = now;
+      for_each_in_rack (run, fail_member);
     }
-  if (run->back_us == 0 && ms >= BACK_MS)
+  if (run->restored_us == 0 && ms >= RESTORE_MS)
     {
-      run->doubted = least_doubted (run);
-      run->back_us = now;
-      each_of_rack (run, bring_back);
+      run->suspected_agents = min_suspected_agents (run);
+      run->restored_us = now;
+      for_each_in_rack (run, restore_member);
     }
   if (!run->ended && ms >= END_MS)
     {
       run->ended = true;
       load_stop (run->load);
     }
-  if (ms >= LIMIT_MS || (run->ended && load_active (run->load) == 0))
+  if (ms >= END_LIMIT_MS || (run->ended && load_active (run->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -145,17 +148,17 @@
 
 /* Tokens a second over the window that begins with sample AT.  */
 static double
-rate (const GPtrArray *samples, guint at)
+window_rate (const GPtrArray *samples, guint at)
 {
   const load_sample_t *first = samples->pdata[at];
-  const load_sample_t *last = samples->pdata[at + WINDOW];
+  const load_sample_t *last = samples->pdata[at + WINDOW_SAMPLES];
 
   return (last->tokens - first->tokens) * 1e6
          / (double)(last->at_us - first->at_us);
 }
 
 static guint
-sample_at (const GPtrArray *samples, int64_t at_us)
+find_sample (const GPtrArray *samples, int64_t at_us)
 {
   guint i = 0;
 
@@ -168,8 +171,8 @@
 static double
 mean_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
 {
-  const load_sample_t *first = samples->pdata[sample_at (samples, from_us)];
-  const load_sample_t *last = samples->pdata[sample_at (samples, to_us)];
+  const load_sample_t *first = samples->pdata[find_sample (samples, from_us)];
+  const load_sample_t *last = samples->pdata[find_sample (samples, to_us)];
 
   return (last->tokens - first->tokens) * 1e6
          / (double)(last->at_us - first->at_us);
@@ -177,10 +180,11 @@
 
 /* Seconds from FROM until a whole second has LEAST tokens; -1: never.  */
 static double
-seconds_until (const GPtrArray *samples, int64_t from_us, double least)
+seconds_until_rate (const GPtrArray *samples, int64_t from_us, double min_rate)
 {
-  for (guint i = sample_at (samples, from_us); i + WINDOW < samples->len; i++)
-    if (rate (samples, i) >= least)
+  for (guint i = find_sample (samples, from_us);
+       i + WINDOW_SAMPLES < samples->len; i++)
+    if (window_rate (samples, i) >= min_rate)
       return (double)(((const load_sample_t *)samples->pdata[i])->at_us
                       - from_us)
              / 1e6;
@@ -188,7 +192,7 @@
 }
 
 static double
-routers_metric (const run_t *run, const char *name)
+sum_router_metric (const rack_run_t *run, const char *name)
 {
   double sum = 0;
 
@@ -200,7 +204,7 @@
 /* Longest time in which a caller that in the end got no whole answer heard
    nothing: how long it was left without an end.  */
 static double
-longest_without_end (const run_t *run)
+longest_failed_wait_s (const rack_run_t *run)
 {
   const GPtrArray *requests = load_requests (run->load);
   double longest = 0;
@@ -208,7 +212,7 @@
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      int64_t from = MAX (request->started_us, run->lost_us);
+      int64_t from = MAX (request->started_us, run->failed_us);
 
       if (request->end == LOAD_BROKEN || request->end == LOAD_REFUSED)
         longest = MAX (longest, (double)(request->last_us - from) / 1e6);
@@ -217,53 +221,57 @@
 }
 
 static void
-judge (run_t *run)
+verify (rack_run_t *run)
 {
   const GPtrArray *samples = load_samples (run->load);
-  double before = mean_rate (samples, run->lost_us - 2000000, run->lost_us);
+  double before
+      = mean_rate (samples, run->failed_us - 2000000, run->failed_us);
   double share = before * (ZONES - 1) / ZONES;
-  double gone
-      = mean_rate (samples, run->lost_us + 1000000, run->back_us) / share;
-  double back = mean_rate (samples, run->back_us + 5000000,
-                           run->began_us + END_MS * 1000LL)
-                / before;
+  double share_while_failed
+      = mean_rate (samples, run->failed_us + 1000000, run->restored_us)
+        / share;
+  double share_when_restored = mean_rate (samples, run->restored_us + 5000000,
+                                          run->start_us + END_MS * 1000LL)
+                               / before;
 
   g_test_message ("%u requests: %u refused, %u broken; %g retried, "
                   "%g returned, longest without an end %.1f s",
-                  run->sum.requests, run->sum.refused, run->sum.broken,
-                  routers_metric (run, "cfd_router_retried_total"),
-                  routers_metric (run, "cfd_router_returned_total"),
-                  longest_without_end (run));
+                  run->totals.requests, run->totals.refused,
+                  run->totals.broken,
+                  sum_router_metric (run, "cfd_router_retried_total"),
+                  sum_router_metric (run, "cfd_router_returned_total"),
+                  longest_failed_wait_s (run));
   g_test_message ("tokens a second before %.0f; gone: %.3f of the share that "
                   "remains, 0.9 of it after %.2f s; back: %.3f from 5 s on, "
                   "0.9 after %.2f s; %u overloads, %u in grace",
-                  before, gone,
-                  seconds_until (samples, run->lost_us, 0.9 * share), back,
-                  seconds_until (samples, run->back_us, 0.9 * before),
-                  run->sum.overload_count, run->sum.overload_in_grace);
+                  before, share_while_failed,
+                  seconds_until_rate (samples, run->failed_us, 0.9 * share),
+                  share_when_restored,
+                  seconds_until_rate (samples, run->restored_us, 0.9 * before),
+                  run->totals.overload_count, run->totals.overload_in_grace);
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
       const load_sample_t *from
-          = samples->pdata[sample_at (samples, run->lost_us)];
+          = samples->pdata[find_sample (samples, run->failed_us)];
       const load_sample_t *to
-          = samples->pdata[sample_at (samples, run->back_us)];
+          = samples->pdata[find_sample (samples, run->restored_us)];
 
       g_test_message ("%s got %.0f weighted tokens while gone",
                       accounts[i].name, to->service[i] - from->service[i]);
     }
   g_test_message ("%g agents in doubt at each router, or more, at the return",
-                  run->doubted);
-  g_assert_cmpfloat (gone, >=, run->it->least);
+                  run->suspected_agents);
+  g_assert_cmpfloat (share_while_failed, >=, run->rack_case->min_share);
   /* Else new work goes on being told to the dead first.  All three of the
      rack are in doubt; a router without work for one has no link to lose.  */
-  g_assert_cmpfloat (run->doubted, >=, 1);
-  g_assert_cmpfloat (back, >=, 0.8);
+  g_assert_cmpfloat (run->suspected_agents, >=, 1);
+  g_assert_cmpfloat (share_when_restored, >=, 0.8);
   /* Only what ran in the rack at that moment may end without an answer.  */
-  g_assert_cmpuint (run->sum.refused + run->sum.broken, <=,
+  g_assert_cmpuint (run->totals.refused + run->totals.broken, <=,
                     MODELS / ZONES * plan.slots
                         + PLAINS / ZONES * plan.plain_slots);
-  g_assert_true (collect_is_clean (&run->sum));
-  g_assert_cmpuint (run->sum.unfinished, ==, 0);
+  g_assert_true (collect_is_clean (&run->totals));
+  g_assert_cmpuint (run->totals.unfinished, ==, 0);
 }
 
 /* ---- a run ---- */
@@ -288,9 +296,9 @@
 }
 
 static void
-run_rack (gconstpointer data)
+run_rack_case (gconstpointer data)
 {
-  run_t run = { .it = data };
+  rack_run_t run = { .rack_case = data };
   double spread[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
   char *urls[ZONES];
   g_autoptr (GError) error = NULL;
@@ -315,11 +323,11 @@
   ev_timer_init (&check, on_check, 0.02, 0.02);
   check.data = &run;
   ev_timer_start (loop, &check);
-  run.began_us = clock_now_us ();
+  run.start_us = clock_now_us ();
   load_start (run.load);
   ev_run (loop, 0);
-  g_assert_true (collect (run.fleet, run.load, &run.sum));
-  judge (&run);
+  g_assert_true (collect (run.fleet, run.load, &run.totals));
+  verify (&run);
   load_free (run.load);
   ev_loop_destroy (loop);
   fleet_free (run.fleet, false);
@@ -331,17 +339,17 @@
    posts see a true end; what may be repeated is answered by the others, which
    serve their share on.  On return the engines are cold and get no more than
    they bear.  */
-static const case_t killed = { "killed", SIGKILL, 0.85 };
+static const rack_case_t killed = { "killed", SIGKILL, 0.85 };
 /* The same by a loss of power: no connection is closed, the links go silent.
    The slots elsewhere must not wait for it.  */
-static const case_t silent = { "silent", SIGSTOP, 0.8 };
+static const rack_case_t silent = { "silent", SIGSTOP, 0.8 };
 
 int
 main (int argc, char **argv)
 {
   signal (SIGPIPE, SIG_IGN);
   g_test_init (&argc, &argv, NULL);
-  g_test_add_data_func ("/rack-faults/killed", &killed, run_rack);
-  g_test_add_data_func ("/rack-faults/silent", &silent, run_rack);
+  g_test_add_data_func ("/rack-faults/killed", &killed, run_rack_case);
+  g_test_add_data_func ("/rack-faults/silent", &silent, run_rack_case);
   return g_test_run ();
 }
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -18,7 +18,7 @@
 #define PLAIN_AGENT 1
 
 static fleet_t *
-start (double step_ms, double plain_ms, unsigned plain_slots)
+start_fleet (double step_ms, double plain_ms, unsigned plain_slots)
 {
   const fleet_plan_t plan = { .zones = 2,
                               .routers = 2,
@@ -43,13 +43,13 @@
 }
 
 static void
-end (fleet_t *fleet)
+stop_fleet (fleet_t *fleet)
 {
   fleet_free (fleet, g_test_failed ());
 }
 
 static call_t *
-stream (fleet_t *fleet, unsigned router, unsigned tokens)
+start_stream (fleet_t *fleet, unsigned router, unsigned tokens)
 {
   g_autofree char *base = fleet_direct_url (fleet, router);
   g_autofree char *body = g_strdup_printf (
@@ -61,20 +61,22 @@
 }
 
 static call_t *
-post (fleet_t *fleet, unsigned router, const char *nonce, const char *once)
+start_post (fleet_t *fleet, unsigned router, const char *nonce,
+            const char *idempotency_key)
 {
   g_autofree char *base = fleet_direct_url (fleet, router);
   g_autofree char *body = g_strdup_printf ("{\"nonce\":\"%s\"}", nonce);
   g_autofree char *header
-      = once != NULL ? g_strdup_printf ("Idempotency-Key: %s\r\n", once)
-                     : NULL;
+      = idempotency_key != NULL
+            ? g_strdup_printf ("Idempotency-Key: %s\r\n", idempotency_key)
+            : NULL;
 
   return call_start (base, "POST", "/services/" FLEET_PLAIN "/entries", KEY,
                      header, body);
 }
 
 static call_t *
-look_up (fleet_t *fleet, unsigned router, const char *nonce)
+start_lookup (fleet_t *fleet, unsigned router, const char *nonce)
 {
   g_autofree char *base = fleet_direct_url (fleet, router);
   g_autofree char *path = g_strdup_printf (
@@ -85,7 +87,7 @@
 
 /* How often the plain service ran the request of NONCE.  */
 static unsigned
-executions (fleet_t *fleet, const char *nonce)
+count_executions (fleet_t *fleet, const char *nonce)
 {
   g_autofree char *base = fleet_url (fleet, FLEET_ENDPOINT, PLAIN_AGENT);
   g_autofree char *url = g_strconcat (base, "/control/counters", NULL);
@@ -101,20 +103,21 @@
 }
 
 static void
-wait_executed (fleet_t *fleet, const char *nonce)
+wait_until_executed (fleet_t *fleet, const char *nonce)
 {
-  for (int i = 0; i < WAIT_MS / 10 && executions (fleet, nonce) == 0; i++)
+  for (int i = 0; i < WAIT_MS / 10 && count_executions (fleet, nonce) == 0;
+       i++)
     g_usleep (10000);
-  g_assert_cmpuint (executions (fleet, nonce), ==, 1);
+  g_assert_cmpuint (count_executions (fleet, nonce), ==, 1);
 }
 
 static void
-wait_metric (fleet_t *fleet, fleet_sort_t sort, unsigned index,
-             const char *name, double least)
+wait_for_metric (fleet_t *fleet, fleet_sort_t sort, unsigned index,
+                 const char *name, double min_value)
 {
   for (int i = 0; i < WAIT_MS / 10; i++)
     {
-      if (fleet_metric (fleet, sort, index, name) >= least)
+      if (fleet_metric (fleet, sort, index, name) >= min_value)
         return;
       g_usleep (10000);
     }
@@ -122,7 +125,7 @@
 }
 
 static void
-platform_mode (fleet_t *fleet, const char *mode)
+set_platform_mode (fleet_t *fleet, const char *mode)
 {
   g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/faults", NULL);
@@ -140,16 +143,16 @@
 static void
 test_agent_killed (void)
 {
-  fleet_t *fleet = start (20, 1500, 4);
-  g_autoptr (call_t) streamed = stream (fleet, 0, 400);
-  g_autoptr (call_t) posted = post (fleet, 0, "p", NULL);
-  g_autoptr (call_t) looked = look_up (fleet, 0, "l");
+  fleet_t *fleet = start_fleet (20, 1500, 4);
+  g_autoptr (call_t) streamed = start_stream (fleet, 0, 400);
+  g_autoptr (call_t) posted = start_post (fleet, 0, "p", NULL);
+  g_autoptr (call_t) looked = start_lookup (fleet, 0, "l");
   g_autoptr (GError) error = NULL;
   proc_t *plain = fleet_proc (fleet, FLEET_AGENT, PLAIN_AGENT);
 
   g_assert_true (call_until (streamed, "data: ", WAIT_MS));
-  wait_executed (fleet, "p");
-  wait_executed (fleet, "l");
+  wait_until_executed (fleet, "p");
+  wait_until_executed (fleet, "l");
   g_assert_true (
       proc_stop (fleet_proc (fleet, FLEET_AGENT, 0), SIGKILL, WAIT_MS));
   g_assert_true (proc_stop (plain, SIGKILL, WAIT_MS));
@@ -160,8 +163,8 @@
   g_assert_nonnull (strstr (posted->text->str, "\"run\":\"unknown\""));
   g_assert_cmpint (call_finish (looked, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (looked), ==, 200);
-  g_assert_cmpuint (executions (fleet, "p"), ==, 1);
-  end (fleet);
+  g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
+  stop_fleet (fleet);
 }
 
 /* The connection between router and agent goes silent in the middle of a
@@ -171,25 +174,25 @@
 static void
 test_link_silent (void)
 {
-  fleet_t *fleet = start (10, 1000, 4);
+  fleet_t *fleet = start_fleet (10, 1000, 4);
   /* Agent 0 is in zone 0, the caller's router in zone 1; for the plain
      service it is the other way round.  */
-  g_autoptr (call_t) streamed = stream (fleet, 1, 300);
-  g_autoptr (call_t) posted = post (fleet, 0, "p", NULL);
+  g_autoptr (call_t) streamed = start_stream (fleet, 1, 300);
+  g_autoptr (call_t) posted = start_post (fleet, 0, "p", NULL);
 
   g_assert_true (call_until (streamed, "data: ", WAIT_MS));
-  wait_executed (fleet, "p");
+  wait_until_executed (fleet, "p");
   g_assert_true (fleet_relay (fleet, "zone-1>zone-0", "silent"));
   g_assert_true (fleet_relay (fleet, "zone-0>zone-1", "silent"));
   g_assert_cmpint (call_finish (streamed, WAIT_MS), ==, CALL_WHOLE);
   g_assert_nonnull (strstr (streamed->text->str, "data: [DONE]"));
   g_assert_cmpint (call_finish (posted, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (posted), ==, 200);
-  g_assert_cmpuint (executions (fleet, "p"), ==, 1);
+  g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   g_assert_cmpfloat (
       fleet_metric (fleet, FLEET_ROUTER, 1, "cfd_router_resumed_total"), >=,
       1);
-  end (fleet);
+  stop_fleet (fleet);
 }
 
 /* A router stands still while an agent offers it a slot, and answers with a
@@ -200,7 +203,7 @@
 static void
 test_answer_after_lapse (void)
 {
-  fleet_t *fleet = start (10, 700, 1);
+  fleet_t *fleet = start_fleet (10, 700, 1);
   proc_t *router = fleet_proc (fleet, FLEET_ROUTER, 0);
   double returned = 0;
 
@@ -208,22 +211,22 @@
     {
       g_autofree char *first = g_strdup_printf ("first-%u", round);
       g_autofree char *second = g_strdup_printf ("second-%u", round);
-      g_autoptr (call_t) holder = post (fleet, 1, first, NULL);
-      wait_executed (fleet, first);
-      g_autoptr (call_t) waiter = post (fleet, 0, second, NULL);
-      wait_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 1);
+      g_autoptr (call_t) holder = start_post (fleet, 1, first, NULL);
+      wait_until_executed (fleet, first);
+      g_autoptr (call_t) waiter = start_post (fleet, 0, second, NULL);
+      wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 1);
       kill (router->pid, SIGSTOP);
       g_assert_cmpint (call_finish (holder, WAIT_MS), ==, CALL_WHOLE);
       g_usleep (1200000); /* the life of a grant, and some */
       kill (router->pid, SIGCONT);
       g_assert_cmpint (call_finish (waiter, WAIT_MS), ==, CALL_WHOLE);
       g_assert_cmpuint (call_status (waiter), ==, 200);
-      g_assert_cmpuint (executions (fleet, second), ==, 1);
+      g_assert_cmpuint (count_executions (fleet, second), ==, 1);
       returned
           = fleet_metric (fleet, FLEET_ROUTER, 0, "cfd_router_returned_total");
     }
   g_assert_cmpfloat (returned, >=, 1);
-  end (fleet);
+  stop_fleet (fleet);
 }
 
 /* A caller posts with an Idempotency-Key and asks again through another
@@ -233,11 +236,11 @@
 static void
 test_asked_again (void)
 {
-  fleet_t *fleet = start (10, 1000, 4);
-  g_autoptr (call_t) first = post (fleet, 0, "p", "key-1");
+  fleet_t *fleet = start_fleet (10, 1000, 4);
+  g_autoptr (call_t) first = start_post (fleet, 0, "p", "key-1");
 
-  wait_executed (fleet, "p");
-  g_autoptr (call_t) during = post (fleet, 1, "p", "key-1");
+  wait_until_executed (fleet, "p");
+  g_autoptr (call_t) during = start_post (fleet, 1, "p", "key-1");
   g_assert_cmpint (call_finish (during, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (during), ==, 409);
   g_assert_nonnull (strstr (during->text->str, "\"run\":\"unknown\""));
@@ -246,7 +249,7 @@
   /* The kept answer is written after the caller has it.  */
   for (unsigned i = 0; i < 100; i++)
     {
-      g_autoptr (call_t) after = post (fleet, 1, "p", "key-1");
+      g_autoptr (call_t) after = start_post (fleet, 1, "p", "key-1");
 
       g_assert_cmpint (call_finish (after, WAIT_MS), ==, CALL_WHOLE);
       if (call_status (after) == 409 && i < 99)
@@ -259,23 +262,23 @@
       g_assert_nonnull (strstr (after->text->str, "\"executions\":1"));
       break;
     }
-  g_autoptr (call_t) other = post (fleet, 1, "q", "key-1");
+  g_autoptr (call_t) other = start_post (fleet, 1, "q", "key-1");
   g_assert_cmpint (call_finish (other, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (other), ==, 422);
-  platform_mode (fleet, "down");
-  g_autoptr (call_t) down = post (fleet, 1, "r", "key-2");
+  set_platform_mode (fleet, "down");
+  g_autoptr (call_t) down = start_post (fleet, 1, "r", "key-2");
   g_assert_cmpint (call_finish (down, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (down), ==, 503);
   g_assert_nonnull (strstr (down->text->str, "\"run\":\"not-run\""));
   g_assert_nonnull (strstr (down->text->str, "Retry-After: "));
   /* What needs no claim goes on.  */
-  g_autoptr (call_t) bare = post (fleet, 1, "s", NULL);
+  g_autoptr (call_t) bare = start_post (fleet, 1, "s", NULL);
   g_assert_cmpint (call_finish (bare, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (bare), ==, 200);
-  g_assert_cmpuint (executions (fleet, "p"), ==, 1);
-  g_assert_cmpuint (executions (fleet, "q"), ==, 0);
-  g_assert_cmpuint (executions (fleet, "r"), ==, 0);
-  end (fleet);
+  g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
+  g_assert_cmpuint (count_executions (fleet, "q"), ==, 0);
+  g_assert_cmpuint (count_executions (fleet, "r"), ==, 0);
+  stop_fleet (fleet);
 }
 
 /* The router with a claimed post under way is killed.  Its caller's connection
@@ -284,21 +287,21 @@
 static void
 test_router_killed (void)
 {
-  fleet_t *fleet = start (10, 1000, 4);
-  g_autoptr (call_t) first = post (fleet, 0, "p", "key-1");
-  g_autoptr (call_t) streamed = stream (fleet, 1, 100);
+  fleet_t *fleet = start_fleet (10, 1000, 4);
+  g_autoptr (call_t) first = start_post (fleet, 0, "p", "key-1");
+  g_autoptr (call_t) streamed = start_stream (fleet, 1, 100);
 
-  wait_executed (fleet, "p");
+  wait_until_executed (fleet, "p");
   g_assert_true (
       proc_stop (fleet_proc (fleet, FLEET_ROUTER, 0), SIGKILL, WAIT_MS));
   g_assert_cmpint (call_finish (first, WAIT_MS), ==, CALL_BROKEN);
-  g_autoptr (call_t) again = post (fleet, 1, "p", "key-1");
+  g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
   g_assert_cmpint (call_finish (again, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (again), ==, 409);
   g_assert_nonnull (strstr (again->text->str, "\"run\":\"unknown\""));
   g_assert_cmpint (call_finish (streamed, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (executions (fleet, "p"), ==, 1);
-  end (fleet);
+  g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
+  stop_fleet (fleet);
 }
 
 /* A router is told to stop with a stream and a post under way and two posts in
@@ -308,27 +311,27 @@
 static void
 test_drain (void)
 {
-  fleet_t *fleet = start (10, 700, 1);
+  fleet_t *fleet = start_fleet (10, 700, 1);
   proc_t *router = fleet_proc (fleet, FLEET_ROUTER, 0);
   g_autofree char *admin = fleet_admin_url (fleet, FLEET_ROUTER, 0);
   g_autofree char *ready = g_strconcat (admin, "/readyz", NULL);
-  g_autoptr (call_t) streamed = stream (fleet, 0, 100);
-  g_autoptr (call_t) running = post (fleet, 0, "p", NULL);
+  g_autoptr (call_t) streamed = start_stream (fleet, 0, 100);
+  g_autoptr (call_t) running = start_post (fleet, 0, "p", NULL);
   long status = 0;
 
   g_assert_true (call_until (streamed, "data: ", WAIT_MS));
-  wait_executed (fleet, "p");
-  g_autoptr (call_t) queued = post (fleet, 0, "q", NULL);
-  g_autoptr (call_t) claimed = post (fleet, 0, "r", "key-1");
-  wait_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 2);
-  platform_mode (fleet, "down");
+  wait_until_executed (fleet, "p");
+  g_autoptr (call_t) queued = start_post (fleet, 0, "q", NULL);
+  g_autoptr (call_t) claimed = start_post (fleet, 0, "r", "key-1");
+  wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 2);
+  set_platform_mode (fleet, "down");
   kill (router->pid, SIGTERM);
   for (int i = 0; i < WAIT_MS / 10 && status != 503; i++)
     {
       g_autofree char *answer = proc_ask (NULL, ready, NULL, NULL, &status);
       g_usleep (10000);
     }
-  g_autoptr (call_t) late = look_up (fleet, 0, "late");
+  g_autoptr (call_t) late = start_lookup (fleet, 0, "late");
   g_assert_cmpint (call_finish (late, WAIT_MS), ==, CALL_BROKEN);
   g_assert_cmpint (call_finish (running, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpint (call_finish (queued, WAIT_MS), ==, CALL_WHOLE);
@@ -340,27 +343,27 @@
   g_assert_nonnull (strstr (streamed->text->str, "data: [DONE]"));
   /* Nothing is left but the claim of the last post to finish.  */
   g_usleep (1000000);
-  platform_mode (fleet, "up");
+  set_platform_mode (fleet, "up");
   for (int i = 0; i < WAIT_MS / 10 && proc_runs (router); i++)
     g_usleep (10000);
   g_assert_false (proc_runs (router));
   /* The claim was finished before the process went.  */
-  g_autoptr (call_t) after = post (fleet, 1, "r", "key-1");
+  g_autoptr (call_t) after = start_post (fleet, 1, "r", "key-1");
   g_assert_cmpint (call_finish (after, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (after), ==, 200);
-  g_assert_cmpuint (executions (fleet, "r"), ==, 1);
-  end (fleet);
+  g_assert_cmpuint (count_executions (fleet, "r"), ==, 1);
+  stop_fleet (fleet);
 }
 
 typedef struct
 {
   load_t *load;
   proc_t *router;
-  int64_t began_us;
-  int64_t told_us; /* when the router was told to stop; 0 before */
+  int64_t start_us;
+  int64_t signalled_us; /* when the router was told to stop; 0 before */
 } shutdown_t;
 
-#define TELL_US 1500000
+#define SIGNAL_AFTER_US 1500000
 #define LOAD_LIMIT_US 60000000
 
 static void
@@ -369,15 +372,15 @@
   shutdown_t *down = watcher->data;
   int64_t now = clock_now_us ();
 
-  if (down->told_us == 0 && now - down->began_us > TELL_US)
+  if (down->signalled_us == 0 && now - down->start_us > SIGNAL_AFTER_US)
     {
-      down->told_us = now;
+      down->signalled_us = now;
       kill (down->router->pid, SIGTERM);
     }
-  if (down->told_us != 0 && !proc_runs (down->router))
+  if (down->signalled_us != 0 && !proc_runs (down->router))
     load_stop (down->load);
-  if (now - down->began_us > LOAD_LIMIT_US
-      || (down->told_us != 0 && !proc_runs (down->router)
+  if (now - down->start_us > LOAD_LIMIT_US
+      || (down->signalled_us != 0 && !proc_runs (down->router)
           && load_active (down->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
@@ -385,7 +388,7 @@
 /* Of the requests at the router that stops: those it had are answered whole,
    later ones are served whole too or find no connection.  */
 static void
-judge_shutdown (const shutdown_t *down)
+verify_shutdown (const shutdown_t *down)
 {
   const GPtrArray *requests = load_requests (down->load);
   unsigned before = 0;
@@ -394,7 +397,7 @@
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->router == 0 && request->started_us < down->told_us)
+      if (request->router == 0 && request->started_us < down->signalled_us)
         {
           before++;
           g_assert_cmpint (request->end, ==, LOAD_RIGHT);
@@ -415,7 +418,7 @@
 static void
 test_drain_under_load (void)
 {
-  fleet_t *fleet = start (10, 60, 2);
+  fleet_t *fleet = start_fleet (10, 60, 2);
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   double spread[] = { 0.5, 0.5 };
   load_account_t account = { .name = (char *)"a",
@@ -445,15 +448,15 @@
   ev_timer_init (&check, on_shutdown_check, 0.02, 0.02);
   check.data = &down;
   ev_timer_start (loop, &check);
-  down.began_us = clock_now_us ();
+  down.start_us = clock_now_us ();
   load_start (down.load);
   ev_run (loop, 0);
-  judge_shutdown (&down);
+  verify_shutdown (&down);
   load_free (down.load);
   ev_loop_destroy (loop);
   g_free (urls[0]);
   g_free (urls[1]);
-  end (fleet);
+  stop_fleet (fleet);
 }
 
 /* A caller leaves in the middle of a stream, and one in the middle of a post.
@@ -461,24 +464,24 @@
 static void
 test_caller_leaves (void)
 {
-  fleet_t *fleet = start (20, 500, 1);
-  call_t *streamed = stream (fleet, 0, 2000);
-  call_t *posted = post (fleet, 0, "p", "key-1");
+  fleet_t *fleet = start_fleet (20, 500, 1);
+  call_t *streamed = start_stream (fleet, 0, 2000);
+  call_t *posted = start_post (fleet, 0, "p", "key-1");
 
   g_assert_true (call_until (streamed, "data: ", WAIT_MS));
-  wait_executed (fleet, "p");
+  wait_until_executed (fleet, "p");
   call_free (streamed);
   call_free (posted);
-  wait_metric (fleet, FLEET_ROUTER, 0, "cfd_router_ended_total", 2);
+  wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_ended_total", 2);
   g_assert_cmpfloat (
       fleet_metric (fleet, FLEET_ROUTER, 0, "cfd_router_in_flight"), ==, 0);
   /* The answer of the post was kept for the caller who asks again.  */
   g_usleep (200000);
-  g_autoptr (call_t) again = post (fleet, 1, "p", "key-1");
+  g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
   g_assert_cmpint (call_finish (again, WAIT_MS), ==, CALL_WHOLE);
   g_assert_cmpuint (call_status (again), ==, 200);
-  g_assert_cmpuint (executions (fleet, "p"), ==, 1);
-  end (fleet);
+  g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
+  stop_fleet (fleet);
 }
 
 int
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -7,8 +7,8 @@
 /* One answer of 11 tokens to a prompt of 20, asked for at 0, with the engine
    at 10 ms.  */
 static void
-add (GPtrArray *requests, const char *nonce, unsigned first_ms,
-     unsigned whole_ms)
+add_request (GPtrArray *requests, const char *nonce, unsigned first_ms,
+             unsigned whole_ms)
 {
   load_request_t *request = g_new0 (load_request_t, 1);
 
@@ -26,14 +26,14 @@
 /* Ten ordinary answers: first token after 30 ms, then one each 20 ms.  One of
    the slow endpoint.  */
 static slow_span_t
-span_with (unsigned first_ms, unsigned whole_ms)
+make_span (unsigned first_ms, unsigned whole_ms)
 {
   g_autoptr (GPtrArray) requests = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GHashTable) slow = g_hash_table_new (g_str_hash, g_str_equal);
 
   for (unsigned i = 0; i < 10; i++)
-    add (requests, "usual", 30, 230);
-  add (requests, "slow", first_ms, whole_ms);
+    add_request (requests, "usual", 30, 230);
+  add_request (requests, "slow", first_ms, whole_ms);
   g_hash_table_add (slow, (gpointer) "slow");
   return slow_span (requests, slow, 1, 10000 * MS);
 }
@@ -86,7 +86,7 @@
 {
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      slow_span_t span = span_with (cases[i].first_ms, cases[i].whole_ms);
+      slow_span_t span = make_span (cases[i].first_ms, cases[i].whole_ms);
       const slow_hedge_t *hedges[] = { &span.hedge_first, &span.hedge_whole };
 
       g_test_message ("%s", cases[i].name);
@@ -111,12 +111,12 @@
   g_autoptr (GPtrArray) requests = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GHashTable) slow = g_hash_table_new (g_str_hash, g_str_equal);
 
-  add (requests, "before", 30, 230);
-  add (requests, "in", 100, 290);
-  add (requests, "after", 200, 400);
-  add (requests, "broken", 100, 290);
+  add_request (requests, "before", 30, 230);
+  add_request (requests, "in", 100, 290);
+  add_request (requests, "after", 200, 400);
+  add_request (requests, "broken", 100, 290);
   ((load_request_t *)requests->pdata[3])->end = LOAD_BROKEN;
-  add (requests, "unknown", 100, 290);
+  add_request (requests, "unknown", 100, 290);
   ((load_request_t *)requests->pdata[4])->engine_us = 0;
   slow_span_t span = slow_span (requests, slow, 250 * MS, 350 * MS);
   g_assert_cmpuint (span.count, ==, 1);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -12,7 +12,7 @@
   "{\"schema\":2,\"state\":\"out\",\"region\":\"r\",\"note\":\"kept\"}"
 
 static char *
-program (const char *name)
+program_path (const char *name)
 {
   g_autofree char *build = proc_build_folder ();
 
@@ -22,7 +22,7 @@
 /* The platform tells that the process leaves; it ends when all that runs there
    is answered, and the present program takes its place.  */
 static void
-upgrade (scene_t *scene, fleet_sort_t sort, unsigned index)
+upgrade_process (scene_t *scene, fleet_sort_t sort, unsigned index)
 {
   fleet_t *fleet = scene->fleet;
   proc_t *proc = fleet_proc (fleet, sort, index);
@@ -37,8 +37,8 @@
     scene_run (scene, 50);
   g_assert_false (proc_runs (proc));
   g_free (proc->argv[0]);
-  proc->argv[0]
-      = program (sort == FLEET_ROUTER ? FLEET_NEW_ROUTER : FLEET_NEW_AGENT);
+  proc->argv[0] = program_path (sort == FLEET_ROUTER ? FLEET_NEW_ROUTER
+                                                     : FLEET_NEW_AGENT);
   proc_again (fleet_procs (fleet), proc, &error);
   g_assert_no_error (error);
   g_assert_true (fleet_list_instance (fleet, sort, index, "live", &error));
@@ -48,24 +48,24 @@
 
 /* The exit status of a cfdctl with WORDS.  */
 static int
-ctl (const scene_t *scene, const char *name, const char *words)
+run_cfdctl (const scene_t *scene, const char *name, const char *arguments)
 {
-  g_autofree char *path = program (name);
+  g_autofree char *path = program_path (name);
   g_autofree char *platform = fleet_url (scene->fleet, FLEET_PLATFORM, 0);
-  g_autofree char *printed = NULL; /* must not stand among the test's own */
+  g_autofree char *output = NULL; /* must not stand among the test's own */
   g_autofree char *line
-      = g_strdup_printf ("%s --platform %s %s", path, platform, words);
+      = g_strdup_printf ("%s --platform %s %s", path, platform, arguments);
   g_autoptr (GError) error = NULL;
   int status = 0;
 
-  g_spawn_command_line_sync (line, &printed, NULL, &status, &error);
+  g_spawn_command_line_sync (line, &output, NULL, &status, &error);
   g_assert_no_error (error);
-  g_test_message ("%s", printed);
+  g_test_message ("%s", output);
   return WEXITSTATUS (status);
 }
 
 static char *
-stored (const scene_t *scene, const char *path)
+read_record (const scene_t *scene, const char *path)
 {
   g_autofree char *base = fleet_url (scene->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/v1/objects/", path, NULL);
@@ -77,7 +77,7 @@
 }
 
 static scene_t *
-scene_old (bool old_routers)
+start_old_fleet (bool old_routers)
 {
   scene_plan_t plan = scene_plan ();
 
@@ -102,33 +102,34 @@
 static void
 check_upgrade (bool old_routers)
 {
-  g_autoptr (scene_t) scene = scene_old (old_routers);
+  g_autoptr (scene_t) scene = start_old_fleet (old_routers);
   g_autoptr (GError) error = NULL;
 
   scene_until (scene, scene_is_streaming, LIMIT_MS);
-  g_assert_cmpint (
-      ctl (scene, "tests/old-cfdctl", "set client-account branch weight=2"),
-      ==, 0);
+  g_assert_cmpint (run_cfdctl (scene, "tests/old-cfdctl",
+                               "set client-account branch weight=2"),
+                   ==, 0);
   if (old_routers)
-    upgrade (scene, FLEET_ROUTER, 1);
-  upgrade (scene, FLEET_AGENT, 0);
+    upgrade_process (scene, FLEET_ROUTER, 1);
+  upgrade_process (scene, FLEET_AGENT, 0);
   fleet_put (scene->fleet, "availability-zone", "zone-1", ZONE_1, &error);
   g_assert_no_error (error);
-  g_assert_cmpint (ctl (scene, "tests/old-cfdctl",
-                        "set availability-zone zone-1 region=old"),
+  g_assert_cmpint (run_cfdctl (scene, "tests/old-cfdctl",
+                               "set availability-zone zone-1 region=old"),
                    !=, 0);
   for (unsigned i = 1; i < AGENTS; i++)
-    upgrade (scene, FLEET_AGENT, i);
+    upgrade_process (scene, FLEET_AGENT, i);
   scene_run (scene, 2000);
 
-  double then = scene_counter (scene, 1, "requests");
+  double requests_before = scene_counter (scene, 1, "requests");
   scene_run (scene, 1000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==, then);
-  g_assert_cmpint (
-      ctl (scene, "cli/cfdctl", "set availability-zone zone-1 region=new"), ==,
-      0);
-  g_autofree char *zone = stored (scene, "availability-zone/zone-1");
-  g_autofree char *account = stored (scene, "client-account/branch");
+  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+                     requests_before);
+  g_assert_cmpint (run_cfdctl (scene, "cli/cfdctl",
+                               "set availability-zone zone-1 region=new"),
+                   ==, 0);
+  g_autofree char *zone = read_record (scene, "availability-zone/zone-1");
+  g_autofree char *account = read_record (scene, "client-account/branch");
   g_test_message ("%s %s", zone, account);
   g_assert_nonnull (strstr (zone, "\"schema\":2"));
   g_assert_nonnull (strstr (zone, "\"state\":\"out\""));
--- a/tests/test-whole.c
+++ b/tests/test-whole.c
@@ -177,11 +177,12 @@
   fleet_put (scene->fleet, kind, name, spec, &error);
   g_assert_no_error (error);
   scene_run (scene, 3000);
-  double then = scene_counter (scene, 1, "requests");
-  double other = scene_counter (scene, 0, "requests");
+  double requests_before = scene_counter (scene, 1, "requests");
+  double other_before = scene_counter (scene, 0, "requests");
   scene_run (scene, 1500);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==, then);
-  g_assert_cmpfloat (scene_counter (scene, 0, "requests"), >, other);
+  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+                     requests_before);
+  g_assert_cmpfloat (scene_counter (scene, 0, "requests"), >, other_before);
   scene_end (scene, LIMIT_MS);
   g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
 }
@@ -206,7 +207,7 @@
 
 /* Streams run from another zone while something befalls the links there.  */
 static scene_t *
-scene_across (void)
+start_cross_zone_streams (void)
 {
   scene_plan_t plan = scene_plan ();
   scene_t *scene;
@@ -229,7 +230,7 @@
 static void
 test_silent_links (void)
 {
-  g_autoptr (scene_t) scene = scene_across ();
+  g_autoptr (scene_t) scene = start_cross_zone_streams ();
 
   g_assert_true (fleet_relay (scene->fleet, "zone-0>zone-1", "silent"));
   scene_run (scene, 1000);
@@ -241,7 +242,7 @@
 static void
 test_cut_links (void)
 {
-  g_autoptr (scene_t) scene = scene_across ();
+  g_autoptr (scene_t) scene = start_cross_zone_streams ();
 
   g_assert_true (fleet_relay (scene->fleet, "zone-0>zone-1", "cut"));
   scene_run (scene, 500);
--- a/tests/test-withdrawn.c
+++ b/tests/test-withdrawn.c
@@ -8,7 +8,7 @@
 /* "After a few seconds": as the soak judges it.  */
 #define GRACE_MS 6000
 /* Until the others have a new record, a broken watch included.  */
-#define LEARN_MS 3000
+#define PROPAGATION_MS 3000
 #define PLATFORM_DOWN "{\"mode\":\"down\"}"
 #define PLATFORM_UP "{\"mode\":\"up\"}"
 #define ZONE_1_OUT "{\"schema\":2,\"state\":\"out\",\"region\":\"r\"}"
@@ -16,7 +16,7 @@
 /* Three zones, with a router, an agent and an engine each; the load comes to
    ROUTER.  */
 static scene_t *
-scene_of_three (unsigned router)
+start_three_zones (unsigned router)
 {
   scene_plan_t plan = scene_plan ();
   scene_t *scene;
@@ -40,7 +40,7 @@
 }
 
 static void
-relay_zone_1 (const scene_t *scene, const char *mode)
+set_zone_1_links (const scene_t *scene, const char *mode)
 {
   static const char *const groups[]
       = { "zone-0>zone-1", "zone-2>zone-1", "zone-1>zone-0", "zone-1>zone-2" };
@@ -50,8 +50,8 @@
 }
 
 static void
-put (const scene_t *scene, const char *kind, const char *name,
-     const char *spec)
+put_record (const scene_t *scene, const char *kind, const char *name,
+            const char *spec)
 {
   g_autoptr (GError) error = NULL;
 
@@ -60,7 +60,7 @@
 }
 
 static void
-platform (const scene_t *scene, const char *mode)
+set_platform_mode (const scene_t *scene, const char *mode)
 {
   scene_control (scene, FLEET_PLATFORM, 0, "/control/faults", mode);
 }
@@ -69,20 +69,20 @@
    have in their sockets when they wake: their watches are broken off before.
    The platform is down afterwards.  */
 static void
-put_unseen (scene_t *scene, const char *kind, const char *name,
-            const char *spec)
+put_record_unseen (scene_t *scene, const char *kind, const char *name,
+                   const char *spec)
 {
-  platform (scene, PLATFORM_DOWN);
-  platform (scene, PLATFORM_UP);
-  put (scene, kind, name, spec);
-  scene_run (scene, LEARN_MS);
-  platform (scene, PLATFORM_DOWN);
+  set_platform_mode (scene, PLATFORM_DOWN);
+  set_platform_mode (scene, PLATFORM_UP);
+  put_record (scene, kind, name, spec);
+  scene_run (scene, PROPAGATION_MS);
+  set_platform_mode (scene, PLATFORM_DOWN);
 }
 
 /* The record of endpoint 1 with its own address: with another one, its engine
    would get nothing whatever the fleet did.  */
 static char *
-endpoint_1_leaving (const scene_t *scene)
+make_leaving_record (const scene_t *scene)
 {
   g_autofree char *url = fleet_url (scene->fleet, FLEET_ENDPOINT, 1);
 
@@ -95,12 +95,13 @@
 
 /* Endpoint 1 starts nothing from now on, while the load goes on.  */
 static void
-check_starts_nothing (scene_t *scene)
+check_no_new_starts (scene_t *scene)
 {
-  double then = scene_counter (scene, 1, "requests");
+  double requests_before = scene_counter (scene, 1, "requests");
 
   scene_run (scene, 2000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==, then);
+  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+                     requests_before);
 }
 
 /* A zone is cut off whole: its agent and router are stopped, its links are
@@ -112,19 +113,19 @@
 static void
 test_zone_cut_off (void)
 {
-  g_autoptr (scene_t) scene = scene_of_three (1);
+  g_autoptr (scene_t) scene = start_three_zones (1);
 
   signal_zone_1 (scene, SIGSTOP);
-  relay_zone_1 (scene, "hole");
-  put_unseen (scene, "availability-zone", "zone-1", ZONE_1_OUT);
+  set_zone_1_links (scene, "hole");
+  put_record_unseen (scene, "availability-zone", "zone-1", ZONE_1_OUT);
   scene_run (scene, 2000);
   signal_zone_1 (scene, SIGCONT);
   scene_run (scene, GRACE_MS);
-  check_starts_nothing (scene);
-  relay_zone_1 (scene, "pass");
-  platform (scene, PLATFORM_UP);
+  check_no_new_starts (scene);
+  set_zone_1_links (scene, "pass");
+  set_platform_mode (scene, PLATFORM_UP);
   scene_run (scene, 3000);
-  check_starts_nothing (scene);
+  check_no_new_starts (scene);
   scene_end (scene, LIMIT_MS);
 }
 
@@ -135,18 +136,19 @@
 static void
 test_leaving_frozen (void)
 {
-  g_autoptr (scene_t) scene = scene_of_three (0);
-  g_autofree char *leaving = endpoint_1_leaving (scene);
-  double then;
+  g_autoptr (scene_t) scene = start_three_zones (0);
+  g_autofree char *leaving = make_leaving_record (scene);
+  double requests_before;
 
   proc_stop (fleet_proc (scene->fleet, FLEET_AGENT, 1), SIGSTOP, 0);
-  put_unseen (scene, "endpoint", "endpoint-1", leaving);
+  put_record_unseen (scene, "endpoint", "endpoint-1", leaving);
   scene_run (scene, 1500);
-  then = scene_counter (scene, 1, "requests");
+  requests_before = scene_counter (scene, 1, "requests");
   proc_stop (fleet_proc (scene->fleet, FLEET_AGENT, 1), SIGCONT, 0);
   scene_run (scene, 3000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==, then);
-  platform (scene, PLATFORM_UP);
+  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+                     requests_before);
+  set_platform_mode (scene, PLATFORM_UP);
   scene_end (scene, LIMIT_MS);
   g_assert_cmpfloat (fleet_metric (scene->fleet, FLEET_AGENT, 1,
                                    "cfd_invariant_failures_total"),
@@ -159,17 +161,17 @@
 static void
 test_leaving_cut (void)
 {
-  g_autoptr (scene_t) scene = scene_of_three (1);
-  g_autofree char *leaving = endpoint_1_leaving (scene);
+  g_autoptr (scene_t) scene = start_three_zones (1);
+  g_autofree char *leaving = make_leaving_record (scene);
 
-  relay_zone_1 (scene, "hole");
-  put (scene, "endpoint", "endpoint-1", leaving);
+  set_zone_1_links (scene, "hole");
+  put_record (scene, "endpoint", "endpoint-1", leaving);
   scene_run (scene, 200);
-  platform (scene, PLATFORM_DOWN);
+  set_platform_mode (scene, PLATFORM_DOWN);
   scene_run (scene, GRACE_MS);
-  check_starts_nothing (scene);
-  platform (scene, PLATFORM_UP);
-  relay_zone_1 (scene, "pass");
+  check_no_new_starts (scene);
+  set_platform_mode (scene, PLATFORM_UP);
+  set_zone_1_links (scene, "pass");
   scene_end (scene, LIMIT_MS);
 }
 
