--- a/tests/fault-events.c
+++ b/tests/fault-events.c
@@ -2,10 +2,11 @@
 
 #include <string.h>
 
-/* The detail of a retry that follows no failure of the request: another one
-   failed, the agent's limit was cut back or it was ejected, and what answered
-   the grants on their way was given back unstarted.  A router avoids no agent
-   for that word, so the next slot offered there may take the request again. */
+/* The detail of a retry that follows no failure of this request: another
+   request failed, the agent reduced its limit or was ejected, and it returned
+   the assignments that answered its outstanding grants without starting them.
+   Routers do not avoid the agent for that reason, so its next grant may take
+   the request again.  */
 #define RETRY_GIVEN_BACK "the agent gave it back unstarted"
 
 JsonArray *
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -3,7 +3,7 @@
 #include <ev.h>
 
 #define LIMIT_S 50
-/* Long enough for requests to end, and others to start, in it.  */
+/* Long enough for requests to end and others to start during a cold start.  */
 #define LONG_COLD_MS 3000
 
 static const fleet_account_t accounts[]
@@ -95,7 +95,8 @@
       fault_case->second_action (run);
       run->actions_done = 2;
     }
-  /* Callers may all pause in the middle; the end is when none asks again.  */
+  /* All accounts may pause at once, so that a single check without requests
+     does not mean that the load has ended.  */
   run->idle_checks
       = load_active (run->load) > 0
                 || load_requests (run->load)->len < fault_case->requests
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -1,6 +1,7 @@
-/* Failures on the agents' side, in whole fleets of real processes: frozen and
-   restarted agents, endpoints that are cold, lie, turn cold again, refuse, or
-   go silent in the middle of their answers.  */
+/* Faults of agents and endpoints in whole fleets of real processes: agents
+   that are frozen, stopped or restarted; endpoints that start cold, report a
+   wrong load, turn cold again, refuse requests, freeze, or stop sending in the
+   middle of an answer.  */
 
 #include "fault-events.h"
 #include <signal.h>
@@ -37,7 +38,8 @@
 static void
 turn_engines_cold (fault_run_t *run)
 {
-  /* Not asserted: a busy machine is slow to warm up.  */
+  /* Only printed: on a busy machine the agents may not have raised their
+     limits yet.  */
   for (unsigned i = 0; i < fault_plan.models; i++)
     g_test_message (
         "agent %u offered %g slots before", i,
@@ -75,7 +77,8 @@
   proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, 0), SIGCONT, 0);
 }
 
-/* The agents of one zone: one of a model engine, one of a plain service.  */
+/* Signals the agents of zone 0: one of a model engine, one of a plain
+   service.  */
 static void
 signal_agents (fault_run_t *run, int signal_number)
 {
@@ -125,7 +128,7 @@
   g_assert_no_error (error);
 }
 
-/* ---- judgements ---- */
+/* ---- checks ---- */
 
 static void
 verify_all_answered (fault_run_t *run)
@@ -133,7 +136,8 @@
   g_assert_cmpuint (run->totals.right, ==, run->totals.requests);
 }
 
-/* Out and back: two events.  Few requests are lost on a refusing engine.  */
+/* An ejection and the return are two events.  Fewer than 12 requests may fail
+   at the refusing engine in between.  */
 static void
 verify_ejected (fault_run_t *run)
 {
@@ -158,16 +162,17 @@
       fault_count_retries (fault_fetch_events (run, FLEET_ROUTER, i, parser),
                            places);
     }
-  g_test_message ("%u retries went to the agent that failed, %u elsewhere",
+  g_test_message ("%u retries at the agent that failed, %u at another",
                   places[0], places[1]);
   g_assert_cmpuint (places[0], ==, 0);
   g_assert_cmpuint (places[1], >, 0);
   verify_all_answered (run);
 }
 
-/* The first three that were given up eject the endpoint while it stands still,
-   and a probe brings it back after the thaw.  Without the agent's question
-   nothing is given up before the thaw, and no retry is made.  */
+/* The agent ejects the frozen endpoint after three requests that timed out,
+   and a probe request brings it back once it runs again.  Without the agent's
+   health check no request would time out before the engine is resumed, and
+   none would be retried.  */
 static void
 verify_frozen_engine (fault_run_t *run)
 {
@@ -178,16 +183,16 @@
   verify_retried_elsewhere (run);
 }
 
-/* Callers may see broken answers and refusals, but true ones, and the load
-   goes on.  */
+/* Callers may see truncated answers and refusals, as long as these report the
+   outcome correctly; at least half of the requests are answered.  */
 static void
 verify_half_answered (fault_run_t *run)
 {
   g_assert_cmpuint (run->totals.right, >=, run->totals.requests / 2);
 }
 
-/* Of what the woken agent did, each start must follow a grant made after the
-   waking: what was assigned to an older one is not started.  */
+/* Each request that the resumed agent starts must belong to a grant made after
+   it was resumed: assignments to older grants are refused.  */
 static void
 verify_starts_follow_grants (const fault_run_t *run, unsigned agent)
 {
@@ -207,8 +212,8 @@
       starts += strcmp (kind, "run") == 0;
       g_assert_cmpuint (starts, <=, grants);
     }
-  g_test_message ("agent %u after waking: %u grants, %u starts, %g refused",
-                  agent, grants, starts,
+  g_test_message ("agent %u resumed: %u grants, %u starts, %g refused", agent,
+                  grants, starts,
                   fleet_metric (run->fleet, FLEET_AGENT, agent,
                                 "cfd_agent_not_started_total"));
   g_assert_cmpfloat (
@@ -217,9 +222,9 @@
   g_assert_cmpuint (grants, >, 0);
 }
 
-/* Nearly all of an agent's slots wait for a router 100 ms away when it is
-   frozen, and one account alone asks, so that no grant is declined as stale:
-   some assignment comes too late.  */
+/* When the agent is frozen, nearly all of its slots are granted to a router
+   100 ms away, so that some assignment arrives too late.  Only one account
+   sends requests, so that no grant is declined as stale.  */
 static void
 verify_frozen (fault_run_t *run)
 {
@@ -246,10 +251,10 @@
 }
 
 static const fault_case_t cases[] = {
-  /* An agent is stopped for longer than a grant lives, with assignments on
-     their way to it, and wakes.  It must not start what was assigned to its
-     old grants: it may be long queued elsewhere, and the callers would see a
-     post run twice.  */
+  /* Agents are frozen for longer than the lifetime of a grant, with
+     assignments in transit to them, and resumed.  They must not start requests
+     that were assigned to their old grants: these may be queued elsewhere by
+     then, and a POST would run twice.  */
   { .name = "frozen",
     .stops_agents = true,
     .zone_ms = 100,
@@ -260,8 +265,8 @@
     .first_action = freeze_agents,
     .second_action = resume_agents,
     .verify = verify_frozen },
-  /* As before, and long enough for the routers to give up the links: the
-     answers that ran on are resumed.  */
+  /* The same, long enough for the routers to close the links.  Answers that
+     continued in the meantime are resumed.  */
   { .name = "frozen-long",
     .stops_agents = true,
     .zone_ms = 30,
@@ -273,10 +278,10 @@
     .first_action = freeze_agents,
     .second_action = resume_agents,
     .verify = verify_frozen_long },
-  /* As before, for longer than a router waits for a process that is gone.  The
-     engine and the plain service run on, and the agents wake with the answers:
-     callers see a pause of some 10 s, and no answer cut, unknown or doubled.
-   */
+  /* The same, for longer than a router waits for a process that has exited.
+     The engine and the plain service keep running, and the agents have the
+     answers when they are resumed: callers see a pause of about 10 s, and no
+     answer is truncated, of unknown outcome or duplicated.  */
   { .name = "frozen-longer",
     .stops_agents = true,
     .zone_ms = 5,
@@ -288,16 +293,16 @@
     .first_action = freeze_agents,
     .second_action = resume_agents,
     .verify = verify_frozen_longer },
-  /* Engines in cold start bear one request, and report no load whatever runs.
-     Agents that believed the report would fill them.  */
+  /* Engines in cold start can run one request, and report no load whatever
+     runs.  Agents that relied on the report would overload them.  */
   { .name = "cold-start-with-lying-report",
     .requests = 120,
     .accounts = 2,
     .use_models = true,
     .first_action = make_engines_report_no_load,
     .verify = verify_all_answered },
-  /* Engines turn cold under full load, without warning.  Callers see slower
-     answers; no new work goes there above what they bear.  */
+  /* Engines turn cold under full load without notice.  Callers see slower
+     answers; no request is started beyond the engines' cold capacity.  */
   { .name = "cold-again",
     .requests = 130,
     .accounts = 2,
@@ -306,9 +311,9 @@
     .first_action_ms = 6500,
     .first_action = turn_engines_cold,
     .verify = verify_all_answered },
-  /* Engines turn cold while nothing runs there; then all accounts come back
-     at once.  Nothing was seen of the cold: the agents must not offer what
-     they offered before the pause.  */
+  /* Engines turn cold while they are idle, then all accounts send requests at
+     once.  The agents could not observe the change, so they must not offer as
+     many slots as before the pause.  */
   { .name = "cold-while-idle",
     .requests = 110,
     .accounts = 2,
@@ -319,8 +324,9 @@
     .first_action_ms = 8200,
     .first_action = turn_engines_cold,
     .verify = verify_all_answered },
-  /* The connections to the engines go silent for good in the middle of the
-     answers, and new ones work.  Callers see a pause, and whole answers.  */
+  /* Open connections to the engines stop delivering data in the middle of the
+     answers, while new connections work.  Callers see a pause and complete
+     answers.  */
   { .name = "silent-connections",
     .requests = 100,
     .accounts = 2,
@@ -328,8 +334,9 @@
     .first_action_ms = 3000,
     .first_action = silence_engine_connections,
     .verify = verify_all_answered },
-  /* An engine answers 503 for a while.  Its agent ejects it after three, tries
-     it with single requests, and takes it back; callers see none of it.  */
+  /* An engine answers 503 for 2.5 s.  Its agent ejects it after three
+     failures, probes it with single requests and restores it; callers see no
+     failure.  */
   { .name = "refusing",
     .requests = 160,
     .accounts = 2,
@@ -339,10 +346,11 @@
     .first_action = make_engine_refuse,
     .second_action = make_engine_serve,
     .verify = verify_ejected },
-  /* An engine answers 503 for longer than a request has attempts.  Its agent
-     offers a slot for a probe whenever the backoff ends, and the request that
-     it failed is the next in its queue; callers see a failure when it gets the
-     same one again.  Each retry must go to the other agent.  */
+  /* An engine answers 503 for longer than the retries of one request last.
+     Its agent offers a slot for a probe whenever the backoff ends, and the
+     request that just failed there is the next in the queue.  A request that
+     got the same agent again would fail for its caller, so each retry must go
+     to the other agent.  */
   { .name = "retry-elsewhere",
     .requests = 300,
     .accounts = 2,
@@ -352,11 +360,12 @@
     .first_action = make_engine_refuse,
     .second_action = make_engine_serve,
     .verify = verify_retried_elsewhere },
-  /* An engine stands still while nothing runs there: connections stay open,
-     the kernel takes new ones, and what is sent there waits before its first
-     byte.  Callers see some 8 s of silence, then one whole answer: the agent
-     asks the engine anything else, gives these requests up, and the other
-     agent takes them.  The engine is ejected, and back after its thaw.  */
+  /* An engine freezes while it is idle: its connections stay open, the kernel
+     accepts new ones, and requests sent there get no first byte.  The agent
+     sends a health check, abandons these requests when that is not answered
+     either, and the other agent runs them: callers see about 8 s of silence
+     and then one complete answer.  The engine is ejected, and restored once it
+     runs again.  */
   { .name = "engine-frozen",
     .requests = 85,
     .accounts = 1,
@@ -369,8 +378,8 @@
     .first_action = freeze_engine,
     .second_action = resume_engine,
     .verify = verify_frozen_engine },
-  /* Agents are asked to stop under load, end when all that runs there is
-     answered, and are started again.  No caller sees it.  */
+  /* Agents get SIGTERM under load, exit when all running requests are
+     answered, and are restarted.  Callers see no failure.  */
   { .name = "stopped",
     .stops_agents = true,
     .zone_ms = 5,
@@ -382,9 +391,9 @@
     .first_action = stop_agents,
     .second_action = start_agents,
     .verify = verify_all_answered },
-  /* Agents are killed and start again at their addresses, with no memory.
-     What ran there is retried or its outcome is said to be unknown; frames for
-     the former incarnation start nothing.  */
+  /* Agents are killed and restarted at the same addresses without state.
+     Requests that ran there are retried or reported with an unknown outcome;
+     frames for the previous incarnation start nothing.  */
   { .name = "restarted",
     .stops_agents = true,
     .requests = 600,
@@ -394,10 +403,10 @@
     .first_action = kill_agents,
     .second_action = start_agents,
     .verify = verify_half_answered },
-  /* As before, with model engines under full load that go on with what the
-     killed agents gave them.  Callers see broken answers and refusals; the new
-     agents must wait until the engines are free, or they would run one more
-     than they bear.  */
+  /* The same with model engines under full load, which continue the requests
+     of the killed agents.  Callers see truncated answers and refusals.  The
+     new agents must wait until the engines are free, or they would start one
+     request above their capacity.  */
   { .name = "restarted-engines-busy",
     .stops_agents = true,
     .requests = 700,
