--- a/libcoltsfootdrum/config/test-follow.c
+++ b/libcoltsfootdrum/config/test-follow.c
@@ -29,12 +29,12 @@
 {
   static const store_events_t events = { .instances = on_instances };
 
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->store = store_new (NULL, &events, f);
   if (data != NULL)
     store_set_self (f->store, ROLE_AGENT, data);
   if (g_strcmp0 (data, FIRST_AGENT) != 0)
-    sp_test_write (&f->test, ZONE, "a", IN);
+    sp_test_write_object (&f->test, ZONE, "a", IN);
   store_follow (f->store, f->test.loop, f->test.plat);
 }
 
@@ -42,7 +42,7 @@
 tear_down (fixture_t *f, gconstpointer data)
 {
   store_free (f->store);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static bool
@@ -51,13 +51,13 @@
   fixture_t *f = user;
 
   return store_get_revision (f->store)
-         == sp_model_revision (sp_state (f->test.sp), NULL);
+         == sp_model_get_revision (sp_get_model (f->test.sp), NULL);
 }
 
 static void
 catch_up (fixture_t *f)
 {
-  sp_test_run (&f->test, has_caught_up, f);
+  sp_test_run_until (&f->test, has_caught_up, f);
 }
 
 static void
@@ -69,16 +69,16 @@
     {
       g_autofree char *name = g_strdup_printf ("z%04u", i);
 
-      sp_test_write (&f->test, ZONE, name, IN);
+      sp_test_write_object (&f->test, ZONE, name, IN);
     }
-  while (sp_calls (f->test.sp, "list") < 2)
+  while (sp_count_calls (f->test.sp, "list") < 2)
     ev_run (f->test.loop, EVRUN_ONCE);
-  sp_test_write (&f->test, ZONE, "z0001", NULL);
-  sp_test_write (&f->test, ZONE, "z0002", OUT);
-  sp_test_write (&f->test, ZONE, "z1199", NULL);
-  sp_test_write (&f->test, ZONE, "zz", OUT);
+  sp_test_write_object (&f->test, ZONE, "z0001", NULL);
+  sp_test_write_object (&f->test, ZONE, "z0002", OUT);
+  sp_test_write_object (&f->test, ZONE, "z1199", NULL);
+  sp_test_write_object (&f->test, ZONE, "zz", OUT);
   catch_up (f);
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 3);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 3);
   g_assert_null (store_get (f->store, REC_ZONE, "z0001"));
   g_assert_null (store_get (f->store, REC_ZONE, "z1199"));
   g_assert_true (store_is_zone_out (f->store, "z0002"));
@@ -93,8 +93,8 @@
     {
       g_autofree char *name = g_strdup_printf ("account-%u", i);
 
-      sp_test_write (&f->test, "client-account", name,
-                     "{\"schema\":2,\"weight\":1,\"keys\":[]}");
+      sp_test_write_object (&f->test, "client-account", name,
+                            "{\"schema\":2,\"weight\":1,\"keys\":[]}");
     }
 }
 
@@ -106,12 +106,12 @@
      the writes of accounts.  */
   write_accounts (f, 5);
   catch_up (f);
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 1);
   g_assert_null (store_get (f->store, REC_ACCOUNT, "account-0"));
   g_assert_nonnull (store_get (f->store, REC_ZONE, "a"));
   write_accounts (f, 1);
   catch_up (f);
-  sp_test_write (&f->test, ZONE, "a", OUT);
+  sp_test_write_object (&f->test, ZONE, "a", OUT);
   catch_up (f);
   g_assert_true (store_is_zone_out (f->store, "a"));
 }
@@ -124,7 +124,7 @@
      all kinds leads out of it.  */
   write_accounts (f, 2 * SP_TEST_HISTORY);
   catch_up (f);
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 2);
   g_assert_null (store_get (f->store, REC_ACCOUNT, "account-0"));
 }
 
@@ -146,13 +146,13 @@
   catch_up (f);
   g_assert_true (store_is_platform_up (f->store));
   g_assert_false (store_is_zone_out (f->store, "a"));
-  sp_test_write (&f->test, ZONE, "a", OUT);
+  sp_test_write_object (&f->test, ZONE, "a", OUT);
   catch_up (f);
   g_assert_true (store_is_zone_out (f->store, "a"));
-  sp_test_write (&f->test, ZONE, "a", NULL);
+  sp_test_write_object (&f->test, ZONE, "a", NULL);
   catch_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 1);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 1);
 }
 
 static void
@@ -162,17 +162,17 @@
      it a deletion.  Meanwhile the last configuration stays in force; after it
      the gap is seen and everything is listed again.  */
   catch_up (f);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, is_down, f);
-  sp_test_write (&f->test, ZONE, "a", NULL);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_test_run_until (&f->test, is_down, f);
+  sp_test_write_object (&f->test, ZONE, "a", NULL);
   for (unsigned i = 0; i <= SP_TEST_HISTORY; i++)
-    sp_test_write (&f->test, ZONE, "b", i % 2 == 0 ? OUT : IN);
+    sp_test_write_object (&f->test, ZONE, "b", i % 2 == 0 ? OUT : IN);
   g_assert_nonnull (store_get (f->store, REC_ZONE, "a"));
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   catch_up (f);
   g_assert_null (store_get (f->store, REC_ZONE, "a"));
   g_assert_true (store_is_zone_out (f->store, "b"));
-  g_assert_cmpuint (sp_calls (f->test.sp, "list"), ==, 2);
+  g_assert_cmpuint (sp_count_calls (f->test.sp, "list"), ==, 2);
 }
 
 static bool
@@ -180,7 +180,7 @@
 {
   fixture_t *f = user;
 
-  return sp_calls (f->test.sp, "watch") > f->watches;
+  return sp_count_calls (f->test.sp, "watch") > f->watches;
 }
 
 static void
@@ -189,17 +189,17 @@
   /* After an outage the platform answers from a replica that lags behind what
      is in force here.  Nothing may go back, and what comes when the replica
      has caught up is taken.  */
-  sp_test_write (&f->test, ZONE, "a", OUT);
+  sp_test_write_object (&f->test, ZONE, "a", OUT);
   catch_up (f);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, is_down, f);
-  f->watches = sp_calls (f->test.sp, "watch");
-  sp_fault (f->test.sp, SP_STALE, 0, 100000000);
-  sp_test_run (&f->test, is_up, f);
-  sp_test_run (&f->test, has_watched_again, f);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_test_run_until (&f->test, is_down, f);
+  f->watches = sp_count_calls (f->test.sp, "watch");
+  sp_set_fault (f->test.sp, SP_STALE_READS, 0, 100000000);
+  sp_test_run_until (&f->test, is_up, f);
+  sp_test_run_until (&f->test, has_watched_again, f);
   g_assert_true (store_is_zone_out (f->store, "a"));
-  sp_fault (f->test.sp, SP_UP, 0, 0);
-  sp_test_write (&f->test, ZONE, "a", IN);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
+  sp_test_write_object (&f->test, ZONE, "a", IN);
   catch_up (f);
   g_assert_false (store_is_zone_out (f->store, "a"));
 }
@@ -215,13 +215,13 @@
 {
   const store_instance_t *agent;
 
-  sp_instances (f->test.sp,
-                "[{\"name\":\"r1\",\"role\":\"router\",\"zone\":\"a\","
-                "\"address\":\"127.0.0.1:1\",\"state\":\"live\"},"
-                "{\"name\":\"a1\",\"role\":\"agent\",\"zone\":\"b\","
-                "\"address\":\"127.0.0.2:1\",\"state\":\"leaving\"},"
-                "{\"name\":\"x\",\"role\":\"database\"}]");
-  sp_test_run (&f->test, has_list, f);
+  sp_set_instances (f->test.sp,
+                    "[{\"name\":\"r1\",\"role\":\"router\",\"zone\":\"a\","
+                    "\"address\":\"127.0.0.1:1\",\"state\":\"live\"},"
+                    "{\"name\":\"a1\",\"role\":\"agent\",\"zone\":\"b\","
+                    "\"address\":\"127.0.0.2:1\",\"state\":\"leaving\"},"
+                    "{\"name\":\"x\",\"role\":\"database\"}]");
+  sp_test_run_until (&f->test, has_list, f);
   g_assert_cmpuint (store_get_instances (f->store, ROLE_ROUTER)->len, ==, 1);
   g_assert_cmpuint (store_get_instances (f->store, ROLE_AGENT)->len, ==, 1);
   agent = g_ptr_array_index (store_get_instances (f->store, ROLE_AGENT), 0);
@@ -243,12 +243,12 @@
   /* A router goes: only the accounts that it was home of may move.  */
   unsigned homes[4] = { 0 };
 
-  sp_instances (f->test.sp,
-                "[{\"name\":\"r0\",\"role\":\"router\",\"address\":\"x\"},"
-                "{\"name\":\"r1\",\"role\":\"router\",\"address\":\"x\"},"
-                "{\"name\":\"r2\",\"role\":\"router\",\"address\":\"x\"},"
-                "{\"name\":\"r3\",\"role\":\"router\",\"address\":\"x\"}]");
-  sp_test_run (&f->test, has_list, f);
+  sp_set_instances (
+      f->test.sp, "[{\"name\":\"r0\",\"role\":\"router\",\"address\":\"x\"},"
+                  "{\"name\":\"r1\",\"role\":\"router\",\"address\":\"x\"},"
+                  "{\"name\":\"r2\",\"role\":\"router\",\"address\":\"x\"},"
+                  "{\"name\":\"r3\",\"role\":\"router\",\"address\":\"x\"}]");
+  sp_test_run_until (&f->test, has_list, f);
   for (unsigned i = 0; i < 400; i++)
     {
       g_autofree char *account = g_strdup_printf ("account-%u", i);
--- a/libcoltsfootdrum/config/test-store-accounts.c
+++ b/libcoltsfootdrum/config/test-store-accounts.c
@@ -134,7 +134,7 @@
       if (i == ACCOUNTS / 2)
         write_zone (model, "a", OUT);
     }
-  changes = sp_model_changes (model, store_get_revision (store), KINDS);
+  changes = sp_model_list_changes (model, store_get_revision (store), KINDS);
   take (store, changes, false);
   while (store_get_revision (peer) < store_get_revision (store))
     {
--- a/libcoltsfootdrum/config/test-store-pieces.c
+++ b/libcoltsfootdrum/config/test-store-pieces.c
@@ -71,7 +71,7 @@
 catch_up (scene_t *scene)
 {
   g_autofree char *changes
-      = sp_model_changes (scene->model, scene->sender->revision, KINDS);
+      = sp_model_list_changes (scene->model, scene->sender->revision, KINDS);
 
   take (scene->sender, changes, false);
 }
@@ -150,7 +150,7 @@
   uint64_t revision = 0;
 
   write_account (scene->model, "g", "g");
-  text = sp_model_changes (scene->model, scene->sender->revision, KINDS);
+  text = sp_model_list_changes (scene->model, scene->sender->revision, KINDS);
   page = object_from (text);
   json_object_set_string_member (page, "next", "client-account/g");
   g_assert_true (store_take_page (scene->to, page, &present, &revision, &next,
--- a/libcoltsfootdrum/config/test-store.c
+++ b/libcoltsfootdrum/config/test-store.c
@@ -18,7 +18,7 @@
 
   write_zone (model, "a", IN);
   old_list = sp_model_list (model, KINDS);
-  old_watch = sp_model_changes (model, 0, KINDS);
+  old_watch = sp_model_list_changes (model, 0, KINDS);
   write_zone (model, "a", OUT);
   take_list (store, model);
   g_assert_true (store_is_zone_out (store, "a"));
@@ -222,7 +222,7 @@
 assert_same (const store_t *store, const sp_model_t *model, const char *name)
 {
   const sp_object_t *object
-      = sp_model_newest (model, "availability-zone", name);
+      = sp_model_get_latest (model, "availability-zone", name);
   const rec_t *record = store_get (store, REC_ZONE, name);
 
   if (object == NULL || strstr (object->text, "\"schema\":9") != NULL)
@@ -271,7 +271,7 @@
     default:
       {
         g_autofree char *changes
-            = sp_model_changes (model, store_get_revision (store), KINDS);
+            = sp_model_list_changes (model, store_get_revision (store), KINDS);
 
         if (changes != NULL)
           take (store, changes, false);
@@ -299,7 +299,7 @@
           g_assert_cmpuint (store_get_revision (stores[i]), >=, before[i]);
           before[i] = store_get_revision (stores[i]);
           for (char name[2] = "a"; name[0] < 'a' + NAMES; name[0]++)
-            if (before[i] == sp_model_revision (model, NULL))
+            if (before[i] == sp_model_get_revision (model, NULL))
               assert_same (stores[i], model, name);
         }
     }
--- a/libcoltsfootdrum/once/test-once-random.c
+++ b/libcoltsfootdrum/once/test-once-random.c
@@ -113,9 +113,9 @@
 change_fault (world_t *world)
 {
   sp_mode_t mode
-      = (sp_mode_t)g_rand_int_range (world->random, SP_UP, SP_STALE + 1);
+      = (sp_mode_t)g_rand_int_range (world->random, SP_UP, SP_STALE_READS + 1);
 
-  sp_fault (world->test.sp, mode, 2, 0);
+  sp_set_fault (world->test.sp, mode, 2, 0);
 }
 
 static void
@@ -147,8 +147,8 @@
 static void
 check_end (world_t *world)
 {
-  sp_fault (world->test.sp, SP_UP, 0, 0);
-  sp_test_run (&world->test, is_quiet, world);
+  sp_set_fault (world->test.sp, SP_UP, 0, 0);
+  sp_test_run_until (&world->test, is_quiet, world);
   world->is_over = true;
   for (int i = 0; i < KEYS; i++)
     {
@@ -158,7 +158,7 @@
       bool was_held = key->holder != NULL;
 
       ask_for (world, key);
-      sp_test_run (&world->test, is_quiet, world);
+      sp_test_run_until (&world->test, is_quiet, world);
       g_assert_cmpuint (world->finished - finished, ==, key->ran ? 1 : 0);
       g_assert_cmpuint (world->mine - mine, ==, key->ran || was_held ? 0 : 1);
     }
@@ -169,7 +169,7 @@
 {
   world_t world = { .random = g_rand_new_with_seed (seed) };
 
-  sp_test_begin (&world.test);
+  sp_test_setup (&world.test);
   for (int i = 0; i < ROUTERS; i++)
     {
       g_autofree char *owner = g_strdup_printf ("router-%d", i);
@@ -185,7 +185,7 @@
                   world.finished, world.asked);
   for (int i = 0; i < ROUTERS; i++)
     once_free (world.routers[i]);
-  sp_test_end (&world.test);
+  sp_test_teardown (&world.test);
   g_rand_free (world.random);
 }
 
--- a/libcoltsfootdrum/once/test-once.c
+++ b/libcoltsfootdrum/once/test-once.c
@@ -27,7 +27,7 @@
 static void
 set_up (fixture_t *f, gconstpointer data)
 {
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->router = once_new (f->test.plat, "router-1");
   f->other = once_new (f->test.plat, "router-2");
 }
@@ -47,7 +47,7 @@
   clear (&f->other_result);
   once_free (f->router);
   once_free (f->other);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static void
@@ -74,7 +74,7 @@
   clear (&f->result);
   once_claim (once, "mill", key, digest, on_claim, &f->result);
   g_assert_cmpuint (f->result.done, ==, 0);
-  sp_test_run (&f->test, is_done, &f->result);
+  sp_test_run_until (&f->test, is_done, &f->result);
   return f->result.claim_status;
 }
 
@@ -96,7 +96,7 @@
 static void
 settle (fixture_t *f)
 {
-  sp_test_run (&f->test, is_settled, f);
+  sp_test_run_until (&f->test, is_settled, f);
 }
 
 static void
@@ -165,8 +165,8 @@
 
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
   once_claim (f->other, "mill", "key", "d", on_claim, &f->other_result);
-  sp_test_run (&f->test, is_done, &f->result);
-  sp_test_run (&f->test, is_done, &f->other_result);
+  sp_test_run_until (&f->test, is_done, &f->result);
+  sp_test_run_until (&f->test, is_done, &f->other_result);
   mine = (f->result.claim_status == ONCE_CLAIMED)
          + (f->other_result.claim_status == ONCE_CLAIMED);
   g_assert_cmpuint (mine, ==, 1);
@@ -185,15 +185,15 @@
   once_claim_status_t after;
 } faults[] = {
   /* The write took effect and its answer was lost: the read tells whose.  */
-  { "lost answer", SP_LOSE_ANSWER, false, ONCE_CLAIMED, ONCE_RUNNING },
-  { "lost answer, held", SP_LOSE_ANSWER, true, ONCE_RUNNING, ONCE_RUNNING },
+  { "lost answer", SP_DROP_RESPONSE, false, ONCE_CLAIMED, ONCE_RUNNING },
+  { "lost answer, held", SP_DROP_RESPONSE, true, ONCE_RUNNING, ONCE_RUNNING },
   { "down", SP_DOWN, false, ONCE_PLATFORM_DOWN, ONCE_CLAIMED },
   { "down, held", SP_DOWN, true, ONCE_PLATFORM_DOWN, ONCE_RUNNING },
   { "slow", SP_SLOW, false, ONCE_CLAIMED, ONCE_RUNNING },
   { "slow, held", SP_SLOW, true, ONCE_RUNNING, ONCE_RUNNING },
-  { "stale", SP_STALE, false, ONCE_CLAIMED, ONCE_RUNNING },
+  { "stale", SP_STALE_READS, false, ONCE_CLAIMED, ONCE_RUNNING },
   /* The read does not show the claim that the write met.  */
-  { "stale, held", SP_STALE, true, ONCE_RUNNING, ONCE_RUNNING },
+  { "stale, held", SP_STALE_READS, true, ONCE_RUNNING, ONCE_RUNNING },
 };
 
 static void
@@ -204,14 +204,14 @@
 
   set_up (&f, NULL);
   /* The stale state is that from before the other router's claim.  */
-  if (faults[i].mode == SP_STALE)
-    sp_fault (f.test.sp, SP_STALE, 0, 0);
+  if (faults[i].mode == SP_STALE_READS)
+    sp_set_fault (f.test.sp, SP_STALE_READS, 0, 0);
   if (faults[i].held)
     g_assert_cmpint (claim (&f, f.other, "d"), ==, ONCE_CLAIMED);
-  if (faults[i].mode != SP_STALE)
-    sp_fault (f.test.sp, faults[i].mode, 20, 0);
+  if (faults[i].mode != SP_STALE_READS)
+    sp_set_fault (f.test.sp, faults[i].mode, 20, 0);
   g_assert_cmpint (claim (&f, f.router, "d"), ==, faults[i].claim_status);
-  sp_fault (f.test.sp, SP_UP, 0, 0);
+  sp_set_fault (f.test.sp, SP_UP, 0, 0);
   settle (&f);
   g_assert_cmpint (claim (&f, f.other, "d"), ==, faults[i].after);
   tear_down (&f, NULL);
@@ -220,7 +220,7 @@
 static bool
 has_put (void *user)
 {
-  return sp_calls (((fixture_t *)user)->test.sp, "put") >= 1;
+  return sp_count_calls (((fixture_t *)user)->test.sp, "put") >= 1;
 }
 
 static void
@@ -230,13 +230,13 @@
      before it can be read back.  The caller is refused "not run"; so when the
      platform is back the claim must go, or the caller could never succeed.  */
   once_claim (f->router, "mill", "key", "d", on_claim, &f->result);
-  sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
-  sp_test_run (&f->test, has_put, f);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
-  sp_test_run (&f->test, is_done, &f->result);
+  sp_set_fault (f->test.sp, SP_DROP_RESPONSE, 0, 0);
+  sp_test_run_until (&f->test, has_put, f);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_test_run_until (&f->test, is_done, &f->result);
   g_assert_cmpint (f->result.claim_status, ==, ONCE_PLATFORM_DOWN);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   settle (f);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_CLAIMED);
 }
@@ -247,13 +247,13 @@
   /* The filing ran; the platform is down, then loses answers, while the answer
      is written.  It must be kept in the end, and as it was.  */
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_CLAIMED);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
   once_finish (f->router, "mill", "key", 201, "text/plain", "case 7");
   ev_run (f->test.loop, EVRUN_ONCE);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 1);
-  sp_fault (f->test.sp, SP_LOSE_ANSWER, 0, 0);
+  sp_set_fault (f->test.sp, SP_DROP_RESPONSE, 0, 0);
   settle (f);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   g_assert_cmpint (claim (f, f->other, "d"), ==, ONCE_FINISHED);
   g_assert_cmpstr (f->result.body, ==, "case 7");
 }
@@ -261,7 +261,7 @@
 static void
 test_refused_connection (fixture_t *f, gconstpointer data)
 {
-  sp_test_stop (&f->test);
+  sp_test_stop_platform (&f->test);
   g_assert_cmpint (claim (f, f->router, "d"), ==, ONCE_PLATFORM_DOWN);
   g_assert_cmpuint (once_count_pending_writes (f->router), ==, 0);
 }
--- a/libcoltsfootdrum/once/test-sweep.c
+++ b/libcoltsfootdrum/once/test-sweep.c
@@ -61,7 +61,7 @@
 static void
 set_up (fixture_t *f, gconstpointer data)
 {
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->router = once_new (f->test.plat, "router-1");
   once_set_retention_s (f->router, KEPT_S);
   f->is_age_writer[0] = true;
@@ -73,7 +73,7 @@
   for (int i = 0; i < SWEEPERS; i++)
     sweep_free (f->sweeps[i]);
   once_free (f->router);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static void
@@ -98,7 +98,7 @@
 {
   f->answered = 0;
   once_claim (f->router, "mill", key, "d", on_claim, f);
-  sp_test_run (&f->test, is_settled, f);
+  sp_test_run_until (&f->test, is_settled, f);
   return f->claim_status;
 }
 
@@ -114,7 +114,7 @@
 finish (fixture_t *f, const char *key)
 {
   once_finish (f->router, "mill", key, 201, "text/plain", "case 7");
-  sp_test_run (&f->test, is_settled, f);
+  sp_test_run_until (&f->test, is_settled, f);
 }
 
 static const sp_object_t *
@@ -122,7 +122,7 @@
 {
   g_autofree char *name = once_claim_name ("mill", key);
 
-  return sp_model_newest (sp_state (f->test.sp), "claim", name);
+  return sp_model_get_latest (sp_get_model (f->test.sp), "claim", name);
 }
 
 static void
@@ -203,7 +203,7 @@
   begin_sweep (f, 0, FAST);
   begin_sweep (f, 1, FAST);
   fill (f, CLAIMS);
-  sp_test_run (&f->test, is_empty, f);
+  sp_test_run_until (&f->test, is_empty, f);
   g_assert_cmpint (clock_now () - begun, >=, KEPT_S * 1000);
   g_assert_cmpuint (removed (f), <=, CLAIMS);
   expect_claim (f, "key-0", ONCE_CLAIMED);
@@ -215,8 +215,9 @@
   /* One call a second: a page was taken, no claim of it deleted yet.  */
   fixture_t *f = user;
 
-  return sp_calls (f->test.sp, "list") == 1
-         && sp_model_newest (sp_state (f->test.sp), KEEPER_KIND, "cursor");
+  return sp_count_calls (f->test.sp, "list") == 1
+         && sp_model_get_latest (sp_get_model (f->test.sp), KEEPER_KIND,
+                                 "cursor");
 }
 
 static bool
@@ -238,10 +239,10 @@
   g_autofree char *name = once_claim_name ("mill", "key-0");
   begin_sweep (f, 0, SWEEPERS);
   fill (f, 1);
-  sp_test_run (&f->test, has_due, f);
-  sp_test_write (&f->test, "claim", name, NULL);
+  sp_test_run_until (&f->test, has_due, f);
+  sp_test_write_object (&f->test, "claim", name, NULL);
   expect_claim (f, "key-0", ONCE_CLAIMED);
-  sp_test_run (&f->test, has_deleted, f);
+  sp_test_run_until (&f->test, has_deleted, f);
   g_assert_nonnull (stored (f, "key-0"));
   expect_claim (f, "key-0", ONCE_RUNNING);
 }
@@ -258,7 +259,7 @@
   /* The platform loses the answers of writes, shows an old state, is down and
      comes back.  Claims go in the end, and not before their time: the ages
      never count a span twice when it is not known whose write took effect.  */
-  static const sp_mode_t modes[] = { SP_LOSE_ANSWER, SP_DOWN };
+  static const sp_mode_t modes[] = { SP_DROP_RESPONSE, SP_DOWN };
   cfd_time_t begun = clock_now ();
 
   fill (f, CLAIMS);
@@ -266,19 +267,19 @@
   begin_sweep (f, 1, FAST);
   for (guint i = 0; i < G_N_ELEMENTS (modes); i++)
     {
-      uint64_t calls = sp_calls (f->test.sp, "total");
+      uint64_t calls = sp_count_calls (f->test.sp, "total");
 
-      sp_fault (f->test.sp, modes[i], 0, 0);
-      while (sp_calls (f->test.sp, "total") < calls + 20
+      sp_set_fault (f->test.sp, modes[i], 0, 0);
+      while (sp_count_calls (f->test.sp, "total") < calls + 20
              && (modes[i] != SP_DOWN || !has_failed (f)))
         ev_run (f->test.loop, EVRUN_ONCE);
     }
-  sp_fault (f->test.sp, SP_STALE, 200, 200);
-  for (uint64_t calls = sp_calls (f->test.sp, "total") + 20;
-       sp_calls (f->test.sp, "total") < calls;)
+  sp_set_fault (f->test.sp, SP_STALE_READS, 200, 200);
+  for (uint64_t calls = sp_count_calls (f->test.sp, "total") + 20;
+       sp_count_calls (f->test.sp, "total") < calls;)
     ev_run (f->test.loop, EVRUN_ONCE);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
-  sp_test_run (&f->test, is_empty, f);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
+  sp_test_run_until (&f->test, is_empty, f);
   g_assert_cmpint (clock_now () - begun, >=, KEPT_S * 1000);
 }
 
@@ -303,9 +304,9 @@
      over, then "unknown", which the caller is told, and goes at last.  */
   expect_claim (f, "key-0", ONCE_CLAIMED);
   begin_sweep (f, 0, FAST);
-  sp_test_run (&f->test, is_unknown, f);
+  sp_test_run_until (&f->test, is_unknown, f);
   expect_claim (f, "key-0", ONCE_OUTCOME_UNKNOWN);
-  sp_test_run (&f->test, is_removed, f);
+  sp_test_run_until (&f->test, is_removed, f);
   g_assert_cmpuint (sweep_get_counters (f->sweeps[0]).marked_unknown, ==, 1);
 }
 
@@ -316,7 +317,7 @@
      goes before "unknown".  */
   expect_claim (f, "key-0", ONCE_CLAIMED);
   begin_sweep (f, 0, FAST);
-  sp_test_run (&f->test, is_unknown, f);
+  sp_test_run_until (&f->test, is_unknown, f);
   finish (f, "key-0");
   expect_claim (f, "key-0", ONCE_FINISHED);
 }
@@ -357,7 +358,7 @@
       g_autofree char *key = g_strdup_printf ("key-%u", n);
 
       if (i % 40 == 0)
-        sp_fault (f->test.sp, i % 80 == 0 ? SP_UP : SP_SLOW, 5, 0);
+        sp_set_fault (f->test.sp, i % 80 == 0 ? SP_UP : SP_SLOW, 5, 0);
       if (claim (f, key) != ONCE_CLAIMED)
         continue;
       g_assert_true (finished[n] == 0
--- a/libcoltsfootdrum/platform/test-plat.c
+++ b/libcoltsfootdrum/platform/test-plat.c
@@ -36,7 +36,7 @@
 static plat_status_t
 await (sp_test_t *test, result_t *result)
 {
-  sp_test_run (test, is_done, result);
+  sp_test_run_until (test, is_done, result);
   return result->status;
 }
 
@@ -50,7 +50,8 @@
 static const char *
 version_now (sp_test_t *test)
 {
-  const sp_object_t *object = sp_model_newest (sp_state (test->sp), KIND, "x");
+  const sp_object_t *object
+      = sp_model_get_latest (sp_get_model (test->sp), KIND, "x");
 
   return object == NULL ? NULL : object->version;
 }
@@ -109,8 +110,8 @@
       plat_list (plat, 0, on_done, result);
       break;
     case WATCH:
-      plat_watch (plat, sp_model_revision (sp_state (test->sp), NULL), 0,
-                  on_done, result);
+      plat_watch (plat, sp_model_get_revision (sp_get_model (test->sp), NULL),
+                  0, on_done, result);
       break;
     case INSTANCES:
       plat_list_instances (plat, on_done, result);
@@ -121,7 +122,8 @@
 static state_t
 state_now (sp_test_t *test)
 {
-  const sp_object_t *object = sp_model_newest (sp_state (test->sp), KIND, "x");
+  const sp_object_t *object
+      = sp_model_get_latest (sp_get_model (test->sp), KIND, "x");
 
   if (object == NULL)
     return NOTHING;
@@ -152,11 +154,11 @@
   { SP_SLOW, CREATE, NOTHING, PLAT_OK, NEW },
   { SP_SLOW, GET, OLD, PLAT_OK, OLD },
   { SP_SLOW, LIST, OLD, PLAT_OK, OLD },
-  { SP_LOSE_ANSWER, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NEW },
-  { SP_LOSE_ANSWER, CREATE, OLD, PLAT_CONFLICT, OLD },
-  { SP_LOSE_ANSWER, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, NEW },
-  { SP_LOSE_ANSWER, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, NOTHING },
-  { SP_LOSE_ANSWER, GET, OLD, PLAT_OK, OLD },
+  { SP_DROP_RESPONSE, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NEW },
+  { SP_DROP_RESPONSE, CREATE, OLD, PLAT_CONFLICT, OLD },
+  { SP_DROP_RESPONSE, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, NEW },
+  { SP_DROP_RESPONSE, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, NOTHING },
+  { SP_DROP_RESPONSE, GET, OLD, PLAT_OK, OLD },
   { SP_DOWN, CREATE, NOTHING, PLAT_OUTCOME_UNKNOWN, NOTHING },
   { SP_DOWN, UPDATE, OLD, PLAT_OUTCOME_UNKNOWN, OLD },
   { SP_DOWN, DELETE, OLD, PLAT_OUTCOME_UNKNOWN, OLD },
@@ -164,9 +166,9 @@
   { SP_DOWN, LIST, OLD, PLAT_UNAVAILABLE, OLD },
   { SP_DOWN, WATCH, OLD, PLAT_UNAVAILABLE, OLD },
   { SP_DOWN, INSTANCES, OLD, PLAT_UNAVAILABLE, OLD },
-  { SP_STALE, GET, OLD, PLAT_NOT_FOUND, OLD },
-  { SP_STALE, CREATE, OLD, PLAT_CONFLICT, OLD },
-  { SP_STALE, UPDATE, OLD, PLAT_OK, NEW },
+  { SP_STALE_READS, GET, OLD, PLAT_NOT_FOUND, OLD },
+  { SP_STALE_READS, CREATE, OLD, PLAT_CONFLICT, OLD },
+  { SP_STALE_READS, UPDATE, OLD, PLAT_OK, NEW },
 };
 
 static void
@@ -174,16 +176,16 @@
 {
   sp_test_t test;
 
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   for (guint i = 0; i < G_N_ELEMENTS (contract); i++)
     {
       result_t result = { false };
 
       /* The object's stale state is that it was not there yet.  */
-      sp_test_write (&test, KIND, "x", NULL);
-      sp_fault (test.sp, contract[i].mode, 20, 0);
+      sp_test_write_object (&test, KIND, "x", NULL);
+      sp_set_fault (test.sp, contract[i].mode, 20, 0);
       if (contract[i].before == OLD)
-        sp_test_write (&test, KIND, "x", SPEC);
+        sp_test_write_object (&test, KIND, "x", SPEC);
       call (&test, contract[i].op, &result);
       g_test_message ("row %u", i);
       g_assert_cmpstr (plat_status_name (await (&test, &result)), ==,
@@ -193,7 +195,7 @@
                      == (contract[i].status == PLAT_OK));
       forget (&result);
     }
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -204,11 +206,11 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_test_stop (&test);
+  sp_test_setup (&test);
+  sp_test_stop_platform (&test);
   plat_delete (test.plat, KIND, "x", "0", on_done, &result);
   g_assert_cmpint (await (&test, &result), ==, PLAT_UNAVAILABLE);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -219,12 +221,12 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_fault (test.sp, SP_SLOW, 60000, 0);
+  sp_test_setup (&test);
+  sp_set_fault (test.sp, SP_SLOW, 60000, 0);
   call (&test, CREATE, &result);
   g_assert_cmpint (await (&test, &result), ==, PLAT_OUTCOME_UNKNOWN);
   g_assert_cmpint (state_now (&test), ==, NEW);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static gint64
@@ -246,14 +248,14 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_test_write (&test, KIND, "x", SPEC);
+  sp_test_setup (&test);
+  sp_test_write_object (&test, KIND, "x", SPEC);
   plat_watch (test.plat, 1, 20000, on_done, &result);
-  while (sp_calls (test.sp, "watch") == 0)
+  while (sp_count_calls (test.sp, "watch") == 0)
     ev_run (test.loop, EVRUN_ONCE);
   /* A claim is no configuration and wakes nobody.  */
-  sp_test_write (&test, "claim", "c", SPEC);
-  sp_test_write (&test, KIND, "x", NULL);
+  sp_test_write_object (&test, "claim", "c", SPEC);
+  sp_test_write_object (&test, KIND, "x", NULL);
   g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
   g_assert_cmpint (revision_of (&result), ==, 3);
   g_assert_cmpuint (count_of (&result), ==, 1);
@@ -262,7 +264,7 @@
   g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
   g_assert_cmpuint (count_of (&result), ==, 0);
   forget (&result);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -273,16 +275,16 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   for (unsigned i = 0; i < SP_TEST_HISTORY + 2; i++)
-    sp_test_write (&test, KIND, "x", i % 2 ? NULL : SPEC);
+    sp_test_write_object (&test, KIND, "x", i % 2 ? NULL : SPEC);
   plat_watch (test.plat, 1, 0, on_done, &result);
   g_assert_cmpint (await (&test, &result), ==, PLAT_REVISION_EXPIRED);
   forget (&result);
   plat_watch (test.plat, 2, 0, on_done, &result);
   g_assert_cmpint (await (&test, &result), ==, PLAT_OK);
   forget (&result);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -293,12 +295,12 @@
   sp_test_t test;
   result_t result = { false };
 
-  sp_test_begin (&test);
-  sp_test_write (&test, KIND, "x", SPEC);
-  sp_fault (test.sp, SP_STALE, 0, 100000000);
+  sp_test_setup (&test);
+  sp_test_write_object (&test, KIND, "x", SPEC);
+  sp_set_fault (test.sp, SP_STALE_READS, 0, 100000000);
   plat_list (test.plat, 1, on_done, &result);
   g_assert_cmpint (await (&test, &result), ==, PLAT_UNAVAILABLE);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 static void
@@ -310,7 +312,7 @@
   result_t gone = { false };
   result_t result = { false };
 
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   plat_list_instances (test.plat, on_done, &gone);
   plat_list_instances (test.plat, on_done, &result);
   plat_cancel (test.plat, &gone);
@@ -318,7 +320,7 @@
   g_assert_false (gone.done);
   g_assert_cmpuint (plat_count_calls (test.plat), ==, 2);
   forget (&result);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
 }
 
 int
--- a/libcoltsfootdrum/router/test-router-config.c
+++ b/libcoltsfootdrum/router/test-router-config.c
@@ -74,7 +74,7 @@
 load_from_platform (fixture_t *f, fake_peer_t *node)
 {
   g_autofree char *text
-      = sp_model_list (sp_state (f->test.sp), PLAT_CONFIG_KINDS);
+      = sp_model_list (sp_get_model (f->test.sp), PLAT_CONFIG_KINDS);
   g_autoptr (JsonNode) root = json_from_string (text, NULL);
 
   store_apply_objects (node->store, json_node_get_object (root), clock_now ());
@@ -173,7 +173,7 @@
                             "\"zone\":\"z\",\"address\":\"%s:%u\"}",
                             i, f->host, PORT_LINK + i);
   g_string_append_c (text, ']');
-  sp_instances (f->test.sp, text->str);
+  sp_set_instances (f->test.sp, text->str);
 }
 
 static void
@@ -181,16 +181,17 @@
 {
   unsigned pid = (unsigned)getpid ();
 
-  sp_test_begin (&f->test);
+  sp_test_setup (&f->test);
   f->frozen_loop = ev_loop_new (0);
   f->fake_peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          fake_peer_free);
   snprintf (f->host, sizeof f->host, "127.%u.%u.%u", 200 + (pid >> 16) % 50,
             (pid >> 8) % 256, pid % 254 + 1);
   publish_instances (f);
-  sp_test_write (&f->test, ZONE, "z", "{\"schema\":2,\"state\":\"in\"}");
-  sp_test_write (&f->test, "client-account", "acc",
-                 "{\"schema\":2,\"weight\":1,\"keys\":[]}");
+  sp_test_write_object (&f->test, ZONE, "z",
+                        "{\"schema\":2,\"state\":\"in\"}");
+  sp_test_write_object (&f->test, "client-account", "acc",
+                        "{\"schema\":2,\"weight\":1,\"keys\":[]}");
 }
 
 static bool
@@ -220,9 +221,9 @@
 
   f->router = cfd_router_new (f->test.loop, &settings, NULL);
   g_assert_nonnull (f->router);
-  sp_test_run (&f->test, has_started, f);
+  sp_test_run_until (&f->test, has_started, f);
   g_assert_cmpstr (spread_tree_choose_source (f->router->tree, 0), ==, ABOVE);
-  sp_fault (f->test.sp, SP_DOWN, 0, 0);
+  sp_set_fault (f->test.sp, SP_DOWN, 0, 0);
 }
 
 static void
@@ -231,7 +232,7 @@
   cfd_router_free (f->router);
   g_hash_table_unref (f->fake_peers);
   ev_loop_destroy (f->frozen_loop);
-  sp_test_end (&f->test);
+  sp_test_teardown (&f->test);
 }
 
 static bool
@@ -246,7 +247,7 @@
 {
   cfd_time_t start = clock_now ();
 
-  sp_test_run (&f->test, holds, f);
+  sp_test_run_until (&f->test, holds, f);
   return clock_now () - start;
 }
 
@@ -273,7 +274,7 @@
     (void)start_peer (f, ABOVE,
                       above == ABOVE_FROZEN ? f->frozen_loop : f->test.loop);
   start_router (f);
-  sp_test_write (&f->test, ZONE, "z", OUT);
+  sp_test_write_object (&f->test, ZONE, "z", OUT);
   start_other_routers (f);
   if (above == ABOVE_DEAD)
     g_hash_table_remove (f->fake_peers, ABOVE);
@@ -297,7 +298,7 @@
      change must continue down the tree all the same, at once.  */
   (void)start_peer (f, BELOW, f->test.loop);
   start_router (f);
-  sp_test_write (&f->test, ZONE, "z", OUT);
+  sp_test_write_object (&f->test, ZONE, "z", OUT);
   show_revision (f, start_peer (f, ABOVE, f->test.loop));
   g_assert_cmpint (run_until (f, below_was_told), <, SPREAD_ASK_PEER_AFTER_MS);
   g_assert_true (store_is_zone_out (f->router->store, "z"));
@@ -313,9 +314,9 @@
   (void)start_peer (f, ABOVE, f->test.loop);
   start_router (f);
   start_other_routers (f);
-  sp_test_write (&f->test, "client-account", "acc", NULL);
+  sp_test_write_object (&f->test, "client-account", "acc", NULL);
   (void)start_peer (f, AGENT, f->test.loop);
-  sp_fault (f->test.sp, SP_UP, 0, 0);
+  sp_set_fault (f->test.sp, SP_UP, 0, 0);
   g_assert_cmpint (run_until (f, has_change), <,
                    SPREAD_READ_PLATFORM_AFTER_MS - 1000);
   g_assert_null (store_get (f->router->store, REC_ACCOUNT, "acc"));
@@ -331,12 +332,12 @@
   cfd_time_t end;
 
   g_usleep (300000);
-  sp_test_write (&f->test, ZONE, "z", OUT);
+  sp_test_write_object (&f->test, ZONE, "z", OUT);
   (void)start_peer (f, ABOVE, f->test.loop);
-  sp_fault (f->test.sp, SP_STALE, 0, 200);
+  sp_set_fault (f->test.sp, SP_STALE_READS, 0, 200);
   start_router (f);
   g_assert_false (store_is_zone_out (f->router->store, "z"));
-  sp_fault (f->test.sp, SP_STALE, 0, 100000000);
+  sp_set_fault (f->test.sp, SP_STALE_READS, 0, 100000000);
   show_revision (f, g_hash_table_lookup (f->fake_peers, ABOVE));
   g_assert_cmpint (run_until (f, has_change), <, SPREAD_ASK_PEER_AFTER_MS);
   end = clock_now () + 1500;
@@ -367,7 +368,7 @@
     {
       g_autofree char *name = g_strdup_printf ("z%u", i);
 
-      sp_test_write (&f->test, ZONE, name, OUT);
+      sp_test_write_object (&f->test, ZONE, name, OUT);
     }
   above = start_peer (f, ABOVE, f->test.loop);
   above->store->deletions_known_from = 2 + MANY;
--- a/tests/bench-claims.c
+++ b/tests/bench-claims.c
@@ -71,9 +71,10 @@
 
   printf ("claims %u, removed in %.1f s\n", claims, seconds);
   for (guint i = 0; i < G_N_ELEMENTS (kinds); i++)
-    printf ("%s: %" G_GUINT64_FORMAT "\n", kinds[i], sp_calls (sp, kinds[i]));
+    printf ("%s: %" G_GUINT64_FORMAT "\n", kinds[i],
+            sp_count_calls (sp, kinds[i]));
   printf ("calls a second while it removes: %.1f\n",
-          (double)sp_calls (sp, "total") / seconds);
+          (double)sp_count_calls (sp, "total") / seconds);
 }
 
 int
@@ -89,17 +90,17 @@
   cfd_time_t first = 0;
 
   log_setup ("bench", LOG_ERROR, false);
-  sp_test_begin (&test);
+  sp_test_setup (&test);
   for (unsigned i = 0; i < claims; i++)
     {
       g_autofree char *name = g_strdup_printf ("%032x", i * 2654435761u);
 
-      sp_test_write (&test, "claim", name, SPEC);
+      sp_test_write_object (&test, "claim", name, SPEC);
     }
   {
     g_autofree char *ages = g_strdup_printf (AGES, claims);
 
-    sp_test_write (&test, "claim-sweep", "ages", ages);
+    sp_test_write_object (&test, "claim-sweep", "ages", ages);
   }
   for (unsigned i = 0; i < fleet.routers; i++)
     {
@@ -113,13 +114,13 @@
   while (removed (&fleet) < claims)
     {
       ev_run (test.loop, EVRUN_ONCE);
-      if (first == 0 && sp_calls (test.sp, "list") > 0)
+      if (first == 0 && sp_count_calls (test.sp, "list") > 0)
         first = clock_now ();
     }
   printf ("first page after %.1f s\n", (double)(first - begun) / 1000);
   report (test.sp, claims, first, clock_now ());
   for (unsigned i = 0; i < fleet.routers; i++)
     sweep_free (fleet.sweeps[i]);
-  sp_test_end (&test);
+  sp_test_teardown (&test);
   return 0;
 }
--- a/tests/call.c
+++ b/tests/call.c
@@ -64,7 +64,7 @@
 }
 
 unsigned
-call_status (const call_t *call)
+call_get_status (const call_t *call)
 {
   const char *space = strchr (call->text->str, ' ');
 
@@ -106,7 +106,7 @@
 }
 
 gboolean
-call_until (call_t *call, const char *text, int wait_ms)
+call_wait_for_text (call_t *call, const char *text, int wait_ms)
 {
   cfd_time_t until = clock_now () + wait_ms;
 
@@ -116,17 +116,17 @@
   return TRUE;
 }
 
-call_end_t
-call_finish (call_t *call, int wait_ms)
+call_result_t
+call_read_to_end (call_t *call, int wait_ms)
 {
   cfd_time_t until = clock_now () + wait_ms;
 
   while (!is_whole (call))
     {
       if (!read_some (call, until))
-        return CALL_BROKEN;
+        return CALL_INCOMPLETE;
       if (clock_now () >= until && !is_whole (call))
-        return CALL_SILENT;
+        return CALL_TIMED_OUT;
     }
-  return CALL_WHOLE;
+  return CALL_COMPLETE;
 }
--- a/tests/call.h
+++ b/tests/call.h
@@ -8,10 +8,10 @@
 
 typedef enum
 {
-  CALL_WHOLE,  /* the answer came, and its framing says that it is whole */
-  CALL_BROKEN, /* the connection ended before that, or was refused */
-  CALL_SILENT  /* nothing more came in time */
-} call_end_t;
+  CALL_COMPLETE,   /* the answer came, and its framing says that it is whole */
+  CALL_INCOMPLETE, /* the connection ended before that, or was refused */
+  CALL_TIMED_OUT   /* nothing more came in time */
+} call_result_t;
 
 typedef struct
 {
@@ -26,10 +26,10 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (call_t, call_free)
 
 /* Reads until TEXT has been received; false after WAIT_MS without.  */
-gboolean call_until (call_t *call, const char *text, int wait_ms);
+gboolean call_wait_for_text (call_t *call, const char *text, int wait_ms);
 /* Reads to the end.  */
-call_end_t call_finish (call_t *call, int wait_ms);
+call_result_t call_read_to_end (call_t *call, int wait_ms);
 /* 0 before the head came.  */
-unsigned call_status (const call_t *call);
+unsigned call_get_status (const call_t *call);
 
 #endif
--- a/tests/collect.c
+++ b/tests/collect.c
@@ -16,11 +16,11 @@
 static JsonObject *
 ask_counters (const fleet_t *fleet, unsigned index)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_ENDPOINT, index);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_ENDPOINT, index);
   g_autofree char *url
       = g_strconcat (base, "/control/counters?nonces=1", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonParser) parser = json_parser_new ();
 
   if (status != 200 || !json_parser_load_from_data (parser, answer, -1, NULL))
@@ -60,7 +60,7 @@
 }
 
 static void
-take_overloads (collect_t *sum, JsonObject *counters, unsigned endpoint)
+take_overloads (collect_result_t *sum, JsonObject *counters, unsigned endpoint)
 {
   unsigned count = (unsigned)count_of (counters, "overload_count");
 
@@ -77,12 +77,12 @@
 
 /* All nonces by place; SUM, when set, gets the overload counts.  */
 static GHashTable *
-ask_places (const fleet_t *fleet, collect_t *sum)
+ask_places (const fleet_t *fleet, collect_result_t *sum)
 {
   g_autoptr (GHashTable) places
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 
-  for (unsigned i = 0; i < fleet_count (fleet, FLEET_ENDPOINT); i++)
+  for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ENDPOINT); i++)
     {
       g_autoptr (JsonObject) counters = ask_counters (fleet, i);
       if (counters == NULL)
@@ -95,7 +95,7 @@
 }
 
 GHashTable *
-collect_started (const fleet_t *fleet, unsigned index)
+collect_started_nonces (const fleet_t *fleet, unsigned index)
 {
   g_autoptr (JsonObject) counters = ask_counters (fleet, index);
   GHashTable *places;
@@ -118,25 +118,26 @@
 }
 
 static void
-judge (collect_t *sum, const load_request_t *request, const place_t *place)
+judge (collect_result_t *sum, const load_request_t *request,
+       const place_t *place)
 {
   bool must_not_repeat
-      = request->kind == LOAD_POST || request->kind == LOAD_POST_BARE;
+      = request->kind == LOAD_POST || request->kind == LOAD_POST_UNKEYED;
 
   sum->requests++;
-  sum->right += request->end == LOAD_RIGHT;
+  sum->correct += request->end == LOAD_CORRECT;
   sum->refused += request->end == LOAD_REFUSED;
-  sum->broken += request->end == LOAD_BROKEN;
+  sum->broken += request->end == LOAD_INCOMPLETE;
   sum->unfinished += request->end == LOAD_RUNNING;
-  if (request->end == LOAD_WRONG
-      || (request->end == LOAD_RIGHT && place == NULL))
+  if (request->end == LOAD_INCORRECT
+      || (request->end == LOAD_CORRECT && place == NULL))
     {
       sum->wrong_answers++;
       complain ("wrong answer", request);
     }
   if (must_not_repeat && place != NULL && place->times > 1)
     {
-      sum->double_runs++;
+      sum->duplicate_runs++;
       complain ("ran twice", request);
     }
   if (request->end == LOAD_REFUSED && request->not_run && place != NULL)
@@ -147,11 +148,11 @@
 }
 
 bool
-collect (const fleet_t *fleet, const load_t *load, collect_t *sum)
+collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum)
 {
   memset (sum, 0, sizeof *sum);
   g_autoptr (GHashTable) places = ask_places (fleet, sum);
-  const GPtrArray *requests = load_requests (load);
+  const GPtrArray *requests = load_get_requests (load);
 
   if (places == NULL)
     return false;
@@ -164,9 +165,9 @@
 }
 
 bool
-collect_is_clean (const collect_t *sum)
+collect_has_no_violation (const collect_result_t *sum)
 {
-  return sum->wrong_answers == 0 && sum->double_runs == 0
+  return sum->wrong_answers == 0 && sum->duplicate_runs == 0
          && sum->false_not_run == 0 && sum->overload_count == 0;
 }
 
@@ -176,10 +177,10 @@
 print_account (const fleet_t *fleet, const GPtrArray *requests,
                unsigned account)
 {
-  unsigned kinds[LOAD_KINDS] = { 0 };
+  unsigned kinds[LOAD_KIND_COUNT] = { 0 };
   unsigned tokens = 0;
   unsigned other = 0;
-  bool routers[FLEET_MEMBERS_MAX] = { false };
+  bool routers[FLEET_MAX_MEMBERS] = { false };
   g_autoptr (GString) by = g_string_new (NULL);
 
   for (guint i = 0; i < requests->len; i++)
@@ -188,7 +189,7 @@
       if (request->account != account)
         continue;
       routers[request->router] = true;
-      if (request->end != LOAD_RIGHT)
+      if (request->end != LOAD_CORRECT)
         {
           other++;
           continue;
@@ -197,30 +198,30 @@
       if (load_kind_is_model (request->kind))
         tokens += request->prompt_tokens + request->tokens;
     }
-  for (unsigned i = 0; i < fleet_count (fleet, FLEET_ROUTER); i++)
+  for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ROUTER); i++)
     if (routers[i])
       g_string_append_printf (by, " %u", i);
   printf ("%-12s %6g %7u %7u %11u %7u %6u %10u %7u %6u %s\n",
-          fleet_plan (fleet)->accounts[account].name,
-          fleet_plan (fleet)->accounts[account].weight, kinds[LOAD_STREAM],
-          kinds[LOAD_WHOLE], kinds[LOAD_COMPLETION], kinds[LOAD_LOOKUP],
-          kinds[LOAD_POST], kinds[LOAD_POST_BARE], tokens, other, by->str);
+          fleet_get_plan (fleet)->accounts[account].name,
+          fleet_get_plan (fleet)->accounts[account].weight, kinds[LOAD_STREAM],
+          kinds[LOAD_NON_STREAM], kinds[LOAD_COMPLETION], kinds[LOAD_LOOKUP],
+          kinds[LOAD_POST], kinds[LOAD_POST_UNKEYED], tokens, other, by->str);
 }
 
 static void
 print_endpoints (const fleet_t *fleet, const GPtrArray *requests,
                  GHashTable *places)
 {
-  const fleet_plan_t *plan = fleet_plan (fleet);
-  unsigned count = fleet_count (fleet, FLEET_ENDPOINT);
-  unsigned served[FLEET_MEMBERS_MAX] = { 0 };
-  unsigned tokens[FLEET_MEMBERS_MAX] = { 0 };
+  const fleet_plan_t *plan = fleet_get_plan (fleet);
+  unsigned count = fleet_count_members (fleet, FLEET_ENDPOINT);
+  unsigned served[FLEET_MAX_MEMBERS] = { 0 };
+  unsigned tokens[FLEET_MAX_MEMBERS] = { 0 };
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
       const place_t *place = g_hash_table_lookup (places, request->nonce);
-      if (place == NULL || request->end != LOAD_RIGHT)
+      if (place == NULL || request->end != LOAD_CORRECT)
         continue;
       served[place->endpoint]++;
       if (load_kind_is_model (request->kind))
@@ -230,23 +231,24 @@
           "served", "tokens");
   for (unsigned i = 0; i < count; i++)
     printf ("endpoint-%-3u %-10s zone-%-3u %8u %8u\n", i,
-            i >= plan->models && i < plan->models + plan->plains ? FLEET_PLAIN
-                                                                 : FLEET_MODEL,
-            fleet_zone_of (fleet, FLEET_AGENT, i), served[i], tokens[i]);
+            i >= plan->models && i < plan->models + plan->plains
+                ? FLEET_PLAIN_SERVICE
+                : FLEET_MODEL_SERVICE,
+            fleet_get_zone (fleet, FLEET_AGENT, i), served[i], tokens[i]);
 }
 
 void
-collect_print (const fleet_t *fleet, const load_t *load)
+collect_print_tables (const fleet_t *fleet, const load_t *load)
 {
   g_autoptr (GHashTable) places = ask_places (fleet, NULL);
-  const GPtrArray *requests = load_requests (load);
+  const GPtrArray *requests = load_get_requests (load);
 
   if (places == NULL)
     return;
   printf ("%-12s %6s %7s %7s %11s %7s %6s %10s %7s %6s %s\n", "account",
           "weight", "streams", "wholes", "completions", "lookups", "posts",
           "bare-posts", "tokens", "other", "by routers");
-  for (unsigned i = 0; i < fleet_plan (fleet)->account_count; i++)
+  for (unsigned i = 0; i < fleet_get_plan (fleet)->account_count; i++)
     print_account (fleet, requests, i);
   print_endpoints (fleet, requests, places);
 }
--- a/tests/collect.h
+++ b/tests/collect.h
@@ -10,27 +10,27 @@
 typedef struct
 {
   unsigned requests;
-  unsigned right;
+  unsigned correct;
   unsigned refused;
   unsigned broken;
   unsigned unfinished;
   unsigned wrong_answers;
-  unsigned double_runs;
+  unsigned duplicate_runs;
   unsigned false_not_run;
   unsigned overload_count;
   unsigned overload_in_grace;
-} collect_t;
+} collect_result_t;
 
 /* Asks all endpoints and judges all requests of LOAD; prints one line on
    standard error for each that breaks a promise.  */
-bool collect (const fleet_t *fleet, const load_t *load, collect_t *sum);
-bool collect_is_clean (const collect_t *sum);
+bool collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum);
+bool collect_has_no_violation (const collect_result_t *sum);
 
 /* The nonces that endpoint INDEX has started, as keys; NULL when it gives no
    answer.  */
-GHashTable *collect_started (const fleet_t *fleet, unsigned index);
+GHashTable *collect_started_nonces (const fleet_t *fleet, unsigned index);
 
 /* Prints what was served, for whom, and where.  */
-void collect_print (const fleet_t *fleet, const load_t *load);
+void collect_print_tables (const fleet_t *fleet, const load_t *load);
 
 #endif
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -1,6 +1,6 @@
 /* The demo: a small fleet of real processes serves a short mixed load and
    prints what was served, for whom, and where.  Exits with 0 only if every
-   answer was whole and right.  */
+   answer was whole and correct.  */
 
 #include "collect.h"
 #include <ev.h>
@@ -24,7 +24,7 @@
                                    .plain_slots = 4,
                                    .cold_ms = 1000,
                                    .step_ms = 12,
-                                   .plain_ms = 30,
+                                   .plain_call_ms = 30,
                                    .zone_ms = 1.5,
                                    .caller_ms = 1,
                                    .seed = 11,
@@ -33,7 +33,7 @@
                                    .accounts = accounts };
 
 static load_account_t *
-demo_account (const fleet_account_t *account, double *spread)
+demo_account (const fleet_account_t *account, double *router_shares)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -42,14 +42,14 @@
   load->weight = account->weight;
   load->outstanding = 8;
   load->kinds[LOAD_STREAM] = 5;
-  load->kinds[LOAD_WHOLE] = 2;
+  load->kinds[LOAD_NON_STREAM] = 2;
   load->kinds[LOAD_COMPLETION] = 2;
   load->kinds[LOAD_LOOKUP] = 2;
   load->kinds[LOAD_POST] = 2;
-  load->kinds[LOAD_POST_BARE] = 1;
-  load->spread = spread;
-  load->least_tokens = 8;
-  load->most_tokens = 40;
+  load->kinds[LOAD_POST_UNKEYED] = 1;
+  load->router_shares = router_shares;
+  load->min_answer_tokens = 8;
+  load->max_answer_tokens = 40;
   return load;
 }
 
@@ -66,7 +66,7 @@
   watch_t *watch = watcher->data;
   bool late = clock_now_us () >= watch->end_us;
 
-  watch->idle = load_active (watch->load) > 0 ? 0 : watch->idle + 1;
+  watch->idle = load_count_active (watch->load) > 0 ? 0 : watch->idle + 1;
   if (late || watch->idle > 4)
     ev_break (loop, EVBREAK_ALL);
 }
@@ -91,39 +91,39 @@
 static bool
 demo (struct ev_loop *loop, fleet_t *fleet)
 {
-  double spread[] = { 0.6, 0.3, 0.1 };
+  double router_shares[] = { 0.6, 0.3, 0.1 };
   char *urls[3];
-  collect_t sum;
+  collect_result_t sum;
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = 5,
                             .answer_seed = plan.seed,
                             .routers = plan.routers,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .request_limit = DEMO_REQUESTS,
                             .idle_timeout_ms = 20000,
                             .accounts = members };
 
   for (unsigned i = 0; i < plan.routers; i++)
-    urls[i] = fleet_url (fleet, FLEET_ROUTER, i);
+    urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
-    g_ptr_array_add (members, demo_account (&accounts[i], spread));
+    g_ptr_array_add (members, demo_account (&accounts[i], router_shares));
   load_t *load = load_new (loop, &load_plan);
   run_load (loop, load);
-  collect_print (fleet, load);
+  collect_print_tables (fleet, load);
   bool asked = collect (fleet, load, &sum);
   printf ("\n%u requests: %u whole and right, %u refused, %u broken, %u "
           "unfinished; %u wrong answers, %u ran twice, %u not run but ran, "
           "%u overloads\n",
-          sum.requests, sum.right, sum.refused, sum.broken, sum.unfinished,
-          sum.wrong_answers, sum.double_runs, sum.false_not_run,
+          sum.requests, sum.correct, sum.refused, sum.broken, sum.unfinished,
+          sum.wrong_answers, sum.duplicate_runs, sum.false_not_run,
           sum.overload_count);
   load_free (load);
   for (unsigned i = 0; i < plan.routers; i++)
     g_free (urls[i]);
-  return asked && sum.requests == DEMO_REQUESTS && sum.right == sum.requests
-         && collect_is_clean (&sum);
+  return asked && sum.requests == DEMO_REQUESTS && sum.correct == sum.requests
+         && collect_has_no_violation (&sum);
 }
 
 int
--- a/tests/engine.c
+++ b/tests/engine.c
@@ -63,7 +63,7 @@
 }
 
 unsigned
-engine_bearable (const engine_t *engine, cfd_time_t now)
+engine_get_capacity (const engine_t *engine, cfd_time_t now)
 {
   return engine_is_cold (engine, now) ? engine->settings.slots_cold
                                       : engine->settings.slots;
@@ -76,13 +76,13 @@
   double span = (double)(now - engine->accounted);
 
   engine->counters.busy_ms += span * engine->running;
-  if (engine->running > engine_bearable (engine, engine->accounted))
+  if (engine->running > engine_get_capacity (engine, engine->accounted))
     engine->counters.overload_ms += span;
   engine->accounted = now;
 }
 
 void
-engine_set_slow (engine_t *engine, double factor)
+engine_set_step_factor (engine_t *engine, double factor)
 {
   engine->slowness = factor;
 }
@@ -92,7 +92,7 @@
 {
   account_time (engine, now);
   engine->cold_until = now + engine->settings.cold_ms;
-  engine->grace_until = now + ENGINE_GRACE_MS;
+  engine->grace_until = now + ENGINE_OVERLOAD_GRACE_MS;
 }
 
 static void
@@ -106,7 +106,7 @@
   counters->requests++;
   counters->last_start = now;
   counters->peak = MAX (counters->peak, engine->running);
-  if (engine->running <= engine_bearable (engine, now))
+  if (engine->running <= engine_get_capacity (engine, now))
     return;
   if (now < engine->grace_until)
     {
@@ -115,22 +115,23 @@
     }
   counters->overload_count++;
   counters->overload_running = engine->running;
-  counters->overload_bearable = engine_bearable (engine, now);
+  counters->overload_bearable = engine_get_capacity (engine, now);
   if (engine->grace_until > 0)
-    counters->overload_cold = now - (engine->grace_until - ENGINE_GRACE_MS);
+    counters->overload_cold
+        = now - (engine->grace_until - ENGINE_OVERLOAD_GRACE_MS);
 }
 
 engine_run_t *
 engine_start (engine_t *engine, const char *id, const char *prompt,
               bool stream, bool chat, cfd_time_t now)
 {
-  g_autofree char *length = standin_field (prompt, "length");
-  g_autofree char *pad = standin_field (prompt, "pad");
+  g_autofree char *length = standin_parse_field (prompt, "length");
+  g_autofree char *pad = standin_parse_field (prompt, "pad");
   engine_run_t *run = g_new0 (engine_run_t, 1);
 
   account_time (engine, now);
   run->id = g_strdup (id);
-  run->nonce = standin_field (prompt, "nonce");
+  run->nonce = standin_parse_field (prompt, "nonce");
   if (run->nonce == NULL)
     run->nonce = g_strdup ("none");
   run->stream = stream;
@@ -170,7 +171,7 @@
 }
 
 engine_run_t *
-engine_find (engine_t *engine, const char *id)
+engine_find_run (engine_t *engine, const char *id)
 {
   list_for_each (node, &engine->runs)
     {
@@ -218,7 +219,7 @@
 append_whole (engine_t *engine, GString *text, const engine_run_t *run)
 {
   g_autofree char *answer
-      = standin_answer (engine->settings.seed, run->nonce, run->length);
+      = standin_format_answer (engine->settings.seed, run->nonce, run->length);
 
   if (run->chat)
     g_string_append_printf (text,
@@ -241,9 +242,9 @@
 static void
 run_give (engine_t *engine, engine_run_t *run, cfd_time_t now)
 {
-  char word[STANDIN_WORD_MAX];
+  char word[STANDIN_MAX_TOKEN_BYTES];
 
-  standin_word (word, engine->settings.seed, run->nonce, run->given);
+  standin_format_token (word, engine->settings.seed, run->nonce, run->given);
   run->given++;
   engine->counters.output_tokens++;
   if (run->stream)
@@ -267,7 +268,7 @@
 static double
 step_length (const engine_t *engine, cfd_time_t now)
 {
-  unsigned bearable = engine_bearable (engine, now);
+  unsigned bearable = engine_get_capacity (engine, now);
   double load = (double)engine->running / bearable;
   double length = engine->settings.step_ms * engine->slowness
                   * (1 + 0.5 * MIN (load, 1));
@@ -288,7 +289,7 @@
       engine_run_t *run = list_entry (node, engine_run_t, node);
       if (run->ended != CFD_TIME_NEVER)
         {
-          if (run->sink == NULL && now > run->ended + ENGINE_KEEP_MS)
+          if (run->sink == NULL && now > run->ended + ENGINE_RESUME_WINDOW_MS)
             run_free (run);
           continue;
         }
@@ -302,26 +303,26 @@
 }
 
 unsigned
-engine_running (const engine_t *engine)
+engine_count_running (const engine_t *engine)
 {
   return engine->running;
 }
 
 const engine_counters_t *
-engine_counters (engine_t *engine, cfd_time_t now)
+engine_get_counters (engine_t *engine, cfd_time_t now)
 {
   account_time (engine, now);
   return &engine->counters;
 }
 
 GHashTable *
-engine_nonces (engine_t *engine)
+engine_get_nonces (engine_t *engine)
 {
   return engine->nonces;
 }
 
 list_node_t *
-engine_runs (engine_t *engine)
+engine_get_runs (engine_t *engine)
 {
   return &engine->runs;
 }
--- a/tests/engine.h
+++ b/tests/engine.h
@@ -22,9 +22,9 @@
 
 /* Starts above what is bearable don't count for so long after the engine
    turned cold by itself: nobody can know yet.  */
-#define ENGINE_GRACE_MS 500
+#define ENGINE_OVERLOAD_GRACE_MS 500
 /* A finished stream can be resumed for so long.  */
-#define ENGINE_KEEP_MS 30000
+#define ENGINE_RESUME_WINDOW_MS 30000
 
 typedef struct engine engine_t;
 
@@ -70,13 +70,13 @@
 void engine_free (engine_t *engine);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (engine_t, engine_free)
 
-/* Starts a request; the run stays until engine_forget or ENGINE_KEEP_MS after
-   its end.  */
+/* Starts a request; the run stays until engine_forget or
+   ENGINE_RESUME_WINDOW_MS after its end.  */
 engine_run_t *engine_start (engine_t *engine, const char *id,
                             const char *prompt, bool stream, bool chat,
                             cfd_time_t now);
 void engine_cancel (engine_t *engine, engine_run_t *run, cfd_time_t now);
-engine_run_t *engine_find (engine_t *engine, const char *id);
+engine_run_t *engine_find_run (engine_t *engine, const char *id);
 
 /* One step; GIVEN is called for each run that got a piece of its answer, and
    with ENDED set for the last.  Returns the milliseconds until the next.  */
@@ -86,14 +86,15 @@
                     void *user);
 
 /* Each step takes FACTOR times as long from now on; 1: as usual.  */
-void engine_set_slow (engine_t *engine, double factor);
+void engine_set_step_factor (engine_t *engine, double factor);
 void engine_set_cold (engine_t *engine, cfd_time_t now);
 bool engine_is_cold (const engine_t *engine, cfd_time_t now);
-unsigned engine_bearable (const engine_t *engine, cfd_time_t now);
-unsigned engine_running (const engine_t *engine);
-const engine_counters_t *engine_counters (engine_t *engine, cfd_time_t now);
+unsigned engine_get_capacity (const engine_t *engine, cfd_time_t now);
+unsigned engine_count_running (const engine_t *engine);
+const engine_counters_t *engine_get_counters (engine_t *engine,
+                                              cfd_time_t now);
 /* Starts by nonce: a table of strings to counts.  */
-GHashTable *engine_nonces (engine_t *engine);
-list_node_t *engine_runs (engine_t *engine);
+GHashTable *engine_get_nonces (engine_t *engine);
+list_node_t *engine_get_runs (engine_t *engine);
 
 #endif
--- a/tests/fault-events.c
+++ b/tests/fault-events.c
@@ -10,13 +10,13 @@
 #define RETRY_GIVEN_BACK "the agent gave it back unstarted"
 
 JsonArray *
-fault_fetch_events (const fault_run_t *run, fleet_sort_t sort, unsigned index,
+fault_fetch_events (const fault_run_t *run, fleet_role_t sort, unsigned index,
                     JsonParser *parser)
 {
-  g_autofree char *base = fleet_admin_url (run->fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (run->fleet, sort, index);
   g_autofree char *url = g_strconcat (base, "/events?since=0", NULL);
   long status = 0;
-  g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (GError) error = NULL;
 
   g_assert_cmpint (status, ==, 200);
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -18,7 +18,7 @@
                                   .plain_slots = 4,
                                   .cold_ms = 1500,
                                   .step_ms = 12,
-                                  .plain_ms = 30,
+                                  .plain_call_ms = 30,
                                   .zone_ms = 1.5,
                                   .caller_ms = 1,
                                   .seed = 21,
@@ -29,13 +29,13 @@
 static void
 print_failures (const load_t *load)
 {
-  const GPtrArray *requests = load_requests (load);
+  const GPtrArray *requests = load_get_requests (load);
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->end != LOAD_RIGHT)
+      if (request->end != LOAD_CORRECT)
         g_test_message ("%s of %s at router %u: status %u, %u of %u tokens, "
                         "%.1f s, %s",
                         load_kind_name (request->kind), request->nonce,
@@ -48,7 +48,7 @@
 
 static load_account_t *
 make_account_load (const fleet_account_t *account,
-                   const fault_case_t *fault_case, double *spread)
+                   const fault_case_t *fault_case, double *router_shares)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -60,19 +60,19 @@
     {
       load->kinds[LOAD_STREAM] = 4;
       load->kinds[LOAD_COMPLETION] = 2;
-      load->kinds[LOAD_WHOLE] = 1;
+      load->kinds[LOAD_NON_STREAM] = 1;
     }
   if (!fault_case->use_models || fault_case->zone_ms > 0)
     {
       load->kinds[LOAD_LOOKUP] = 2;
       load->kinds[LOAD_POST] = 2;
-      load->kinds[LOAD_POST_BARE] = 4;
+      load->kinds[LOAD_POST_UNKEYED] = 4;
     }
   load->on_ms = fault_case->on_ms;
   load->off_ms = fault_case->off_ms;
-  load->spread = spread;
-  load->least_tokens = 16;
-  load->most_tokens = 48;
+  load->router_shares = router_shares;
+  load->min_answer_tokens = 16;
+  load->max_answer_tokens = 48;
   return load;
 }
 
@@ -98,8 +98,8 @@
   /* All accounts may pause at once, so that a single check without requests
      does not mean that the load has ended.  */
   run->idle_checks
-      = load_active (run->load) > 0
-                || load_requests (run->load)->len < fault_case->requests
+      = load_count_active (run->load) > 0
+                || load_get_requests (run->load)->len < fault_case->requests
             ? 0
             : run->idle_checks + 1;
   if (ms >= LIMIT_S * 1000
@@ -126,7 +126,7 @@
 {
   fault_run_t run = { .fault_case = data };
   fleet_plan_t plan = fault_plan;
-  double spread[] = { 0.5, 0.5 };
+  double router_shares[] = { 0.5, 0.5 };
   char *urls[2];
   g_autoptr (GError) error = NULL;
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
@@ -134,8 +134,8 @@
                             .answer_seed = plan.seed,
                             .routers = plan.routers,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .request_limit = run.fault_case->requests,
                             .idle_timeout_ms = 20000,
                             .accounts = members };
@@ -144,8 +144,8 @@
   if (run.fault_case->zone_ms > 0)
     {
       plan.zone_ms = run.fault_case->zone_ms;
-      spread[0] = 0;
-      spread[1] = 1;
+      router_shares[0] = 0;
+      router_shares[1] = 1;
     }
   if (run.fault_case->slots > 0)
     {
@@ -156,11 +156,11 @@
   run.fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   for (unsigned i = 0; i < plan.routers; i++)
-    urls[i] = fleet_url (run.fleet, FLEET_ROUTER, i);
+    urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < run.fault_case->accounts; i++)
     {
       load_account_t *load
-          = make_account_load (&accounts[i], run.fault_case, spread);
+          = make_account_load (&accounts[i], run.fault_case, router_shares);
 
       if (run.fault_case->flood_outstanding > 0)
         load->outstanding = i == 0 ? run.fault_case->flood_outstanding : 1;
@@ -171,12 +171,12 @@
   g_assert_true (collect (run.fleet, run.load, &run.totals));
   g_test_message ("%u requests: %u right, %u refused, %u broken, "
                   "%u unfinished, %u overloads, %u in grace",
-                  run.totals.requests, run.totals.right, run.totals.refused,
+                  run.totals.requests, run.totals.correct, run.totals.refused,
                   run.totals.broken, run.totals.unfinished,
                   run.totals.overload_count, run.totals.overload_in_grace);
   print_failures (run.load);
   run.fault_case->verify (&run);
-  g_assert_true (collect_is_clean (&run.totals));
+  g_assert_true (collect_has_no_violation (&run.totals));
   g_assert_cmpuint (run.totals.unfinished, ==, 0);
   load_free (run.load);
   ev_loop_destroy (loop);
--- a/tests/fault-run.h
+++ b/tests/fault-run.h
@@ -19,7 +19,7 @@
   int64_t start_us;
   unsigned idle_checks; /* consecutive checks without an open request */
   unsigned actions_done;
-  collect_t totals;
+  collect_result_t totals;
 } fault_run_t;
 
 struct fault_case
--- a/tests/fleet-control.c
+++ b/tests/fleet-control.c
@@ -13,7 +13,7 @@
 object_version (const char *url)
 {
   long status = 0;
-  g_autofree char *answer = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonParser) parser = json_parser_new ();
 
   if (status != 200 || !json_parser_load_from_data (parser, answer, -1, NULL))
@@ -26,10 +26,10 @@
 }
 
 bool
-fleet_put (fleet_t *fleet, const char *kind, const char *name,
-           const char *spec, GError **error)
+fleet_put_object (fleet_t *fleet, const char *kind, const char *name,
+                  const char *spec, GError **error)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url
       = g_strdup_printf ("%s/v1/objects/%s/%s", base, kind, name);
   g_autofree char *body = g_strdup_printf ("{\"spec\":%s}", spec);
@@ -42,7 +42,7 @@
           = version != NULL ? g_strdup_printf ("If-Match: %s", version)
                             : g_strdup ("If-None-Match: *");
       g_autofree char *answer
-          = proc_ask ("PUT", url, condition, body, &status);
+          = proc_send_http ("PUT", url, condition, body, &status);
       if (status == 200 || status == 201)
         return true;
     }
@@ -53,17 +53,17 @@
 }
 
 unsigned
-fleet_region_of (const fleet_t *fleet, unsigned zone)
+fleet_get_region (const fleet_t *fleet, unsigned zone)
 {
   return zone * MAX (fleet->plan.regions, 1) / fleet->plan.zones;
 }
 
 /* Adds, for each other zone, the relayed address at which it sees a peer.  */
 static void
-add_views (const fleet_t *fleet, JsonBuilder *builder, fleet_sort_t sort,
+add_views (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t sort,
            unsigned index)
 {
-  unsigned own = fleet_zone_of (fleet, sort, index);
+  unsigned own = fleet_get_zone (fleet, sort, index);
   unsigned view = sort == FLEET_ROUTER ? PORT_ROUTER_VIEW : PORT_AGENT_VIEW;
 
   json_builder_set_member_name (builder, "views");
@@ -71,7 +71,8 @@
   for (unsigned zone = 0; zone < fleet->plan.zones; zone++)
     {
       g_autofree char *name = g_strdup_printf ("zone-%u", zone);
-      g_autofree char *address = fleet_address (fleet, index, view + zone);
+      g_autofree char *address
+          = fleet_format_address (fleet, index, view + zone);
       if (zone == own)
         continue;
       json_builder_set_member_name (builder, name);
@@ -89,7 +90,7 @@
 }
 
 static void
-add_instance (const fleet_t *fleet, JsonBuilder *builder, fleet_sort_t sort,
+add_instance (const fleet_t *fleet, JsonBuilder *builder, fleet_role_t sort,
               unsigned index, const char *state)
 {
   bool router = sort == FLEET_ROUTER;
@@ -99,13 +100,13 @@
             g_strdup_printf ("%s-%u", router ? "router" : "agent", index));
   add_text (builder, "role", g_strdup (router ? "router" : "agent"));
   add_text (builder, "zone",
-            g_strdup_printf ("zone-%u", fleet_zone_of (fleet, sort, index)));
+            g_strdup_printf ("zone-%u", fleet_get_zone (fleet, sort, index)));
   add_text (builder, "address",
-            fleet_address (fleet, index,
-                           router ? PORT_ROUTER_PEER : PORT_AGENT_PEER));
+            fleet_format_address (
+                fleet, index, router ? PORT_ROUTER_PEER : PORT_AGENT_PEER));
   add_text (builder, "admin",
-            fleet_address (fleet, index,
-                           router ? PORT_ROUTER_ADMIN : PORT_AGENT_ADMIN));
+            fleet_format_address (
+                fleet, index, router ? PORT_ROUTER_ADMIN : PORT_AGENT_ADMIN));
   add_text (builder, "state", g_strdup (state));
   add_views (fleet, builder, sort, index);
   json_builder_end_object (builder);
@@ -118,7 +119,7 @@
   g_autoptr (JsonBuilder) builder = json_builder_new ();
 
   json_builder_begin_array (builder);
-  for (unsigned i = 0; i < FLEET_MEMBERS_MAX; i++)
+  for (unsigned i = 0; i < FLEET_MAX_MEMBERS; i++)
     {
       if (fleet->listed[FLEET_ROUTER][i] != NULL)
         add_instance (fleet, builder, FLEET_ROUTER, i,
@@ -133,13 +134,13 @@
 }
 
 bool
-fleet_list (fleet_t *fleet, GError **error)
+fleet_publish_instances (fleet_t *fleet, GError **error)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/instances", NULL);
   g_autofree char *body = list_text (fleet);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
   if (status == 200)
     return true;
@@ -150,22 +151,22 @@
 }
 
 bool
-fleet_list_instance (fleet_t *fleet, fleet_sort_t sort, unsigned index,
-                     const char *state, GError **error)
+fleet_set_instance_state (fleet_t *fleet, fleet_role_t sort, unsigned index,
+                          const char *state, GError **error)
 {
   fleet->listed[sort][index] = state;
-  return fleet_list (fleet, error);
+  return fleet_publish_instances (fleet, error);
 }
 
 bool
-fleet_relay (fleet_t *fleet, const char *group, const char *mode)
+fleet_set_relay_mode (fleet_t *fleet, const char *group, const char *mode)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_RELAY, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_RELAY, 0);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   g_autofree char *body
       = g_strdup_printf ("{\"group\":\"%s\",\"mode\":\"%s\"}", group, mode);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
   return status == 200;
 }
@@ -175,11 +176,11 @@
 {
   g_autofree char *group = g_strdup_printf ("zone-%u>%s", zone, target);
 
-  return fleet_relay (fleet, group, apart ? "hole" : "pass");
+  return fleet_set_relay_mode (fleet, group, apart ? "hole" : "pass");
 }
 
 bool
-fleet_part (fleet_t *fleet, const unsigned *sides, bool apart)
+fleet_set_partition (fleet_t *fleet, const unsigned *sides, bool apart)
 {
   bool good = true;
 
@@ -194,8 +195,8 @@
 }
 
 bool
-fleet_part_platform (fleet_t *fleet, const unsigned *sides, unsigned side,
-                     bool apart)
+fleet_set_platform_partition (fleet_t *fleet, const unsigned *sides,
+                              unsigned side, bool apart)
 {
   bool good = true;
 
@@ -206,13 +207,13 @@
 }
 
 double
-fleet_metric (const fleet_t *fleet, fleet_sort_t sort, unsigned index,
-              const char *name)
+fleet_sum_metric (const fleet_t *fleet, fleet_role_t sort, unsigned index,
+                  const char *name)
 {
-  g_autofree char *base = fleet_admin_url (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
   g_autofree char *url = g_strconcat (base, "/metrics", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
   g_auto (GStrv) lines = g_strsplit (answer ? answer : "", "\n", 0);
   size_t length = strlen (name);
   double sum = -1;
--- a/tests/fleet-private.h
+++ b/tests/fleet-private.h
@@ -32,18 +32,19 @@
   char *build;
   char *net; /* "127.x.y" */
   int lock;  /* socket that keeps the addresses ours */
-  GPtrArray *sorts[FLEET_SORTS];
+  GPtrArray *sorts[FLEET_ROLE_COUNT];
   /* What the platform's list says of each router and agent; NULL: nothing.  */
-  const char *listed[FLEET_SORTS][FLEET_MEMBERS_MAX];
+  const char *listed[FLEET_ROLE_COUNT][FLEET_MAX_MEMBERS];
 };
 
 /* "127.x.y.N:PORT" of the member INDEX.  */
-char *fleet_address (const fleet_t *fleet, unsigned index, unsigned port);
-char *fleet_http (const fleet_t *fleet, unsigned index, unsigned port);
-bool fleet_is_plain (const fleet_t *fleet, unsigned index);
+char *fleet_format_address (const fleet_t *fleet, unsigned index,
+                            unsigned port);
+char *fleet_format_url (const fleet_t *fleet, unsigned index, unsigned port);
+bool fleet_is_plain_endpoint (const fleet_t *fleet, unsigned index);
 bool fleet_put_endpoint (fleet_t *fleet, unsigned index, GError **error);
 bool fleet_put_records (fleet_t *fleet, GError **error);
 /* Gives the platform the list of instances.  */
-bool fleet_list (fleet_t *fleet, GError **error);
+bool fleet_publish_instances (fleet_t *fleet, GError **error);
 
 #endif
--- a/tests/fleet.c
+++ b/tests/fleet.c
@@ -25,7 +25,7 @@
 }
 
 static bool
-is_spare (const fleet_plan_t *plan, fleet_sort_t sort, unsigned index)
+is_spare (const fleet_plan_t *plan, fleet_role_t sort, unsigned index)
 {
   return sort == FLEET_ROUTER ? index >= plan->routers
                               : index >= plan->models + plan->plains;
@@ -33,7 +33,7 @@
 
 /* Endpoints are numbered models, plain services, spare models.  */
 bool
-fleet_is_plain (const fleet_t *fleet, unsigned index)
+fleet_is_plain_endpoint (const fleet_t *fleet, unsigned index)
 {
   const fleet_plan_t *plan = &fleet->plan;
 
@@ -71,62 +71,62 @@
 }
 
 char *
-fleet_address (const fleet_t *fleet, unsigned index, unsigned port)
+fleet_format_address (const fleet_t *fleet, unsigned index, unsigned port)
 {
   return g_strdup_printf ("%s.%u:%u", fleet->net, 1 + index, port);
 }
 
 char *
-fleet_http (const fleet_t *fleet, unsigned index, unsigned port)
+fleet_format_url (const fleet_t *fleet, unsigned index, unsigned port)
 {
   return g_strdup_printf ("http://%s.%u:%u", fleet->net, 1 + index, port);
 }
 
 unsigned
-fleet_zone_of (const fleet_t *fleet, fleet_sort_t sort, unsigned index)
+fleet_get_zone (const fleet_t *fleet, fleet_role_t sort, unsigned index)
 {
   unsigned zones = fleet->plan.zones;
 
-  if (sort == FLEET_ROUTER || !fleet_is_plain (fleet, index))
+  if (sort == FLEET_ROUTER || !fleet_is_plain_endpoint (fleet, index))
     return index % zones;
   return (index - fleet->plan.models) % zones;
 }
 
 char *
-fleet_url (const fleet_t *fleet, fleet_sort_t sort, unsigned index)
+fleet_get_url (const fleet_t *fleet, fleet_role_t sort, unsigned index)
 {
   switch (sort)
     {
     case FLEET_PLATFORM:
-      return fleet_http (fleet, 0, PORT_PLATFORM);
+      return fleet_format_url (fleet, 0, PORT_PLATFORM);
     case FLEET_RELAY:
-      return fleet_http (fleet, 0, PORT_RELAY);
+      return fleet_format_url (fleet, 0, PORT_RELAY);
     case FLEET_ROUTER:
-      return fleet_http (fleet, index, PORT_CALLERS_RELAYED);
+      return fleet_format_url (fleet, index, PORT_CALLERS_RELAYED);
     default:
-      return fleet_http (fleet, index, PORT_ENDPOINT);
+      return fleet_format_url (fleet, index, PORT_ENDPOINT);
     }
 }
 
 char *
-fleet_direct_url (const fleet_t *fleet, unsigned router)
+fleet_get_direct_url (const fleet_t *fleet, unsigned router)
 {
-  return fleet_http (fleet, router, PORT_CALLERS);
+  return fleet_format_url (fleet, router, PORT_CALLERS);
 }
 
 char *
-fleet_admin_url (const fleet_t *fleet, fleet_sort_t sort, unsigned index)
+fleet_get_admin_url (const fleet_t *fleet, fleet_role_t sort, unsigned index)
 {
-  return fleet_http (fleet, index,
-                     sort == FLEET_ROUTER ? PORT_ROUTER_ADMIN
-                                          : PORT_AGENT_ADMIN);
+  return fleet_format_url (fleet, index,
+                           sort == FLEET_ROUTER ? PORT_ROUTER_ADMIN
+                                                : PORT_AGENT_ADMIN);
 }
 
 /* ---- starting processes ---- */
 
 /* Starts PROGRAM with the flags in ARGS, which is emptied.  */
 static bool
-start (fleet_t *fleet, fleet_sort_t sort, const char *name,
+start (fleet_t *fleet, fleet_role_t sort, const char *name,
        const char *program, GPtrArray *args, GError **error)
 {
   g_autofree char *path = g_build_filename (fleet->build, program, NULL);
@@ -166,16 +166,16 @@
 static double
 delay_between (const fleet_t *fleet, unsigned zone, unsigned other)
 {
-  return fleet_region_of (fleet, zone) == fleet_region_of (fleet, other)
+  return fleet_get_region (fleet, zone) == fleet_get_region (fleet, other)
              ? fleet->plan.zone_ms
              : fleet->plan.region_ms;
 }
 
 /* One mapping for each other zone's view of a peer port.  */
 static void
-add_views (fleet_t *fleet, GPtrArray *args, fleet_sort_t sort, unsigned index)
+add_views (fleet_t *fleet, GPtrArray *args, fleet_role_t sort, unsigned index)
 {
-  unsigned own = fleet_zone_of (fleet, sort, index);
+  unsigned own = fleet_get_zone (fleet, sort, index);
   unsigned view = sort == FLEET_ROUTER ? PORT_ROUTER_VIEW : PORT_AGENT_VIEW;
   unsigned port = sort == FLEET_ROUTER ? PORT_ROUTER_PEER : PORT_AGENT_PEER;
 
@@ -183,8 +183,9 @@
     {
       g_autofree char *group = g_strdup_printf ("zone-%u>zone-%u", zone, own);
       if (zone != own)
-        add_mapping (args, group, fleet_address (fleet, index, view + zone),
-                     fleet_address (fleet, index, port),
+        add_mapping (args, group,
+                     fleet_format_address (fleet, index, view + zone),
+                     fleet_format_address (fleet, index, port),
                      delay_between (fleet, zone, own));
     }
 }
@@ -194,12 +195,13 @@
 {
   g_autoptr (GPtrArray) args = g_ptr_array_new_with_free_func (g_free);
 
-  flag (args, "control", fleet_address (fleet, 0, PORT_RELAY));
+  flag (args, "control", fleet_format_address (fleet, 0, PORT_RELAY));
   for (unsigned i = 0; i < routers_of (&fleet->plan); i++)
     {
-      add_mapping (
-          args, "callers", fleet_address (fleet, i, PORT_CALLERS_RELAYED),
-          fleet_address (fleet, i, PORT_CALLERS), fleet->plan.caller_ms);
+      add_mapping (args, "callers",
+                   fleet_format_address (fleet, i, PORT_CALLERS_RELAYED),
+                   fleet_format_address (fleet, i, PORT_CALLERS),
+                   fleet->plan.caller_ms);
       add_views (fleet, args, FLEET_ROUTER, i);
     }
   for (unsigned i = 0; i < agents_of (&fleet->plan); i++)
@@ -208,8 +210,9 @@
     {
       g_autofree char *group = g_strdup_printf ("zone-%u>platform", zone);
       add_mapping (args, group,
-                   fleet_address (fleet, 0, PORT_PLATFORM_VIEW + zone),
-                   fleet_address (fleet, 0, PORT_PLATFORM + 1 + zone), 0);
+                   fleet_format_address (fleet, 0, PORT_PLATFORM_VIEW + zone),
+                   fleet_format_address (fleet, 0, PORT_PLATFORM + 1 + zone),
+                   0);
     }
   return start (fleet, FLEET_RELAY, "relay", "tests/standin-relay", args,
                 error);
@@ -220,7 +223,7 @@
 {
   g_autoptr (GPtrArray) args = g_ptr_array_new_with_free_func (g_free);
 
-  flag (args, "listen", fleet_address (fleet, 0, PORT_PLATFORM));
+  flag (args, "listen", fleet_format_address (fleet, 0, PORT_PLATFORM));
   for (unsigned zone = 0; zone < fleet->plan.zones; zone++)
     flag (args, "listen-zone",
           g_strdup_printf ("zone-%u=%s.1:%u", zone, fleet->net,
@@ -236,11 +239,11 @@
   g_autoptr (GPtrArray) args = g_ptr_array_new_with_free_func (g_free);
   g_autofree char *name = g_strdup_printf ("endpoint-%u", index);
 
-  flag (args, "listen", fleet_address (fleet, index, PORT_ENDPOINT));
-  if (fleet_is_plain (fleet, index))
+  flag (args, "listen", fleet_format_address (fleet, index, PORT_ENDPOINT));
+  if (fleet_is_plain_endpoint (fleet, index))
     {
       flag_number (args, "slots", plan->plain_slots);
-      flag_number (args, "delay-ms", plan->plain_ms);
+      flag_number (args, "delay-ms", plan->plain_call_ms);
       return start (fleet, FLEET_ENDPOINT, name, "tests/standin-service", args,
                     error);
     }
@@ -259,7 +262,8 @@
 {
   flag (args, "instance", g_strdup (name));
   flag (args, "zone", g_strdup_printf ("zone-%u", zone));
-  flag (args, "platform", fleet_http (fleet, 0, PORT_PLATFORM_VIEW + zone));
+  flag (args, "platform",
+        fleet_format_url (fleet, 0, PORT_PLATFORM_VIEW + zone));
   flag (args, "policy",
         g_strdup (fleet->plan.policy ? fleet->plan.policy : "fleet"));
   flag (args, "log-level",
@@ -274,10 +278,12 @@
   g_autoptr (GPtrArray) args = g_ptr_array_new_with_free_func (g_free);
   g_autofree char *name = g_strdup_printf ("router-%u", index);
 
-  add_common (fleet, args, name, fleet_zone_of (fleet, FLEET_ROUTER, index));
-  flag (args, "listen", fleet_address (fleet, index, PORT_CALLERS));
-  flag (args, "peer-listen", fleet_address (fleet, index, PORT_ROUTER_PEER));
-  flag (args, "admin-listen", fleet_address (fleet, index, PORT_ROUTER_ADMIN));
+  add_common (fleet, args, name, fleet_get_zone (fleet, FLEET_ROUTER, index));
+  flag (args, "listen", fleet_format_address (fleet, index, PORT_CALLERS));
+  flag (args, "peer-listen",
+        fleet_format_address (fleet, index, PORT_ROUTER_PEER));
+  flag (args, "admin-listen",
+        fleet_format_address (fleet, index, PORT_ROUTER_ADMIN));
   return start (fleet, FLEET_ROUTER, name,
                 fleet->plan.old_routers ? FLEET_OLD_ROUTER : FLEET_NEW_ROUTER,
                 args, error);
@@ -289,10 +295,12 @@
   g_autoptr (GPtrArray) args = g_ptr_array_new_with_free_func (g_free);
   g_autofree char *name = g_strdup_printf ("agent-%u", index);
 
-  add_common (fleet, args, name, fleet_zone_of (fleet, FLEET_AGENT, index));
+  add_common (fleet, args, name, fleet_get_zone (fleet, FLEET_AGENT, index));
   flag (args, "endpoint", g_strdup_printf ("endpoint-%u", index));
-  flag (args, "peer-listen", fleet_address (fleet, index, PORT_AGENT_PEER));
-  flag (args, "admin-listen", fleet_address (fleet, index, PORT_AGENT_ADMIN));
+  flag (args, "peer-listen",
+        fleet_format_address (fleet, index, PORT_AGENT_PEER));
+  flag (args, "admin-listen",
+        fleet_format_address (fleet, index, PORT_AGENT_ADMIN));
   return start (fleet, FLEET_AGENT, name,
                 fleet->plan.old_agents ? FLEET_OLD_AGENT : FLEET_NEW_AGENT,
                 args, error);
@@ -303,27 +311,28 @@
 static bool
 wait_ready (fleet_t *fleet, const char *url, const char *who, GError **error)
 {
-  if (proc_wait_ready (url, READY_MS))
+  if (proc_wait_http_ok (url, READY_MS))
     return true;
   g_set_error (error, CFD_ERROR, CFD_ERROR_UNAVAILABLE,
                "%s isn't ready after %d s; read its log in %s", who,
-               READY_MS / 1000, proc_set_folder (fleet->procs));
+               READY_MS / 1000, proc_set_get_log_dir (fleet->procs));
   return false;
 }
 
 static bool
-wait_member (fleet_t *fleet, fleet_sort_t sort, unsigned index, GError **error)
+wait_member (fleet_t *fleet, fleet_role_t sort, unsigned index, GError **error)
 {
-  g_autofree char *base = fleet_admin_url (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
   g_autofree char *url = g_strconcat (base, "/readyz", NULL);
 
-  return wait_ready (fleet, url, fleet_proc (fleet, sort, index)->name, error);
+  return wait_ready (fleet, url, fleet_get_process (fleet, sort, index)->name,
+                     error);
 }
 
 static bool
 start_outside (fleet_t *fleet, GError **error)
 {
-  g_autofree char *platform = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *platform = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *objects = g_strconcat (platform, "/v1/objects", NULL);
 
   if (!start_platform (fleet, error) || !start_relay (fleet, error))
@@ -345,7 +354,7 @@
     fleet->listed[FLEET_AGENT][i] = "live";
   for (unsigned i = 0; i < plan->routers; i++)
     fleet->listed[FLEET_ROUTER][i] = "live";
-  if (!fleet_list (fleet, error))
+  if (!fleet_publish_instances (fleet, error))
     return false;
   for (unsigned i = 0; i < agents; i++)
     if (!start_agent (fleet, i, error))
@@ -369,9 +378,9 @@
 
   fleet->plan = *plan;
   fleet->lock = -1;
-  fleet->build = proc_build_folder ();
+  fleet->build = proc_get_build_dir ();
   fleet->procs = proc_set_new ();
-  for (unsigned i = 0; i < FLEET_SORTS; i++)
+  for (unsigned i = 0; i < FLEET_ROLE_COUNT; i++)
     fleet->sorts[i] = g_ptr_array_new ();
   g_setenv ("CFD_SECRET", FLEET_SECRET, TRUE);
   if (take_addresses (fleet, error) && start_outside (fleet, error)
@@ -385,9 +394,9 @@
 fleet_free (fleet_t *fleet, bool keep)
 {
   if (keep)
-    fprintf (stderr, "logs are in %s\n", proc_set_folder (fleet->procs));
+    fprintf (stderr, "logs are in %s\n", proc_set_get_log_dir (fleet->procs));
   proc_set_free (fleet->procs, keep);
-  for (unsigned i = 0; i < FLEET_SORTS; i++)
+  for (unsigned i = 0; i < FLEET_ROLE_COUNT; i++)
     g_ptr_array_unref (fleet->sorts[i]);
   if (fleet->lock >= 0)
     close (fleet->lock);
@@ -397,41 +406,42 @@
 }
 
 bool
-fleet_join (fleet_t *fleet, fleet_sort_t sort, unsigned index, GError **error)
+fleet_start_spare (fleet_t *fleet, fleet_role_t sort, unsigned index,
+                   GError **error)
 {
   if (!is_spare (&fleet->plan, sort, index))
     return false;
   if (sort == FLEET_ROUTER)
     return start_router (fleet, index, error)
-           && fleet_list_instance (fleet, sort, index, "live", error)
+           && fleet_set_instance_state (fleet, sort, index, "live", error)
            && wait_member (fleet, sort, index, error);
   return start_endpoint (fleet, index, error)
          && fleet_put_endpoint (fleet, index, error)
          && start_agent (fleet, index, error)
-         && fleet_list_instance (fleet, sort, index, "live", error)
+         && fleet_set_instance_state (fleet, sort, index, "live", error)
          && wait_member (fleet, sort, index, error);
 }
 
 const fleet_plan_t *
-fleet_plan (const fleet_t *fleet)
+fleet_get_plan (const fleet_t *fleet)
 {
   return &fleet->plan;
 }
 
 unsigned
-fleet_count (const fleet_t *fleet, fleet_sort_t sort)
+fleet_count_members (const fleet_t *fleet, fleet_role_t sort)
 {
   return fleet->sorts[sort]->len;
 }
 
 proc_t *
-fleet_proc (const fleet_t *fleet, fleet_sort_t sort, unsigned index)
+fleet_get_process (const fleet_t *fleet, fleet_role_t sort, unsigned index)
 {
   return fleet->sorts[sort]->pdata[index];
 }
 
 proc_set_t *
-fleet_procs (const fleet_t *fleet)
+fleet_get_processes (const fleet_t *fleet)
 {
   return fleet->procs;
 }
--- a/tests/load-make.c
+++ b/tests/load-make.c
@@ -10,7 +10,7 @@
 
   for (unsigned i = 0; i < plan->routers; i++)
     {
-      left -= account->spread[i];
+      left -= account->router_shares[i];
       if (left < 0)
         return i;
     }
@@ -22,10 +22,10 @@
 {
   unsigned total = 0;
 
-  for (unsigned i = 0; i < LOAD_KINDS; i++)
+  for (unsigned i = 0; i < LOAD_KIND_COUNT; i++)
     total += account->kinds[i];
   unsigned left = (unsigned)g_rand_int_range (random, 0, (gint32)total);
-  for (unsigned i = 0; i < LOAD_KINDS; i++)
+  for (unsigned i = 0; i < LOAD_KIND_COUNT; i++)
     {
       if (left < account->kinds[i])
         return (load_kind_t)i;
@@ -82,7 +82,7 @@
       return g_strconcat (base, "/services/", plan->plain,
                           "/entries/7?nonce=", request->nonce, NULL);
     case LOAD_POST:
-    case LOAD_POST_BARE:
+    case LOAD_POST_UNKEYED:
       return g_strconcat (base, "/services/", plan->plain, "/entries", NULL);
     default:
       return g_strconcat (base, "/v1/chat/completions", NULL);
--- a/tests/load-tally.c
+++ b/tests/load-tally.c
@@ -29,7 +29,7 @@
   to->waiting = g_memdup2 (from->waiting, accounts * sizeof (unsigned));
   to->tokens = from->tokens;
   for (unsigned i = 0; i < accounts; i++)
-    to->waiting_all += to->waiting[i];
+    to->total_waiting += to->waiting[i];
 }
 
 static void
@@ -88,7 +88,7 @@
 }
 
 void
-load_tally_wait (load_tally_t *tally, const load_request_t *request)
+load_tally_add_waiting (load_tally_t *tally, const load_request_t *request)
 {
   load_sample_t *router = router_of (tally, request);
 
@@ -98,7 +98,7 @@
 }
 
 void
-load_tally_wait_over (load_tally_t *tally, const load_request_t *request)
+load_tally_remove_waiting (load_tally_t *tally, const load_request_t *request)
 {
   load_sample_t *router = router_of (tally, request);
 
@@ -108,7 +108,7 @@
 }
 
 void
-load_tally_first (load_tally_t *tally, const load_request_t *request)
+load_tally_add_first_byte (load_tally_t *tally, const load_request_t *request)
 {
   const load_account_t *account
       = tally->plan->accounts->pdata[request->account];
@@ -118,19 +118,19 @@
   tally->all.started[request->account] += whole;
   if (router != NULL)
     router->started[request->account] += whole;
-  load_tally_wait_over (tally, request);
+  load_tally_remove_waiting (tally, request);
   add_service (tally, request, request->prompt_tokens);
 }
 
 void
-load_tally_tokens (load_tally_t *tally, const load_request_t *request,
-                   unsigned count)
+load_tally_add_tokens (load_tally_t *tally, const load_request_t *request,
+                       unsigned count)
 {
   add_service (tally, request, count);
 }
 
 load_sample_t *
-load_tally_sample (const load_tally_t *tally, int64_t now_us)
+load_tally_take_sample (const load_tally_t *tally, int64_t now_us)
 {
   load_sample_t *sample = g_new0 (load_sample_t, 1);
 
--- a/tests/load.c
+++ b/tests/load.c
@@ -78,7 +78,7 @@
   load_t *load = watcher->data;
 
   g_ptr_array_add (load->samples,
-                   load_tally_sample (load->tally, clock_now_us ()));
+                   load_tally_take_sample (load->tally, clock_now_us ()));
 }
 
 /* The first byte of the answer's content came.  */
@@ -88,11 +88,11 @@
   load_t *load = caller->load;
   load_request_t *request = caller->request;
 
-  if (request->first_us != 0)
+  if (request->first_byte_us != 0)
     return;
-  request->first_us = now_us;
+  request->first_byte_us = now_us;
   if (load_kind_is_model (request->kind))
-    load_tally_first (load->tally, request);
+    load_tally_add_first_byte (load->tally, request);
 }
 
 static void
@@ -109,7 +109,7 @@
     }
   request->last_us = now_us;
   request->tokens += count;
-  load_tally_tokens (load->tally, request, count);
+  load_tally_add_tokens (load->tally, request, count);
 }
 
 /* The line tells when the engine gave its token.  */
@@ -131,7 +131,7 @@
   const char *started = strstr (line, "\"started\":");
 
   if (started != NULL)
-    request->engine_us
+    request->engine_start_us
         = g_ascii_strtoll (strchr (started, ':') + 1, NULL, 10) * 1000;
 }
 
@@ -143,7 +143,7 @@
   const char *mark
       = strstr (line, request->kind == LOAD_COMPLETION ? "\"text\":\""
                                                        : "\"content\":\"");
-  char word[STANDIN_WORD_MAX];
+  char word[STANDIN_MAX_TOKEN_BYTES];
 
   if (strcmp (line, "data: [DONE]") == 0)
     caller->said_done = true;
@@ -153,8 +153,8 @@
       return;
     }
   mark = strchr (mark, ':') + 2;
-  standin_word (word, caller->load->plan->answer_seed, request->nonce,
-                request->tokens);
+  standin_format_token (word, caller->load->plan->answer_seed, request->nonce,
+                        request->tokens);
   if (strncmp (mark, word, strlen (word)) != 0 || mark[strlen (word)] != '"')
     caller->wrong = true;
   note_delay (caller->load, line, now_us);
@@ -191,7 +191,7 @@
 
   pause_reading (caller);
   g_string_append_len (caller->line, bytes, (gssize)length);
-  if (request->kind == LOAD_WHOLE || !load_kind_is_model (request->kind)
+  if (request->kind == LOAD_NON_STREAM || !load_kind_is_model (request->kind)
       || request->status >= 300)
     return;
   char *start = caller->line->str;
@@ -218,9 +218,9 @@
   load_request_t *request = caller->request;
   const char *text = caller->line->str;
 
-  if (request->kind == LOAD_WHOLE)
+  if (request->kind == LOAD_NON_STREAM)
     {
-      g_autofree char *answer = standin_answer (
+      g_autofree char *answer = standin_format_answer (
           caller->load->plan->answer_seed, request->nonce, request->length);
       g_autofree char *content
           = g_strconcat ("\"content\":\"", answer, "\"", NULL);
@@ -235,13 +235,13 @@
   return strstr (text, nonce) != NULL;
 }
 
-static load_end_t
+static load_outcome_t
 judge (caller_t *caller, fetch_result_t result)
 {
   load_request_t *request = caller->request;
 
   if (result != FETCH_COMPLETE)
-    return caller->wrong ? LOAD_WRONG : LOAD_BROKEN;
+    return caller->wrong ? LOAD_INCORRECT : LOAD_INCOMPLETE;
   if (request->status >= 300)
     {
       request->not_run = strstr (caller->line->str, "\"not-run\"") != NULL;
@@ -250,9 +250,10 @@
   if (request->kind == LOAD_STREAM || request->kind == LOAD_COMPLETION)
     return caller->said_done && !caller->wrong
                    && request->tokens == request->length
-               ? LOAD_RIGHT
-               : LOAD_WRONG;
-  return whole_is_right (caller, clock_now_us ()) ? LOAD_RIGHT : LOAD_WRONG;
+               ? LOAD_CORRECT
+               : LOAD_INCORRECT;
+  return whole_is_right (caller, clock_now_us ()) ? LOAD_CORRECT
+                                                  : LOAD_INCORRECT;
 }
 
 static void
@@ -266,15 +267,16 @@
   request->status = status;
   request->end = judge (caller, result);
   request->last_us = clock_now_us ();
-  if (request->end != LOAD_RIGHT)
+  if (request->end != LOAD_CORRECT)
     request->detail
         = g_strdup (result == FETCH_COMPLETE ? caller->line->str : detail);
-  if (request->first_us == 0 && load_kind_is_model (request->kind))
-    load_tally_wait_over (load->tally, request);
+  if (request->first_byte_us == 0 && load_kind_is_model (request->kind))
+    load_tally_remove_waiting (load->tally, request);
   load->active--;
   caller->request = NULL;
-  schedule (caller, request->end == LOAD_RIGHT ? account_of (caller)->think_ms
-                                               : RETRY_MS);
+  schedule (caller, request->end == LOAD_CORRECT
+                        ? account_of (caller)->think_ms
+                        : RETRY_MS);
 }
 
 static load_request_t *
@@ -288,8 +290,8 @@
   request->kind = make_kind (load->random, account);
   request->router = make_router (load->plan, load->random, account);
   request->length = (unsigned)g_rand_int_range (
-      load->random, (gint32)account->least_tokens,
-      (gint32)account->most_tokens + 1);
+      load->random, (gint32)account->min_answer_tokens,
+      (gint32)account->max_answer_tokens + 1);
   request->nonce = g_strdup_printf ("n%u-%08x", load->requests->len,
                                     g_rand_int (load->random));
   request->started_us = clock_now_us ();
@@ -330,7 +332,7 @@
   caller->wrong = false;
   g_string_truncate (caller->line, 0);
   if (load_kind_is_model (request->kind))
-    load_tally_wait (load->tally, request);
+    load_tally_add_waiting (load->tally, request);
   load->active++;
   caller->has_paused = false;
   caller->fetch = fetch_start (load->pool, &fetch);
@@ -396,7 +398,8 @@
   load->intervals = g_array_new (FALSE, FALSE, sizeof (float));
   load->delays = g_array_new (FALSE, FALSE, sizeof (float));
   load->tally = load_tally_new (plan);
-  ev_timer_init (&load->sampler, on_sample, 0, LOAD_SAMPLE_MS / 1000.0);
+  ev_timer_init (&load->sampler, on_sample, 0,
+                 LOAD_SAMPLE_INTERVAL_MS / 1000.0);
   load->sampler.data = load;
   return load;
 }
@@ -445,7 +448,7 @@
 }
 
 unsigned
-load_active (const load_t *load)
+load_count_active (const load_t *load)
 {
   return load->active;
 }
@@ -457,25 +460,25 @@
 }
 
 const GPtrArray *
-load_requests (const load_t *load)
+load_get_requests (const load_t *load)
 {
   return load->requests;
 }
 
 const GPtrArray *
-load_samples (const load_t *load)
+load_get_samples (const load_t *load)
 {
   return load->samples;
 }
 
 const GArray *
-load_intervals (const load_t *load)
+load_get_intervals (const load_t *load)
 {
   return load->intervals;
 }
 
 const GArray *
-load_delays (const load_t *load)
+load_get_delays (const load_t *load)
 {
   return load->delays;
 }
--- a/tests/load.h
+++ b/tests/load.h
@@ -12,23 +12,23 @@
 
 typedef enum
 {
-  LOAD_STREAM,     /* chat completion as server-sent events */
-  LOAD_WHOLE,      /* chat completion in one piece */
-  LOAD_COMPLETION, /* plain completion as server-sent events */
-  LOAD_LOOKUP,     /* GET at the plain service */
-  LOAD_POST,       /* POST with an Idempotency-Key */
-  LOAD_POST_BARE,  /* POST without one */
-  LOAD_KINDS
+  LOAD_STREAM,       /* chat completion as server-sent events */
+  LOAD_NON_STREAM,   /* chat completion in one piece */
+  LOAD_COMPLETION,   /* plain completion as server-sent events */
+  LOAD_LOOKUP,       /* GET at the plain service */
+  LOAD_POST,         /* POST with an Idempotency-Key */
+  LOAD_POST_UNKEYED, /* POST without one */
+  LOAD_KIND_COUNT
 } load_kind_t;
 
 typedef enum
 {
   LOAD_RUNNING,
-  LOAD_RIGHT,   /* whole and its own */
-  LOAD_WRONG,   /* said to be whole, and was not, or not its own */
-  LOAD_REFUSED, /* an answer with an error status */
-  LOAD_BROKEN   /* broken off, or no answer at all */
-} load_end_t;
+  LOAD_CORRECT,   /* whole and its own */
+  LOAD_INCORRECT, /* said to be whole, and was not, or not its own */
+  LOAD_REFUSED,   /* an answer with an error status */
+  LOAD_INCOMPLETE /* broken off, or no answer at all */
+} load_outcome_t;
 
 /* One client account's part.  */
 typedef struct
@@ -36,14 +36,14 @@
   char *name;
   char *key;
   double weight;
-  unsigned outstanding;       /* requests held at once */
-  unsigned kinds[LOAD_KINDS]; /* relative frequency of each */
-  double think_ms;            /* pause before each request */
-  double on_ms;               /* works and pauses in turn when both are set */
+  unsigned outstanding;            /* requests held at once */
+  unsigned kinds[LOAD_KIND_COUNT]; /* relative frequency of each */
+  double think_ms;                 /* pause before each request */
+  double on_ms; /* works and pauses in turn when both are set */
   double off_ms;
-  double *spread;        /* share of each router */
-  unsigned least_tokens; /* length of the answers */
-  unsigned most_tokens;
+  double *router_shares;      /* share of each router */
+  unsigned min_answer_tokens; /* length of the answers */
+  unsigned max_answer_tokens;
 } load_account_t;
 
 typedef struct
@@ -70,7 +70,7 @@
   unsigned account;
   unsigned router;
   load_kind_t kind;
-  load_end_t end;
+  load_outcome_t end;
   char *nonce;
   unsigned status;
   bool not_run; /* the refusal says so */
@@ -78,8 +78,8 @@
   unsigned length; /* expected tokens */
   unsigned tokens;
   int64_t started_us;
-  int64_t engine_us; /* when the engine got it; 0: not known */
-  int64_t first_us;  /* 0 while nothing came */
+  int64_t engine_start_us; /* when the engine got it; 0: not known */
+  int64_t first_byte_us;   /* 0 while nothing came */
   int64_t last_us;
   char *detail;
 } load_request_t;
@@ -94,7 +94,7 @@
   double *service;   /* weighted tokens received from the model service */
   double *started;   /* the same, each request whole at its first byte */
   unsigned *waiting; /* model requests without a first byte */
-  unsigned waiting_all;
+  unsigned total_waiting;
   double tokens; /* received, all accounts, not weighted */
   unsigned routers;
   load_sample_t *by_router;
@@ -108,19 +108,19 @@
 void load_start (load_t *load);
 /* No new requests; those that run go on.  */
 void load_stop (load_t *load);
-unsigned load_active (const load_t *load);
+unsigned load_count_active (const load_t *load);
 /* Number of accounts of the plan.  */
 unsigned load_accounts (const load_t *load);
 /* All requests so far, of load_request_t.  */
-const GPtrArray *load_requests (const load_t *load);
-/* Taken each LOAD_SAMPLE_MS, of load_sample_t.  */
-const GPtrArray *load_samples (const load_t *load);
+const GPtrArray *load_get_requests (const load_t *load);
+/* Taken each LOAD_SAMPLE_INTERVAL_MS, of load_sample_t.  */
+const GPtrArray *load_get_samples (const load_t *load);
 /* Milliseconds between tokens, of float.  */
-const GArray *load_intervals (const load_t *load);
+const GArray *load_get_intervals (const load_t *load);
 /* Milliseconds of each token from the engine to here, of float.  */
-const GArray *load_delays (const load_t *load);
+const GArray *load_get_delays (const load_t *load);
 
-#define LOAD_SAMPLE_MS 50
+#define LOAD_SAMPLE_INTERVAL_MS 50
 
 const char *load_kind_name (load_kind_t kind);
 bool load_kind_is_model (load_kind_t kind);
--- a/tests/measure-config.c
+++ b/tests/measure-config.c
@@ -1,8 +1,8 @@
-/* How the platform's load and the spread of a configuration change grow with
-   the fleet: without work, when hardly any links are open and those that learn
-   from peers hear the least, and with some.
+/* How the platform's load and the router_shares of a configuration change grow
+   with the fleet: without work, when hardly any links are open and those that
+   learn from peers hear the least, and with some.
 
-     measure-config [ROW]     the spread, all rows or one
+     measure-config [ROW]     the router_shares, all rows or one
      measure-config memory    the memory by accounts  */
 
 #include "base/clock.h"
@@ -38,10 +38,10 @@
 static void
 add_calls (const fleet_t *fleet, double sign, double *calls)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/calls", NULL);
   long status = 0;
-  g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) root
       = text == NULL ? NULL : json_from_string (text, NULL);
 
@@ -52,33 +52,34 @@
 }
 
 static double
-revision_of (const fleet_t *fleet, fleet_sort_t sort, unsigned index)
+revision_of (const fleet_t *fleet, fleet_role_t sort, unsigned index)
 {
-  return fleet_metric (fleet, sort, index, "cfd_config_revision");
+  return fleet_sum_metric (fleet, sort, index, "cfd_config_revision");
 }
 
 /* Whether all processes of SORT have REVISION; DONE counts the first ones that
    are known to, which are not asked again.  */
 static bool
-all_have (const fleet_t *fleet, fleet_sort_t sort, double revision,
+all_have (const fleet_t *fleet, fleet_role_t sort, double revision,
           unsigned *done)
 {
-  while (*done < fleet_count (fleet, sort)
+  while (*done < fleet_count_members (fleet, sort)
          && revision_of (fleet, sort, *done) >= revision)
     (*done)++;
-  return *done == fleet_count (fleet, sort);
+  return *done == fleet_count_members (fleet, sort);
 }
 
 /* Control bytes in and out of all routers and agents so far.  */
 static double
 control_bytes (const fleet_t *fleet)
 {
-  static const fleet_sort_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
   double sum = 0;
 
   for (unsigned i = 0; i < G_N_ELEMENTS (sorts); i++)
-    for (unsigned j = 0; j < fleet_count (fleet, sorts[i]); j++)
-      sum += fleet_metric (fleet, sorts[i], j, "cfd_peer_control_bytes_total");
+    for (unsigned j = 0; j < fleet_count_members (fleet, sorts[i]); j++)
+      sum += fleet_sum_metric (fleet, sorts[i], j,
+                               "cfd_peer_control_bytes_total");
   return sum;
 }
 
@@ -121,7 +122,7 @@
   unsigned agents = 0;
   cfd_time_t start = clock_now ();
 
-  if (!fleet_put (fleet, "availability-zone", "zone-0", spec, NULL))
+  if (!fleet_put_object (fleet, "availability-zone", "zone-0", spec, NULL))
     return PATIENCE_MS;
   while (clock_now () - start < PATIENCE_MS)
     {
@@ -156,21 +157,21 @@
   account->outstanding = size->callers;
   account->kinds[LOAD_STREAM] = 1;
   account->think_ms = 500;
-  account->least_tokens = 5;
-  account->most_tokens = 20;
-  account->spread = g_new (double, size->routers);
+  account->min_answer_tokens = 5;
+  account->max_answer_tokens = 20;
+  account->router_shares = g_new (double, size->routers);
   traffic->urls = g_new0 (char *, size->routers + 1);
   for (unsigned i = 0; i < size->routers; i++)
     {
-      account->spread[i] = 1.0 / size->routers;
-      traffic->urls[i] = fleet_direct_url (fleet, i);
+      account->router_shares[i] = 1.0 / size->routers;
+      traffic->urls[i] = fleet_get_direct_url (fleet, i);
     }
   traffic->accounts = g_ptr_array_new ();
   g_ptr_array_add (traffic->accounts, account);
   traffic->plan = (load_plan_t){ .routers = size->routers,
                                  .urls = traffic->urls,
-                                 .model = FLEET_MODEL,
-                                 .plain = FLEET_PLAIN,
+                                 .model = FLEET_MODEL_SERVICE,
+                                 .plain = FLEET_PLAIN_SERVICE,
                                  .idle_timeout_ms = 10000,
                                  .accounts = traffic->accounts };
   traffic->load = load_new (loop, &traffic->plan);
@@ -185,7 +186,7 @@
   load_free (traffic->load);
   g_ptr_array_unref (traffic->accounts);
   g_strfreev (traffic->urls);
-  g_free (traffic->account.spread);
+  g_free (traffic->account.router_shares);
   g_free (traffic);
 }
 
@@ -216,7 +217,7 @@
     printf (" %9.2f", calls[i] / WATCH_S);
   printf (" %9.0f %9.0f %9.0f %9u\n", bytes / WATCH_S / nodes,
           times[CHANGES / 2], times[CHANGES - 1],
-          load_requests (traffic->load)->len);
+          load_get_requests (traffic->load)->len);
   fflush (stdout);
   traffic_free (traffic);
 }
@@ -259,7 +260,7 @@
   printf ("resident MB of idle processes, now and at most\n"
           "accounts    router      most     agent      most\n");
   for (unsigned i = 0; good && i < G_N_ELEMENTS (memory_sizes); i++)
-    good = measure_memory (memory_sizes[i]);
+    good = measure_print_memory (memory_sizes[i]);
   return good;
 }
 
--- a/tests/measure-config.h
+++ b/tests/measure-config.h
@@ -7,6 +7,6 @@
 
 /* Prints the resident memory of a router and of an agent that were started
    anew with so many accounts, without any load.  */
-bool measure_memory (unsigned accounts);
+bool measure_print_memory (unsigned accounts);
 
 #endif
--- a/tests/measure-event.c
+++ b/tests/measure-event.c
@@ -45,8 +45,9 @@
 
   event->kind = kind;
   event->fleet = fleet;
-  event->zones = g_new0 (unsigned, fleet_plan (fleet)->zones);
-  event->routers = g_new0 (unsigned, fleet_count (fleet, FLEET_ROUTER));
+  event->zones = g_new0 (unsigned, fleet_get_plan (fleet)->zones);
+  event->routers
+      = g_new0 (unsigned, fleet_count_members (fleet, FLEET_ROUTER));
   return event;
 }
 
@@ -59,19 +60,19 @@
 }
 
 unsigned
-event_zone (const event_t *event)
+event_get_zone (const event_t *event)
 {
   return EVENT_ZONE_INDEX;
 }
 
 const unsigned *
-event_sides (const event_t *event)
+event_get_router_sides (const event_t *event)
 {
   return event->routers;
 }
 
 const unsigned *
-event_zone_sides (const event_t *event)
+event_get_zone_sides (const event_t *event)
 {
   return event->zones;
 }
@@ -84,7 +85,7 @@
   g_autofree char *spec = g_strdup_printf (
       "{\"schema\":2,\"state\":\"%s\",\"region\":\"r\"}", state);
 
-  if (fleet_put (event->fleet, "availability-zone", name, spec, &error))
+  if (fleet_put_object (event->fleet, "availability-zone", name, spec, &error))
     return true;
   fprintf (stderr, "measure: %s\n", error->message);
   return false;
@@ -95,20 +96,22 @@
 static bool
 set_apart (const event_t *event, bool apart)
 {
-  bool parted = fleet_part (event->fleet, event->zones, apart);
+  bool parted = fleet_set_partition (event->fleet, event->zones, apart);
 
-  return fleet_part_platform (event->fleet, event->zones, CUT_SIDE, apart)
+  return fleet_set_platform_partition (event->fleet, event->zones, CUT_SIDE,
+                                       apart)
          && parted;
 }
 
 static bool
 cut_off (event_t *event, bool (*is_cut) (const event_t *, unsigned zone))
 {
-  for (unsigned i = 0; i < fleet_plan (event->fleet)->zones; i++)
+  for (unsigned i = 0; i < fleet_get_plan (event->fleet)->zones; i++)
     event->zones[i] = is_cut (event, i) ? CUT_SIDE : 0;
-  for (unsigned i = 0; i < fleet_count (event->fleet, FLEET_ROUTER); i++)
+  for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
+       i++)
     event->routers[i]
-        = event->zones[fleet_zone_of (event->fleet, FLEET_ROUTER, i)];
+        = event->zones[fleet_get_zone (event->fleet, FLEET_ROUTER, i)];
   return set_apart (event, true);
 }
 
@@ -121,7 +124,7 @@
 static bool
 is_second_region (const event_t *event, unsigned zone)
 {
-  return fleet_region_of (event->fleet, zone) > 0;
+  return fleet_get_region (event->fleet, zone) > 0;
 }
 
 /* ---- homes ---- */
@@ -132,10 +135,11 @@
   unsigned found = 0;
   double most = -1;
 
-  for (unsigned i = 0; i < fleet_count (event->fleet, FLEET_ROUTER); i++)
+  for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
+       i++)
     {
-      double homed = fleet_metric (event->fleet, FLEET_ROUTER, i,
-                                   "cfd_router_accounts{side=\"home\"}");
+      double homed = fleet_sum_metric (event->fleet, FLEET_ROUTER, i,
+                                       "cfd_router_accounts{side=\"home\"}");
       if (event->routers[i] == CUT_SIDE || homed <= most)
         continue;
       most = homed;
@@ -147,14 +151,14 @@
 static bool
 kill_homes (event_t *event)
 {
-  unsigned routers = fleet_count (event->fleet, FLEET_ROUTER);
+  unsigned routers = fleet_count_members (event->fleet, FLEET_ROUTER);
 
   for (unsigned i = 0; i < MAX (routers / KILLED_PART, 1); i++)
     {
       unsigned victim = greatest_home (event);
       event->routers[victim] = CUT_SIDE;
-      if (!proc_stop (fleet_proc (event->fleet, FLEET_ROUTER, victim), SIGKILL,
-                      KILL_MS))
+      if (!proc_stop (fleet_get_process (event->fleet, FLEET_ROUTER, victim),
+                      SIGKILL, KILL_MS))
         return false;
     }
   return true;
@@ -165,11 +169,13 @@
 {
   g_autoptr (GError) error = NULL;
 
-  for (unsigned i = 0; i < fleet_count (event->fleet, FLEET_ROUTER); i++)
+  for (unsigned i = 0; i < fleet_count_members (event->fleet, FLEET_ROUTER);
+       i++)
     {
       if (event->routers[i] != CUT_SIDE
-          || proc_again (fleet_procs (event->fleet),
-                         fleet_proc (event->fleet, FLEET_ROUTER, i), &error))
+          || proc_restart (fleet_get_processes (event->fleet),
+                           fleet_get_process (event->fleet, FLEET_ROUTER, i),
+                           &error))
         continue;
       fprintf (stderr, "measure: %s\n", error->message);
       return false;
@@ -182,11 +188,11 @@
 static bool
 set_platform (const event_t *event, const char *spec)
 {
-  g_autofree char *base = fleet_url (event->fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (event->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/faults", NULL);
   long status = 0;
 
-  g_free (proc_ask ("PUT", url, NULL, spec, &status));
+  g_free (proc_send_http ("PUT", url, NULL, spec, &status));
   return status == 200;
 }
 
@@ -196,16 +202,16 @@
 set_slow (const event_t *event, const char *spec)
 {
   g_autofree char *base
-      = fleet_url (event->fleet, FLEET_ENDPOINT, SLOW_ENDPOINT);
+      = fleet_get_url (event->fleet, FLEET_ENDPOINT, SLOW_ENDPOINT);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   long status = 0;
 
-  g_free (proc_ask ("PUT", url, NULL, spec, &status));
+  g_free (proc_send_http ("PUT", url, NULL, spec, &status));
   return status == 200;
 }
 
 unsigned
-event_endpoint (const event_t *event)
+event_get_slow_endpoint (const event_t *event)
 {
   return SLOW_ENDPOINT;
 }
@@ -254,15 +260,15 @@
 }
 
 double
-event_gap (const event_t *event, const GPtrArray *samples, unsigned accounts,
-           int64_t from_us, int64_t to_us)
+event_max_gap (const event_t *event, const GPtrArray *samples,
+               unsigned accounts, int64_t from_us, int64_t to_us)
 {
   double most = 0;
 
   for (unsigned side = 0; side <= CUT_SIDE; side++)
     {
       g_autoptr (GPtrArray) part
-          = fair_side (samples, event->routers, side, accounts);
+          = fair_filter_side (samples, event->routers, side, accounts);
       fair_gap_t gap
           = fair_gap (part, FAIR_RECEIVED, accounts, from_us, to_us);
       fprintf (stderr, "gap within side %u: %.0f, account-%u and account-%u\n",
--- a/tests/measure-fair.c
+++ b/tests/measure-fair.c
@@ -29,7 +29,7 @@
 /* The gap of one pair: the difference is a running one, so its range within a
    span is the greatest difference over any part of the span.  */
 static fair_gap_t
-pair_gap (const GPtrArray *samples, fair_what_t what, unsigned a, unsigned b,
+pair_gap (const GPtrArray *samples, fair_metric_t what, unsigned a, unsigned b,
           int64_t from_us, int64_t to_us)
 {
   pair_range_t range = { 0 };
@@ -57,7 +57,7 @@
 }
 
 fair_gap_t
-fair_gap (const GPtrArray *samples, fair_what_t what, unsigned accounts,
+fair_gap (const GPtrArray *samples, fair_metric_t what, unsigned accounts,
           int64_t from_us, int64_t to_us)
 {
   fair_gap_t most = { 0 };
@@ -82,13 +82,13 @@
       sum->started[i] += part->started[i];
       sum->waiting[i] += part->waiting[i];
     }
-  sum->waiting_all += part->waiting_all;
+  sum->total_waiting += part->total_waiting;
   sum->tokens += part->tokens;
 }
 
 GPtrArray *
-fair_side (const GPtrArray *samples, const unsigned *sides, unsigned side,
-           unsigned accounts)
+fair_filter_side (const GPtrArray *samples, const unsigned *sides,
+                  unsigned side, unsigned accounts)
 {
   GPtrArray *found = g_ptr_array_new_with_free_func (load_sample_free);
 
@@ -115,7 +115,7 @@
   unsigned waiting = 0;
 
   if (sides == NULL)
-    return sample->waiting_all;
+    return sample->total_waiting;
   for (unsigned router = 0; router < sample->routers; router++)
     for (unsigned i = 0; i < accounts && sides[router] == side; i++)
       waiting += sample->by_router[router].waiting[i];
@@ -123,8 +123,8 @@
 }
 
 unsigned
-fair_least_waiting (const GPtrArray *samples, const unsigned *sides,
-                    unsigned side, unsigned accounts, guint count)
+fair_min_waiting (const GPtrArray *samples, const unsigned *sides,
+                  unsigned side, unsigned accounts, guint count)
 {
   unsigned least = G_MAXUINT;
 
@@ -137,8 +137,8 @@
 }
 
 double
-fair_recovery (const GPtrArray *samples, unsigned accounts, int64_t from_us,
-               int64_t to_us, double limit)
+fair_recovery_time_s (const GPtrArray *samples, unsigned accounts,
+                      int64_t from_us, int64_t to_us, double limit)
 {
   int64_t start_us = from_us;
 
@@ -150,8 +150,8 @@
 }
 
 bool
-fair_write (const GPtrArray *samples, unsigned accounts, int64_t from_us,
-            const char *path)
+fair_write_samples (const GPtrArray *samples, unsigned accounts,
+                    int64_t from_us, const char *path)
 {
   g_autoptr (GString) text = g_string_new ("seconds");
 
@@ -172,7 +172,7 @@
 }
 
 double
-fair_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
+fair_token_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
 {
   const load_sample_t *first = NULL;
   const load_sample_t *last = NULL;
--- a/tests/measure-jobs.c
+++ b/tests/measure-jobs.c
@@ -72,7 +72,7 @@
 job_read (const proc_set_t *procs, job_t *job)
 {
   g_autofree char *path = g_strdup_printf (
-      "%s/%s.log", proc_set_folder (procs), job->proc->name);
+      "%s/%s.log", proc_set_get_log_dir (procs), job->proc->name);
   g_autofree char *text = NULL;
 
   if (!g_file_get_contents (path, &text, NULL, NULL))
@@ -94,7 +94,7 @@
 }
 
 unsigned
-jobs_run (job_t *jobs, unsigned count, unsigned at_once)
+jobs_run_all (job_t *jobs, unsigned count, unsigned at_once)
 {
   proc_set_t *procs = proc_set_new ();
   unsigned started = 0;
@@ -105,7 +105,7 @@
     {
       for (unsigned i = 0; i < started; i++)
         {
-          if (jobs[i].done || (jobs[i].proc && proc_runs (jobs[i].proc)))
+          if (jobs[i].done || (jobs[i].proc && proc_is_running (jobs[i].proc)))
             continue;
           jobs[i].done = true;
           if (jobs[i].proc != NULL)
--- a/tests/measure-jobs.h
+++ b/tests/measure-jobs.h
@@ -15,6 +15,6 @@
 } job_t;
 
 /* Runs all; returns how many are good.  */
-unsigned jobs_run (job_t *jobs, unsigned count, unsigned at_once);
+unsigned jobs_run_all (job_t *jobs, unsigned count, unsigned at_once);
 
 #endif
--- a/tests/measure-memory.c
+++ b/tests/measure-memory.c
@@ -33,7 +33,7 @@
 static bool
 write_batch (const fleet_t *fleet, unsigned from, unsigned up_to)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/objects", NULL);
   GString *body = g_string_new (NULL);
   long status = 0;
@@ -41,7 +41,7 @@
   for (unsigned i = from; i < up_to; i++)
     add_account (body, i);
   g_string_append_c (body, ']');
-  g_free (proc_ask ("POST", url, NULL, body->str, &status));
+  g_free (proc_send_http ("POST", url, NULL, body->str, &status));
   g_string_free (body, TRUE);
   return status == 200;
 }
@@ -57,15 +57,15 @@
 
 /* Starts a member anew and waits until it has REVISION.  */
 static bool
-start_anew (fleet_t *fleet, fleet_sort_t sort, double revision)
+start_anew (fleet_t *fleet, fleet_role_t sort, double revision)
 {
-  proc_t *proc = fleet_proc (fleet, sort, 0);
+  proc_t *proc = fleet_get_process (fleet, sort, 0);
   cfd_time_t start = clock_now ();
 
   proc_stop (proc, SIGTERM, STOP_MS);
-  if (!proc_again (fleet_procs (fleet), proc, NULL))
+  if (!proc_restart (fleet_get_processes (fleet), proc, NULL))
     return false;
-  while (fleet_metric (fleet, sort, 0, "cfd_config_revision") < revision)
+  while (fleet_sum_metric (fleet, sort, 0, "cfd_config_revision") < revision)
     {
       if (clock_now () - start > PATIENCE_MS)
         return false;
@@ -92,8 +92,8 @@
 static void
 print_row (const fleet_t *fleet, unsigned accounts)
 {
-  const proc_t *router = fleet_proc (fleet, FLEET_ROUTER, 0);
-  const proc_t *agent = fleet_proc (fleet, FLEET_AGENT, 0);
+  const proc_t *router = fleet_get_process (fleet, FLEET_ROUTER, 0);
+  const proc_t *agent = fleet_get_process (fleet, FLEET_AGENT, 0);
 
   printf ("%8u %9.1f %9.1f %9.1f %9.1f\n", accounts,
           status_mb (router, "VmRSS:"), status_mb (router, "VmHWM:"),
@@ -102,7 +102,7 @@
 }
 
 bool
-measure_memory (unsigned accounts)
+measure_print_memory (unsigned accounts)
 {
   fleet_plan_t plan = { .zones = 1,
                         .routers = 1,
@@ -120,7 +120,7 @@
       fprintf (stderr, "measure-config: %s\n", error->message);
       return false;
     }
-  revision = fleet_metric (fleet, FLEET_ROUTER, 0, "cfd_config_revision");
+  revision = fleet_sum_metric (fleet, FLEET_ROUTER, 0, "cfd_config_revision");
   good = write_accounts (fleet, accounts)
          && start_anew (fleet, FLEET_ROUTER, revision + accounts)
          && start_anew (fleet, FLEET_AGENT, revision + accounts);
--- a/tests/measure-path.c
+++ b/tests/measure-path.c
@@ -40,7 +40,7 @@
   double delay_p95; /* and 95 of 100 */
   double requests_per_s;
   double tokens_per_s;
-  unsigned right;
+  unsigned correct;
   unsigned open;
   unsigned bad;
 } flow_result_t;
@@ -58,13 +58,13 @@
 static unsigned
 count_open (const load_t *load)
 {
-  const GPtrArray *requests = load_requests (load);
+  const GPtrArray *requests = load_get_requests (load);
   unsigned open = 0;
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      open += request->first_us != 0 && request->end == LOAD_RUNNING;
+      open += request->first_byte_us != 0 && request->end == LOAD_RUNNING;
     }
   return open;
 }
@@ -76,8 +76,9 @@
   const flow_t *flow = state->flow;
   bool over = clock_now_us () >= state->end_us;
 
-  if (flow->requests > 0 && load_requests (state->load)->len >= flow->requests
-      && load_active (state->load) == 0)
+  if (flow->requests > 0
+      && load_get_requests (state->load)->len >= flow->requests
+      && load_count_active (state->load) == 0)
     over = true;
   if (flow->hold && count_open (state->load) >= flow->outstanding)
     over = true;
@@ -88,30 +89,30 @@
 static void
 summarise (const load_t *load, double seconds, flow_result_t *result)
 {
-  const GPtrArray *requests = load_requests (load);
+  const GPtrArray *requests = load_get_requests (load);
   g_autoptr (GArray) first = g_array_new (FALSE, FALSE, sizeof (float));
   g_autoptr (GArray) delays = g_array_new (FALSE, FALSE, sizeof (float));
-  unsigned right = 0;
+  unsigned correct = 0;
   unsigned tokens = 0;
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      float ms = (float)(request->first_us - request->started_us) / 1000;
+      float ms = (float)(request->first_byte_us - request->started_us) / 1000;
       tokens += request->tokens;
-      right += request->end == LOAD_RIGHT;
+      correct += request->end == LOAD_CORRECT;
       result->bad
-          += request->end != LOAD_RIGHT && request->end != LOAD_RUNNING;
-      if (request->first_us != 0)
+          += request->end != LOAD_CORRECT && request->end != LOAD_RUNNING;
+      if (request->first_byte_us != 0)
         g_array_append_val (first, ms);
     }
-  g_array_append_vals (delays, load_delays (load)->data,
-                       load_delays (load)->len);
+  g_array_append_vals (delays, load_get_delays (load)->data,
+                       load_get_delays (load)->len);
   result->first_ms = fair_quantile (first, 0.5);
   result->delay_ms = fair_quantile (delays, 0.5);
   result->delay_p95 = fair_quantile (delays, 0.95);
-  result->right = right;
-  result->requests_per_s = right / seconds;
+  result->correct = correct;
+  result->requests_per_s = correct / seconds;
   result->tokens_per_s = tokens / seconds;
   result->open = count_open (load);
 }
@@ -122,22 +123,22 @@
           void (*held) (void *user), void *user)
 {
   struct ev_loop *loop = ev_default_loop (0);
-  double spread[] = { 1 };
+  double router_shares[] = { 1 };
   char *urls[] = { (char *)url };
   load_account_t caller = { .name = (char *)account.name,
                             .key = (char *)account.key,
                             .weight = 1,
                             .outstanding = flow->outstanding,
-                            .spread = spread,
-                            .least_tokens = flow->tokens,
-                            .most_tokens = flow->tokens };
+                            .router_shares = router_shares,
+                            .min_answer_tokens = flow->tokens,
+                            .max_answer_tokens = flow->tokens };
   g_autoptr (GPtrArray) accounts = g_ptr_array_new ();
   const load_plan_t plan = { .seed = 3,
                              .answer_seed = 11,
                              .routers = 1,
                              .urls = urls,
-                             .model = FLEET_MODEL,
-                             .plain = FLEET_PLAIN,
+                             .model = FLEET_MODEL_SERVICE,
+                             .plain = FLEET_PLAIN_SERVICE,
                              .request_limit = flow->requests,
                              .idle_timeout_ms = 60000,
                              .pad = flow->pad,
@@ -227,7 +228,7 @@
 measure_rate (const fleet_t *fleet, const char *routed)
 {
   static const flow_t flows[]
-      = { { 64, LOAD_WHOLE, 1, 0, FLOW_S, 0, 0, false },
+      = { { 64, LOAD_NON_STREAM, 1, 0, FLOW_S, 0, 0, false },
           { 64, LOAD_STREAM, 50, 0, FLOW_S, 0, 0, false } };
   bool good = true;
 
@@ -236,9 +237,9 @@
       node_sum_t before;
       node_sum_t after;
       flow_result_t result;
-      watch_nodes (fleet, &before);
+      watch_query_nodes (fleet, &before);
       run_flow (routed, &flows[i], &result, NULL, NULL);
-      watch_nodes (fleet, &after);
+      watch_query_nodes (fleet, &after);
       double seconds = (double)(after.at_us - before.at_us) / G_USEC_PER_SEC;
       double router = (after.router_cpu_s - before.router_cpu_s) / seconds;
       double agent = (after.agent_cpu_s - before.agent_cpu_s) / seconds;
@@ -266,7 +267,7 @@
 {
   hold_t *hold = user;
 
-  watch_nodes (hold->fleet, &hold->nodes);
+  watch_query_nodes (hold->fleet, &hold->nodes);
 }
 
 /* Resident bytes for each open stream.  */
@@ -290,8 +291,8 @@
           fprintf (stderr, "measure: %s\n", error->message);
           return false;
         }
-      g_autofree char *routed = fleet_direct_url (fleet, 0);
-      watch_nodes (fleet, &before);
+      g_autofree char *routed = fleet_get_direct_url (fleet, 0);
+      watch_query_nodes (fleet, &before);
       run_flow (routed, &flow, &result, on_held, &hold);
       printf ("%-4u streams held, %4u open: router %.1f -> %.1f MB, %.1f kB "
               "a stream; agent %.1f -> %.1f MB, %.1f kB a stream; %u bad\n",
@@ -333,10 +334,10 @@
       fprintf (stderr, "measure: %s\n", error->message);
       return false;
     }
-  g_autofree char *routed = fleet_direct_url (fleet, 0);
-  watch_nodes (fleet, &before);
+  g_autofree char *routed = fleet_get_direct_url (fleet, 0);
+  watch_query_nodes (fleet, &before);
   run_flow (routed, &flow, &result, NULL, NULL);
-  watch_nodes (fleet, &after);
+  watch_query_nodes (fleet, &after);
   printf ("%u readers that stop for %d s: router at most %.1f -> %.1f MB, "
           "%.0f kB a stream; agent %.1f -> %.1f MB, %.0f kB a stream; %u of "
           "%u answers whole, %u bad\n",
@@ -345,9 +346,9 @@
           (after.router_peak - before.router_peak) / 1e3 / SLOW_STREAMS,
           before.agent_peak / 1e6, after.agent_peak / 1e6,
           (after.agent_peak - before.agent_peak) / 1e3 / SLOW_STREAMS,
-          result.right, SLOW_STREAMS, result.bad);
+          result.correct, SLOW_STREAMS, result.bad);
   fleet_free (fleet, false);
-  return result.right == SLOW_STREAMS && result.bad == 0;
+  return result.correct == SLOW_STREAMS && result.bad == 0;
 }
 
 /* Times and rates, with one fleet.  */
@@ -362,8 +363,8 @@
       fprintf (stderr, "measure: %s\n", error->message);
       return false;
     }
-  g_autofree char *direct = fleet_url (fleet, FLEET_ENDPOINT, 0);
-  g_autofree char *routed = fleet_direct_url (fleet, 0);
+  g_autofree char *direct = fleet_get_url (fleet, FLEET_ENDPOINT, 0);
+  g_autofree char *routed = fleet_get_direct_url (fleet, 0);
   bool good = measure_times (direct, routed);
   fflush (stdout);
   good = measure_rate (fleet, routed) && good;
@@ -372,7 +373,7 @@
 }
 
 bool
-measure_path (const measure_options_t *options)
+measure_run_path (const measure_options_t *options)
 {
   const char *part = options->part;
   bool good = true;
--- a/tests/measure-profile.c
+++ b/tests/measure-profile.c
@@ -53,7 +53,7 @@
 }
 
 int
-measure_routers (const char *profile)
+measure_default_routers (const char *profile)
 {
   return find_profile (profile)->routers;
 }
@@ -63,27 +63,27 @@
 static double *
 make_spread (GRand *random, unsigned routers)
 {
-  double *spread = g_new0 (double, routers);
+  double *router_shares = g_new0 (double, routers);
   unsigned favourite = (unsigned)g_rand_int_range (random, 0, (gint32)routers);
   double total = 0;
 
   switch (g_rand_int_range (random, 0, 4))
     {
     case 0:
-      spread[favourite] = 1;
-      return spread;
+      router_shares[favourite] = 1;
+      return router_shares;
     case 1:
-      spread[favourite] += 0.8;
-      spread[(favourite + 1) % routers] += 0.2;
-      return spread;
+      router_shares[favourite] += 0.8;
+      router_shares[(favourite + 1) % routers] += 0.2;
+      return router_shares;
     default:
       break;
     }
   for (unsigned i = 0; i < routers; i++)
     total += 1.0 / (i + 1);
   for (unsigned i = 0; i < routers; i++)
-    spread[(favourite + i) % routers] = 1.0 / (i + 1) / total;
-  return spread;
+    router_shares[(favourite + i) % routers] = 1.0 / (i + 1) / total;
+  return router_shares;
 }
 
 static load_account_t *
@@ -95,9 +95,9 @@
   account->key = g_strdup_printf ("key-of-account-%u", number);
   g_ptr_array_add (deployment->names, account->name);
   g_ptr_array_add (deployment->names, account->key);
-  account->spread = make_spread (random, deployment->fleet.routers);
-  account->least_tokens = 16;
-  account->most_tokens = 48;
+  account->router_shares = make_spread (random, deployment->fleet.routers);
+  account->min_answer_tokens = 16;
+  account->max_answer_tokens = 48;
   return account;
 }
 
@@ -155,7 +155,7 @@
       account->think_ms = 40;
       account->kinds[LOAD_LOOKUP] = 3;
       account->kinds[LOAD_POST] = 2;
-      account->kinds[LOAD_POST_BARE] = 1;
+      account->kinds[LOAD_POST_UNKEYED] = 1;
       g_ptr_array_add (deployment->load.accounts, account);
     }
 }
@@ -189,7 +189,7 @@
 {
   load_account_t *account = data;
 
-  g_free (account->spread);
+  g_free (account->router_shares);
   g_free (account);
 }
 
@@ -214,7 +214,7 @@
   fleet->plain_slots = 4;
   fleet->cold_ms = 1000;
   fleet->step_ms = 12;
-  fleet->plain_ms = 30;
+  fleet->plain_call_ms = 30;
   fleet->zone_ms = profile->zone_ms;
   fleet->regions = profile->regions;
   fleet->region_ms = profile->region_ms;
@@ -225,8 +225,8 @@
   load->answer_seed = fleet->seed;
   load->routers = fleet->routers;
   load->urls = g_new0 (char *, fleet->routers + 1);
-  load->model = FLEET_MODEL;
-  load->plain = FLEET_PLAIN;
+  load->model = FLEET_MODEL_SERVICE;
+  load->plain = FLEET_PLAIN_SERVICE;
   load->by_router = strcmp (options->event, "zone") != 0;
   load->exact_hints = options->exact_hints;
   load->idle_timeout_ms = 30000;
@@ -244,7 +244,7 @@
 deployment_connect (deployment_t *deployment, const fleet_t *fleet)
 {
   for (unsigned i = 0; i < deployment->fleet.routers; i++)
-    deployment->load.urls[i] = fleet_url (fleet, FLEET_ROUTER, i);
+    deployment->load.urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
 }
 
 void
--- a/tests/measure-run.c
+++ b/tests/measure-run.c
@@ -71,10 +71,11 @@
 static void
 control_engine (const running_t *running, unsigned index, const char *body)
 {
-  g_autofree char *base = fleet_url (running->fleet, FLEET_ENDPOINT, index);
+  g_autofree char *base
+      = fleet_get_url (running->fleet, FLEET_ENDPOINT, index);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 }
 
 /* Engines 0 and 1 turn cold while all their slots are busy; 0 reports no load
@@ -91,11 +92,11 @@
 static void
 begin_steady (running_t *running)
 {
-  running->first_interval = load_intervals (running->load)->len;
-  watch_nodes (running->fleet, &running->before);
-  watch_span (running->watch, PHASE_STEADY - 1);
+  running->first_interval = load_get_intervals (running->load)->len;
+  watch_query_nodes (running->fleet, &running->before);
+  watch_begin_span (running->watch, PHASE_STEADY - 1);
   if (running->run->options.counters)
-    running->counters = watch_counters (running->fleet);
+    running->counters = watch_sum_counters (running->fleet);
   if (running->run->options.cold_again)
     {
       ev_timer_set (&running->cold, running->run->options.seconds * COLD_PART,
@@ -110,7 +111,7 @@
 {
   if (running->counters == NULL)
     return;
-  g_autoptr (GHashTable) now = watch_counters (running->fleet);
+  g_autoptr (GHashTable) now = watch_sum_counters (running->fleet);
   watch_print_growth (running->counters, now,
                       (double)(clock_now_us () - running->steady_us)
                           / G_USEC_PER_SEC);
@@ -120,14 +121,15 @@
 static void
 begin_out (running_t *running)
 {
-  watch_span (running->watch, PHASE_OUT - 1);
-  watch_nodes (running->fleet, &running->after);
+  watch_begin_span (running->watch, PHASE_OUT - 1);
+  watch_query_nodes (running->fleet, &running->after);
   print_counters (running);
   if (!event_begin (running->event))
     running->failed = true;
   if (running->deployment->load.by_router)
-    watch_part (running->watch, event_sides (running->event),
-                event_zone_sides (running->event));
+    watch_set_partition (running->watch,
+                         event_get_router_sides (running->event),
+                         event_get_zone_sides (running->event));
   running->out_us = clock_now_us ();
   running->out_at = clock_now ();
 }
@@ -136,9 +138,9 @@
 begin_back (running_t *running)
 {
   running->last_start
-      = watch_last_start (running->watch, event_zone (running->event));
-  watch_span (running->watch, PHASE_BACK - 1);
-  watch_part (running->watch, NULL, NULL);
+      = watch_get_last_start (running->watch, event_get_zone (running->event));
+  watch_begin_span (running->watch, PHASE_BACK - 1);
+  watch_set_partition (running->watch, NULL, NULL);
   if (!event_end (running->event))
     running->failed = true;
   running->back_us = clock_now_us ();
@@ -147,7 +149,7 @@
 static void
 begin_drain (running_t *running)
 {
-  watch_span (running->watch, WATCH_SPANS);
+  watch_begin_span (running->watch, WATCH_SPANS);
   running->end_us = clock_now_us ();
   load_stop (running->load);
 }
@@ -197,7 +199,7 @@
       break;
     case PHASE_DRAIN:
       running->drain_checks++;
-      if (load_active (running->load) == 0
+      if (load_count_active (running->load) == 0
           || running->drain_checks > DRAIN_S * 5)
         ev_break (loop, EVBREAK_ALL);
       else
@@ -212,15 +214,16 @@
 first_tokens (const running_t *running, unsigned from, unsigned count)
 {
   GArray *times = g_array_new (FALSE, FALSE, sizeof (float));
-  const GPtrArray *requests = load_requests (running->load);
+  const GPtrArray *requests = load_get_requests (running->load);
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      float ms = (float)(request->first_us - request->started_us) / 1000;
-      if (request->first_us == 0 || request->started_us < running->steady_us
+      float ms = (float)(request->first_byte_us - request->started_us) / 1000;
+      if (request->first_byte_us == 0
+          || request->started_us < running->steady_us
           || request->account < from || request->account >= from + count
-          || request->kind == LOAD_WHOLE)
+          || request->kind == LOAD_NON_STREAM)
         continue;
       g_array_append_val (times, ms);
     }
@@ -231,7 +234,7 @@
 put_latencies (const running_t *running, double *figures)
 {
   const deployment_t *deployment = running->deployment;
-  const GArray *all = load_intervals (running->load);
+  const GArray *all = load_get_intervals (running->load);
   g_autoptr (GArray) single = first_tokens (running, deployment->single_first,
                                             deployment->single_count);
   g_autoptr (GArray) every
@@ -252,8 +255,8 @@
 {
   const node_sum_t *before = &running->before;
   const node_sum_t *after = &running->after;
-  unsigned routers = fleet_count (running->fleet, FLEET_ROUTER);
-  unsigned agents = fleet_count (running->fleet, FLEET_AGENT);
+  unsigned routers = fleet_count_members (running->fleet, FLEET_ROUTER);
+  unsigned agents = fleet_count_members (running->fleet, FLEET_AGENT);
   double seconds = (double)(after->at_us - before->at_us) / G_USEC_PER_SEC;
 
   figures[FIGURE_CONTROL_BYTES]
@@ -279,28 +282,29 @@
 static double
 capacity_left (const running_t *running)
 {
-  unsigned models = fleet_plan (running->fleet)->models;
+  unsigned models = fleet_get_plan (running->fleet)->models;
   unsigned left = 0;
 
   if (running->kind != EVENT_ZONE)
     return 1;
   for (unsigned i = 0; i < models; i++)
-    left += fleet_zone_of (running->fleet, FLEET_AGENT, i)
-            != event_zone (running->event);
+    left += fleet_get_zone (running->fleet, FLEET_AGENT, i)
+            != event_get_zone (running->event);
   return (double)left / models;
 }
 
 static void
 put_service (const running_t *running, double *figures)
 {
-  const GPtrArray *samples = load_samples (running->load);
-  const GPtrArray *requests = load_requests (running->load);
+  const GPtrArray *samples = load_get_samples (running->load);
+  const GPtrArray *requests = load_get_requests (running->load);
   unsigned accounts = running->deployment->model_accounts;
-  double before = fair_rate (samples, running->steady_us, running->out_us);
-  double out
-      = fair_rate (samples, running->out_us + SETTLE_US, running->back_us);
-  double back
-      = fair_rate (samples, running->back_us + SETTLE_US, running->end_us);
+  double before
+      = fair_token_rate (samples, running->steady_us, running->out_us);
+  double out = fair_token_rate (samples, running->out_us + SETTLE_US,
+                                running->back_us);
+  double back = fair_token_rate (samples, running->back_us + SETTLE_US,
+                                 running->end_us);
 
   for (guint i = 0; i < requests->len; i++)
     {
@@ -317,8 +321,8 @@
                                          running->steady_us, running->out_us)
                                    .tokens;
   if (running->run->options.samples != NULL)
-    fair_write (samples, accounts, running->steady_us,
-                running->run->options.samples);
+    fair_write_samples (samples, accounts, running->steady_us,
+                        running->run->options.samples);
   figures[FIGURE_STARTED_GAP] = fair_gap (samples, FAIR_STARTED, accounts,
                                           running->steady_us, running->end_us)
                                     .tokens;
@@ -326,7 +330,7 @@
            gap.a, gap.b,
            (double)(gap.at_us - running->steady_us) / G_USEC_PER_SEC);
   figures[FIGURE_TOKENS] = before;
-  figures[FIGURE_UTILISATION] = watch_utilisation (running->watch, 0);
+  figures[FIGURE_UTILISATION] = watch_get_utilisation (running->watch, 0);
   figures[FIGURE_OUT_LAST_NEW]
       = MAX ((double)(running->last_start - running->out_at) / 1000, 0);
   figures[FIGURE_OUT_RATIO]
@@ -338,61 +342,63 @@
 static void
 put_event (const running_t *running, double *figures)
 {
-  const GPtrArray *samples = load_samples (running->load);
+  const GPtrArray *samples = load_get_samples (running->load);
   unsigned accounts = running->deployment->model_accounts;
   fair_gap_t after = fair_gap (samples, FAIR_RECEIVED, accounts,
                                running->back_us + AFTER_US, running->end_us);
 
-  figures[FIGURE_DURING_GAP] = event_gap (running->event, samples, accounts,
-                                          running->out_us, running->back_us);
+  figures[FIGURE_DURING_GAP] = event_max_gap (
+      running->event, samples, accounts, running->out_us, running->back_us);
   figures[FIGURE_AFTER_GAP] = after.tokens;
   fprintf (stderr, "gap after: account-%u and account-%u after %.2f s\n",
            after.a, after.b,
            (double)(after.at_us - running->back_us) / G_USEC_PER_SEC);
-  figures[FIGURE_RECOVERY]
-      = fair_recovery (samples, accounts, running->back_us, running->end_us,
-                       figures[FIGURE_STEADY_GAP] * RECOVERED);
-  figures[FIGURE_DURING_UTILISATION] = watch_utilisation (running->watch, 1);
-  figures[FIGURE_DURING_COUNTED] = watch_counted (running->watch, 1);
-  figures[FIGURE_DURING_BUSY] = watch_busy (running->watch, 1);
-  figures[FIGURE_AFTER_UTILISATION] = watch_utilisation (running->watch, 2);
+  figures[FIGURE_RECOVERY] = fair_recovery_time_s (
+      samples, accounts, running->back_us, running->end_us,
+      figures[FIGURE_STEADY_GAP] * RECOVERED);
+  figures[FIGURE_DURING_UTILISATION]
+      = watch_get_utilisation (running->watch, 1);
+  figures[FIGURE_DURING_COUNTED] = watch_get_counted_share (running->watch, 1);
+  figures[FIGURE_DURING_BUSY] = watch_get_busy_share (running->watch, 1);
+  figures[FIGURE_AFTER_UTILISATION]
+      = watch_get_utilisation (running->watch, 2);
   figures[FIGURE_DURING_TOKENS]
-      = fair_rate (samples, running->out_us, running->back_us);
+      = fair_token_rate (samples, running->out_us, running->back_us);
   figures[FIGURE_AFTER_TOKENS]
-      = fair_rate (samples, running->back_us, running->end_us);
+      = fair_token_rate (samples, running->back_us, running->end_us);
 }
 
 static void
 print_slow (const running_t *running)
 {
-  const fleet_plan_t *plan = fleet_plan (running->fleet);
-  const GPtrArray *requests = load_requests (running->load);
+  const fleet_plan_t *plan = fleet_get_plan (running->fleet);
+  const GPtrArray *requests = load_get_requests (running->load);
   const int64_t times_us[] = { running->steady_us, running->out_us,
                                running->back_us, running->end_us };
-  g_autoptr (GHashTable) slow
-      = collect_started (running->fleet, event_endpoint (running->event));
+  g_autoptr (GHashTable) slow = collect_started_nonces (
+      running->fleet, event_get_slow_endpoint (running->event));
 
   if (slow == NULL)
     return;
   for (unsigned i = 0; i + 1 < G_N_ELEMENTS (times_us); i++)
     {
       slow_span_t span
-          = slow_span (requests, slow, times_us[i], times_us[i + 1]);
-      slow_print (&span, i, plan->slots * plan->models);
+          = slow_summarize_span (requests, slow, times_us[i], times_us[i + 1]);
+      slow_print_span (&span, i, plan->slots * plan->models);
     }
 }
 
 static bool
 put_verdict (const running_t *running, double *figures)
 {
-  collect_t sum;
+  collect_result_t sum;
 
   if (!collect (running->fleet, running->load, &sum))
     return false;
   figures[FIGURE_OVERLOADS] = sum.overload_count;
   figures[FIGURE_OVERLOADS_GRACE] = sum.overload_in_grace;
   figures[FIGURE_WRONG] = sum.wrong_answers;
-  figures[FIGURE_DOUBLE] = sum.double_runs;
+  figures[FIGURE_DOUBLE] = sum.duplicate_runs;
   figures[FIGURE_FALSE_NOT_RUN] = sum.false_not_run;
   figures[FIGURE_REQUESTS] = sum.requests;
   figures[FIGURE_REFUSED] = sum.refused;
@@ -428,7 +434,7 @@
 }
 
 bool
-measure_fleet (measure_run_t *run)
+measure_run_fleet (measure_run_t *run)
 {
   g_autoptr (GError) error = NULL;
   running_t running
--- a/tests/measure-scale.c
+++ b/tests/measure-scale.c
@@ -26,7 +26,7 @@
 #define AT_ONCE 2
 
 bool
-measure_scale (const measure_options_t *options)
+measure_run_scale (const measure_options_t *options)
 {
   job_t jobs[G_N_ELEMENTS (points)] = { 0 };
 
@@ -39,7 +39,7 @@
       jobs[i].options.accounts = points[i].accounts;
       jobs[i].options.idle = points[i].idle;
     }
-  unsigned good = jobs_run (jobs, G_N_ELEMENTS (points), AT_ONCE);
+  unsigned good = jobs_run_all (jobs, G_N_ELEMENTS (points), AT_ONCE);
   printf ("%-10s %7s %9s %8s %5s | %9s %9s %8s %8s %9s %9s %9s %8s %6s\n",
           "varies", "routers", "endpoints", "accounts", "idle", "B/node/s",
           "B/request", "router%", "agent%", "router MB", "agent MB", "calls/s",
--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -41,16 +41,17 @@
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      if (request->engine_us == 0 || request->end != LOAD_RIGHT
+      if (request->engine_start_us == 0 || request->end != LOAD_CORRECT
           || request->last_us < from_us || request->last_us >= to_us)
         continue;
-      const stream_t stream
-          = { .at_slow = g_hash_table_contains (slow, request->nonce),
-              .wait = ms_between (request->started_us, request->engine_us),
-              .first = ms_between (request->engine_us, request->first_us),
-              .whole = ms_between (request->engine_us, request->last_us),
-              .prompt = request->prompt_tokens,
-              .tokens = request->tokens };
+      const stream_t stream = {
+        .at_slow = g_hash_table_contains (slow, request->nonce),
+        .wait = ms_between (request->started_us, request->engine_start_us),
+        .first = ms_between (request->engine_start_us, request->first_byte_us),
+        .whole = ms_between (request->engine_start_us, request->last_us),
+        .prompt = request->prompt_tokens,
+        .tokens = request->tokens
+      };
       g_array_append_val (streams, stream);
     }
   return streams;
@@ -65,9 +66,9 @@
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      int64_t begin = MAX (request->engine_us, from_us);
+      int64_t begin = MAX (request->engine_start_us, from_us);
       int64_t end = MIN (request->last_us, to_us);
-      if (request->engine_us > 0 && end > begin)
+      if (request->engine_start_us > 0 && end > begin)
         busy_us += (double)(end - begin);
     }
   return busy_us / (double)(to_us - from_us);
@@ -105,13 +106,13 @@
                     .whole_late = fair_quantile (whole, LATE_SHARE) };
 }
 
-static slow_times_t
+static slow_percentiles_t
 times_of (GArray *values)
 {
-  return (slow_times_t){ .p50 = fair_quantile (values, 0.5),
-                         .p95 = fair_quantile (values, 0.95),
-                         .p99 = fair_quantile (values, 0.99),
-                         .most = fair_quantile (values, 1) };
+  return (slow_percentiles_t){ .p50 = fair_quantile (values, 0.5),
+                               .p95 = fair_quantile (values, 0.95),
+                               .p99 = fair_quantile (values, 0.99),
+                               .most = fair_quantile (values, 1) };
 }
 
 /* Time until STREAM comes so far, the whole or the first token.  */
@@ -173,8 +174,8 @@
 }
 
 slow_span_t
-slow_span (const GPtrArray *requests, GHashTable *slow, int64_t from_us,
-           int64_t to_us)
+slow_summarize_span (const GPtrArray *requests, GHashTable *slow,
+                     int64_t from_us, int64_t to_us)
 {
   g_autoptr (GArray) streams = streams_of (requests, slow, from_us, to_us);
   g_autoptr (GArray) wait = g_array_new (FALSE, FALSE, sizeof (float));
@@ -205,7 +206,7 @@
 }
 
 static void
-print_times (const char *what, const slow_times_t *times)
+print_times (const char *what, const slow_percentiles_t *times)
 {
   fprintf (stderr, "slow:   %s p50 %.0f, p95 %.0f, p99 %.0f, most %.0f ms\n",
            what, times->p50, times->p95, times->p99, times->most);
@@ -224,7 +225,7 @@
 }
 
 void
-slow_print (const slow_span_t *span, unsigned number, unsigned slots)
+slow_print_span (const slow_span_t *span, unsigned number, unsigned slots)
 {
   static const char *const names[] = { "before", "during", "after" };
 
--- a/tests/measure-slow.h
+++ b/tests/measure-slow.h
@@ -15,7 +15,7 @@
   double p95;
   double p99;
   double most;
-} slow_times_t;
+} slow_percentiles_t;
 
 /* A policy of hedging, reckoned: each request whose first attempt has not come
    so far AFTER_MS after the engine got it gets a second one, which finds a
@@ -23,11 +23,11 @@
    first of the two to come counts, and the other is cancelled.  */
 typedef struct
 {
-  double after_ms;  /* 95 of 100 at the other endpoints come sooner */
-  unsigned late;    /* second attempts */
-  unsigned won;     /* of these, sooner than the first */
-  double tokens;    /* of the attempts that are cancelled, at least */
-  slow_times_t end; /* of the callers' times, with them */
+  double after_ms;        /* 95 of 100 at the other endpoints come sooner */
+  unsigned late;          /* second attempts */
+  unsigned won;           /* of these, sooner than the first */
+  double tokens;          /* of the attempts that are cancelled, at least */
+  slow_percentiles_t end; /* of the callers' times, with them */
 } slow_hedge_t;
 
 /* The streams that ended in a span.  */
@@ -37,17 +37,18 @@
   unsigned at_slow; /* of these at the slow endpoint */
   double tokens;    /* prompt and output */
   double busy;      /* slots that ran a request, mean over the span */
-  slow_times_t wait;
-  slow_times_t first;
-  slow_times_t whole;
+  slow_percentiles_t wait;
+  slow_percentiles_t first;
+  slow_percentiles_t whole;
   slow_hedge_t hedge_first; /* until the first token */
   slow_hedge_t hedge_whole; /* until the whole answer */
 } slow_span_t;
 
 /* SLOW has the nonces that the slow endpoint started as keys.  */
-slow_span_t slow_span (const GPtrArray *requests, GHashTable *slow,
-                       int64_t from_us, int64_t to_us);
+slow_span_t slow_summarize_span (const GPtrArray *requests, GHashTable *slow,
+                                 int64_t from_us, int64_t to_us);
 /* Prints, on standard error, span NUMBER: before, during, after.  */
-void slow_print (const slow_span_t *span, unsigned number, unsigned slots);
+void slow_print_span (const slow_span_t *span, unsigned number,
+                      unsigned slots);
 
 #endif
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -47,19 +47,20 @@
 had_work (const endpoint_t *endpoint)
 {
   const watch_t *watch = endpoint->watch;
-  const fleet_plan_t *plan = fleet_plan (watch->fleet);
-  unsigned zone = fleet_zone_of (watch->fleet, FLEET_AGENT, endpoint->index);
+  const fleet_plan_t *plan = fleet_get_plan (watch->fleet);
+  unsigned zone = fleet_get_zone (watch->fleet, FLEET_AGENT, endpoint->index);
   unsigned side = watch->zone_sides != NULL ? watch->zone_sides[zone] : 0;
   unsigned models = 0;
 
   for (unsigned i = 0; i < plan->models; i++)
     models
         += watch->zone_sides == NULL
-           || watch->zone_sides[fleet_zone_of (watch->fleet, FLEET_AGENT, i)]
+           || watch->zone_sides[fleet_get_zone (watch->fleet, FLEET_AGENT, i)]
                   == side;
-  return fair_least_waiting (load_samples (watch->load), watch->router_sides,
-                             side, load_accounts (watch->load),
-                             (guint)(POLL_S * 1000 / LOAD_SAMPLE_MS) + 2)
+  return fair_min_waiting (load_get_samples (watch->load), watch->router_sides,
+                           side, load_accounts (watch->load),
+                           (guint)(POLL_S * 1000 / LOAD_SAMPLE_INTERVAL_MS)
+                               + 2)
          >= WAITING_PART * plan->slots * models;
 }
 
@@ -70,7 +71,7 @@
   watch_t *watch = endpoint->watch;
 
   if (!endpoint->known || watch->span >= WATCH_SPANS
-      || endpoint->index >= fleet_plan (watch->fleet)->models)
+      || endpoint->index >= fleet_get_plan (watch->fleet)->models)
     return;
   watch->all_busy_ms[watch->span] += busy_ms;
   watch->all_slot_ms[watch->span] += slot_ms;
@@ -83,7 +84,7 @@
 static void
 take_counters (endpoint_t *endpoint, JsonObject *counters)
 {
-  const fleet_plan_t *plan = fleet_plan (endpoint->watch->fleet);
+  const fleet_plan_t *plan = fleet_get_plan (endpoint->watch->fleet);
   double busy_ms = json_object_get_double_member (counters, "busy_ms");
   double now_ms = json_object_get_double_member (counters, "now_ms");
 
@@ -150,10 +151,10 @@
   watch->load = load;
   watch->pool = fetch_pool_new (loop);
   watch->endpoints = g_ptr_array_new_with_free_func (endpoint_free);
-  for (unsigned i = 0; i < fleet_count (fleet, FLEET_ENDPOINT); i++)
+  for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ENDPOINT); i++)
     {
       endpoint_t *endpoint = g_new0 (endpoint_t, 1);
-      g_autofree char *base = fleet_url (fleet, FLEET_ENDPOINT, i);
+      g_autofree char *base = fleet_get_url (fleet, FLEET_ENDPOINT, i);
       endpoint->watch = watch;
       endpoint->index = i;
       endpoint->url = g_strconcat (base, "/control/counters", NULL);
@@ -175,13 +176,14 @@
 }
 
 void
-watch_span (watch_t *watch, unsigned span)
+watch_begin_span (watch_t *watch, unsigned span)
 {
   watch->span = span;
 }
 
 void
-watch_part (watch_t *watch, const unsigned *routers, const unsigned *zones)
+watch_set_partition (watch_t *watch, const unsigned *routers,
+                     const unsigned *zones)
 {
   watch->router_sides = routers;
   watch->zone_sides = zones;
@@ -194,32 +196,32 @@
 }
 
 double
-watch_utilisation (const watch_t *watch, unsigned span)
+watch_get_utilisation (const watch_t *watch, unsigned span)
 {
   return part_of (watch->busy_ms[span], watch->slot_ms[span]);
 }
 
 double
-watch_counted (const watch_t *watch, unsigned span)
+watch_get_counted_share (const watch_t *watch, unsigned span)
 {
   return part_of (watch->slot_ms[span], watch->all_slot_ms[span]);
 }
 
 double
-watch_busy (const watch_t *watch, unsigned span)
+watch_get_busy_share (const watch_t *watch, unsigned span)
 {
   return part_of (watch->all_busy_ms[span], watch->all_slot_ms[span]);
 }
 
 cfd_time_t
-watch_last_start (const watch_t *watch, unsigned zone)
+watch_get_last_start (const watch_t *watch, unsigned zone)
 {
   double last = 0;
 
   for (guint i = 0; i < watch->endpoints->len; i++)
     {
       const endpoint_t *endpoint = watch->endpoints->pdata[i];
-      if (fleet_zone_of (watch->fleet, FLEET_AGENT, i) == zone)
+      if (fleet_get_zone (watch->fleet, FLEET_AGENT, i) == zone)
         last = MAX (last, endpoint->last_start_ms);
     }
   return (cfd_time_t)last;
@@ -248,18 +250,21 @@
 }
 
 GHashTable *
-watch_counters (const fleet_t *fleet)
+watch_sum_counters (const fleet_t *fleet)
 {
   GHashTable *sums
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 
   for (int sort = FLEET_ROUTER; sort <= FLEET_AGENT; sort++)
-    for (unsigned i = 0; i < fleet_count (fleet, (fleet_sort_t)sort); i++)
+    for (unsigned i = 0; i < fleet_count_members (fleet, (fleet_role_t)sort);
+         i++)
       {
-        g_autofree char *base = fleet_admin_url (fleet, (fleet_sort_t)sort, i);
+        g_autofree char *base
+            = fleet_get_admin_url (fleet, (fleet_role_t)sort, i);
         g_autofree char *url = g_strconcat (base, "/metrics", NULL);
         long status = 0;
-        g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+        g_autofree char *text
+            = proc_send_http (NULL, url, NULL, NULL, &status);
         if (status == 200)
           add_counters (sums, text);
       }
@@ -296,20 +301,21 @@
 }
 
 static void
-add_node (const fleet_t *fleet, fleet_sort_t sort, unsigned index,
+add_node (const fleet_t *fleet, fleet_role_t sort, unsigned index,
           node_sum_t *sum)
 {
-  const proc_t *proc = fleet_proc (fleet, sort, index);
+  const proc_t *proc = fleet_get_process (fleet, sort, index);
   double peak = peak_of (proc);
   double cpu_s = 0;
   double resident = 0;
 
   sum->control_bytes += MAX (
-      fleet_metric (fleet, sort, index, "cfd_peer_control_bytes_total"), 0);
+      fleet_sum_metric (fleet, sort, index, "cfd_peer_control_bytes_total"),
+      0);
   if (sort == FLEET_AGENT)
     sum->completed += MAX (
-        fleet_metric (fleet, sort, index, "cfd_agent_completed_total"), 0);
-  if (!proc_usage (proc, &cpu_s, &resident))
+        fleet_sum_metric (fleet, sort, index, "cfd_agent_completed_total"), 0);
+  if (!proc_read_usage (proc, &cpu_s, &resident))
     return;
   if (sort == FLEET_ROUTER)
     {
@@ -328,10 +334,10 @@
 static void
 add_calls (const fleet_t *fleet, node_sum_t *sum)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/calls", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) root = answer ? json_from_string (answer, NULL) : NULL;
 
   if (root == NULL || !JSON_NODE_HOLDS_OBJECT (root))
@@ -346,12 +352,12 @@
 }
 
 void
-watch_nodes (const fleet_t *fleet, node_sum_t *sum)
+watch_query_nodes (const fleet_t *fleet, node_sum_t *sum)
 {
   memset (sum, 0, sizeof *sum);
-  for (unsigned i = 0; i < fleet_count (fleet, FLEET_ROUTER); i++)
+  for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_ROUTER); i++)
     add_node (fleet, FLEET_ROUTER, i, sum);
-  for (unsigned i = 0; i < fleet_count (fleet, FLEET_AGENT); i++)
+  for (unsigned i = 0; i < fleet_count_members (fleet, FLEET_AGENT); i++)
     add_node (fleet, FLEET_AGENT, i, sum);
   add_calls (fleet, sum);
   sum->at_us = clock_now_us ();
--- a/tests/measure.c
+++ b/tests/measure.c
@@ -80,7 +80,7 @@
 {
   measure_run_t run = { .options = *options };
 
-  if (!measure_fleet (&run))
+  if (!measure_run_fleet (&run))
     return 1;
   print_json (&run);
   return 0;
@@ -163,7 +163,7 @@
           jobs[count].options.policy = (char *)policies[i];
           jobs[count++].options.seed = options->seed + seed;
         }
-  unsigned good = jobs_run (jobs, count, (unsigned)options->jobs);
+  unsigned good = jobs_run_all (jobs, count, (unsigned)options->jobs);
   print_table (options, jobs, count);
   return good == count && count > 0 ? 0 : 1;
 }
@@ -247,11 +247,11 @@
       return 2;
     }
   if (options.routers <= 0)
-    options.routers = measure_routers (options.profile);
+    options.routers = measure_default_routers (options.profile);
   options.routers = CLAMP (options.routers, 1, 64);
   if (strcmp (options.profile, "data-path") == 0)
-    return measure_path (&options) ? 0 : 1;
+    return measure_run_path (&options) ? 0 : 1;
   if (strcmp (options.profile, "scale") == 0 && !options.one)
-    return measure_scale (&options) ? 0 : 1;
+    return measure_run_scale (&options) ? 0 : 1;
   return options.one ? run_one (&options) : run_many (&options);
 }
--- a/tests/measure.h
+++ b/tests/measure.h
@@ -109,7 +109,7 @@
 } deployment_t;
 
 /* Routers of a profile, where no number is asked for.  */
-int measure_routers (const char *profile);
+int measure_default_routers (const char *profile);
 
 deployment_t *deployment_new (const measure_options_t *options);
 void deployment_free (deployment_t *deployment);
@@ -133,27 +133,28 @@
 {
   FAIR_RECEIVED,
   FAIR_STARTED
-} fair_what_t;
+} fair_metric_t;
 
-fair_gap_t fair_gap (const GPtrArray *samples, fair_what_t what,
+fair_gap_t fair_gap (const GPtrArray *samples, fair_metric_t what,
                      unsigned accounts, int64_t from_us, int64_t to_us);
 /* SAMPLES, taken by router, of the routers with SIDE in SIDES alone.  */
-GPtrArray *fair_side (const GPtrArray *samples, const unsigned *sides,
-                      unsigned side, unsigned accounts);
+GPtrArray *fair_filter_side (const GPtrArray *samples, const unsigned *sides,
+                             unsigned side, unsigned accounts);
 /* Least number of requests that waited at the routers with SIDE in SIDES, over
    the last COUNT samples; 0 when there are fewer.  SIDES may be NULL: all
    routers.  */
-unsigned fair_least_waiting (const GPtrArray *samples, const unsigned *sides,
-                             unsigned side, unsigned accounts, guint count);
+unsigned fair_min_waiting (const GPtrArray *samples, const unsigned *sides,
+                           unsigned side, unsigned accounts, guint count);
 /* Seconds from FROM_US after which the gap never again exceeds LIMIT.  */
-double fair_recovery (const GPtrArray *samples, unsigned accounts,
-                      int64_t from_us, int64_t to_us, double limit);
+double fair_recovery_time_s (const GPtrArray *samples, unsigned accounts,
+                             int64_t from_us, int64_t to_us, double limit);
 /* Writes a table: seconds, then for each account the received and the started
    service and the number of waiting requests.  */
-bool fair_write (const GPtrArray *samples, unsigned accounts, int64_t from_us,
-                 const char *path);
+bool fair_write_samples (const GPtrArray *samples, unsigned accounts,
+                         int64_t from_us, const char *path);
 /* Tokens a second that callers received in a span.  */
-double fair_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us);
+double fair_token_rate (const GPtrArray *samples, int64_t from_us,
+                        int64_t to_us);
 /* Value below which SHARE of VALUES (of float) lie; sorts them.  */
 double fair_quantile (GArray *values, double share);
 
@@ -166,19 +167,19 @@
 /* Spans of the utilisation: before, during and after the event.  */
 #define WATCH_SPANS 3
 /* Ends the present span and begins SPAN; WATCH_SPANS is none.  */
-void watch_span (watch_t *watch, unsigned span);
+void watch_begin_span (watch_t *watch, unsigned span);
 /* From now on an endpoint's slots can be used by work on its own side alone;
    ROUTERS and ZONES have the side of each.  NULL: there are no sides.  */
-void watch_part (watch_t *watch, const unsigned *routers,
-                 const unsigned *zones);
+void watch_set_partition (watch_t *watch, const unsigned *routers,
+                          const unsigned *zones);
 /* Busy slots over slots while enough work waited that could use them.  */
-double watch_utilisation (const watch_t *watch, unsigned span);
+double watch_get_utilisation (const watch_t *watch, unsigned span);
 /* Part of the slots' time that this is made from.  */
-double watch_counted (const watch_t *watch, unsigned span);
+double watch_get_counted_share (const watch_t *watch, unsigned span);
 /* Busy slots over slots, whatever waited.  */
-double watch_busy (const watch_t *watch, unsigned span);
+double watch_get_busy_share (const watch_t *watch, unsigned span);
 /* Latest start of a request at any endpoint of ZONE, in clock_now time.  */
-cfd_time_t watch_last_start (const watch_t *watch, unsigned zone);
+cfd_time_t watch_get_last_start (const watch_t *watch, unsigned zone);
 
 /* Counters of all nodes at one moment.  */
 typedef struct
@@ -197,10 +198,10 @@
 } node_sum_t;
 
 /* Asks all nodes and waits for them.  */
-void watch_nodes (const fleet_t *fleet, node_sum_t *sum);
+void watch_query_nodes (const fleet_t *fleet, node_sum_t *sum);
 
 /* All counters of routers and agents, summed: names with labels to doubles. */
-GHashTable *watch_counters (const fleet_t *fleet);
+GHashTable *watch_sum_counters (const fleet_t *fleet);
 /* Prints, on standard error, what grew, by second.  */
 void watch_print_growth (GHashTable *before, GHashTable *after,
                          double seconds);
@@ -215,21 +216,21 @@
 bool event_begin (event_t *event);
 bool event_end (event_t *event);
 /* The zone that an operator takes out, or loses the others.  */
-unsigned event_zone (const event_t *event);
+unsigned event_get_zone (const event_t *event);
 /* The engine that is slow.  */
-unsigned event_endpoint (const event_t *event);
+unsigned event_get_slow_endpoint (const event_t *event);
 /* Of each router, valid from event_begin on: those of one number can reach
    each other during the event.  */
-const unsigned *event_sides (const event_t *event);
+const unsigned *event_get_router_sides (const event_t *event);
 /* The same of each zone, for its endpoints.  */
-const unsigned *event_zone_sides (const event_t *event);
+const unsigned *event_get_zone_sides (const event_t *event);
 /* The greatest gap within one side.  */
-double event_gap (const event_t *event, const GPtrArray *samples,
-                  unsigned accounts, int64_t from_us, int64_t to_us);
+double event_max_gap (const event_t *event, const GPtrArray *samples,
+                      unsigned accounts, int64_t from_us, int64_t to_us);
 
 /* ---- runs ---- */
-bool measure_fleet (measure_run_t *run);
-bool measure_path (const measure_options_t *options);
-bool measure_scale (const measure_options_t *options);
+bool measure_run_fleet (measure_run_t *run);
+bool measure_run_path (const measure_options_t *options);
+bool measure_run_scale (const measure_options_t *options);
 
 #endif
--- a/tests/proc.c
+++ b/tests/proc.c
@@ -39,7 +39,7 @@
 }
 
 const char *
-proc_set_folder (const proc_set_t *set)
+proc_set_get_log_dir (const proc_set_t *set)
 {
   return set->folder;
 }
@@ -86,7 +86,7 @@
 }
 
 bool
-proc_again (proc_set_t *set, proc_t *proc, GError **error)
+proc_restart (proc_set_t *set, proc_t *proc, GError **error)
 {
   g_autofree char *path
       = g_strdup_printf ("%s/%s.log", set->folder, proc->name);
@@ -114,11 +114,11 @@
   proc->name = g_strdup (name);
   proc->argv = g_strdupv ((char **)argv);
   g_ptr_array_add (set->procs, proc);
-  return proc_again (set, proc, error) ? proc : NULL;
+  return proc_restart (set, proc, error) ? proc : NULL;
 }
 
 bool
-proc_runs (proc_t *proc)
+proc_is_running (proc_t *proc)
 {
   if (proc->pid <= 0)
     return false;
@@ -133,10 +133,10 @@
 {
   gint64 end = g_get_monotonic_time () + (gint64)wait_ms * 1000;
 
-  if (!proc_runs (proc))
+  if (!proc_is_running (proc))
     return true;
   kill (proc->pid, signal);
-  while (proc_runs (proc))
+  while (proc_is_running (proc))
     {
       if (g_get_monotonic_time () >= end)
         return false;
@@ -146,7 +146,7 @@
 }
 
 bool
-proc_usage (const proc_t *proc, double *cpu_s, double *resident)
+proc_read_usage (const proc_t *proc, double *cpu_s, double *resident)
 {
   g_autofree char *path = g_strdup_printf ("/proc/%d/stat", (int)proc->pid);
   g_autofree char *text = NULL;
@@ -169,7 +169,7 @@
 }
 
 char *
-proc_build_folder (void)
+proc_get_build_dir (void)
 {
   const char *given = g_getenv ("CFD_BUILD");
   g_autofree char *self = g_file_read_link ("/proc/self/exe", NULL);
@@ -188,8 +188,8 @@
 }
 
 char *
-proc_ask (const char *method, const char *url, const char *header,
-          const char *body, long *status)
+proc_send_http (const char *method, const char *url, const char *header,
+                const char *body, long *status)
 {
   CURL *curl = curl_easy_init ();
   struct curl_slist *headers = NULL;
@@ -219,14 +219,15 @@
 }
 
 bool
-proc_wait_ready (const char *url, int wait_ms)
+proc_wait_http_ok (const char *url, int wait_ms)
 {
   gint64 end = g_get_monotonic_time () + (gint64)wait_ms * 1000;
 
   for (;;)
     {
       long status = 0;
-      g_autofree char *answer = proc_ask (NULL, url, NULL, NULL, &status);
+      g_autofree char *answer
+          = proc_send_http (NULL, url, NULL, NULL, &status);
       if (status == 200)
         return true;
       if (g_get_monotonic_time () >= end)
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -9,7 +9,7 @@
 static double even[] = { 1, 0, 0, 0 };
 
 scene_plan_t
-scene_plan (void)
+scene_default_plan (void)
 {
   scene_plan_t plan = { .fleet = { .zones = 1,
                                    .routers = 1,
@@ -20,7 +20,7 @@
                                    .plain_slots = 4,
                                    .cold_ms = 0,
                                    .step_ms = 12,
-                                   .plain_ms = 20,
+                                   .plain_call_ms = 20,
                                    .zone_ms = 1,
                                    .caller_ms = 1,
                                    .seed = 3,
@@ -47,22 +47,22 @@
                                      .key = (char *)SCENE_KEY,
                                      .weight = 1,
                                      .outstanding = plan->outstanding,
-                                     .spread = even,
-                                     .least_tokens = plan->tokens,
-                                     .most_tokens = plan->tokens };
-  for (unsigned i = 0; i < LOAD_KINDS; i++)
+                                     .router_shares = even,
+                                     .min_answer_tokens = plan->tokens,
+                                     .max_answer_tokens = plan->tokens };
+  for (unsigned i = 0; i < LOAD_KIND_COUNT; i++)
     scene->account.kinds[i] = plan->kinds[i];
   scene->load_plan = (load_plan_t){ .seed = 1,
                                     .answer_seed = plan->fleet.seed,
                                     .routers = 1,
                                     .urls = g_new0 (char *, 2),
-                                    .model = FLEET_MODEL,
-                                    .plain = FLEET_PLAIN,
+                                    .model = FLEET_MODEL_SERVICE,
+                                    .plain = FLEET_PLAIN_SERVICE,
                                     .request_limit = plan->requests,
                                     .idle_timeout_ms = 20000,
                                     .accounts = g_ptr_array_new () };
   scene->load_plan.urls[0]
-      = fleet_url (scene->fleet, FLEET_ROUTER, plan->router);
+      = fleet_get_url (scene->fleet, FLEET_ROUTER, plan->router);
   g_ptr_array_add (scene->load_plan.accounts, &scene->account);
   scene->load = load_new (scene->loop, &scene->load_plan);
   load_start (scene->load);
@@ -122,25 +122,25 @@
 }
 
 void
-scene_until (scene_t *scene, bool (*done) (const scene_t *scene),
-             unsigned limit_ms)
+scene_run_until (scene_t *scene, bool (*done) (const scene_t *scene),
+                 unsigned limit_ms)
 {
   g_assert_true (run_until (scene, done, limit_ms));
 }
 
 void
-scene_end (scene_t *scene, unsigned limit_ms)
+scene_finish (scene_t *scene, unsigned limit_ms)
 {
   load_stop (scene->load);
-  scene_until (scene, scene_is_idle, limit_ms);
+  scene_run_until (scene, scene_is_idle, limit_ms);
   g_assert_true (collect (scene->fleet, scene->load, &scene->sum));
-  g_assert_true (collect_is_clean (&scene->sum));
+  g_assert_true (collect_has_no_violation (&scene->sum));
 }
 
 bool
 scene_is_streaming (const scene_t *scene)
 {
-  const GPtrArray *requests = load_requests (scene->load);
+  const GPtrArray *requests = load_get_requests (scene->load);
 
   for (guint i = 0; i < requests->len; i++)
     {
@@ -154,16 +154,17 @@
 bool
 scene_is_idle (const scene_t *scene)
 {
-  return load_active (scene->load) == 0;
+  return load_count_active (scene->load) == 0;
 }
 
 double
-scene_counter (const scene_t *scene, unsigned endpoint, const char *name)
+scene_read_counter (const scene_t *scene, unsigned endpoint, const char *name)
 {
-  g_autofree char *base = fleet_url (scene->fleet, FLEET_ENDPOINT, endpoint);
+  g_autofree char *base
+      = fleet_get_url (scene->fleet, FLEET_ENDPOINT, endpoint);
   g_autofree char *url = g_strconcat (base, "/control/counters", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *answer = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) root = json_from_string (answer ? answer : "", NULL);
 
   g_assert_cmpint (status, ==, 200);
@@ -171,13 +172,13 @@
 }
 
 void
-scene_control (const scene_t *scene, fleet_sort_t sort, unsigned index,
-               const char *path, const char *body)
+scene_put_control (const scene_t *scene, fleet_role_t sort, unsigned index,
+                   const char *path, const char *body)
 {
-  g_autofree char *base = fleet_url (scene->fleet, sort, index);
+  g_autofree char *base = fleet_get_url (scene->fleet, sort, index);
   g_autofree char *url = g_strconcat (base, path, NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
   g_assert_cmpint (status, ==, 200);
 }
--- a/tests/soak-faults.c
+++ b/tests/soak-faults.c
@@ -117,19 +117,20 @@
 }
 
 static void
-restart_exited (faults_t *faults, fleet_sort_t sort)
+restart_exited (faults_t *faults, fleet_role_t sort)
 {
-  for (unsigned i = 0; i < fleet_count (faults->fleet, sort); i++)
+  for (unsigned i = 0; i < fleet_count_members (faults->fleet, sort); i++)
     {
-      proc_t *proc = fleet_proc (faults->fleet, sort, i);
+      proc_t *proc = fleet_get_process (faults->fleet, sort, i);
       g_autoptr (GError) error = NULL;
 
-      if (faults_is_target (faults, sort, i) || proc_runs (proc))
+      if (faults_is_target (faults, sort, i) || proc_is_running (proc))
         continue;
       faults->unexpected_exits++;
       fprintf (stderr, "soak: %s ended by itself; its log is in %s\n",
-               proc->name, proc_set_folder (fleet_procs (faults->fleet)));
-      (void)proc_again (fleet_procs (faults->fleet), proc, &error);
+               proc->name,
+               proc_set_get_log_dir (fleet_get_processes (faults->fleet)));
+      (void)proc_restart (fleet_get_processes (faults->fleet), proc, &error);
     }
 }
 
--- a/tests/soak-kinds.c
+++ b/tests/soak-kinds.c
@@ -16,7 +16,7 @@
 }
 
 bool
-faults_is_target (const faults_t *faults, fleet_sort_t sort, unsigned index)
+faults_is_target (const faults_t *faults, fleet_role_t sort, unsigned index)
 {
   for (guint i = 0; i < faults->active->len; i++)
     {
@@ -33,10 +33,11 @@
 }
 
 static bool
-choose_target (faults_t *faults, active_fault_t *active, fleet_sort_t sort)
+choose_target (faults_t *faults, active_fault_t *active, fleet_role_t sort)
 {
   active->sort = sort;
-  active->target = choose_index (faults, fleet_count (faults->fleet, sort));
+  active->target
+      = choose_index (faults, fleet_count_members (faults->fleet, sort));
   return !faults_is_target (faults, sort, active->target);
 }
 
@@ -45,8 +46,9 @@
 static bool
 kill_target (faults_t *faults, active_fault_t *active)
 {
-  return proc_stop (fleet_proc (faults->fleet, active->sort, active->target),
-                    SIGKILL, 2000);
+  return proc_stop (
+      fleet_get_process (faults->fleet, active->sort, active->target), SIGKILL,
+      2000);
 }
 
 static bool
@@ -61,9 +63,10 @@
 {
   g_autoptr (GError) error = NULL;
 
-  if (!proc_again (fleet_procs (faults->fleet),
-                   fleet_proc (faults->fleet, active->sort, active->target),
-                   &error))
+  if (!proc_restart (
+          fleet_get_processes (faults->fleet),
+          fleet_get_process (faults->fleet, active->sort, active->target),
+          &error))
     fprintf (stderr, "soak: %s\n", error->message);
 }
 
@@ -72,16 +75,18 @@
 {
   if (!choose_target (faults, active, active->fault->sort))
     return false;
-  (void)proc_stop (fleet_proc (faults->fleet, active->sort, active->target),
-                   SIGSTOP, 0);
+  (void)proc_stop (
+      fleet_get_process (faults->fleet, active->sort, active->target), SIGSTOP,
+      0);
   return true;
 }
 
 static void
 resume_target (faults_t *faults, active_fault_t *active)
 {
-  (void)proc_stop (fleet_proc (faults->fleet, active->sort, active->target),
-                   SIGCONT, 0);
+  (void)proc_stop (
+      fleet_get_process (faults->fleet, active->sort, active->target), SIGCONT,
+      0);
 }
 
 /* ---- a rack ---- */
@@ -90,7 +95,7 @@
 static void
 set_zone_links (faults_t *faults, unsigned zone, const char *mode)
 {
-  unsigned zones = fleet_plan (faults->fleet)->zones;
+  unsigned zones = fleet_get_plan (faults->fleet)->zones;
 
   for (unsigned other = 0; other < zones; other++)
     {
@@ -99,8 +104,8 @@
 
       if (other == zone)
         continue;
-      (void)fleet_relay (faults->fleet, out, mode);
-      (void)fleet_relay (faults->fleet, in, mode);
+      (void)fleet_set_relay_mode (faults->fleet, out, mode);
+      (void)fleet_set_relay_mode (faults->fleet, in, mode);
     }
 }
 
@@ -112,13 +117,14 @@
   if (!choose_target (faults, active, FLEET_AGENT))
     return false;
   /* The router of that number is in that zone.  */
-  active->router = fleet_zone_of (faults->fleet, FLEET_AGENT, active->target);
+  active->router = fleet_get_zone (faults->fleet, FLEET_AGENT, active->target);
   if (faults_is_target (faults, FLEET_ROUTER, active->router))
     return false;
   active->has_router = true;
   set_zone_links (faults, active->router, "silent");
-  (void)proc_stop (fleet_proc (faults->fleet, FLEET_ROUTER, active->router),
-                   SIGKILL, 2000);
+  (void)proc_stop (
+      fleet_get_process (faults->fleet, FLEET_ROUTER, active->router), SIGKILL,
+      2000);
   return kill_target (faults, active);
 }
 
@@ -129,9 +135,10 @@
 
   set_zone_links (faults, active->router, "pass");
   restart_target (faults, active);
-  if (!proc_again (fleet_procs (faults->fleet),
-                   fleet_proc (faults->fleet, FLEET_ROUTER, active->router),
-                   &error))
+  if (!proc_restart (
+          fleet_get_processes (faults->fleet),
+          fleet_get_process (faults->fleet, FLEET_ROUTER, active->router),
+          &error))
     fprintf (stderr, "soak: %s\n", error->message);
 }
 
@@ -140,7 +147,7 @@
 static bool
 choose_link_group (faults_t *faults, active_fault_t *active)
 {
-  unsigned zones = fleet_plan (faults->fleet)->zones;
+  unsigned zones = fleet_get_plan (faults->fleet)->zones;
   unsigned from = choose_index (faults, zones);
   unsigned to = (from + 1 + choose_index (faults, zones - 1)) % zones;
 
@@ -152,27 +159,28 @@
 impair_link (faults_t *faults, active_fault_t *active)
 {
   return choose_link_group (faults, active)
-         && fleet_relay (faults->fleet, active->group, active->fault->spec);
+         && fleet_set_relay_mode (faults->fleet, active->group,
+                                  active->fault->spec);
 }
 
 static void
 restore_link (faults_t *faults, active_fault_t *active)
 {
-  (void)fleet_relay (faults->fleet, active->group, "pass");
+  (void)fleet_set_relay_mode (faults->fleet, active->group, "pass");
 }
 
 /* ---- the platform ---- */
 
 /* Tells a stand-in how to behave.  */
 static bool
-control_standin (const faults_t *faults, fleet_sort_t sort, unsigned index,
+control_standin (const faults_t *faults, fleet_role_t sort, unsigned index,
                  const char *path, const char *spec)
 {
-  g_autofree char *base = fleet_url (faults->fleet, sort, index);
+  g_autofree char *base = fleet_get_url (faults->fleet, sort, index);
   g_autofree char *url = g_strconcat (base, path, NULL);
   long status = 0;
 
-  g_free (proc_ask ("PUT", url, NULL, spec, &status));
+  g_free (proc_send_http ("PUT", url, NULL, spec, &status));
   return status == 200;
 }
 
@@ -214,7 +222,8 @@
 choose_engine (faults_t *faults, active_fault_t *active)
 {
   active->sort = FLEET_ENDPOINT;
-  active->target = choose_index (faults, fleet_plan (faults->fleet)->models);
+  active->target
+      = choose_index (faults, fleet_get_plan (faults->fleet)->models);
   return !faults_is_target (faults, FLEET_ENDPOINT, active->target);
 }
 
@@ -254,7 +263,8 @@
       "{\"schema\":2,\"state\":\"%s\",\"region\":\"r\"}", state);
   g_autoptr (GError) error = NULL;
 
-  return fleet_put (faults->fleet, "availability-zone", name, spec, &error);
+  return fleet_put_object (faults->fleet, "availability-zone", name, spec,
+                           &error);
 }
 
 /* At most one zone is out, so that others can serve.  */
@@ -270,18 +280,20 @@
     }
   if (faults->platform_faulty)
     return false;
-  active->sort = FLEET_SORTS;
-  active->target = choose_index (faults, fleet_plan (faults->fleet)->zones);
+  active->sort = FLEET_ROLE_COUNT;
+  active->target
+      = choose_index (faults, fleet_get_plan (faults->fleet)->zones);
   return write_zone_state (faults, active->target, "out");
 }
 
 static double
 read_last_start_ms (faults_t *faults, unsigned endpoint)
 {
-  g_autofree char *base = fleet_url (faults->fleet, FLEET_ENDPOINT, endpoint);
+  g_autofree char *base
+      = fleet_get_url (faults->fleet, FLEET_ENDPOINT, endpoint);
   g_autofree char *url = g_strconcat (base, "/control/counters", NULL);
   long status = 0;
-  g_autofree char *body = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *body = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) node = NULL;
 
   if (status == 200)
@@ -297,13 +309,13 @@
 static void
 check_and_restore_zone (faults_t *faults, active_fault_t *active)
 {
-  unsigned count = fleet_count (faults->fleet, FLEET_ENDPOINT);
+  unsigned count = fleet_count_members (faults->fleet, FLEET_ENDPOINT);
 
   for (unsigned i = 0; i < count; i++)
     {
       double start_ms;
 
-      if (fleet_zone_of (faults->fleet, FLEET_ENDPOINT, i) != active->target)
+      if (fleet_get_zone (faults->fleet, FLEET_ENDPOINT, i) != active->target)
         continue;
       start_ms = read_last_start_ms (faults, i);
       if (start_ms <= (double)(active->started_at + ZONE_GRACE_MS))
--- a/tests/soak-private.h
+++ b/tests/soak-private.h
@@ -21,14 +21,14 @@
   bool (*inject) (faults_t *faults, active_fault_t *active);
   void (*revert) (faults_t *faults, active_fault_t *active);
   bool needs_platform; /* END writes a record */
-  fleet_sort_t sort;   /* of the victim, where BEGIN serves several sorts */
+  fleet_role_t sort;   /* of the victim, where BEGIN serves several sorts */
   const char *spec;    /* what BEGIN tells a stand-in or the relay, or NULL */
 };
 
 struct active_fault
 {
   const fault_t *fault;
-  fleet_sort_t sort;
+  fleet_role_t sort;
   unsigned target;
   unsigned router; /* router that goes with an agent, when has_partner */
   bool has_router;
@@ -66,7 +66,7 @@
 void race_end (faults_t *faults, active_fault_t *active);
 
 /* True when another fault has stopped or ended this process.  */
-bool faults_is_target (const faults_t *faults, fleet_sort_t sort,
+bool faults_is_target (const faults_t *faults, fleet_role_t sort,
                        unsigned index);
 
 #endif
--- a/tests/soak-race.c
+++ b/tests/soak-race.c
@@ -24,10 +24,10 @@
 static unsigned
 read_record (const faults_t *faults, char **version)
 {
-  g_autofree char *base = fleet_url (faults->fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (faults->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, OBJECT_PATH, NULL);
   long status = 0;
-  g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonNode) node
       = status == 200 ? json_from_string (text, NULL) : NULL;
   JsonObject *object;
@@ -44,8 +44,8 @@
 static GPid
 start_operator (const faults_t *faults, const char *version, unsigned value)
 {
-  g_autofree char *build = proc_build_folder ();
-  g_autofree char *platform = fleet_url (faults->fleet, FLEET_PLATFORM, 0);
+  g_autofree char *build = proc_get_build_dir ();
+  g_autofree char *platform = fleet_get_url (faults->fleet, FLEET_PLATFORM, 0);
   g_autofree char *command = g_strdup_printf (
       "%s/cli/cfdctl --platform %s set " RECORD " queue_max=%u --if-version "
       "%s",
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -29,7 +29,7 @@
                                    .plain_slots = 4,
                                    .cold_ms = 800,
                                    .step_ms = 12,
-                                   .plain_ms = 30,
+                                   .plain_call_ms = 30,
                                    .zone_ms = 1.5,
                                    .caller_ms = 1,
                                    .seed = 23,
@@ -62,7 +62,7 @@
 
 static load_account_t *
 make_account_load (const fleet_account_t *account, unsigned index, bool light,
-                   double *spread)
+                   double *router_shares)
 {
   load_account_t *load = g_new0 (load_account_t, 1);
 
@@ -73,15 +73,15 @@
   if (light)
     load->outstanding = index == 0 ? 4 : 2;
   load->kinds[LOAD_STREAM] = 5;
-  load->kinds[LOAD_WHOLE] = 2;
+  load->kinds[LOAD_NON_STREAM] = 2;
   load->kinds[LOAD_COMPLETION] = 1;
   load->kinds[LOAD_LOOKUP] = 2;
   load->kinds[LOAD_POST] = 3;
-  load->kinds[LOAD_POST_BARE] = 2;
+  load->kinds[LOAD_POST_UNKEYED] = 2;
   load->think_ms = light ? 100 : 20;
-  load->spread = spread;
-  load->least_tokens = 8;
-  load->most_tokens = 80;
+  load->router_shares = router_shares;
+  load->min_answer_tokens = 8;
+  load->max_answer_tokens = 80;
   return load;
 }
 
@@ -103,7 +103,7 @@
       now = clock_now ();
       soak->load_until = now + QUIET_S * 1000;
       soak->until = now + (QUIET_S + SETTLE_S) * 1000;
-      soak->first_quiet_request = load_requests (soak->load)->len;
+      soak->first_quiet_request = load_get_requests (soak->load)->len;
       return;
     }
   if (now < soak->load_until)
@@ -113,27 +113,27 @@
       soak->load_stopped = true;
       load_stop (soak->load);
     }
-  if (load_active (soak->load) == 0 || now >= soak->until)
+  if (load_count_active (soak->load) == 0 || now >= soak->until)
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Accounts without one right answer among the requests of the quiet time.  */
+/* Accounts without one correct answer among the requests of the quiet time. */
 static unsigned
 count_starved_accounts (const soak_t *soak)
 {
-  const GPtrArray *requests = load_requests (soak->load);
-  unsigned right[G_N_ELEMENTS (accounts)] = { 0 };
+  const GPtrArray *requests = load_get_requests (soak->load);
+  unsigned correct[G_N_ELEMENTS (accounts)] = { 0 };
   unsigned count = 0;
 
   for (guint i = soak->first_quiet_request; i < requests->len; i++)
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->end == LOAD_RIGHT)
-        right[request->account]++;
+      if (request->end == LOAD_CORRECT)
+        correct[request->account]++;
     }
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
-    if (right[i] == 0)
+    if (correct[i] == 0)
       {
         fprintf (stderr, "soak: %s got no answer after the faults\n",
                  accounts[i].name);
@@ -146,14 +146,14 @@
 static double
 count_invariant_failures (const fleet_t *fleet)
 {
-  static const fleet_sort_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
   double sum = 0;
 
   for (unsigned s = 0; s < G_N_ELEMENTS (sorts); s++)
-    for (unsigned i = 0; i < fleet_count (fleet, sorts[s]); i++)
+    for (unsigned i = 0; i < fleet_count_members (fleet, sorts[s]); i++)
       {
-        double value = fleet_metric (fleet, sorts[s], i,
-                                     "cfd_invariant_failures_total");
+        double value = fleet_sum_metric (fleet, sorts[s], i,
+                                         "cfd_invariant_failures_total");
 
         sum += value < 0 ? 1 : value;
       }
@@ -171,7 +171,7 @@
 static bool
 report_invariants (const soak_t *soak, const fleet_t *fleet)
 {
-  collect_t sum;
+  collect_result_t sum;
   unsigned total = 9;
   unsigned failed = 0;
 
@@ -182,13 +182,13 @@
     }
   faults_print (soak->faults);
   printf ("%u requests: %u right, %u refused, %u broken, %u unfinished\n",
-          sum.requests, sum.right, sum.refused, sum.broken, sum.unfinished);
+          sum.requests, sum.correct, sum.refused, sum.broken, sum.unfinished);
   failed += report_invariant ("every answer is whole and the caller's own",
                               sum.wrong_answers);
   failed += report_invariant ("a refusal that says not run is true",
                               sum.false_not_run);
   failed += report_invariant ("a non-idempotent request runs at most once",
-                              sum.double_runs);
+                              sum.duplicate_runs);
   failed += report_invariant ("no endpoint gets more than it bears",
                               sum.overload_count);
   failed += report_invariant ("a zone that is out gets no new work",
@@ -209,15 +209,15 @@
 run (fleet_t *fleet, const options_t *options)
 {
   struct ev_loop *loop = ev_default_loop (0);
-  double spread[ROUTERS] = { 0.5, 0.25, 0.15, 0.1 };
+  double router_shares[ROUTERS] = { 0.5, 0.25, 0.15, 0.1 };
   char *urls[ROUTERS];
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = (uint64_t)options->seed,
                             .answer_seed = plan.seed,
                             .routers = ROUTERS,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 30000,
                             .accounts = members };
   soak_t soak = { .loop = loop };
@@ -225,10 +225,11 @@
   bool passed;
 
   for (unsigned i = 0; i < ROUTERS; i++)
-    urls[i] = fleet_url (fleet, FLEET_ROUTER, i);
+    urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
     g_ptr_array_add (
-        members, make_account_load (&accounts[i], i, options->light, spread));
+        members,
+        make_account_load (&accounts[i], i, options->light, router_shares));
   soak.load = load_new (loop, &load_plan);
   soak.faults = faults_new (fleet, (uint64_t)options->seed, options->only_kind,
                             (unsigned)options->kind_count);
--- a/tests/sp-control.c
+++ b/tests/sp-control.c
@@ -5,7 +5,8 @@
 static const char *const mode_names[]
     = { "up", "down", "slow", "lose-answer", "stale" };
 bool
-sp_split_path (const char *path, const char *prefix, char **kind, char **name)
+sp_parse_object_path (const char *path, const char *prefix, char **kind,
+                      char **name)
 {
   const char *rest = path + strlen (prefix);
   const char *slash;
@@ -33,11 +34,11 @@
   for (guint i = 0; i < G_N_ELEMENTS (mode_names); i++)
     if (strcmp (name, mode_names[i]) == 0)
       {
-        sp_fault (sp, (sp_mode_t)i,
-                  (unsigned)json_object_get_int_member_with_default (
-                      object, "delay_ms", 0),
-                  (unsigned)json_object_get_int_member_with_default (
-                      object, "lag_ms", 0));
+        sp_set_fault (sp, (sp_mode_t)i,
+                      (unsigned)json_object_get_int_member_with_default (
+                          object, "delay_ms", 0),
+                      (unsigned)json_object_get_int_member_with_default (
+                          object, "lag_ms", 0));
         return true;
       }
   return false;
@@ -55,12 +56,12 @@
     {
       JsonObject *object = json_array_get_object_element (list, i);
 
-      sp_model_write (sp_state (sp),
+      sp_model_write (sp_get_model (sp),
                       json_object_get_string_member (object, "kind"),
                       json_object_get_string_member (object, "name"),
                       json_object_get_member (object, "spec"), clock_now ());
     }
-  sp_wake (sp);
+  sp_notify_watches (sp);
   return true;
 }
 
@@ -70,10 +71,10 @@
   g_autofree char *kind = NULL;
   g_autofree char *name = NULL;
 
-  if (!sp_split_path (path, "/control/objects", &kind, &name))
+  if (!sp_parse_object_path (path, "/control/objects", &kind, &name))
     return false;
-  sp_model_write (sp_state (sp), kind, name, NULL, clock_now ());
-  sp_wake (sp);
+  sp_model_write (sp_get_model (sp), kind, name, NULL, clock_now ());
+  sp_notify_watches (sp);
   return true;
 }
 
@@ -86,14 +87,14 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (names); i++)
     g_string_append_printf (text, "\"%s\":%" G_GUINT64_FORMAT ",", names[i],
-                            sp_calls (sp, names[i]));
+                            sp_count_calls (sp, names[i]));
   g_string_append_printf (text, "\"total\":%" G_GUINT64_FORMAT "}",
-                          sp_calls (sp, "total"));
+                          sp_count_calls (sp, "total"));
   return g_string_free (text, FALSE);
 }
 
 void
-sp_control (sp_t *sp, web_request_t *request)
+sp_handle_control (sp_t *sp, web_request_t *request)
 {
   const char *path = web_path (request);
   size_t length;
@@ -109,7 +110,7 @@
       return;
     }
   if (strcmp (path, "/control/instances") == 0)
-    ok = sp_instances (sp, body);
+    ok = sp_set_instances (sp, body);
   else if (strcmp (path, "/control/faults") == 0)
     ok = control_faults (sp, root);
   else if (strcmp (web_method (request), "DELETE") == 0)
--- a/tests/sp-control.h
+++ b/tests/sp-control.h
@@ -6,10 +6,10 @@
 #include "http/web.h"
 #include "sp.h"
 
-void sp_control (sp_t *sp, web_request_t *request);
+void sp_handle_control (sp_t *sp, web_request_t *request);
 
 /* Splits "PREFIX/KIND/NAME"; false when PATH is not of that form.  */
-bool sp_split_path (const char *path, const char *prefix, char **kind,
-                    char **name);
+bool sp_parse_object_path (const char *path, const char *prefix, char **kind,
+                           char **name);
 
 #endif
--- a/tests/sp-list.c
+++ b/tests/sp-list.c
@@ -93,8 +93,8 @@
 }
 
 char *
-sp_list_text (sp_list_t *list, const char *zone, unsigned lag_ms,
-              cfd_time_t now)
+sp_list_format (sp_list_t *list, const char *zone, unsigned lag_ms,
+                cfd_time_t now)
 {
   g_autoptr (JsonNode) root = json_node_new (JSON_NODE_OBJECT);
   JsonObject *object = json_object_new ();
--- a/tests/sp-list.h
+++ b/tests/sp-list.h
@@ -14,7 +14,7 @@
 /* TEXT is a JSON array; false when it is not.  */
 bool sp_list_set (sp_list_t *list, const char *text, cfd_time_t now);
 /* JSON {instances} as ZONE (or NULL) saw it LAG_MS ago; g_free it.  */
-char *sp_list_text (sp_list_t *list, const char *zone, unsigned lag_ms,
-                    cfd_time_t now);
+char *sp_list_format (sp_list_t *list, const char *zone, unsigned lag_ms,
+                      cfd_time_t now);
 
 #endif
--- a/tests/sp-model.c
+++ b/tests/sp-model.c
@@ -67,7 +67,7 @@
 void
 sp_model_free (sp_model_t *model)
 {
-  sp_model_thaw (model);
+  sp_model_unfreeze (model);
   g_queue_clear_full (&model->history, event_free);
   g_hash_table_unref (model->objects);
   g_hash_table_unref (model->floors);
@@ -90,7 +90,8 @@
 }
 
 const sp_object_t *
-sp_model_newest (const sp_model_t *model, const char *kind, const char *name)
+sp_model_get_latest (const sp_model_t *model, const char *kind,
+                     const char *name)
 {
   g_autofree char *key = g_strconcat (kind, "/", name, NULL);
   const sp_object_t *object = g_hash_table_lookup (model->objects, key);
@@ -153,7 +154,7 @@
 }
 
 void
-sp_model_thaw (sp_model_t *model)
+sp_model_unfreeze (sp_model_t *model)
 {
   g_clear_pointer (&model->frozen, g_hash_table_unref);
 }
@@ -180,7 +181,7 @@
   gpointer key;
   gpointer object;
 
-  sp_model_thaw (model);
+  sp_model_unfreeze (model);
   model->frozen
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, object_unref);
   g_hash_table_iter_init (&iter, model->objects);
@@ -219,7 +220,7 @@
 }
 
 uint64_t
-sp_model_revision (const sp_model_t *model, const char *kinds)
+sp_model_get_revision (const sp_model_t *model, const char *kinds)
 {
   uint64_t newest = 0;
   GHashTableIter iter;
@@ -231,7 +232,7 @@
     {
       const event_t *event = link->data;
 
-      if (event->revision <= sp_model_revision (model, NULL)
+      if (event->revision <= sp_model_get_revision (model, NULL)
           && kind_in (event->after->kind, kinds))
         return event->revision;
     }
@@ -252,7 +253,7 @@
   GString *text = g_string_new (NULL);
 
   g_string_printf (text, "{\"revision\":%" G_GUINT64_FORMAT ",\"objects\":[",
-                   sp_model_revision (model, kinds));
+                   sp_model_get_revision (model, kinds));
   return text;
 }
 
@@ -290,8 +291,8 @@
 }
 
 char *
-sp_model_page (const sp_model_t *model, const char *kinds, const char *after,
-               unsigned limit)
+sp_model_list_page (const sp_model_t *model, const char *kinds,
+                    const char *after, unsigned limit)
 {
   GHashTable *objects = readable (model);
   GString *text = begin_answer (model, kinds);
@@ -334,9 +335,10 @@
 }
 
 char *
-sp_model_changes (const sp_model_t *model, uint64_t after, const char *kinds)
+sp_model_list_changes (const sp_model_t *model, uint64_t after,
+                       const char *kinds)
 {
-  uint64_t up_to = sp_model_revision (model, NULL);
+  uint64_t up_to = sp_model_get_revision (model, NULL);
   g_autoptr (GHashTable) seen = g_hash_table_new (NULL, NULL);
   GString *text;
 
--- a/tests/sp-test.c
+++ b/tests/sp-test.c
@@ -6,7 +6,7 @@
 #define PATIENCE_S 30.0
 
 void
-sp_test_begin (sp_test_t *test)
+sp_test_setup (sp_test_t *test)
 {
   unsigned pid = (unsigned)getpid ();
   g_autoptr (GError) error = NULL;
@@ -24,17 +24,17 @@
 }
 
 void
-sp_test_stop (sp_test_t *test)
+sp_test_stop_platform (sp_test_t *test)
 {
   g_clear_pointer (&test->sp, sp_free);
 }
 
 void
-sp_test_end (sp_test_t *test)
+sp_test_teardown (sp_test_t *test)
 {
   plat_free (test->plat);
   fetch_pool_free (test->pool);
-  sp_test_stop (test);
+  sp_test_stop_platform (test);
   ev_loop_destroy (test->loop);
 }
 
@@ -45,7 +45,7 @@
 }
 
 void
-sp_test_run (sp_test_t *test, bool (*holds) (void *user), void *user)
+sp_test_run_until (sp_test_t *test, bool (*holds) (void *user), void *user)
 {
   ev_timer timeout;
 
@@ -58,12 +58,12 @@
 }
 
 void
-sp_test_write (sp_test_t *test, const char *kind, const char *name,
-               const char *spec)
+sp_test_write_object (sp_test_t *test, const char *kind, const char *name,
+                      const char *spec)
 {
   g_autoptr (JsonNode) node
       = spec == NULL ? NULL : json_from_string (spec, NULL);
 
-  sp_model_write (sp_state (test->sp), kind, name, node, clock_now ());
-  sp_wake (test->sp);
+  sp_model_write (sp_get_model (test->sp), kind, name, node, clock_now ());
+  sp_notify_watches (test->sp);
 }
