--- a/tests/sp.c
+++ b/tests/sp.c
@@ -155,11 +155,11 @@
 static void
 finish_write (sp_t *sp, web_request_t *request, const sp_object_t *object)
 {
-  if (sp->mode == SP_LOSE_ANSWER)
+  if (sp->mode == SP_DROP_RESPONSE)
     break_off (request);
   else
     answer (sp, request, 200, g_strdup (object->text));
-  sp_wake (sp);
+  sp_notify_watches (sp);
 }
 
 static JsonNode *
@@ -178,7 +178,7 @@
 write_object (sp_t *sp, web_request_t *request, const char *kind,
               const char *name, bool is_delete)
 {
-  const sp_object_t *object = sp_model_newest (sp->model, kind, name);
+  const sp_object_t *object = sp_model_get_latest (sp->model, kind, name);
   g_autoptr (JsonNode) spec = is_delete ? NULL : spec_of (request);
 
   if (!is_delete && spec == NULL)
@@ -231,13 +231,13 @@
   uint64_t limit = number_query (request, "limit");
 
   sp->calls[CALL_LIST]++;
-  if (sp_model_revision (sp->model, kinds)
+  if (sp_model_get_revision (sp->model, kinds)
       < number_query (request, "revision_least"))
     answer (sp, request, 503, error_text ("not caught up yet"));
   else if (limit > 0)
     answer (sp, request, 200,
-            sp_model_page (sp->model, kinds, after == NULL ? "" : after,
-                           (unsigned)limit));
+            sp_model_list_page (sp->model, kinds, after == NULL ? "" : after,
+                                (unsigned)limit));
   else
     answer (sp, request, 200, sp_model_list (sp->model, kinds));
 }
@@ -248,7 +248,7 @@
 answer_watch (sp_t *sp, web_request_t *request, uint64_t after,
               const char *kinds)
 {
-  char *text = sp_model_changes (sp->model, after, kinds);
+  char *text = sp_model_list_changes (sp->model, after, kinds);
 
   if (text != NULL)
     answer (sp, request, 200, text);
@@ -275,12 +275,12 @@
   const char *kinds = web_query (request, "kinds");
   uint64_t after = number_query (request, "after");
   uint64_t wait_ms = MIN (number_query (request, "wait_ms"), 60000u);
-  g_autofree char *changes = sp_model_changes (sp->model, after, kinds);
+  g_autofree char *changes = sp_model_list_changes (sp->model, after, kinds);
   waiter_t *waiter;
 
   sp->calls[CALL_WATCH]++;
   if (wait_ms == 0 || changes == NULL
-      || sp_model_revision (sp->model, kinds) > after)
+      || sp_model_get_revision (sp->model, kinds) > after)
     {
       answer_watch (sp, request, after, kinds);
       return;
@@ -292,14 +292,14 @@
 }
 
 void
-sp_wake (sp_t *sp)
+sp_notify_watches (sp_t *sp)
 {
   list_for_each_safe (node, &sp->waiting)
     {
       waiter_t *waiter = list_entry (node, waiter_t, node);
 
       if (waiter->is_watch
-          && sp_model_revision (sp->model, waiter->kinds) > waiter->after)
+          && sp_model_get_revision (sp->model, waiter->kinds) > waiter->after)
         end_watch (waiter);
     }
 }
@@ -309,11 +309,11 @@
 {
   sp->calls[CALL_INSTANCES]++;
   answer (sp, request, 200,
-          sp_list_text (sp->instances, zone, sp->lag_ms, clock_now ()));
+          sp_list_format (sp->instances, zone, sp->lag_ms, clock_now ()));
 }
 
 bool
-sp_instances (sp_t *sp, const char *list)
+sp_set_instances (sp_t *sp, const char *list)
 {
   return sp_list_set (sp->instances, list, clock_now ());
 }
@@ -321,15 +321,15 @@
 /* ---- control ---- */
 
 void
-sp_fault (sp_t *sp, sp_mode_t mode, unsigned delay_ms, unsigned lag_ms)
+sp_set_fault (sp_t *sp, sp_mode_t mode, unsigned delay_ms, unsigned lag_ms)
 {
   sp->mode = mode;
   sp->delay_ms = delay_ms;
   sp->lag_ms = lag_ms;
-  if (mode == SP_STALE)
+  if (mode == SP_STALE_READS)
     sp_model_freeze (sp->model, clock_now () - (cfd_time_t)lag_ms);
   else
-    sp_model_thaw (sp->model);
+    sp_model_unfreeze (sp->model);
   if (mode != SP_DOWN)
     return;
   list_for_each_safe (node, &sp->waiting)
@@ -342,7 +342,7 @@
 }
 
 uint64_t
-sp_calls (const sp_t *sp, const char *kind)
+sp_count_calls (const sp_t *sp, const char *kind)
 {
   uint64_t total = 0;
 
@@ -367,7 +367,7 @@
   g_autofree char *name = NULL;
 
   if (g_str_has_prefix (path, "/control/"))
-    sp_control (sp, request);
+    sp_handle_control (sp, request);
   else if (sp->mode == SP_DOWN)
     break_off (request);
   else if (strcmp (path, OBJECTS) == 0)
@@ -376,7 +376,7 @@
     watch (sp, request);
   else if (strcmp (path, "/v1/instances") == 0)
     list_instances (sp, request, listener->zone);
-  else if (sp_split_path (path, OBJECTS, &kind, &name))
+  else if (sp_parse_object_path (path, OBJECTS, &kind, &name))
     one_object (sp, request, kind, name);
   else
     respond (request, 404, "{\"error\":\"no such path\"}");
@@ -439,7 +439,7 @@
 }
 
 sp_model_t *
-sp_state (sp_t *sp)
+sp_get_model (sp_t *sp)
 {
   return sp->model;
 }
--- a/tests/standin-engine.c
+++ b/tests/standin-engine.c
@@ -97,7 +97,7 @@
   standin_t *standin = watcher->data;
   double wait = engine_step (standin->engine, clock_now (), on_given, standin);
 
-  if (engine_running (standin->engine) == 0)
+  if (engine_count_running (standin->engine) == 0)
     return;
   ev_timer_set (watcher, wait / 1000, 0);
   ev_timer_start (loop, watcher);
@@ -108,7 +108,7 @@
 {
   standin_t *standin = watcher->data;
 
-  standin->reported = engine_running (standin->engine);
+  standin->reported = engine_count_running (standin->engine);
 }
 
 /* The last message's content, or the prompt of a plain completion.  */
@@ -145,7 +145,7 @@
 static void
 on_completion (standin_t *standin, web_request_t *request)
 {
-  g_autoptr (JsonObject) body = standin_json (request);
+  g_autoptr (JsonObject) body = standin_parse_body (request);
   const char *prompt = body ? prompt_of (body) : NULL;
   const char *id = web_header (request, "X-Request-Id");
 
@@ -181,7 +181,7 @@
 {
   const char *name = web_path (request) + strlen ("/v1/streams/");
   g_autofree char *id = g_strndup (name, strcspn (name, "/"));
-  engine_run_t *run = engine_find (standin->engine, id);
+  engine_run_t *run = engine_find_run (standin->engine, id);
   const char *text = web_query (request, "offset");
   uint64_t offset = text ? g_ascii_strtoull (text, NULL, 10) : 0;
 
@@ -232,7 +232,7 @@
   json_builder_begin_object (reply);
   add_number (reply, "running", standin->lie ? 0 : standin->reported);
   json_builder_end_object (reply);
-  standin_reply (request, 200, reply);
+  standin_respond (request, 200, reply);
 }
 
 static void
@@ -255,11 +255,12 @@
 {
   g_autoptr (JsonBuilder) reply = json_builder_new ();
   cfd_time_t now = clock_now ();
-  const engine_counters_t *counters = engine_counters (standin->engine, now);
+  const engine_counters_t *counters
+      = engine_get_counters (standin->engine, now);
 
   json_builder_begin_object (reply);
-  add_number (reply, "running", engine_running (standin->engine));
-  add_number (reply, "bearable", engine_bearable (standin->engine, now));
+  add_number (reply, "running", engine_count_running (standin->engine));
+  add_number (reply, "bearable", engine_get_capacity (standin->engine, now));
   add_number (reply, "requests", (double)counters->requests);
   add_number (reply, "overload_count", (double)counters->overload_count);
   add_number (reply, "overload_in_grace", (double)counters->overload_in_grace);
@@ -274,15 +275,15 @@
   add_number (reply, "prompt_tokens", (double)counters->prompt_tokens);
   add_number (reply, "output_tokens", (double)counters->output_tokens);
   if (web_query (request, "nonces") != NULL)
-    add_nonces (reply, engine_nonces (standin->engine));
+    add_nonces (reply, engine_get_nonces (standin->engine));
   json_builder_end_object (reply);
-  standin_reply (request, 200, reply);
+  standin_respond (request, 200, reply);
 }
 
 static void
 on_control (standin_t *standin, web_request_t *request)
 {
-  g_autoptr (JsonObject) order = standin_json (request);
+  g_autoptr (JsonObject) order = standin_parse_body (request);
 
   if (order == NULL)
     {
@@ -299,11 +300,11 @@
   double factor
       = json_object_get_double_member_with_default (order, "slow", 0);
   if (factor > 0)
-    engine_set_slow (standin->engine, factor);
+    engine_set_step_factor (standin->engine, factor);
   if (json_object_get_boolean_member_with_default (order, "cold", FALSE))
     engine_set_cold (standin->engine, clock_now ());
   if (json_object_get_boolean_member_with_default (order, "silent", FALSE))
-    list_for_each (node, engine_runs (standin->engine))
+    list_for_each (node, engine_get_runs (standin->engine))
       {
         engine_run_t *run = list_entry (node, engine_run_t, node);
         run->silent = run->silent || run->sink != NULL;
--- a/tests/standin-relay.c
+++ b/tests/standin-relay.c
@@ -132,7 +132,7 @@
 on_control (void *user, web_request_t *request)
 {
   GPtrArray *maps = user;
-  g_autoptr (JsonObject) order = standin_json (request);
+  g_autoptr (JsonObject) order = standin_parse_body (request);
   g_autoptr (JsonBuilder) reply = json_builder_new ();
   relay_mode_t mode = MODE_PASS;
   unsigned matched = 0;
@@ -156,7 +156,7 @@
   json_builder_set_member_name (reply, "mappings");
   json_builder_add_int_value (reply, matched);
   json_builder_end_object (reply);
-  standin_reply (request, matched > 0 ? 200 : 400, reply);
+  standin_respond (request, matched > 0 ? 200 : 400, reply);
 }
 
 int
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -61,7 +61,7 @@
   json_builder_set_member_name (reply, "executions");
   json_builder_add_int_value (reply, call->executions);
   json_builder_end_object (reply);
-  standin_reply (call->request, 200, reply);
+  standin_respond (call->request, 200, reply);
 }
 
 static void
@@ -105,7 +105,7 @@
     given = web_query (request, "nonce");
   if (given != NULL)
     return g_strdup (given);
-  g_autoptr (JsonObject) body = standin_json (request);
+  g_autoptr (JsonObject) body = standin_parse_body (request);
   if (body == NULL)
     return g_strdup ("none");
   return g_strdup (
@@ -177,13 +177,13 @@
     add_number (reply, nonce, GPOINTER_TO_UINT (times));
   json_builder_end_object (reply);
   json_builder_end_object (reply);
-  standin_reply (request, 200, reply);
+  standin_respond (request, 200, reply);
 }
 
 static void
 on_control (standin_t *standin, web_request_t *request)
 {
-  g_autoptr (JsonObject) order = standin_json (request);
+  g_autoptr (JsonObject) order = standin_parse_body (request);
 
   if (order != NULL)
     {
--- a/tests/standin.c
+++ b/tests/standin.c
@@ -8,34 +8,34 @@
 #include <xxhash.h>
 
 void
-standin_word (char word[STANDIN_WORD_MAX], uint64_t seed, const char *nonce,
-              unsigned index)
+standin_format_token (char word[STANDIN_MAX_TOKEN_BYTES], uint64_t seed,
+                      const char *nonce, unsigned index)
 {
   if (index == 0)
     {
-      g_snprintf (word, STANDIN_WORD_MAX, "%.20s ", nonce);
+      g_snprintf (word, STANDIN_MAX_TOKEN_BYTES, "%.20s ", nonce);
       return;
     }
   uint64_t hash = XXH64 (nonce, strlen (nonce), seed + index);
-  g_snprintf (word, STANDIN_WORD_MAX, "%x ", (unsigned)(hash & 0xffff));
+  g_snprintf (word, STANDIN_MAX_TOKEN_BYTES, "%x ", (unsigned)(hash & 0xffff));
 }
 
 char *
-standin_answer (uint64_t seed, const char *nonce, unsigned count)
+standin_format_answer (uint64_t seed, const char *nonce, unsigned count)
 {
   GString *text = g_string_new (NULL);
-  char word[STANDIN_WORD_MAX];
+  char word[STANDIN_MAX_TOKEN_BYTES];
 
   for (unsigned i = 0; i < count; i++)
     {
-      standin_word (word, seed, nonce, i);
+      standin_format_token (word, seed, nonce, i);
       g_string_append (text, word);
     }
   return g_string_free (text, FALSE);
 }
 
 char *
-standin_field (const char *text, const char *name)
+standin_parse_field (const char *text, const char *name)
 {
   g_autofree char *key = g_strconcat (name, "=", NULL);
   const char *start = strstr (text, key);
@@ -47,7 +47,7 @@
 }
 
 JsonObject *
-standin_json (const web_request_t *request)
+standin_parse_body (const web_request_t *request)
 {
   size_t length = 0;
   const char *body = web_body (request, &length);
@@ -62,7 +62,7 @@
 }
 
 void
-standin_reply (web_request_t *request, unsigned status, JsonBuilder *builder)
+standin_respond (web_request_t *request, unsigned status, JsonBuilder *builder)
 {
   g_autoptr (JsonGenerator) generator = json_generator_new ();
   g_autoptr (JsonNode) root = json_builder_get_root (builder);
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -14,10 +14,10 @@
 static void
 control_engine (const fault_run_t *run, unsigned index, const char *body)
 {
-  g_autofree char *base = fleet_url (run->fleet, FLEET_ENDPOINT, index);
+  g_autofree char *base = fleet_get_url (run->fleet, FLEET_ENDPOINT, index);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
   g_assert_cmpint (status, ==, 200);
 }
@@ -43,7 +43,7 @@
   for (unsigned i = 0; i < fault_plan.models; i++)
     g_test_message (
         "agent %u offered %g slots before", i,
-        fleet_metric (run->fleet, FLEET_AGENT, i, "cfd_agent_slots"));
+        fleet_sum_metric (run->fleet, FLEET_AGENT, i, "cfd_agent_slots"));
   control_engines (run, "{\"cold\":true}");
 }
 
@@ -68,13 +68,13 @@
 static void
 freeze_engine (fault_run_t *run)
 {
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, 0), SIGSTOP, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, 0), SIGSTOP, 0);
 }
 
 static void
 resume_engine (fault_run_t *run)
 {
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, 0), SIGCONT, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, 0), SIGCONT, 0);
 }
 
 /* Signals the agents of zone 0: one of a model engine, one of a plain
@@ -85,8 +85,9 @@
   int wait_ms
       = signal_number == SIGSTOP || signal_number == SIGCONT ? 0 : STOP_MS;
 
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, 0), signal_number, wait_ms);
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, fault_plan.models),
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, 0), signal_number,
+             wait_ms);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, fault_plan.models),
              signal_number, wait_ms);
 }
 
@@ -119,12 +120,14 @@
 start_agents (fault_run_t *run)
 {
   g_autoptr (GError) error = NULL;
-  proc_set_t *procs = fleet_procs (run->fleet);
+  proc_set_t *procs = fleet_get_processes (run->fleet);
 
-  (void)proc_again (procs, fleet_proc (run->fleet, FLEET_AGENT, 0), &error);
+  (void)proc_restart (procs, fleet_get_process (run->fleet, FLEET_AGENT, 0),
+                      &error);
   g_assert_no_error (error);
-  (void)proc_again (
-      procs, fleet_proc (run->fleet, FLEET_AGENT, fault_plan.models), &error);
+  (void)proc_restart (
+      procs, fleet_get_process (run->fleet, FLEET_AGENT, fault_plan.models),
+      &error);
   g_assert_no_error (error);
 }
 
@@ -133,7 +136,7 @@
 static void
 verify_all_answered (fault_run_t *run)
 {
-  g_assert_cmpuint (run->totals.right, ==, run->totals.requests);
+  g_assert_cmpuint (run->totals.correct, ==, run->totals.requests);
 }
 
 /* An ejection and the return are two events.  Fewer than 12 requests may fail
@@ -141,8 +144,8 @@
 static void
 verify_ejected (fault_run_t *run)
 {
-  double broken
-      = fleet_metric (run->fleet, FLEET_AGENT, 0, "cfd_agent_broken_total");
+  double broken = fleet_sum_metric (run->fleet, FLEET_AGENT, 0,
+                                    "cfd_agent_broken_total");
 
   g_test_message ("%g requests were turned away", broken);
   g_assert_cmpuint (fault_count_agent_events (run, 0, "eject"), >=, 2);
@@ -177,8 +180,8 @@
 verify_frozen_engine (fault_run_t *run)
 {
   g_assert_cmpfloat (
-      fleet_metric (run->fleet, FLEET_AGENT, 0, "cfd_agent_broken_total"), >=,
-      3);
+      fleet_sum_metric (run->fleet, FLEET_AGENT, 0, "cfd_agent_broken_total"),
+      >=, 3);
   verify_ejected (run);
   verify_retried_elsewhere (run);
 }
@@ -188,7 +191,7 @@
 static void
 verify_half_answered (fault_run_t *run)
 {
-  g_assert_cmpuint (run->totals.right, >=, run->totals.requests / 2);
+  g_assert_cmpuint (run->totals.correct, >=, run->totals.requests / 2);
 }
 
 /* Each request that the resumed agent starts must belong to a grant made after
@@ -214,11 +217,11 @@
     }
   g_test_message ("agent %u resumed: %u grants, %u starts, %g refused", agent,
                   grants, starts,
-                  fleet_metric (run->fleet, FLEET_AGENT, agent,
-                                "cfd_agent_not_started_total"));
-  g_assert_cmpfloat (
-      fleet_metric (run->fleet, FLEET_AGENT, agent, "cfd_agent_woken_total"),
-      >=, 1);
+                  fleet_sum_metric (run->fleet, FLEET_AGENT, agent,
+                                    "cfd_agent_not_started_total"));
+  g_assert_cmpfloat (fleet_sum_metric (run->fleet, FLEET_AGENT, agent,
+                                       "cfd_agent_woken_total"),
+                     >=, 1);
   g_assert_cmpuint (grants, >, 0);
 }
 
@@ -229,8 +232,9 @@
 verify_frozen (fault_run_t *run)
 {
   verify_starts_follow_grants (run, fault_plan.models);
-  g_assert_cmpfloat (fleet_metric (run->fleet, FLEET_AGENT, fault_plan.models,
-                                   "cfd_agent_not_started_total"),
+  g_assert_cmpfloat (fleet_sum_metric (run->fleet, FLEET_AGENT,
+                                       fault_plan.models,
+                                       "cfd_agent_not_started_total"),
                      >, 0);
   verify_half_answered (run);
 }
--- a/tests/test-cfdctl.c
+++ b/tests/test-cfdctl.c
@@ -32,7 +32,7 @@
                                      .slots_cold = 8,
                                      .plain_slots = 4,
                                      .step_ms = 4,
-                                     .plain_ms = 10,
+                                     .plain_call_ms = 10,
                                      .zone_ms = 1,
                                      .caller_ms = 1,
                                      .seed = 3,
@@ -40,13 +40,13 @@
                                      .account_count = 1,
                                      .accounts = &account };
   g_autoptr (GError) error = NULL;
-  g_autofree char *build = proc_build_folder ();
+  g_autofree char *build = proc_get_build_dir ();
   fixture_t *fixture = g_new0 (fixture_t, 1);
 
   fixture->fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   fixture->program = g_build_filename (build, "cli", "cfdctl", NULL);
-  fixture->platform = fleet_url (fixture->fleet, FLEET_PLATFORM, 0);
+  fixture->platform = fleet_get_url (fixture->fleet, FLEET_PLATFORM, 0);
   return fixture;
 }
 
@@ -183,7 +183,7 @@
 test_zone (void)
 {
   fixture_t *fixture = fixture_new ();
-  proc_t *agent = fleet_proc (fixture->fleet, FLEET_AGENT, 0);
+  proc_t *agent = fleet_get_process (fixture->fleet, FLEET_AGENT, 0);
 
   check_cfdctl (fixture, "zone out zone-9", 2, NULL);
   check_cfdctl (fixture, "zone off zone-1", 1, "out|in");
@@ -191,13 +191,13 @@
   for (unsigned i = 0; i < ZONES; i++)
     {
       g_assert_cmpfloat (
-          fleet_metric (fixture->fleet, FLEET_ROUTER, i, "cfd_zones_out"), ==,
-          1);
+          fleet_sum_metric (fixture->fleet, FLEET_ROUTER, i, "cfd_zones_out"),
+          ==, 1);
       g_assert_cmpfloat (
-          fleet_metric (fixture->fleet, FLEET_AGENT, i, "cfd_zones_out"), ==,
-          1);
+          fleet_sum_metric (fixture->fleet, FLEET_AGENT, i, "cfd_zones_out"),
+          ==, 1);
       g_assert_cmpfloat (
-          fleet_metric (fixture->fleet, FLEET_AGENT, i, "cfd_ready"), ==,
+          fleet_sum_metric (fixture->fleet, FLEET_AGENT, i, "cfd_ready"), ==,
           i == 0);
     }
   check_cfdctl (fixture, "status", 0, "why-not=zone-out");
@@ -229,15 +229,15 @@
 static char *
 serve_request (fixture_t *fixture)
 {
-  g_autofree char *url = fleet_direct_url (fixture->fleet, 0);
+  g_autofree char *url = fleet_get_direct_url (fixture->fleet, 0);
   g_autoptr (call_t) call
       = call_start (url, "POST", "/v1/chat/completions", KEY,
                     "X-Request-Id: the-callers-own\r\n",
                     "{\"model\":\"draft\",\"max_tokens\":5,\"messages\":"
                     "[{\"role\":\"user\",\"content\":\"hello\"}]}");
 
-  g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (call), ==, 200);
+  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (call), ==, 200);
   return copy_header (call, "X-Request-Id");
 }
 
@@ -308,7 +308,8 @@
 signal_endpoints (fixture_t *fixture, int number)
 {
   for (unsigned i = 0; i < ZONES; i++)
-    proc_stop (fleet_proc (fixture->fleet, FLEET_ENDPOINT, i), number, 0);
+    proc_stop (fleet_get_process (fixture->fleet, FLEET_ENDPOINT, i), number,
+               0);
 }
 
 /* A refused caller also has a name by which to ask.  */
@@ -316,14 +317,14 @@
 test_refused (void)
 {
   fixture_t *fixture = fixture_new ();
-  g_autofree char *url = fleet_direct_url (fixture->fleet, 1);
+  g_autofree char *url = fleet_get_direct_url (fixture->fleet, 1);
   g_autoptr (call_t) call
       = call_start (url, "POST", "/v1/completions", "not-a-key", NULL, "{}");
   g_autofree char *id = NULL;
   g_autofree char *explain = NULL;
 
-  g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (call), ==, 401);
+  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (call), ==, 401);
   id = copy_header (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
   check_cfdctl (fixture, explain, 0, "Unknown key");
@@ -338,7 +339,7 @@
 test_retried (void)
 {
   fixture_t *fixture = fixture_new ();
-  g_autofree char *url = fleet_direct_url (fixture->fleet, 0);
+  g_autofree char *url = fleet_get_direct_url (fixture->fleet, 0);
   g_autoptr (call_t) call = NULL;
   g_autofree char *id = NULL;
   g_autofree char *explain = NULL;
@@ -349,7 +350,8 @@
                      "{\"model\":\"draft\",\"max_tokens\":400,\"messages\":"
                      "[{\"role\":\"user\",\"content\":\"hello\"}]}");
   for (unsigned i = 0; i < WAIT_MS / 10; i++)
-    if (fleet_metric (fixture->fleet, FLEET_ROUTER, 0, "cfd_router_in_flight")
+    if (fleet_sum_metric (fixture->fleet, FLEET_ROUTER, 0,
+                          "cfd_router_in_flight")
         > 0)
       break;
     else
@@ -358,11 +360,12 @@
   first_agent = find_line (fixture->out, "agent-0", "in_flight=1") >= 0
                     ? "agent-0"
                     : "agent-1";
-  proc_stop (fleet_proc (fixture->fleet, FLEET_AGENT, first_agent[6] - '0'),
-             SIGKILL, 2000);
+  proc_stop (
+      fleet_get_process (fixture->fleet, FLEET_AGENT, first_agent[6] - '0'),
+      SIGKILL, 2000);
   signal_endpoints (fixture, SIGCONT);
-  g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (call), ==, 200);
+  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (call), ==, 200);
   id = copy_header (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
   check_cfdctl (fixture, explain, 0, first_agent);
--- a/tests/test-engine.c
+++ b/tests/test-engine.c
@@ -33,15 +33,16 @@
   g_autoptr (engine_t) engine = engine_new (&settings, 0);
 
   start_request (engine, "a", 10);
-  g_assert_cmpuint (engine_counters (engine, 10)->overload_count, ==, 0);
+  g_assert_cmpuint (engine_get_counters (engine, 10)->overload_count, ==, 0);
   start_request (engine, "b", 20);
-  g_assert_cmpuint (engine_counters (engine, 20)->overload_count, ==, 1);
+  g_assert_cmpuint (engine_get_counters (engine, 20)->overload_count, ==, 1);
   engine_set_cold (engine, 5000);
   start_request (engine, "c", 5100);
-  g_assert_cmpuint (engine_counters (engine, 5100)->overload_count, ==, 1);
-  g_assert_cmpuint (engine_counters (engine, 5100)->overload_in_grace, ==, 1);
-  start_request (engine, "d", 5000 + ENGINE_GRACE_MS);
-  g_assert_cmpuint (engine_counters (engine, 6000)->overload_count, ==, 2);
+  g_assert_cmpuint (engine_get_counters (engine, 5100)->overload_count, ==, 1);
+  g_assert_cmpuint (engine_get_counters (engine, 5100)->overload_in_grace, ==,
+                    1);
+  start_request (engine, "d", 5000 + ENGINE_OVERLOAD_GRACE_MS);
+  g_assert_cmpuint (engine_get_counters (engine, 6000)->overload_count, ==, 2);
 }
 
 static void
@@ -57,12 +58,12 @@
   for (unsigned i = 0; i < 5; i++)
     engine_step (engine, now += 100, count_chunk, &chunks);
   g_assert_cmpuint (chunks, ==, 3);
-  g_assert_cmpuint (engine_running (engine), ==, 0);
+  g_assert_cmpuint (engine_count_running (engine), ==, 0);
   g_assert_nonnull (strstr (run->body->str, "\"content\":\"a \""));
   g_assert_nonnull (strstr (run->body->str, "\"completion_tokens\":3"));
   g_assert_true (g_str_has_suffix (run->body->str, "data: [DONE]\n\n"));
   /* Three tokens, the last at 2300.  */
-  g_assert_cmpfloat (engine_counters (engine, now)->busy_ms, ==, 300);
+  g_assert_cmpfloat (engine_get_counters (engine, now)->busy_ms, ==, 300);
 }
 
 static void
@@ -73,10 +74,10 @@
 
   engine_cancel (engine, run, 2100);
   engine_cancel (engine, run, 2200);
-  g_assert_cmpuint (engine_running (engine), ==, 0);
-  g_assert_true (engine_find (engine, "a") == run);
-  engine_step (engine, 2101 + ENGINE_KEEP_MS, count_chunk, NULL);
-  g_assert_null (engine_find (engine, "a"));
+  g_assert_cmpuint (engine_count_running (engine), ==, 0);
+  g_assert_true (engine_find_run (engine, "a") == run);
+  engine_step (engine, 2101 + ENGINE_RESUME_WINDOW_MS, count_chunk, NULL);
+  g_assert_null (engine_find_run (engine, "a"));
 }
 
 static void
@@ -88,9 +89,9 @@
   start_request (engine, "a", 2000);
   g_assert_cmpfloat (engine_step (engine, 2000, count_chunk, &chunks), ==,
                      12.5);
-  engine_set_slow (engine, 4);
+  engine_set_step_factor (engine, 4);
   g_assert_cmpfloat (engine_step (engine, 2000, count_chunk, &chunks), ==, 50);
-  engine_set_slow (engine, 1);
+  engine_set_step_factor (engine, 1);
   g_assert_cmpfloat (engine_step (engine, 2000, count_chunk, &chunks), ==,
                      12.5);
 }
--- a/tests/test-fair.c
+++ b/tests/test-fair.c
@@ -90,9 +90,9 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (samples); i++)
     g_ptr_array_add (list, &samples[i]);
-  g_assert_cmpfloat_with_epsilon (fair_rate (list, 500000, 3000000), 200,
+  g_assert_cmpfloat_with_epsilon (fair_token_rate (list, 500000, 3000000), 200,
                                   1e-9);
-  g_assert_cmpfloat (fair_rate (list, 4000000, 5000000), ==, 0);
+  g_assert_cmpfloat (fair_token_rate (list, 4000000, 5000000), ==, 0);
 }
 
 static load_sample_t
@@ -127,7 +127,7 @@
     g_ptr_array_add (list, &samples[i]);
   for (unsigned side = 0; side < 2; side++)
     {
-      g_autoptr (GPtrArray) part = fair_side (list, sides, side, 2);
+      g_autoptr (GPtrArray) part = fair_filter_side (list, sides, side, 2);
       g_assert_cmpfloat (fair_gap (part, FAIR_RECEIVED, 2, 0, 1).tokens, ==,
                          side == 0 ? 2 : 0);
     }
@@ -146,9 +146,9 @@
   load_sample_t middle[] = { { .waiting = many }, { .waiting = few } };
   load_sample_t late[] = { { .waiting = few }, { .waiting = many } };
   load_sample_t samples[]
-      = { { .waiting_all = 0, .routers = 2, .by_router = early },
-          { .waiting_all = 52, .routers = 2, .by_router = middle },
-          { .waiting_all = 51, .routers = 2, .by_router = late } };
+      = { { .total_waiting = 0, .routers = 2, .by_router = early },
+          { .total_waiting = 52, .routers = 2, .by_router = middle },
+          { .total_waiting = 51, .routers = 2, .by_router = late } };
   const unsigned sides[] = { 0, 1 };
   const struct
   {
@@ -164,8 +164,8 @@
   for (unsigned i = 0; i < G_N_ELEMENTS (samples); i++)
     g_ptr_array_add (list, &samples[i]);
   for (unsigned i = 0; i < G_N_ELEMENTS (cases); i++)
-    g_assert_cmpuint (fair_least_waiting (list, cases[i].sides, cases[i].side,
-                                          2, cases[i].count),
+    g_assert_cmpuint (fair_min_waiting (list, cases[i].sides, cases[i].side, 2,
+                                        cases[i].count),
                       ==, cases[i].least);
 }
 
@@ -185,9 +185,9 @@
       g_ptr_array_add (list, &samples[i]);
     }
   g_assert_cmpfloat_with_epsilon (
-      fair_recovery (list, 2, 0, 4 * G_USEC_PER_SEC, 20), 2.1, 1e-9);
+      fair_recovery_time_s (list, 2, 0, 4 * G_USEC_PER_SEC, 20), 2.1, 1e-9);
   g_assert_cmpfloat_with_epsilon (
-      fair_recovery (list, 2, 0, 4 * G_USEC_PER_SEC, 600), 0, 1e-9);
+      fair_recovery_time_s (list, 2, 0, 4 * G_USEC_PER_SEC, 600), 0, 1e-9);
 }
 
 int
--- a/tests/test-logs.c
+++ b/tests/test-logs.c
@@ -25,7 +25,7 @@
                                      .slots_cold = 4,
                                      .plain_slots = 4,
                                      .step_ms = 4,
-                                     .plain_ms = 5,
+                                     .plain_call_ms = 5,
                                      .zone_ms = 1,
                                      .caller_ms = 1,
                                      .seed = 3,
@@ -68,7 +68,7 @@
 static void
 make_calls (fleet_t *fleet)
 {
-  g_autofree char *url = fleet_direct_url (fleet, 0);
+  g_autofree char *url = fleet_get_direct_url (fleet, 0);
 
   for (unsigned i = 0; i < G_N_ELEMENTS (call_cases); i++)
     {
@@ -76,9 +76,9 @@
       g_autoptr (call_t) call
           = call_start (url, "POST", c->path, c->key, c->headers, c->body);
 
-      g_assert_cmpint (call_finish (call, WAIT_MS), ==, CALL_WHOLE);
-      g_test_message ("%s %s: %u", c->path, c->body, call_status (call));
-      g_assert_cmpuint (call_status (call), ==, c->status);
+      g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+      g_test_message ("%s %s: %u", c->path, c->body, call_get_status (call));
+      g_assert_cmpuint (call_get_status (call), ==, c->status);
     }
 }
 
@@ -91,17 +91,17 @@
 }
 
 static void
-check_admin_pages (fleet_t *fleet, fleet_sort_t sort, unsigned index)
+check_admin_pages (fleet_t *fleet, fleet_role_t sort, unsigned index)
 {
   static const char *const paths[]
       = { "/status", "/metrics", "/events", "/readyz" };
-  g_autofree char *base = fleet_admin_url (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
 
   for (unsigned i = 0; i < G_N_ELEMENTS (paths); i++)
     {
       g_autofree char *url = g_strconcat (base, paths[i], NULL);
       long status = 0;
-      g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+      g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
 
       g_assert_nonnull (text);
       check_no_secrets (text, url);
@@ -134,8 +134,8 @@
 check_log (fleet_t *fleet, const char *name)
 {
   g_autofree char *file = g_strconcat (name, ".log", NULL);
-  g_autofree char *path
-      = g_build_filename (proc_set_folder (fleet_procs (fleet)), file, NULL);
+  g_autofree char *path = g_build_filename (
+      proc_set_get_log_dir (fleet_get_processes (fleet)), file, NULL);
   g_autofree char *text = NULL;
   g_auto (GStrv) lines = NULL;
   unsigned seen = 0;
@@ -162,11 +162,11 @@
   fleet_t *fleet = start_fleet ();
 
   make_calls (fleet);
-  proc_stop (fleet_proc (fleet, FLEET_AGENT, 1), SIGKILL, 2000);
+  proc_stop (fleet_get_process (fleet, FLEET_AGENT, 1), SIGKILL, 2000);
   check_admin_pages (fleet, FLEET_ROUTER, 0);
   check_admin_pages (fleet, FLEET_AGENT, 0);
-  proc_stop (fleet_proc (fleet, FLEET_ROUTER, 0), SIGTERM, WAIT_MS);
-  proc_stop (fleet_proc (fleet, FLEET_AGENT, 0), SIGTERM, WAIT_MS);
+  proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0), SIGTERM, WAIT_MS);
+  proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGTERM, WAIT_MS);
   check_log (fleet, "router-0");
   check_log (fleet, "agent-0");
   check_log (fleet, "agent-1");
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -5,13 +5,13 @@
 
 /* "NAME TYPE" of each metric that a process shows.  */
 static void
-add_exported_metrics (const fleet_t *fleet, fleet_sort_t sort,
+add_exported_metrics (const fleet_t *fleet, fleet_role_t sort,
                       GHashTable *exported)
 {
-  g_autofree char *base = fleet_admin_url (fleet, sort, 0);
+  g_autofree char *base = fleet_get_admin_url (fleet, sort, 0);
   g_autofree char *url = g_strconcat (base, "/metrics", NULL);
   long status = 0;
-  g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
   g_auto (GStrv) lines = NULL;
 
   g_assert_cmpint (status, ==, 200);
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -62,21 +62,21 @@
                                     .answer_seed = fleet->seed,
                                     .routers = fleet->routers,
                                     .urls = g_new0 (char *, ROUTERS + 1),
-                                    .model = FLEET_MODEL,
-                                    .plain = FLEET_PLAIN,
+                                    .model = FLEET_MODEL_SERVICE,
+                                    .plain = FLEET_PLAIN_SERVICE,
                                     .idle_timeout_ms = 30000,
                                     .accounts = g_ptr_array_new () };
   for (unsigned i = 0; i < fleet->routers; i++)
-    scene->load_plan.urls[i] = fleet_url (scene->fleet, FLEET_ROUTER, i);
+    scene->load_plan.urls[i] = fleet_get_url (scene->fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < ACCOUNTS; i++)
     {
       scene->accounts[i] = (load_account_t){ .name = (char *)accounts[i].name,
                                              .key = (char *)accounts[i].key,
                                              .weight = accounts[i].weight,
                                              .outstanding = 30,
-                                             .spread = spreads[i],
-                                             .least_tokens = 16,
-                                             .most_tokens = 48 };
+                                             .router_shares = spreads[i],
+                                             .min_answer_tokens = 16,
+                                             .max_answer_tokens = 48 };
       scene->accounts[i].kinds[LOAD_STREAM] = 1;
       g_ptr_array_add (scene->load_plan.accounts, &scene->accounts[i]);
     }
@@ -105,13 +105,14 @@
 static void
 scene_free (scene_t *scene)
 {
-  collect_t sum;
+  collect_result_t sum;
 
   load_stop (scene->load);
-  for (unsigned i = 0; i < MAX_DRAIN_S && load_active (scene->load) > 0; i++)
+  for (unsigned i = 0; i < MAX_DRAIN_S && load_count_active (scene->load) > 0;
+       i++)
     scene_run (scene, 1);
   g_assert_true (collect (scene->fleet, scene->load, &sum));
-  g_assert_cmpuint (sum.wrong_answers + sum.double_runs + sum.false_not_run,
+  g_assert_cmpuint (sum.wrong_answers + sum.duplicate_runs + sum.false_not_run,
                     ==, 0);
   load_free (scene->load);
   fleet_free (scene->fleet, false);
@@ -124,7 +125,7 @@
 static double
 measure_gap_since (const scene_t *scene, int64_t from_us)
 {
-  fair_gap_t gap = fair_gap (load_samples (scene->load), FAIR_RECEIVED,
+  fair_gap_t gap = fair_gap (load_get_samples (scene->load), FAIR_RECEIVED,
                              ACCOUNTS, from_us, clock_now_us ());
 
   g_test_message ("gap %.0f: %s and %s", gap.tokens, accounts[gap.a].name,
@@ -148,11 +149,11 @@
   scene_t *scene = scene_new (&plan, spreads);
 
   scene_run (scene, WARM_UP_S);
-  g_assert_true (fleet_part (scene->fleet, sides, true));
-  g_assert_true (fleet_part_platform (scene->fleet, sides, 1, true));
+  g_assert_true (fleet_set_partition (scene->fleet, sides, true));
+  g_assert_true (fleet_set_platform_partition (scene->fleet, sides, 1, true));
   scene_run (scene, 20);
-  g_assert_true (fleet_part (scene->fleet, sides, false));
-  g_assert_true (fleet_part_platform (scene->fleet, sides, 1, false));
+  g_assert_true (fleet_set_partition (scene->fleet, sides, false));
+  g_assert_true (fleet_set_platform_partition (scene->fleet, sides, 1, false));
   scene_run (scene, REJOIN_S);
   int64_t rejoined_us = clock_now_us ();
   scene_run (scene, 7);
@@ -175,20 +176,21 @@
   one_zone.zones = 1;
   one_zone.routers = ROUTERS;
   scene_t *scene = scene_new (&one_zone, spreads);
-  proc_t *home = fleet_proc (scene->fleet, FLEET_ROUTER, HOME_ROUTER);
+  proc_t *home = fleet_get_process (scene->fleet, FLEET_ROUTER, HOME_ROUTER);
 
   scene_run (scene, WARM_UP_S);
-  g_assert_cmpfloat (fleet_metric (scene->fleet, FLEET_ROUTER, HOME_ROUTER,
-                                   "cfd_router_accounts{side=\"home\"}"),
+  g_assert_cmpfloat (fleet_sum_metric (scene->fleet, FLEET_ROUTER, HOME_ROUTER,
+                                       "cfd_router_accounts{side=\"home\"}"),
                      ==, 2);
   int64_t failed_us = clock_now_us ();
   /* Without a wait, in which the callers here would stand still too.  */
   (void)proc_stop (home, signal, 0);
   scene_run (scene, 5);
-  if (proc_runs (home))
+  if (proc_is_running (home))
     (void)proc_stop (home, SIGCONT, 0);
   else
-    g_assert_true (proc_again (fleet_procs (scene->fleet), home, NULL));
+    g_assert_true (
+        proc_restart (fleet_get_processes (scene->fleet), home, NULL));
   scene_run (scene, 5);
   double gap = measure_gap_since (scene, failed_us);
   scene_free (scene);
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -14,7 +14,7 @@
 #define END_LIMIT_MS 50000
 #define STOP_MS 10000
 /* Service is looked at over windows of so many samples: a second.  */
-#define WINDOW_SAMPLES (1000u / LOAD_SAMPLE_MS)
+#define WINDOW_SAMPLES (1000u / LOAD_SAMPLE_INTERVAL_MS)
 
 static const fleet_account_t accounts[] = { { "lampang", "key-1", 2 },
                                             { "trang", "key-2", 1 },
@@ -30,7 +30,7 @@
                                    .plain_slots = 4,
                                    .cold_ms = 1500,
                                    .step_ms = 12,
-                                   .plain_ms = 30,
+                                   .plain_call_ms = 30,
                                    .zone_ms = 1.5,
                                    .caller_ms = 1,
                                    .seed = 21,
@@ -57,7 +57,7 @@
   double suspected_agents; /* agents that each router doubts, or more, at
                               BACK_US */
   bool ended;
-  collect_t totals;
+  collect_result_t totals;
 } rack_run_t;
 
 /* ---- the rack: all endpoints of zone 0, with their agents ---- */
@@ -78,27 +78,29 @@
 {
   int signal_number = run->rack_case->signal_number;
 
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, index), SIGSTOP, 0);
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, index), signal_number,
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGSTOP,
+             0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, index), signal_number,
              signal_number == SIGSTOP ? 0 : STOP_MS);
 }
 
 static void
 restore_member (rack_run_t *run, unsigned index)
 {
-  proc_t *agent = fleet_proc (run->fleet, FLEET_AGENT, index);
-  g_autofree char *base = fleet_url (run->fleet, FLEET_ENDPOINT, index);
+  proc_t *agent = fleet_get_process (run->fleet, FLEET_AGENT, index);
+  g_autofree char *base = fleet_get_url (run->fleet, FLEET_ENDPOINT, index);
   g_autofree char *url = g_strconcat (base, "/control", NULL);
   g_autoptr (GError) error = NULL;
   long status = 200;
 
   if (run->rack_case->signal_number == SIGSTOP)
     proc_stop (agent, SIGKILL, STOP_MS);
-  proc_stop (fleet_proc (run->fleet, FLEET_ENDPOINT, index), SIGCONT, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGCONT,
+             0);
   if (index < MODELS)
-    g_free (proc_ask ("PUT", url, NULL, "{\"cold\":true}", &status));
+    g_free (proc_send_http ("PUT", url, NULL, "{\"cold\":true}", &status));
   g_assert_cmpint (status, ==, 200);
-  (void)proc_again (fleet_procs (run->fleet), agent, &error);
+  (void)proc_restart (fleet_get_processes (run->fleet), agent, &error);
   g_assert_no_error (error);
 }
 
@@ -109,8 +111,8 @@
 
   for (unsigned i = 0; i < plan.routers; i++)
     {
-      double suspected_agents = fleet_metric (run->fleet, FLEET_ROUTER, i,
-                                              "cfd_router_agents_doubted");
+      double suspected_agents = fleet_sum_metric (run->fleet, FLEET_ROUTER, i,
+                                                  "cfd_router_agents_doubted");
 
       min_count = MIN (min_count, suspected_agents);
     }
@@ -140,7 +142,7 @@
       run->ended = true;
       load_stop (run->load);
     }
-  if (ms >= END_LIMIT_MS || (run->ended && load_active (run->load) == 0))
+  if (ms >= END_LIMIT_MS || (run->ended && load_count_active (run->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -197,7 +199,7 @@
   double sum = 0;
 
   for (unsigned i = 0; i < plan.routers; i++)
-    sum += fleet_metric (run->fleet, FLEET_ROUTER, i, name);
+    sum += fleet_sum_metric (run->fleet, FLEET_ROUTER, i, name);
   return sum;
 }
 
@@ -206,7 +208,7 @@
 static double
 longest_failed_wait_s (const rack_run_t *run)
 {
-  const GPtrArray *requests = load_requests (run->load);
+  const GPtrArray *requests = load_get_requests (run->load);
   double longest = 0;
 
   for (guint i = 0; i < requests->len; i++)
@@ -214,7 +216,7 @@
       const load_request_t *request = requests->pdata[i];
       int64_t from = MAX (request->started_us, run->failed_us);
 
-      if (request->end == LOAD_BROKEN || request->end == LOAD_REFUSED)
+      if (request->end == LOAD_INCOMPLETE || request->end == LOAD_REFUSED)
         longest = MAX (longest, (double)(request->last_us - from) / 1e6);
     }
   return longest;
@@ -223,7 +225,7 @@
 static void
 verify (rack_run_t *run)
 {
-  const GPtrArray *samples = load_samples (run->load);
+  const GPtrArray *samples = load_get_samples (run->load);
   double before
       = mean_rate (samples, run->failed_us - 2000000, run->failed_us);
   double share = before * (ZONES - 1) / ZONES;
@@ -270,14 +272,14 @@
   g_assert_cmpuint (run->totals.refused + run->totals.broken, <=,
                     MODELS / ZONES * plan.slots
                         + PLAINS / ZONES * plan.plain_slots);
-  g_assert_true (collect_is_clean (&run->totals));
+  g_assert_true (collect_has_no_violation (&run->totals));
   g_assert_cmpuint (run->totals.unfinished, ==, 0);
 }
 
 /* ---- a run ---- */
 
 static void
-add_accounts (GPtrArray *members, double *spread)
+add_accounts (GPtrArray *members, double *router_shares)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
@@ -288,9 +290,9 @@
                                 .weight = accounts[i].weight,
                                 .outstanding = 24,
                                 .kinds = { 6, 1, 2, 2, 1, 1 },
-                                .spread = spread,
-                                .least_tokens = 16,
-                                .most_tokens = 48 };
+                                .router_shares = router_shares,
+                                .min_answer_tokens = 16,
+                                .max_answer_tokens = 48 };
       g_ptr_array_add (members, load);
     }
 }
@@ -299,7 +301,7 @@
 run_rack_case (gconstpointer data)
 {
   rack_run_t run = { .rack_case = data };
-  double spread[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
+  double router_shares[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
   char *urls[ZONES];
   g_autoptr (GError) error = NULL;
   g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
@@ -307,8 +309,8 @@
                             .answer_seed = plan.seed,
                             .routers = ZONES,
                             .urls = urls,
-                            .model = FLEET_MODEL,
-                            .plain = FLEET_PLAIN,
+                            .model = FLEET_MODEL_SERVICE,
+                            .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 20000,
                             .accounts = members };
   struct ev_loop *loop = ev_loop_new (0);
@@ -317,8 +319,8 @@
   run.fleet = fleet_new (&plan, &error);
   g_assert_no_error (error);
   for (unsigned i = 0; i < ZONES; i++)
-    urls[i] = fleet_url (run.fleet, FLEET_ROUTER, i);
-  add_accounts (members, spread);
+    urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
+  add_accounts (members, router_shares);
   run.load = load_new (loop, &load_plan);
   ev_timer_init (&check, on_check, 0.02, 0.02);
   check.data = &run;
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -18,7 +18,7 @@
 #define PLAIN_AGENT 1
 
 static fleet_t *
-start_fleet (double step_ms, double plain_ms, unsigned plain_slots)
+start_fleet (double step_ms, double plain_call_ms, unsigned plain_slots)
 {
   const fleet_plan_t plan = { .zones = 2,
                               .routers = 2,
@@ -29,7 +29,7 @@
                               .plain_slots = plain_slots,
                               .cold_ms = 100,
                               .step_ms = step_ms,
-                              .plain_ms = plain_ms,
+                              .plain_call_ms = plain_call_ms,
                               .zone_ms = 0.5,
                               .seed = 5,
                               .policy = "fleet",
@@ -51,9 +51,10 @@
 static call_t *
 start_stream (fleet_t *fleet, unsigned router, unsigned tokens)
 {
-  g_autofree char *base = fleet_direct_url (fleet, router);
+  g_autofree char *base = fleet_get_direct_url (fleet, router);
   g_autofree char *body = g_strdup_printf (
-      "{\"model\":\"" FLEET_MODEL "\",\"stream\":true,\"max_tokens\":%u,"
+      "{\"model\":\"" FLEET_MODEL_SERVICE
+      "\",\"stream\":true,\"max_tokens\":%u,"
       "\"messages\":[{\"role\":\"user\",\"content\":\"nonce=n length=%u\"}]}",
       tokens, tokens);
 
@@ -64,23 +65,23 @@
 start_post (fleet_t *fleet, unsigned router, const char *nonce,
             const char *idempotency_key)
 {
-  g_autofree char *base = fleet_direct_url (fleet, router);
+  g_autofree char *base = fleet_get_direct_url (fleet, router);
   g_autofree char *body = g_strdup_printf ("{\"nonce\":\"%s\"}", nonce);
   g_autofree char *header
       = idempotency_key != NULL
             ? g_strdup_printf ("Idempotency-Key: %s\r\n", idempotency_key)
             : NULL;
 
-  return call_start (base, "POST", "/services/" FLEET_PLAIN "/entries", KEY,
-                     header, body);
+  return call_start (base, "POST", "/services/" FLEET_PLAIN_SERVICE "/entries",
+                     KEY, header, body);
 }
 
 static call_t *
 start_lookup (fleet_t *fleet, unsigned router, const char *nonce)
 {
-  g_autofree char *base = fleet_direct_url (fleet, router);
+  g_autofree char *base = fleet_get_direct_url (fleet, router);
   g_autofree char *path = g_strdup_printf (
-      "/services/" FLEET_PLAIN "/entries/7?nonce=%s", nonce);
+      "/services/" FLEET_PLAIN_SERVICE "/entries/7?nonce=%s", nonce);
 
   return call_start (base, "GET", path, KEY, NULL, NULL);
 }
@@ -89,10 +90,10 @@
 static unsigned
 count_executions (fleet_t *fleet, const char *nonce)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_ENDPOINT, PLAIN_AGENT);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_ENDPOINT, PLAIN_AGENT);
   g_autofree char *url = g_strconcat (base, "/control/counters", NULL);
   long status = 0;
-  g_autofree char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
   g_autoptr (JsonParser) parser = json_parser_new ();
 
   g_assert_true (json_parser_load_from_data (parser, text, -1, NULL));
@@ -112,12 +113,12 @@
 }
 
 static void
-wait_for_metric (fleet_t *fleet, fleet_sort_t sort, unsigned index,
+wait_for_metric (fleet_t *fleet, fleet_role_t sort, unsigned index,
                  const char *name, double min_value)
 {
   for (int i = 0; i < WAIT_MS / 10; i++)
     {
-      if (fleet_metric (fleet, sort, index, name) >= min_value)
+      if (fleet_sum_metric (fleet, sort, index, name) >= min_value)
         return;
       g_usleep (10000);
     }
@@ -127,11 +128,11 @@
 static void
 set_platform_mode (fleet_t *fleet, const char *mode)
 {
-  g_autofree char *base = fleet_url (fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/faults", NULL);
   g_autofree char *body = g_strdup_printf ("{\"mode\":\"%s\"}", mode);
   long status = 0;
-  g_autofree char *answer = proc_ask ("PUT", url, NULL, body, &status);
+  g_autofree char *answer = proc_send_http ("PUT", url, NULL, body, &status);
 
   g_assert_cmpint (status, ==, 200);
 }
@@ -148,21 +149,21 @@
   g_autoptr (call_t) posted = start_post (fleet, 0, "p", NULL);
   g_autoptr (call_t) looked = start_lookup (fleet, 0, "l");
   g_autoptr (GError) error = NULL;
-  proc_t *plain = fleet_proc (fleet, FLEET_AGENT, PLAIN_AGENT);
+  proc_t *plain = fleet_get_process (fleet, FLEET_AGENT, PLAIN_AGENT);
 
-  g_assert_true (call_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_until_executed (fleet, "p");
   wait_until_executed (fleet, "l");
   g_assert_true (
-      proc_stop (fleet_proc (fleet, FLEET_AGENT, 0), SIGKILL, WAIT_MS));
+      proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGKILL, WAIT_MS));
   g_assert_true (proc_stop (plain, SIGKILL, WAIT_MS));
-  g_assert_true (proc_again (fleet_procs (fleet), plain, &error));
-  g_assert_cmpint (call_finish (streamed, WAIT_MS), ==, CALL_BROKEN);
-  g_assert_cmpint (call_finish (posted, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (posted), ==, 502);
+  g_assert_true (proc_restart (fleet_get_processes (fleet), plain, &error));
+  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_INCOMPLETE);
+  g_assert_cmpint (call_read_to_end (posted, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (posted), ==, 502);
   g_assert_nonnull (strstr (posted->text->str, "\"run\":\"unknown\""));
-  g_assert_cmpint (call_finish (looked, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (looked), ==, 200);
+  g_assert_cmpint (call_read_to_end (looked, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (looked), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   stop_fleet (fleet);
 }
@@ -180,18 +181,18 @@
   g_autoptr (call_t) streamed = start_stream (fleet, 1, 300);
   g_autoptr (call_t) posted = start_post (fleet, 0, "p", NULL);
 
-  g_assert_true (call_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_until_executed (fleet, "p");
-  g_assert_true (fleet_relay (fleet, "zone-1>zone-0", "silent"));
-  g_assert_true (fleet_relay (fleet, "zone-0>zone-1", "silent"));
-  g_assert_cmpint (call_finish (streamed, WAIT_MS), ==, CALL_WHOLE);
+  g_assert_true (fleet_set_relay_mode (fleet, "zone-1>zone-0", "silent"));
+  g_assert_true (fleet_set_relay_mode (fleet, "zone-0>zone-1", "silent"));
+  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_COMPLETE);
   g_assert_nonnull (strstr (streamed->text->str, "data: [DONE]"));
-  g_assert_cmpint (call_finish (posted, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (posted), ==, 200);
+  g_assert_cmpint (call_read_to_end (posted, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (posted), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   g_assert_cmpfloat (
-      fleet_metric (fleet, FLEET_ROUTER, 1, "cfd_router_resumed_total"), >=,
-      1);
+      fleet_sum_metric (fleet, FLEET_ROUTER, 1, "cfd_router_resumed_total"),
+      >=, 1);
   stop_fleet (fleet);
 }
 
@@ -204,7 +205,7 @@
 test_answer_after_lapse (void)
 {
   fleet_t *fleet = start_fleet (10, 700, 1);
-  proc_t *router = fleet_proc (fleet, FLEET_ROUTER, 0);
+  proc_t *router = fleet_get_process (fleet, FLEET_ROUTER, 0);
   double returned = 0;
 
   for (unsigned round = 0; round < 5 && returned < 1; round++)
@@ -216,14 +217,14 @@
       g_autoptr (call_t) waiter = start_post (fleet, 0, second, NULL);
       wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 1);
       kill (router->pid, SIGSTOP);
-      g_assert_cmpint (call_finish (holder, WAIT_MS), ==, CALL_WHOLE);
+      g_assert_cmpint (call_read_to_end (holder, WAIT_MS), ==, CALL_COMPLETE);
       g_usleep (1200000); /* the life of a grant, and some */
       kill (router->pid, SIGCONT);
-      g_assert_cmpint (call_finish (waiter, WAIT_MS), ==, CALL_WHOLE);
-      g_assert_cmpuint (call_status (waiter), ==, 200);
+      g_assert_cmpint (call_read_to_end (waiter, WAIT_MS), ==, CALL_COMPLETE);
+      g_assert_cmpuint (call_get_status (waiter), ==, 200);
       g_assert_cmpuint (count_executions (fleet, second), ==, 1);
-      returned
-          = fleet_metric (fleet, FLEET_ROUTER, 0, "cfd_router_returned_total");
+      returned = fleet_sum_metric (fleet, FLEET_ROUTER, 0,
+                                   "cfd_router_returned_total");
     }
   g_assert_cmpfloat (returned, >=, 1);
   stop_fleet (fleet);
@@ -241,40 +242,40 @@
 
   wait_until_executed (fleet, "p");
   g_autoptr (call_t) during = start_post (fleet, 1, "p", "key-1");
-  g_assert_cmpint (call_finish (during, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (during), ==, 409);
+  g_assert_cmpint (call_read_to_end (during, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (during), ==, 409);
   g_assert_nonnull (strstr (during->text->str, "\"run\":\"unknown\""));
-  g_assert_cmpint (call_finish (first, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (first), ==, 200);
+  g_assert_cmpint (call_read_to_end (first, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (first), ==, 200);
   /* The kept answer is written after the caller has it.  */
   for (unsigned i = 0; i < 100; i++)
     {
       g_autoptr (call_t) after = start_post (fleet, 1, "p", "key-1");
 
-      g_assert_cmpint (call_finish (after, WAIT_MS), ==, CALL_WHOLE);
-      if (call_status (after) == 409 && i < 99)
+      g_assert_cmpint (call_read_to_end (after, WAIT_MS), ==, CALL_COMPLETE);
+      if (call_get_status (after) == 409 && i < 99)
         {
           g_usleep (20000);
           continue;
         }
-      g_assert_cmpuint (call_status (after), ==, 200);
+      g_assert_cmpuint (call_get_status (after), ==, 200);
       g_assert_nonnull (strstr (after->text->str, "Idempotent-Replayed"));
       g_assert_nonnull (strstr (after->text->str, "\"executions\":1"));
       break;
     }
   g_autoptr (call_t) other = start_post (fleet, 1, "q", "key-1");
-  g_assert_cmpint (call_finish (other, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (other), ==, 422);
+  g_assert_cmpint (call_read_to_end (other, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (other), ==, 422);
   set_platform_mode (fleet, "down");
   g_autoptr (call_t) down = start_post (fleet, 1, "r", "key-2");
-  g_assert_cmpint (call_finish (down, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (down), ==, 503);
+  g_assert_cmpint (call_read_to_end (down, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (down), ==, 503);
   g_assert_nonnull (strstr (down->text->str, "\"run\":\"not-run\""));
   g_assert_nonnull (strstr (down->text->str, "Retry-After: "));
   /* What needs no claim goes on.  */
   g_autoptr (call_t) bare = start_post (fleet, 1, "s", NULL);
-  g_assert_cmpint (call_finish (bare, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (bare), ==, 200);
+  g_assert_cmpint (call_read_to_end (bare, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (bare), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   g_assert_cmpuint (count_executions (fleet, "q"), ==, 0);
   g_assert_cmpuint (count_executions (fleet, "r"), ==, 0);
@@ -292,14 +293,14 @@
   g_autoptr (call_t) streamed = start_stream (fleet, 1, 100);
 
   wait_until_executed (fleet, "p");
-  g_assert_true (
-      proc_stop (fleet_proc (fleet, FLEET_ROUTER, 0), SIGKILL, WAIT_MS));
-  g_assert_cmpint (call_finish (first, WAIT_MS), ==, CALL_BROKEN);
+  g_assert_true (proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0),
+                            SIGKILL, WAIT_MS));
+  g_assert_cmpint (call_read_to_end (first, WAIT_MS), ==, CALL_INCOMPLETE);
   g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
-  g_assert_cmpint (call_finish (again, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (again), ==, 409);
+  g_assert_cmpint (call_read_to_end (again, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (again), ==, 409);
   g_assert_nonnull (strstr (again->text->str, "\"run\":\"unknown\""));
-  g_assert_cmpint (call_finish (streamed, WAIT_MS), ==, CALL_WHOLE);
+  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   stop_fleet (fleet);
 }
@@ -312,14 +313,14 @@
 test_drain (void)
 {
   fleet_t *fleet = start_fleet (10, 700, 1);
-  proc_t *router = fleet_proc (fleet, FLEET_ROUTER, 0);
-  g_autofree char *admin = fleet_admin_url (fleet, FLEET_ROUTER, 0);
+  proc_t *router = fleet_get_process (fleet, FLEET_ROUTER, 0);
+  g_autofree char *admin = fleet_get_admin_url (fleet, FLEET_ROUTER, 0);
   g_autofree char *ready = g_strconcat (admin, "/readyz", NULL);
   g_autoptr (call_t) streamed = start_stream (fleet, 0, 100);
   g_autoptr (call_t) running = start_post (fleet, 0, "p", NULL);
   long status = 0;
 
-  g_assert_true (call_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_until_executed (fleet, "p");
   g_autoptr (call_t) queued = start_post (fleet, 0, "q", NULL);
   g_autoptr (call_t) claimed = start_post (fleet, 0, "r", "key-1");
@@ -328,29 +329,30 @@
   kill (router->pid, SIGTERM);
   for (int i = 0; i < WAIT_MS / 10 && status != 503; i++)
     {
-      g_autofree char *answer = proc_ask (NULL, ready, NULL, NULL, &status);
+      g_autofree char *answer
+          = proc_send_http (NULL, ready, NULL, NULL, &status);
       g_usleep (10000);
     }
   g_autoptr (call_t) late = start_lookup (fleet, 0, "late");
-  g_assert_cmpint (call_finish (late, WAIT_MS), ==, CALL_BROKEN);
-  g_assert_cmpint (call_finish (running, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpint (call_finish (queued, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpint (call_finish (claimed, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpint (call_finish (streamed, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (running), ==, 200);
-  g_assert_cmpuint (call_status (queued), ==, 200);
-  g_assert_cmpuint (call_status (claimed), ==, 200);
+  g_assert_cmpint (call_read_to_end (late, WAIT_MS), ==, CALL_INCOMPLETE);
+  g_assert_cmpint (call_read_to_end (running, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (queued, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (claimed, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (running), ==, 200);
+  g_assert_cmpuint (call_get_status (queued), ==, 200);
+  g_assert_cmpuint (call_get_status (claimed), ==, 200);
   g_assert_nonnull (strstr (streamed->text->str, "data: [DONE]"));
   /* Nothing is left but the claim of the last post to finish.  */
   g_usleep (1000000);
   set_platform_mode (fleet, "up");
-  for (int i = 0; i < WAIT_MS / 10 && proc_runs (router); i++)
+  for (int i = 0; i < WAIT_MS / 10 && proc_is_running (router); i++)
     g_usleep (10000);
-  g_assert_false (proc_runs (router));
+  g_assert_false (proc_is_running (router));
   /* The claim was finished before the process went.  */
   g_autoptr (call_t) after = start_post (fleet, 1, "r", "key-1");
-  g_assert_cmpint (call_finish (after, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (after), ==, 200);
+  g_assert_cmpint (call_read_to_end (after, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (after), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "r"), ==, 1);
   stop_fleet (fleet);
 }
@@ -377,11 +379,11 @@
       down->signalled_us = now;
       kill (down->router->pid, SIGTERM);
     }
-  if (down->signalled_us != 0 && !proc_runs (down->router))
+  if (down->signalled_us != 0 && !proc_is_running (down->router))
     load_stop (down->load);
   if (now - down->start_us > LOAD_LIMIT_US
-      || (down->signalled_us != 0 && !proc_runs (down->router)
-          && load_active (down->load) == 0))
+      || (down->signalled_us != 0 && !proc_is_running (down->router)
+          && load_count_active (down->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -390,7 +392,7 @@
 static void
 verify_shutdown (const shutdown_t *down)
 {
-  const GPtrArray *requests = load_requests (down->load);
+  const GPtrArray *requests = load_get_requests (down->load);
   unsigned before = 0;
 
   for (guint i = 0; i < requests->len; i++)
@@ -400,12 +402,12 @@
       if (request->router == 0 && request->started_us < down->signalled_us)
         {
           before++;
-          g_assert_cmpint (request->end, ==, LOAD_RIGHT);
+          g_assert_cmpint (request->end, ==, LOAD_CORRECT);
         }
-      if (request->first_us != 0)
-        g_assert_cmpint (request->end, ==, LOAD_RIGHT);
+      if (request->first_byte_us != 0)
+        g_assert_cmpint (request->end, ==, LOAD_CORRECT);
       if (request->router == 1)
-        g_assert_cmpint (request->end, ==, LOAD_RIGHT);
+        g_assert_cmpint (request->end, ==, LOAD_CORRECT);
     }
   g_test_message ("%u requests before the signal, %u in all", before,
                   requests->len);
@@ -420,27 +422,28 @@
 {
   fleet_t *fleet = start_fleet (10, 60, 2);
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
-  double spread[] = { 0.5, 0.5 };
+  double router_shares[] = { 0.5, 0.5 };
   load_account_t account = { .name = (char *)"a",
                              .key = (char *)KEY,
                              .weight = 1,
                              .outstanding = 24,
                              .kinds = { 4, 2, 1, 2, 2, 1 },
                              .think_ms = 5,
-                             .spread = spread,
-                             .least_tokens = 5,
-                             .most_tokens = 30 };
+                             .router_shares = router_shares,
+                             .min_answer_tokens = 5,
+                             .max_answer_tokens = 30 };
   g_autoptr (GPtrArray) all = g_ptr_array_new ();
-  char *urls[] = { fleet_direct_url (fleet, 0), fleet_direct_url (fleet, 1) };
+  char *urls[]
+      = { fleet_get_direct_url (fleet, 0), fleet_get_direct_url (fleet, 1) };
   load_plan_t plan = { .seed = 3,
                        .answer_seed = 5,
                        .routers = 2,
                        .urls = urls,
-                       .model = FLEET_MODEL,
-                       .plain = FLEET_PLAIN,
+                       .model = FLEET_MODEL_SERVICE,
+                       .plain = FLEET_PLAIN_SERVICE,
                        .idle_timeout_ms = WAIT_MS,
                        .accounts = all };
-  shutdown_t down = { .router = fleet_proc (fleet, FLEET_ROUTER, 0) };
+  shutdown_t down = { .router = fleet_get_process (fleet, FLEET_ROUTER, 0) };
   ev_timer check;
 
   g_ptr_array_add (all, &account);
@@ -468,18 +471,19 @@
   call_t *streamed = start_stream (fleet, 0, 2000);
   call_t *posted = start_post (fleet, 0, "p", "key-1");
 
-  g_assert_true (call_until (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
   wait_until_executed (fleet, "p");
   call_free (streamed);
   call_free (posted);
   wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_ended_total", 2);
   g_assert_cmpfloat (
-      fleet_metric (fleet, FLEET_ROUTER, 0, "cfd_router_in_flight"), ==, 0);
+      fleet_sum_metric (fleet, FLEET_ROUTER, 0, "cfd_router_in_flight"), ==,
+      0);
   /* The answer of the post was kept for the caller who asks again.  */
   g_usleep (200000);
   g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
-  g_assert_cmpint (call_finish (again, WAIT_MS), ==, CALL_WHOLE);
-  g_assert_cmpuint (call_status (again), ==, 200);
+  g_assert_cmpint (call_read_to_end (again, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpuint (call_get_status (again), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   stop_fleet (fleet);
 }
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -13,12 +13,12 @@
   load_request_t *request = g_new0 (load_request_t, 1);
 
   *request = (load_request_t){ .nonce = (char *)nonce,
-                               .end = LOAD_RIGHT,
+                               .end = LOAD_CORRECT,
                                .prompt_tokens = 20,
                                .tokens = 11,
                                .length = 11,
-                               .engine_us = 10 * MS,
-                               .first_us = (10 + first_ms) * MS,
+                               .engine_start_us = 10 * MS,
+                               .first_byte_us = (10 + first_ms) * MS,
                                .last_us = (10 + whole_ms) * MS };
   g_ptr_array_add (requests, request);
 }
@@ -35,7 +35,7 @@
     add_request (requests, "usual", 30, 230);
   add_request (requests, "slow", first_ms, whole_ms);
   g_hash_table_add (slow, (gpointer) "slow");
-  return slow_span (requests, slow, 1, 10000 * MS);
+  return slow_summarize_span (requests, slow, 1, 10000 * MS);
 }
 
 static const struct
@@ -115,10 +115,10 @@
   add_request (requests, "in", 100, 290);
   add_request (requests, "after", 200, 400);
   add_request (requests, "broken", 100, 290);
-  ((load_request_t *)requests->pdata[3])->end = LOAD_BROKEN;
+  ((load_request_t *)requests->pdata[3])->end = LOAD_INCOMPLETE;
   add_request (requests, "unknown", 100, 290);
-  ((load_request_t *)requests->pdata[4])->engine_us = 0;
-  slow_span_t span = slow_span (requests, slow, 250 * MS, 350 * MS);
+  ((load_request_t *)requests->pdata[4])->engine_start_us = 0;
+  slow_span_t span = slow_summarize_span (requests, slow, 250 * MS, 350 * MS);
   g_assert_cmpuint (span.count, ==, 1);
   g_assert_cmpfloat (span.tokens, ==, 31);
   g_assert_cmpfloat (span.first.p50, ==, 110);
--- a/tests/test-starve.c
+++ b/tests/test-starve.c
@@ -16,36 +16,36 @@
 static void
 stop_platform (fault_run_t *run)
 {
-  g_autofree char *base = fleet_url (run->fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (run->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/control/faults", NULL);
   long status = 0;
 
-  g_free (proc_ask ("PUT", url, NULL, "{\"mode\":\"down\"}", &status));
+  g_free (proc_send_http ("PUT", url, NULL, "{\"mode\":\"down\"}", &status));
   g_assert_cmpint (status, ==, 200);
 }
 
 static void
 freeze_agent (fault_run_t *run)
 {
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, 0), SIGSTOP, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, 0), SIGSTOP, 0);
 }
 
 static void
 resume_agent (fault_run_t *run)
 {
-  proc_stop (fleet_proc (run->fleet, FLEET_AGENT, 0), SIGCONT, 0);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, 0), SIGCONT, 0);
 }
 
 static void
 cut_links (fault_run_t *run)
 {
-  g_assert_true (fleet_relay (run->fleet, "zone-0>zone-1", "cut"));
+  g_assert_true (fleet_set_relay_mode (run->fleet, "zone-0>zone-1", "cut"));
 }
 
 static void
 restore_links (fault_run_t *run)
 {
-  g_assert_true (fleet_relay (run->fleet, "zone-0>zone-1", "pass"));
+  g_assert_true (fleet_set_relay_mode (run->fleet, "zone-0>zone-1", "pass"));
 }
 
 /* The checks inside the programs look at each slot: a wrong choice ends the
@@ -54,14 +54,15 @@
 static void
 verify_invariants (const fault_run_t *run)
 {
-  static const fleet_sort_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
 
   for (unsigned s = 0; s < G_N_ELEMENTS (sorts); s++)
-    for (unsigned i = 0; i < fleet_count (run->fleet, sorts[s]); i++)
+    for (unsigned i = 0; i < fleet_count_members (run->fleet, sorts[s]); i++)
       {
-        g_assert_true (proc_runs (fleet_proc (run->fleet, sorts[s], i)));
-        g_assert_cmpfloat (fleet_metric (run->fleet, sorts[s], i,
-                                         "cfd_invariant_failures_total"),
+        g_assert_true (
+            proc_is_running (fleet_get_process (run->fleet, sorts[s], i)));
+        g_assert_cmpfloat (fleet_sum_metric (run->fleet, sorts[s], i,
+                                             "cfd_invariant_failures_total"),
                            ==, 0);
       }
 }
@@ -69,7 +70,7 @@
 static void
 verify_small_account (fault_run_t *run)
 {
-  const GPtrArray *requests = load_requests (run->load);
+  const GPtrArray *requests = load_get_requests (run->load);
   double longest_ms = 0;
   unsigned served = 0;
 
@@ -77,12 +78,12 @@
     {
       const load_request_t *request = g_ptr_array_index (requests, i);
 
-      if (request->account != SMALL_ACCOUNT || request->first_us == 0)
+      if (request->account != SMALL_ACCOUNT || request->first_byte_us == 0)
         continue;
-      served += request->end == LOAD_RIGHT;
-      longest_ms
-          = MAX (longest_ms,
-                 (double)(request->first_us - request->started_us) / 1000);
+      served += request->end == LOAD_CORRECT;
+      longest_ms = MAX (longest_ms,
+                        (double)(request->first_byte_us - request->started_us)
+                            / 1000);
     }
   g_test_message ("%u served, longest wait %.0f ms", served, longest_ms);
   g_assert_cmpuint (served, >, 5);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -14,7 +14,7 @@
 static char *
 program_path (const char *name)
 {
-  g_autofree char *build = proc_build_folder ();
+  g_autofree char *build = proc_get_build_dir ();
 
   return g_build_filename (build, name, NULL);
 }
@@ -22,27 +22,29 @@
 /* The platform tells that the process leaves; it ends when all that runs there
    is answered, and the present program takes its place.  */
 static void
-upgrade_process (scene_t *scene, fleet_sort_t sort, unsigned index)
+upgrade_process (scene_t *scene, fleet_role_t sort, unsigned index)
 {
   fleet_t *fleet = scene->fleet;
-  proc_t *proc = fleet_proc (fleet, sort, index);
-  g_autofree char *base = fleet_admin_url (fleet, sort, index);
+  proc_t *proc = fleet_get_process (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
   g_autofree char *ready = g_strconcat (base, "/healthz", NULL);
   g_autoptr (GError) error = NULL;
 
-  g_assert_true (fleet_list_instance (fleet, sort, index, "leaving", &error));
+  g_assert_true (
+      fleet_set_instance_state (fleet, sort, index, "leaving", &error));
   scene_run (scene, 1200);
   g_assert_false (proc_stop (proc, SIGTERM, 0));
-  for (unsigned i = 0; proc_runs (proc) && i < LIMIT_MS / 50; i++)
+  for (unsigned i = 0; proc_is_running (proc) && i < LIMIT_MS / 50; i++)
     scene_run (scene, 50);
-  g_assert_false (proc_runs (proc));
+  g_assert_false (proc_is_running (proc));
   g_free (proc->argv[0]);
   proc->argv[0] = program_path (sort == FLEET_ROUTER ? FLEET_NEW_ROUTER
                                                      : FLEET_NEW_AGENT);
-  proc_again (fleet_procs (fleet), proc, &error);
+  proc_restart (fleet_get_processes (fleet), proc, &error);
   g_assert_no_error (error);
-  g_assert_true (fleet_list_instance (fleet, sort, index, "live", &error));
-  g_assert_true (proc_wait_ready (ready, 5000));
+  g_assert_true (
+      fleet_set_instance_state (fleet, sort, index, "live", &error));
+  g_assert_true (proc_wait_http_ok (ready, 5000));
   scene_run (scene, 300);
 }
 
@@ -51,7 +53,7 @@
 run_cfdctl (const scene_t *scene, const char *name, const char *arguments)
 {
   g_autofree char *path = program_path (name);
-  g_autofree char *platform = fleet_url (scene->fleet, FLEET_PLATFORM, 0);
+  g_autofree char *platform = fleet_get_url (scene->fleet, FLEET_PLATFORM, 0);
   g_autofree char *output = NULL; /* must not stand among the test's own */
   g_autofree char *line
       = g_strdup_printf ("%s --platform %s %s", path, platform, arguments);
@@ -67,10 +69,10 @@
 static char *
 read_record (const scene_t *scene, const char *path)
 {
-  g_autofree char *base = fleet_url (scene->fleet, FLEET_PLATFORM, 0);
+  g_autofree char *base = fleet_get_url (scene->fleet, FLEET_PLATFORM, 0);
   g_autofree char *url = g_strconcat (base, "/v1/objects/", path, NULL);
   long status = 0;
-  char *text = proc_ask (NULL, url, NULL, NULL, &status);
+  char *text = proc_send_http (NULL, url, NULL, NULL, &status);
 
   g_assert_cmpint (status, ==, 200);
   return text;
@@ -79,7 +81,7 @@
 static scene_t *
 start_old_fleet (bool old_routers)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
 
   plan.fleet.zones = 2;
   plan.fleet.routers = 2;
@@ -105,14 +107,15 @@
   g_autoptr (scene_t) scene = start_old_fleet (old_routers);
   g_autoptr (GError) error = NULL;
 
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
   g_assert_cmpint (run_cfdctl (scene, "tests/old-cfdctl",
                                "set client-account branch weight=2"),
                    ==, 0);
   if (old_routers)
     upgrade_process (scene, FLEET_ROUTER, 1);
   upgrade_process (scene, FLEET_AGENT, 0);
-  fleet_put (scene->fleet, "availability-zone", "zone-1", ZONE_1, &error);
+  fleet_put_object (scene->fleet, "availability-zone", "zone-1", ZONE_1,
+                    &error);
   g_assert_no_error (error);
   g_assert_cmpint (run_cfdctl (scene, "tests/old-cfdctl",
                                "set availability-zone zone-1 region=old"),
@@ -121,9 +124,9 @@
     upgrade_process (scene, FLEET_AGENT, i);
   scene_run (scene, 2000);
 
-  double requests_before = scene_counter (scene, 1, "requests");
+  double requests_before = scene_read_counter (scene, 1, "requests");
   scene_run (scene, 1000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
                      requests_before);
   g_assert_cmpint (run_cfdctl (scene, "cli/cfdctl",
                                "set availability-zone zone-1 region=new"),
@@ -137,8 +140,8 @@
   g_assert_nonnull (strstr (zone, "\"region\":\"new\""));
   g_assert_nonnull (strstr (account, "\"schema\":1"));
   g_assert_nonnull (strstr (account, "\"weight\":2"));
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
 static void
--- a/tests/test-whole.c
+++ b/tests/test-whole.c
@@ -36,10 +36,10 @@
 static void
 test_bad_requests (void)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.outstanding = 0;
   g_autoptr (scene_t) scene = scene_new (&plan);
-  g_autofree char *base = fleet_direct_url (scene->fleet, 0);
+  g_autofree char *base = fleet_get_direct_url (scene->fleet, 0);
 
   for (unsigned i = 0; i < G_N_ELEMENTS (bad_cases); i++)
     {
@@ -47,12 +47,12 @@
       g_autofree char *url = g_strconcat (base, c->path, NULL);
       long status = 0;
       g_autofree char *answer
-          = proc_ask ("POST", url, c->header, c->body, &status);
+          = proc_send_http ("POST", url, c->header, c->body, &status);
       g_test_message ("%s: %s", c->name, answer);
       g_assert_cmpint (status, ==, c->status);
       g_assert_nonnull (strstr (answer, "\"not-run\""));
     }
-  g_assert_cmpfloat (scene_counter (scene, 0, "requests"), ==, 0);
+  g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), ==, 0);
 }
 
 /* ---- processes that end ---- */
@@ -64,24 +64,24 @@
 static void
 test_agent_killed (void)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.fleet.models = 2;
   plan.tokens = 120;
   g_autoptr (scene_t) scene = scene_new (&plan);
 
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
   int64_t killed_us = clock_now_us ();
-  proc_stop (fleet_proc (scene->fleet, FLEET_AGENT, 0), SIGKILL, 2000);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 0), SIGKILL, 2000);
   scene_run (scene, 4000);
-  scene_end (scene, LIMIT_MS);
-  const GPtrArray *requests = load_requests (scene->load);
+  scene_finish (scene, LIMIT_MS);
+  const GPtrArray *requests = load_get_requests (scene->load);
   unsigned after = 0;
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
       if (request->started_us > killed_us)
-        after += request->end == LOAD_RIGHT;
-      if (request->started_us < killed_us && request->end == LOAD_BROKEN)
+        after += request->end == LOAD_CORRECT;
+      if (request->started_us < killed_us && request->end == LOAD_INCOMPLETE)
         g_assert_cmpint (request->last_us - killed_us, <, 15 * G_USEC_PER_SEC);
     }
   g_assert_cmpuint (after, >, 0);
@@ -90,23 +90,23 @@
 /* A planned stop of a router or an agent (SIGTERM) while answers stream: each
    of them comes whole, and only then does the process end.  */
 static void
-check_drain (fleet_sort_t sort)
+check_drain (fleet_role_t sort)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.fleet.models = 2;
   plan.requests = 4;
   plan.tokens = 80;
   g_autoptr (scene_t) scene = scene_new (&plan);
-  proc_t *proc = fleet_proc (scene->fleet, sort, 0);
+  proc_t *proc = fleet_get_process (scene->fleet, sort, 0);
 
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
   scene_run (scene, 300);
   g_assert_false (proc_stop (proc, SIGTERM, 0));
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 4);
-  for (unsigned i = 0; proc_runs (proc) && i < LIMIT_MS / 20; i++)
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, 4);
+  for (unsigned i = 0; proc_is_running (proc) && i < LIMIT_MS / 20; i++)
     g_usleep (20000);
-  g_assert_false (proc_runs (proc));
+  g_assert_false (proc_is_running (proc));
 }
 
 static void
@@ -129,24 +129,24 @@
 static void
 test_join (void)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.fleet.spare_routers = 1;
   plan.fleet.spare_models = 1;
   plan.outstanding = 16;
   g_autoptr (scene_t) scene = scene_new (&plan);
   g_autoptr (GError) error = NULL;
 
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
-  fleet_join (scene->fleet, FLEET_AGENT, 1, &error);
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  fleet_start_spare (scene->fleet, FLEET_AGENT, 1, &error);
   g_assert_no_error (error);
-  fleet_join (scene->fleet, FLEET_ROUTER, 1, &error);
+  fleet_start_spare (scene->fleet, FLEET_ROUTER, 1, &error);
   g_assert_no_error (error);
-  g_autofree char *url = fleet_direct_url (scene->fleet, 1);
+  g_autofree char *url = fleet_get_direct_url (scene->fleet, 1);
   g_autofree char *path = g_strconcat (url, "/v1/completions", NULL);
   long status = 0;
   for (unsigned i = 0; i < 100 && status != 200; i++)
     {
-      g_autofree char *answer = proc_ask (
+      g_autofree char *answer = proc_send_http (
           "POST", path, GOOD_KEY,
           "{\"model\":\"draft\",\"prompt\":\"nonce=joined length=2\"}",
           &status);
@@ -154,9 +154,9 @@
     }
   g_assert_cmpint (status, ==, 200);
   scene_run (scene, 3000);
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), >, 1);
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 1);
 }
 
 /* An operator writes one record while two endpoints serve; the one concerned
@@ -165,7 +165,7 @@
 static void
 check_withdrawn (const char *kind, const char *name, const char *spec)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.fleet.zones = 2;
   plan.fleet.models = 2;
   plan.outstanding = 16;
@@ -173,18 +173,19 @@
   g_autoptr (GError) error = NULL;
 
   scene_run (scene, 1000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), >, 0);
-  fleet_put (scene->fleet, kind, name, spec, &error);
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 0);
+  fleet_put_object (scene->fleet, kind, name, spec, &error);
   g_assert_no_error (error);
   scene_run (scene, 3000);
-  double requests_before = scene_counter (scene, 1, "requests");
-  double other_before = scene_counter (scene, 0, "requests");
+  double requests_before = scene_read_counter (scene, 1, "requests");
+  double other_before = scene_read_counter (scene, 0, "requests");
   scene_run (scene, 1500);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
                      requests_before);
-  g_assert_cmpfloat (scene_counter (scene, 0, "requests"), >, other_before);
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), >,
+                     other_before);
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
 static void
@@ -209,7 +210,7 @@
 static scene_t *
 start_cross_zone_streams (void)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   scene_t *scene;
 
   plan.fleet.zones = 2;
@@ -218,7 +219,7 @@
   plan.outstanding = 16;
   plan.tokens = 120;
   scene = scene_new (&plan);
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
   scene_run (scene, 300);
   return scene;
 }
@@ -232,10 +233,11 @@
 {
   g_autoptr (scene_t) scene = start_cross_zone_streams ();
 
-  g_assert_true (fleet_relay (scene->fleet, "zone-0>zone-1", "silent"));
+  g_assert_true (
+      fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "silent"));
   scene_run (scene, 1000);
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 16);
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
 /* The same, but the links are closed: the router dials at once.  */
@@ -244,11 +246,11 @@
 {
   g_autoptr (scene_t) scene = start_cross_zone_streams ();
 
-  g_assert_true (fleet_relay (scene->fleet, "zone-0>zone-1", "cut"));
+  g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "cut"));
   scene_run (scene, 500);
-  g_assert_true (fleet_relay (scene->fleet, "zone-0>zone-1", "pass"));
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 16);
+  g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "pass"));
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
 /* ---- the platform ---- */
@@ -259,41 +261,41 @@
 static void
 test_platform_down (void)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.fleet.plains = 1;
   plan.kinds[LOAD_LOOKUP] = 1;
   g_autoptr (scene_t) scene = scene_new (&plan);
-  g_autofree char *base = fleet_direct_url (scene->fleet, 0);
+  g_autofree char *base = fleet_get_direct_url (scene->fleet, 0);
   g_autofree char *url
       = g_strconcat (base, "/services/register/entries", NULL);
   const char *headers = GOOD_KEY "\nIdempotency-Key: k1";
   long status = 0;
 
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
-  scene_control (scene, FLEET_PLATFORM, 0, "/control/faults",
-                 "{\"mode\":\"down\"}");
-  guint before = load_requests (scene->load)->len;
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults",
+                     "{\"mode\":\"down\"}");
+  guint before = load_get_requests (scene->load)->len;
   g_autofree char *refused
-      = proc_ask ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
+      = proc_send_http ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
   g_assert_cmpint (status, ==, 503);
   g_assert_nonnull (strstr (refused, "\"not-run\""));
   scene_run (scene, 2000);
-  g_assert_cmpuint (load_requests (scene->load)->len, >, before);
-  scene_control (scene, FLEET_PLATFORM, 0, "/control/faults",
-                 "{\"mode\":\"up\"}");
+  g_assert_cmpuint (load_get_requests (scene->load)->len, >, before);
+  scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults",
+                     "{\"mode\":\"up\"}");
   for (unsigned i = 0; i < 200 && status != 200; i++)
     {
-      g_autofree char *answer
-          = proc_ask ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
+      g_autofree char *answer = proc_send_http ("POST", url, headers,
+                                                "{\"nonce\":\"p1\"}", &status);
       scene_run (scene, 50);
     }
   g_assert_cmpint (status, ==, 200);
   g_autofree char *again
-      = proc_ask ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
+      = proc_send_http ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
   g_assert_cmpint (status, ==, 200);
   g_assert_nonnull (strstr (again, "\"executions\":1"));
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, scene->sum.requests);
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
 int
--- a/tests/test-withdrawn.c
+++ b/tests/test-withdrawn.c
@@ -18,7 +18,7 @@
 static scene_t *
 start_three_zones (unsigned router)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   scene_t *scene;
 
   plan.fleet.zones = 3;
@@ -28,15 +28,15 @@
   plan.router = router;
   scene = scene_new (&plan);
   scene_run (scene, 1500);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), >, 0);
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 0);
   return scene;
 }
 
 static void
 signal_zone_1 (const scene_t *scene, int number)
 {
-  proc_stop (fleet_proc (scene->fleet, FLEET_AGENT, 1), number, 0);
-  proc_stop (fleet_proc (scene->fleet, FLEET_ROUTER, 1), number, 0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), number, 0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_ROUTER, 1), number, 0);
 }
 
 static void
@@ -46,7 +46,7 @@
       = { "zone-0>zone-1", "zone-2>zone-1", "zone-1>zone-0", "zone-1>zone-2" };
 
   for (unsigned i = 0; i < G_N_ELEMENTS (groups); i++)
-    g_assert_true (fleet_relay (scene->fleet, groups[i], mode));
+    g_assert_true (fleet_set_relay_mode (scene->fleet, groups[i], mode));
 }
 
 static void
@@ -55,14 +55,14 @@
 {
   g_autoptr (GError) error = NULL;
 
-  fleet_put (scene->fleet, kind, name, spec, &error);
+  fleet_put_object (scene->fleet, kind, name, spec, &error);
   g_assert_no_error (error);
 }
 
 static void
 set_platform_mode (const scene_t *scene, const char *mode)
 {
-  scene_control (scene, FLEET_PLATFORM, 0, "/control/faults", mode);
+  scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults", mode);
 }
 
 /* Writes a record that all others learn, and that the stopped processes can't
@@ -84,7 +84,7 @@
 static char *
 make_leaving_record (const scene_t *scene)
 {
-  g_autofree char *url = fleet_url (scene->fleet, FLEET_ENDPOINT, 1);
+  g_autofree char *url = fleet_get_url (scene->fleet, FLEET_ENDPOINT, 1);
 
   return g_strdup_printf (
       "{\"schema\":2,\"service\":\"draft\",\"zone\":\"zone-1\","
@@ -97,10 +97,10 @@
 static void
 check_no_new_starts (scene_t *scene)
 {
-  double requests_before = scene_counter (scene, 1, "requests");
+  double requests_before = scene_read_counter (scene, 1, "requests");
 
   scene_run (scene, 2000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
                      requests_before);
 }
 
@@ -126,7 +126,7 @@
   set_platform_mode (scene, PLATFORM_UP);
   scene_run (scene, 3000);
   check_no_new_starts (scene);
-  scene_end (scene, LIMIT_MS);
+  scene_finish (scene, LIMIT_MS);
 }
 
 /* An agent is stopped while its endpoint's record says that it leaves, and the
@@ -140,18 +140,18 @@
   g_autofree char *leaving = make_leaving_record (scene);
   double requests_before;
 
-  proc_stop (fleet_proc (scene->fleet, FLEET_AGENT, 1), SIGSTOP, 0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), SIGSTOP, 0);
   put_record_unseen (scene, "endpoint", "endpoint-1", leaving);
   scene_run (scene, 1500);
-  requests_before = scene_counter (scene, 1, "requests");
-  proc_stop (fleet_proc (scene->fleet, FLEET_AGENT, 1), SIGCONT, 0);
+  requests_before = scene_read_counter (scene, 1, "requests");
+  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), SIGCONT, 0);
   scene_run (scene, 3000);
-  g_assert_cmpfloat (scene_counter (scene, 1, "requests"), ==,
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
                      requests_before);
   set_platform_mode (scene, PLATFORM_UP);
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpfloat (fleet_metric (scene->fleet, FLEET_AGENT, 1,
-                                   "cfd_invariant_failures_total"),
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpfloat (fleet_sum_metric (scene->fleet, FLEET_AGENT, 1,
+                                       "cfd_invariant_failures_total"),
                      ==, 0);
 }
 
@@ -172,7 +172,7 @@
   check_no_new_starts (scene);
   set_platform_mode (scene, PLATFORM_UP);
   set_zone_1_links (scene, "pass");
-  scene_end (scene, LIMIT_MS);
+  scene_finish (scene, LIMIT_MS);
 }
 
 /* A router and an agent that serves its callers are asked to stop at the same
@@ -181,26 +181,26 @@
 static void
 test_two_stops (void)
 {
-  scene_plan_t plan = scene_plan ();
+  scene_plan_t plan = scene_default_plan ();
   plan.fleet.routers = 2;
   plan.fleet.models = 2;
   plan.requests = 30;
   plan.outstanding = 30;
   plan.tokens = 60;
   g_autoptr (scene_t) scene = scene_new (&plan);
-  proc_t *router = fleet_proc (scene->fleet, FLEET_ROUTER, 0);
-  proc_t *agent = fleet_proc (scene->fleet, FLEET_AGENT, 0);
+  proc_t *router = fleet_get_process (scene->fleet, FLEET_ROUTER, 0);
+  proc_t *agent = fleet_get_process (scene->fleet, FLEET_AGENT, 0);
 
-  scene_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
   scene_run (scene, 300);
   g_assert_false (proc_stop (router, SIGTERM, 0));
   g_assert_false (proc_stop (agent, SIGTERM, 0));
-  scene_end (scene, LIMIT_MS);
-  g_assert_cmpuint (scene->sum.right, ==, 30);
+  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpuint (scene->sum.correct, ==, 30);
   for (unsigned i = 0; i < LIMIT_MS / 20; i++)
-    if (proc_runs (router) || proc_runs (agent))
+    if (proc_is_running (router) || proc_is_running (agent))
       g_usleep (20000);
-  g_assert_false (proc_runs (router) || proc_runs (agent));
+  g_assert_false (proc_is_running (router) || proc_is_running (agent));
 }
 
 int
