--- a/tests/test-cfdctl.c
+++ b/tests/test-cfdctl.c
@@ -1,4 +1,4 @@
-/* cfdctl as operators use it, against a small fleet of real processes.  */
+/* Runs cfdctl as an operator does, against a small fleet of real processes. */
 
 #include "call.h"
 #include "fleet.h"
@@ -16,7 +16,7 @@
   fleet_t *fleet;
   char *program;
   char *platform;
-  char *out; /* of the last run */
+  char *out; /* standard output of the last run */
   char *err;
 } fixture_t;
 
@@ -61,7 +61,7 @@
   g_free (fixture);
 }
 
-/* Runs cfdctl with WORDS, split as a shell would; returns its exit status.  */
+/* Runs cfdctl with ARGUMENTS, split as by a shell; returns its exit status. */
 static int
 run_cfdctl (fixture_t *fixture, const char *arguments)
 {
@@ -107,7 +107,7 @@
   const char *expected;
 } record_case_t;
 
-/* In this order.  */
+/* Run in this order: later cases use the records of earlier ones.  */
 static const record_case_t record_cases[] = {
   { "create client-account mill weight=2 queue_max=5 "
     "keys='[{\"hash\":\"HASH\"}]'",
@@ -155,8 +155,9 @@
       json_object_get_string_member (json_node_get_object (root), "version"));
 }
 
-/* Two operators read one record and both write what they made of it.  The
-   second must not undo the first's work unseen: it gets a conflict.  */
+/* Two operators read the same version of a record and both update it.  The
+   second write must fail with a conflict, or it would silently overwrite the
+   first.  */
 static void
 test_race (void)
 {
@@ -176,9 +177,10 @@
 
 /* ---- zones ---- */
 
-/* A zone is taken out and back; cfdctl ends only when all instances have it in
-   force.  Then one agent is frozen: nobody can know what it thinks, so cfdctl
-   says at the deadline that it is not known to be in force, and where.  */
+/* A zone is taken out and restored; cfdctl exits only when the change is in
+   force at all instances.  Then one agent is frozen, so that its state can't
+   be known: at the deadline cfdctl reports that the change is not known to be
+   in force, and at which instance.  */
 static void
 test_zone (void)
 {
@@ -211,9 +213,9 @@
   fixture_free (fixture);
 }
 
-/* ---- what happened ---- */
+/* ---- timeline ---- */
 
-/* The value of a header of the answer; free with g_free.  */
+/* Returns the value of a response header; free with g_free.  */
 static char *
 copy_header (const call_t *answer, const char *name)
 {
@@ -225,7 +227,7 @@
   return g_strndup (value, strcspn (value, "\r"));
 }
 
-/* Asks for a short answer; the request's name.  */
+/* Sends a request for a short answer; returns its request id.  */
 static char *
 serve_request (fixture_t *fixture)
 {
@@ -241,7 +243,7 @@
   return copy_header (call, "X-Request-Id");
 }
 
-/* The place of the first line with both texts, from 0; -1 without.  */
+/* Index of the first line that contains both texts; -1 when there is none.  */
 static int
 find_line (const char *text, const char *first_text, const char *second_text)
 {
@@ -271,9 +273,9 @@
     }
 }
 
-/* A request just served: the time line of all processes tells its admission,
-   assignment, run and end in this order, whatever their clocks say, and
-   explain finds it by the name that the caller got.  */
+/* The timeline of all processes lists the admission, assignment, run and end
+   of a request in this order even if their clocks differ, and explain finds it
+   by the request id that the caller got.  */
 static void
 test_timeline (void)
 {
@@ -312,7 +314,7 @@
                0);
 }
 
-/* A refused caller also has a name by which to ask.  */
+/* A refused request also has an id that explain finds.  */
 static void
 test_refused (void)
 {
@@ -331,10 +333,9 @@
   fixture_free (fixture);
 }
 
-/* An agent gets a request and is killed before its endpoint, which is frozen
-   so long, answers: the request is run
-   by the other one, and explain shows both under the one name that the caller
-   has.  */
+/* An agent is killed while it runs a request, before its endpoint, which is
+   frozen until then, answers.  The other agent runs the request, and explain
+   shows both attempts under the caller's request id.  */
 static void
 test_retried (void)
 {
--- a/tests/test-engine.c
+++ b/tests/test-engine.c
@@ -1,5 +1,5 @@
-/* Tests of the engine stand-in: what it counts decides whether a run of the
-   measurement passes.  */
+/* Tests of the engine stand-in, whose counters decide whether a measurement
+   passes.  */
 
 #include "engine.h"
 #include "standin.h"
@@ -25,8 +25,8 @@
   (*chunks)++;
 }
 
-/* Requests beyond what is bearable at that moment are overloads, but not just
-   after the engine turned cold by itself.  */
+/* Requests above the current capacity count as overloads, except within
+   ENGINE_OVERLOAD_GRACE_MS after the engine turned cold by itself.  */
 static void
 test_overload (void)
 {
--- a/tests/test-fair.c
+++ b/tests/test-fair.c
@@ -1,4 +1,4 @@
-/* Tests of the figures that come from what callers received.  */
+/* Tests of the fairness figures computed from the callers' samples.  */
 
 #include "measure.h"
 
@@ -103,8 +103,9 @@
   };
 }
 
-/* One account is served on both sides of a partition, one on the first alone:
-   each side is judged by what went through its own routers.  */
+/* One account is served on both sides of a partition, the other on the first
+   side only.  The gap of each side counts only the tokens that went through
+   its own routers.  */
 static void
 test_side (void)
 {
@@ -133,9 +134,9 @@
     }
 }
 
-/* Many requests wait on one side of a cut and hardly any on the other: the
-   other's idle slots could not have served them, while the least of the latest
-   samples counts, since work that came or went in between was on its way.  */
+/* Many requests wait on one side of a partition and few on the other, whose
+   idle slots could not have served them.  The minimum over the latest samples
+   counts, since requests that came or went in between were in transit.  */
 static void
 test_least_waiting (void)
 {
@@ -169,7 +170,7 @@
                       ==, cases[i].least);
 }
 
-/* The gap opens until 2 s and closes at 3 s; from then on it is small.  */
+/* The gap grows until 2 s, closes at 3 s and stays small from then on.  */
 static void
 test_recovery (void)
 {
--- a/tests/test-logs.c
+++ b/tests/test-logs.c
@@ -1,4 +1,5 @@
-/* What routers and agents log in a real run, at the level debug.  */
+/* Checks what routers and agents log at the level debug, and what their admin
+   ports show, in a real run.  */
 
 #include "call.h"
 #include "fleet.h"
@@ -87,7 +88,7 @@
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (secrets); i++)
     if (strstr (text, secrets[i]) != NULL)
-      g_error ("%s tells a secret: %s", where, secrets[i]);
+      g_error ("%s contains a secret: %s", where, secrets[i]);
 }
 
 static void
@@ -153,9 +154,9 @@
   g_assert_cmpuint (seen, >, 3);
 }
 
-/* Served, refused and repeated calls, a lost agent and an end: no line of the
-   logs and no admin page tells a caller's key or the fleet's secret, and each
-   line is one JSON object.  */
+/* After served, refused and repeated requests, a killed agent and a regular
+   stop, no log line and no admin page contains a client account's key or the
+   fleet's secret, and each log line is one JSON object.  */
 static void
 test_no_secrets (void)
 {
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -1,9 +1,10 @@
-/* Pages that tell what the programs show are held against real processes.  */
+/* Checks that docs/METRICS.md lists exactly the metrics that real processes
+   export.  */
 
 #include "fleet.h"
 #include <string.h>
 
-/* "NAME TYPE" of each metric that a process shows.  */
+/* Adds "NAME TYPE" of each metric that a process exports.  */
 static void
 add_exported_metrics (const fleet_t *fleet, fleet_role_t sort,
                       GHashTable *exported)
@@ -21,7 +22,7 @@
       g_hash_table_add (exported, g_strdup (lines[i] + strlen ("# TYPE ")));
 }
 
-/* The same of each row of the page.  */
+/* Returns "NAME TYPE" of each row of the page.  */
 static GHashTable *
 read_documented_metrics (void)
 {
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -1,11 +1,11 @@
-/* Tests of what a hedge is reckoned to gain.  */
+/* Tests of the estimate of what hedged requests would gain.  */
 
 #include "measure-slow.h"
 
 #define MS 1000
 
-/* One answer of 11 tokens to a prompt of 20, asked for at 0, with the engine
-   at 10 ms.  */
+/* Adds an answer of 11 tokens to a prompt of 20 tokens, requested at 0 and
+   received by the engine at 10 ms.  */
 static void
 add_request (GPtrArray *requests, const char *nonce, unsigned first_ms,
              unsigned whole_ms)
@@ -23,8 +23,8 @@
   g_ptr_array_add (requests, request);
 }
 
-/* Ten ordinary answers: first token after 30 ms, then one each 20 ms.  One of
-   the slow endpoint.  */
+/* Ten answers of usual speed, with the first token after 30 ms and one every
+   20 ms from then on, and one answer of the slow endpoint.  */
 static slow_span_t
 make_span (unsigned first_ms, unsigned whole_ms)
 {
@@ -55,7 +55,8 @@
     { 0, 0 },
     { 40, 240 },
     { 0, 0 } },
-  /* Sent at 30 ms, there at 60: the second attempt has cost its prompt.  */
+  /* The second attempt, sent at 30 ms, would have its first token at 60 ms; it
+     costs its prompt.  */
   { "first comes before the second could",
     50,
     230,
@@ -70,8 +71,8 @@
     { 1, 0 },
     { 70, 340 },
     { 20, 24.5 } },
-  /* The second ends 460 ms after the start; the first had 5 of its tokens by
-     then, one each 90 ms from 90 ms on.  */
+  /* The second attempt ends 460 ms after the start.  The first had 5 of its
+     tokens by then, one every 90 ms from 90 ms on.  */
   { "second whole answer wins",
     90,
     990,
@@ -104,7 +105,8 @@
     }
 }
 
-/* What came before or after the span, or has no engine's time, isn't in it. */
+/* Only complete answers that ended within the span and have a time of receipt
+   at the engine are counted.  */
 static void
 test_span (void)
 {
@@ -122,7 +124,7 @@
   g_assert_cmpuint (span.count, ==, 1);
   g_assert_cmpfloat (span.tokens, ==, 31);
   g_assert_cmpfloat (span.first.p50, ==, 110);
-  /* One ran throughout, two for half of the span.  */
+  /* One request ran during all of the span, two more for half of it each.  */
   g_assert_cmpfloat (span.busy, ==, 2);
 }
 
