--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -1,4 +1,5 @@
-/* Fair share in a whole fleet that parts and rejoins, and whose homes die.  */
+/* Fair share in a whole fleet across a network partition and its end, and when
+   the home router of accounts fails.  */
 
 #include "collect.h"
 #include "measure.h"
@@ -7,17 +8,18 @@
 
 #define MAX_DRAIN_S 20
 #define WARM_UP_S 3
-/* The platform's word and links that went silent need some time.  */
+/* Time for links that were silent to be reopened and for the platform's
+   configuration to arrive.  */
 #define REJOIN_S 3
-/* Virtual times may be the window off the floor on either side of it; the rest
-   is what running requests and rough hints add, as without faults.  */
+/* Virtual times may differ from the floor by the window in either direction;
+   running requests and inexact hints add the rest, as without faults.  */
 #define MAX_GAP_TOKENS 1700
-/* A home that moves takes no bound.  */
+/* When a home moves, no virtual time reaches the bounds of the window.  */
 #define MAX_MOVED_GAP_TOKENS 900
 #define ROUTERS 5u
 #define HOME_ROUTER 4u
 
-/* Router 4 of 5 is the home of the first two.  */
+/* With five routers, router 4 is the home of the first two accounts.  */
 static const fleet_account_t accounts[] = { { "trat", "key-of-trat", 1 },
                                             { "roi-et", "key-of-roi-et", 1 },
                                             { "yala", "key-of-yala", 1 },
@@ -48,7 +50,7 @@
   load_account_t accounts[ACCOUNTS];
 } scene_t;
 
-/* SPREADS has the share of each router for each account.  */
+/* SPREADS holds, for each account, the share of its requests by router.  */
 static scene_t *
 scene_new (const fleet_plan_t *fleet, double (*spreads)[ROUTERS])
 {
@@ -101,7 +103,7 @@
   ev_run (scene->loop, 0);
 }
 
-/* Ends the load and takes the verdict.  */
+/* Stops the load and checks the callers' results.  */
 static void
 scene_free (scene_t *scene)
 {
@@ -133,13 +135,14 @@
   return gap.tokens;
 }
 
-/* Two zones lose each other for 20 s, and one of them the platform.  Both go
-   on, with one account that has work on both sides and gets a share on each,
-   one on the first side alone, and two on the second, which get less there.
-   After the rejoin each caller soon gets the same again.  Without bounds the
-   account of both sides would wait until the others have caught up with what
-   it got, and those two would get all until they have: for as long as the
-   partition lasted, or more.  */
+/* Two zones are partitioned for 20 s, and one of them is also cut off from the
+   platform.  Both keep serving: one account has requests on both sides and
+   gets a share on each, one on the first side only, and two on the second side
+   only, where they get less.  Soon after the partition ends all accounts get
+   equal service again.  Without the bounds on virtual time, the account of
+   both sides would wait until the others have caught up, and the two accounts
+   of the second side would get all service until then: for as long as the
+   partition lasted, or longer.  */
 static void
 test_rejoin (void)
 {
@@ -162,8 +165,9 @@
   scene_free (scene);
 }
 
-/* Two accounts have work at four routers and a fifth as their home, which gets
-   SIGNAL and is back 5 s later.  The greatest gap from the signal on.  */
+/* Two accounts send requests to four routers and have the fifth one as their
+   home, which gets SIGNAL and returns 5 s later.  Returns the largest gap from
+   the signal on.  */
 static double
 measure_gap_without_home (int signal)
 {
@@ -183,7 +187,8 @@
                                        "cfd_router_accounts{side=\"home\"}"),
                      ==, 2);
   int64_t failed_us = clock_now_us ();
-  /* Without a wait, in which the callers here would stand still too.  */
+  /* Don't wait for the exit: that would block the load, which runs in this
+     process.  */
   (void)proc_stop (home, signal, 0);
   scene_run (scene, 5);
   if (proc_is_running (home))
@@ -197,10 +202,11 @@
   return gap;
 }
 
-/* The home is killed and comes back empty.  The callers' shares stay the same
-   throughout: the accounts move at once to a home that is rebuilt from what
-   the four routers last heard, and back.  While an account has no home, each
-   of its routers knows but its own part and it gets a share at each.  */
+/* The home is killed and restarted without state.  The callers' shares stay
+   the same throughout: the accounts move at once to another home, which is
+   rebuilt from the values that the four routers received last, and back. While
+   an account has no home, each of its routers knows only its own part and the
+   account gets a share at each.  */
 static void
 test_home_killed (void)
 {
@@ -209,10 +215,10 @@
   g_assert_cmpfloat (gap, <, MAX_MOVED_GAP_TOKENS);
 }
 
-/* The home freezes: its links stay open, reports go in and no answer comes.
-   The callers' shares stay the same: the accounts move when answers are
-   overdue, before the links are found silent, and come back to a home that
-   knows old counters and answers reports of long ago.  */
+/* The home freezes: its links stay open and accept reports, but no answer
+   comes.  The callers' shares stay the same: the accounts move when answers
+   are overdue, before the links are detected as silent, and return to a home
+   that has outdated counters and answers old reports.  */
 static void
 test_home_frozen (void)
 {
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -1,5 +1,5 @@
-/* A third of the endpoints goes in one moment under full load and comes back
-   together: what callers see, and when service is back.  */
+/* A third of the endpoints fails at once under full load and returns at once:
+   what callers see, and how soon service recovers.  */
 
 #include "collect.h"
 #include <signal.h>
@@ -13,7 +13,7 @@
 #define END_MS 29000
 #define END_LIMIT_MS 50000
 #define STOP_MS 10000
-/* Service is looked at over windows of so many samples: a second.  */
+/* Samples per second; service is measured over windows of this length.  */
 #define WINDOW_SAMPLES (1000u / LOAD_SAMPLE_INTERVAL_MS)
 
 static const fleet_account_t accounts[] = { { "lampang", "key-1", 2 },
@@ -41,9 +41,8 @@
 typedef struct
 {
   const char *name;
-  int signal_number; /* signal that takes the agents */
-  double
-      min_share; /* service while they are gone, by the share that remains */
+  int signal_number; /* sent to the agents */
+  double min_share;  /* of the expected service while the rack is down */
 } rack_case_t;
 
 typedef struct
@@ -60,7 +59,7 @@
   collect_result_t totals;
 } rack_run_t;
 
-/* ---- the rack: all endpoints of zone 0, with their agents ---- */
+/* ---- the rack: the endpoints of zone 0 and their agents ---- */
 
 static void
 for_each_in_rack (rack_run_t *run,
@@ -71,8 +70,8 @@
       action (run, i);
 }
 
-/* The stand-in of an endpoint is stopped, not killed: its counts of what it
-   ran are needed for the verdict.  */
+/* The stand-in of an endpoint is frozen, not killed: its counters are needed
+   for the checks at the end.  */
 static void
 fail_member (rack_run_t *run, unsigned index)
 {
@@ -146,9 +145,9 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* ---- judgement ---- */
+/* ---- checks ---- */
 
-/* Tokens a second over the window that begins with sample AT.  */
+/* Tokens per second over the window that begins with sample AT.  */
 static double
 window_rate (const GPtrArray *samples, guint at)
 {
@@ -203,8 +202,8 @@
   return sum;
 }
 
-/* Longest time in which a caller that in the end got no whole answer heard
-   nothing: how long it was left without an end.  */
+/* Longest wait for the end of a request that was refused or truncated, counted
+   from its start or the failure of the rack, whichever is later.  */
 static double
 longest_failed_wait_s (const rack_run_t *run)
 {
@@ -261,14 +260,15 @@
       g_test_message ("%s got %.0f weighted tokens while gone",
                       accounts[i].name, to->service[i] - from->service[i]);
     }
-  g_test_message ("%g agents in doubt at each router, or more, at the return",
+  g_test_message ("at least %g agents suspected by each router at the return",
                   run->suspected_agents);
   g_assert_cmpfloat (share_while_failed, >=, run->rack_case->min_share);
-  /* Else new work goes on being told to the dead first.  All three of the
-     rack are in doubt; a router without work for one has no link to lose.  */
+  /* A router that suspects no agent keeps offering new requests to the failed
+     ones first.  All three of the rack are suspected, except by a router
+     without requests for one of them: it has no link that could fail.  */
   g_assert_cmpfloat (run->suspected_agents, >=, 1);
   g_assert_cmpfloat (share_when_restored, >=, 0.8);
-  /* Only what ran in the rack at that moment may end without an answer.  */
+  /* Only requests that ran in the rack when it failed may get no answer.  */
   g_assert_cmpuint (run->totals.refused + run->totals.broken, <=,
                     MODELS / ZONES * plan.slots
                         + PLAINS / ZONES * plan.plain_slots);
@@ -276,7 +276,7 @@
   g_assert_cmpuint (run->totals.unfinished, ==, 0);
 }
 
-/* ---- a run ---- */
+/* ---- cases ---- */
 
 static void
 add_accounts (GPtrArray *members, double *router_shares)
@@ -337,13 +337,14 @@
     g_free (urls[i]);
 }
 
-/* The rack's agents die with what ran there.  Callers of begun answers and of
-   posts see a true end; what may be repeated is answered by the others, which
-   serve their share on.  On return the engines are cold and get no more than
-   they bear.  */
+/* The rack's agents are killed with their requests.  Callers of partly
+   delivered answers and of POSTs get a correct error; requests that may be
+   repeated are answered by the other agents, which keep serving their share.
+   The engines return cold and get no more than their cold capacity.  */
 static const rack_case_t killed = { "killed", SIGKILL, 0.85 };
-/* The same by a loss of power: no connection is closed, the links go silent.
-   The slots elsewhere must not wait for it.  */
+/* The same by a loss of power: no connection is closed and the links go
+   silent.  The slots of other agents must not stay idle until that is
+   detected.  */
 static const rack_case_t silent = { "silent", SIGSTOP, 0.8 };
 
 int
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -1,5 +1,5 @@
-/* What callers see of a router when agents, links, routers or the platform
-   fail.  Each test has its own small fleet of real processes.  */
+/* What callers see when agents, links, routers or the platform fail.  Each
+   test has its own small fleet of real processes.  */
 
 #include "call.h"
 #include "fleet.h"
@@ -13,7 +13,7 @@
 
 static const fleet_account_t accounts[] = { { "a", KEY, 1 } };
 
-/* Router I and agent I are in zone I modulo 2; agent-0 serves the model, agent
+/* Router I and agent I are in zone I modulo 2; agent 0 serves the model, agent
    PLAIN_AGENT the plain service.  */
 #define PLAIN_AGENT 1
 
@@ -86,7 +86,7 @@
   return call_start (base, "GET", path, KEY, NULL, NULL);
 }
 
-/* How often the plain service ran the request of NONCE.  */
+/* Counts how often the plain service ran the request with NONCE.  */
 static unsigned
 count_executions (fleet_t *fleet, const char *nonce)
 {
@@ -137,10 +137,11 @@
   g_assert_cmpint (status, ==, 200);
 }
 
-/* An agent dies with a stream, a post and a lookup under way.  The stream has
-   delivered a part: it is broken off, visibly.  The post may have run: one
-   answer says "unknown", and it is never sent again.  The lookup may be
-   repeated: the restarted agent answers it whole.  */
+/* Agents are killed while a stream, a POST and a lookup run.  The stream has
+   been delivered in part: it is cut off, and its framing shows that.  The POST
+   may have run: its caller gets one answer with the outcome "unknown", and it
+   is never sent again.  The lookup may be repeated: the restarted agent
+   answers it completely.  */
 static void
 test_agent_killed (void)
 {
@@ -168,10 +169,10 @@
   stop_fleet (fleet);
 }
 
-/* The connection between router and agent goes silent in the middle of a
-   stream and of a post, for good, while new ones work.  The callers see a
-   pause, then the rest: the router's heartbeats go unanswered, it dials anew
-   and resumes by offset, and nothing runs twice.  */
+/* The connection between router and agent stops delivering data for good in
+   the middle of a stream and of a POST, while new ones work.  The router gets
+   no answer to its heartbeats, reconnects and resumes by offset: callers see a
+   pause and then the rest, and nothing runs twice.  */
 static void
 test_link_silent (void)
 {
@@ -196,11 +197,11 @@
   stop_fleet (fleet);
 }
 
-/* A router stands still while an agent offers it a slot, and answers with a
-   post after the offer has lapsed.  The agent gives its word that it did not
-   start it; the router queues it again, and the caller sees one answer of one
-   execution.  Repeated, for whether the offer falls into the pause depends on
-   the machine.  */
+/* A router is frozen while an agent grants it a slot, and answers with a POST
+   after the grant has expired.  The agent confirms that it did not start the
+   request, the router queues it again, and the caller gets one answer of one
+   execution.  Repeated up to five times, because it depends on the machine's
+   timing whether the grant falls into the pause.  */
 static void
 test_answer_after_lapse (void)
 {
@@ -218,7 +219,7 @@
       wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 1);
       kill (router->pid, SIGSTOP);
       g_assert_cmpint (call_read_to_end (holder, WAIT_MS), ==, CALL_COMPLETE);
-      g_usleep (1200000); /* the life of a grant, and some */
+      g_usleep (1200000); /* longer than the lifetime of a grant */
       kill (router->pid, SIGCONT);
       g_assert_cmpint (call_read_to_end (waiter, WAIT_MS), ==, CALL_COMPLETE);
       g_assert_cmpuint (call_get_status (waiter), ==, 200);
@@ -230,10 +231,10 @@
   stop_fleet (fleet);
 }
 
-/* A caller posts with an Idempotency-Key and asks again through another
-   router: while the first runs it hears "unknown", afterwards it gets the kept
-   answer, with the key on another body a refusal.  With the platform down a
-   new key is refused, and truly not run.  */
+/* A caller repeats a POST with its Idempotency-Key through another router:
+   while the first one runs the answer is "unknown", afterwards it is the
+   stored answer, and the same key with another body is refused.  With the
+   platform down, a new key is refused as not run, and is not run.  */
 static void
 test_asked_again (void)
 {
@@ -247,7 +248,7 @@
   g_assert_nonnull (strstr (during->text->str, "\"run\":\"unknown\""));
   g_assert_cmpint (call_read_to_end (first, WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (first), ==, 200);
-  /* The kept answer is written after the caller has it.  */
+  /* The answer is stored after the caller has received it.  */
   for (unsigned i = 0; i < 100; i++)
     {
       g_autoptr (call_t) after = start_post (fleet, 1, "p", "key-1");
@@ -272,7 +273,7 @@
   g_assert_cmpuint (call_get_status (down), ==, 503);
   g_assert_nonnull (strstr (down->text->str, "\"run\":\"not-run\""));
   g_assert_nonnull (strstr (down->text->str, "Retry-After: "));
-  /* What needs no claim goes on.  */
+  /* A POST that needs no claim is still served.  */
   g_autoptr (call_t) bare = start_post (fleet, 1, "s", NULL);
   g_assert_cmpint (call_read_to_end (bare, WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (bare), ==, 200);
@@ -282,9 +283,9 @@
   stop_fleet (fleet);
 }
 
-/* The router with a claimed post under way is killed.  Its caller's connection
-   breaks; asked again through the other router the answer is "unknown" and not
-   a second run, for nobody knows whether the first went through.  */
+/* A router is killed while a claimed POST runs.  Its caller's connection
+   breaks.  The same key through the other router gets the answer "unknown" and
+   no second run, because the outcome of the first is not known.  */
 static void
 test_router_killed (void)
 {
@@ -305,10 +306,10 @@
   stop_fleet (fleet);
 }
 
-/* A router is told to stop with a stream and a post under way and two posts in
-   its queue, while the platform is down.  All callers get their whole answers,
-   then the process waits for the platform, to finish a claim, and ends by
-   itself.  A router told to stop takes no new connections.  */
+/* A router gets SIGTERM while a stream and a POST run, two POSTs are queued
+   and the platform is down.  It accepts no new connections, all callers get
+   complete answers, and the process exits once it has finished its claim,
+   which must wait for the platform.  */
 static void
 test_drain (void)
 {
@@ -343,13 +344,13 @@
   g_assert_cmpuint (call_get_status (queued), ==, 200);
   g_assert_cmpuint (call_get_status (claimed), ==, 200);
   g_assert_nonnull (strstr (streamed->text->str, "data: [DONE]"));
-  /* Nothing is left but the claim of the last post to finish.  */
+  /* Only the claim of the last POST is still to be finished.  */
   g_usleep (1000000);
   set_platform_mode (fleet, "up");
   for (int i = 0; i < WAIT_MS / 10 && proc_is_running (router); i++)
     g_usleep (10000);
   g_assert_false (proc_is_running (router));
-  /* The claim was finished before the process went.  */
+  /* The claim was finished before the process exited.  */
   g_autoptr (call_t) after = start_post (fleet, 1, "r", "key-1");
   g_assert_cmpint (call_read_to_end (after, WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (after), ==, 200);
@@ -362,7 +363,7 @@
   load_t *load;
   proc_t *router;
   int64_t start_us;
-  int64_t signalled_us; /* when the router was told to stop; 0 before */
+  int64_t signalled_us; /* when the router got SIGTERM; 0 before */
 } shutdown_t;
 
 #define SIGNAL_AFTER_US 1500000
@@ -387,8 +388,8 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* Of the requests at the router that stops: those it had are answered whole,
-   later ones are served whole too or find no connection.  */
+/* Requests that the stopping router had before the signal are answered
+   completely; later ones are answered completely too or get no connection.  */
 static void
 verify_shutdown (const shutdown_t *down)
 {
@@ -414,9 +415,9 @@
   g_assert_cmpuint (before, >, 10);
 }
 
-/* A planned stop of one of two routers under a mixed load that queues.  Nobody
-   who asked before the signal sees a refusal or a cut, nor does anybody whose
-   answer has begun; the other router's callers notice nothing.  */
+/* A planned stop of one of two routers under a mixed load with queued
+   requests.  No request from before the signal and no answer that has begun is
+   refused or cut off; callers of the other router are not affected.  */
 static void
 test_drain_under_load (void)
 {
@@ -462,8 +463,8 @@
   stop_fleet (fleet);
 }
 
-/* A caller leaves in the middle of a stream, and one in the middle of a post.
-   The stream's slot is free again soon; the post is let to end.  */
+/* One caller disconnects during a stream, another during a POST.  The stream
+   is cancelled and its slot released; the POST runs to its end.  */
 static void
 test_caller_leaves (void)
 {
@@ -479,7 +480,7 @@
   g_assert_cmpfloat (
       fleet_sum_metric (fleet, FLEET_ROUTER, 0, "cfd_router_in_flight"), ==,
       0);
-  /* The answer of the post was kept for the caller who asks again.  */
+  /* The answer of the POST was stored for a repeat with the same key.  */
   g_usleep (200000);
   g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
   g_assert_cmpint (call_read_to_end (again, WAIT_MS), ==, CALL_COMPLETE);
--- a/tests/test-starve.c
+++ b/tests/test-starve.c
@@ -1,14 +1,14 @@
-/* An account floods the fleet, with twenty times more requests than there are
-   slots at its weight of two, and a small one asks for one thing at a time,
-   while something else is at fault.  The small one must be served as it goes:
-   it waits for a slot, never for the flood to end.  */
+/* One account floods the fleet, with twenty times more requests than slots and
+   a weight of two, while a small account sends one request at a time and a
+   fault is injected.  The small account must be served throughout: it waits
+   for a slot, never for the end of the flood.  */
 
 #include "fault-run.h"
 #include <signal.h>
 
 #define SMALL_ACCOUNT 1u
-/* Served in turn it waits for under a second; a fault is noticed within 3 s.
- */
+/* Served in turn, the small account waits for less than a second; a fault is
+   detected within 3 s.  */
 #define MAX_WAIT_MS 6000.0
 #define FLOOD_REQUESTS 300u
 #define REQUESTS 900u
@@ -48,9 +48,9 @@
   g_assert_true (fleet_set_relay_mode (run->fleet, "zone-0>zone-1", "pass"));
 }
 
-/* The checks inside the programs look at each slot: a wrong choice ends the
-   router that made it, and the other one would still serve the small account
-   in time.  */
+/* The programs check each slot that they grant, and a wrong choice aborts the
+   router that made it.  The other router would still serve the small account
+   in time, so a crash has to be looked for here.  */
 static void
 verify_invariants (const fault_run_t *run)
 {
@@ -97,15 +97,16 @@
 
 static const fault_case_t cases[] = {
   { .name = "flood", STARVE_CASE },
-  /* An agent stops with half of the work; the other one has both accounts'. */
+  /* An agent freezes with half of the requests; the other one serves both
+     accounts.  */
   { .name = "frozen",
     .first_action_ms = 3000,
     .second_action_ms = 6000,
     .first_action = freeze_agent,
     .second_action = resume_agent,
     STARVE_CASE },
-  /* Routers lose the homes of the accounts, and agents, in the other zone:
-     each side goes on with what it knows of who got what.  */
+  /* Routers lose the accounts' home routers and the agents in the other zone:
+     each side continues with the service counts that it knows.  */
   { .name = "cut",
     .first_action_ms = 3000,
     .second_action_ms = 7000,
