--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,6 +1,6 @@
-/* A rolling upgrade of a whole fleet: programs that know schema 1 only are
-   replaced one at a time by the present ones, while callers ask and operators
-   of both write records.  */
+/* Rolling upgrade of a whole fleet: programs that know only schema 1 are
+   replaced one at a time by the current ones, under load, while operators
+   write records with both versions of cfdctl.  */
 
 #include "scene.h"
 #include <signal.h>
@@ -19,8 +19,8 @@
   return g_build_filename (build, name, NULL);
 }
 
-/* The platform tells that the process leaves; it ends when all that runs there
-   is answered, and the present program takes its place.  */
+/* Lists the process as leaving, stops it, waits until it has answered its
+   running requests and exits, and starts the current program in its place.  */
 static void
 upgrade_process (scene_t *scene, fleet_role_t sort, unsigned index)
 {
@@ -48,13 +48,13 @@
   scene_run (scene, 300);
 }
 
-/* The exit status of a cfdctl with WORDS.  */
+/* Runs the cfdctl at NAME in the build folder; returns its exit status.  */
 static int
 run_cfdctl (const scene_t *scene, const char *name, const char *arguments)
 {
   g_autofree char *path = program_path (name);
   g_autofree char *platform = fleet_get_url (scene->fleet, FLEET_PLATFORM, 0);
-  g_autofree char *output = NULL; /* must not stand among the test's own */
+  g_autofree char *output = NULL; /* kept out of the test's TAP output */
   g_autofree char *line
       = g_strdup_printf ("%s --platform %s %s", path, platform, arguments);
   g_autoptr (GError) error = NULL;
@@ -96,11 +96,11 @@
   return scene_new (&plan);
 }
 
-/* Agents are upgraded under load, and with old routers the one that no caller
-   uses.  In the middle a zone's record is written anew as schema 2 and out:
-   old programs keep the record that they know, each new one takes it up, and
-   nobody's later write takes its unknown member or its schema away.  No
-   request is lost on the way.  */
+/* Upgrades the agents under load and, with old routers, also the router that
+   no caller uses.  In between, a zone's record is replaced by one of schema 2
+   that takes the zone out: old programs keep the record that they know, each
+   upgraded one applies the new one, and no later write may remove its unknown
+   member or lower its schema.  All requests are answered.  */
 static void
 check_upgrade (bool old_routers)
 {
--- a/tests/test-whole.c
+++ b/tests/test-whole.c
@@ -1,15 +1,15 @@
-/* Whole-path tests: separate processes from the caller to the endpoint, and
-   what goes wrong between them.  */
+/* End-to-end tests: separate processes from the caller to the endpoint, and
+   faults between them.  */
 
 #include "scene.h"
 #include <signal.h>
 #include <string.h>
 
-/* The longest that any scene may take to come to its end, far more than it
-   does: it is there so that a fault shows as a failure and not as a hang.  */
+/* Limit for each wait, far more than it needs, so that a fault shows as a
+   failure and not as a hang.  */
 #define LIMIT_MS 25000
 
-/* ---- requests that are at fault themselves ---- */
+/* ---- invalid requests ---- */
 
 typedef struct
 {
@@ -55,12 +55,12 @@
   g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), ==, 0);
 }
 
-/* ---- processes that end ---- */
+/* ---- processes that exit ---- */
 
-/* The caller reads a stream when the agent that serves it is killed.  Bytes
-   have left, so the request can't be run again elsewhere: the answer breaks
-   off, well before any silence limit, and is never taken for whole.  Later
-   requests go to the agent that is left.  */
+/* The agent that serves a stream is killed.  Bytes have been delivered, so the
+   request can't be run again elsewhere: the answer is cut off, well before any
+   timeout for silence, and never looks complete.  Later requests go to the
+   other agent.  */
 static void
 test_agent_killed (void)
 {
@@ -87,8 +87,8 @@
   g_assert_cmpuint (after, >, 0);
 }
 
-/* A planned stop of a router or an agent (SIGTERM) while answers stream: each
-   of them comes whole, and only then does the process end.  */
+/* A planned stop (SIGTERM) of a router or an agent during streams: all answers
+   are completed before the process exits.  */
 static void
 check_drain (fleet_role_t sort)
 {
@@ -121,10 +121,10 @@
   check_drain (FLEET_AGENT);
 }
 
-/* ---- what comes and goes ---- */
+/* ---- members that join or leave ---- */
 
-/* A router and an endpoint with its agent join while work runs, and no other
-   process is started again: the endpoint gets a part of the work, and the new
+/* A router and an endpoint with its agent join under load, and no other
+   process is restarted: the endpoint gets some of the requests, and the new
    router serves callers.  */
 static void
 test_join (void)
@@ -159,9 +159,9 @@
   g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 1);
 }
 
-/* An operator writes one record while two endpoints serve; the one concerned
-   gets no new work after a few seconds, what runs there ends whole, and the
-   other goes on.  */
+/* An operator writes a record that takes one of two endpoints out of service:
+   within a few seconds it gets no new requests, its running requests are
+   completed, and the other endpoint keeps serving.  */
 static void
 check_withdrawn (const char *kind, const char *name, const char *spec)
 {
@@ -206,7 +206,7 @@
 
 /* ---- the network ---- */
 
-/* Streams run from another zone while something befalls the links there.  */
+/* Starts streams to agents in two zones; the caller's router is in zone 0.  */
 static scene_t *
 start_cross_zone_streams (void)
 {
@@ -224,10 +224,10 @@
   return scene;
 }
 
-/* The open links from the router to an agent in another zone go silent for
-   good while streams run over them; nothing closes, and new connections work.
-   The router notices by its heartbeats, dials again and takes each stream up
-   where it stood: the callers see a pause and whole answers.  */
+/* The open links from the router to an agent in another zone stop delivering
+   data for good during streams; no connection is closed, and new ones work.
+   The router detects it by its heartbeats, reconnects and resumes each stream:
+   callers see a pause and complete answers.  */
 static void
 test_silent_links (void)
 {
@@ -240,7 +240,7 @@
   g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
-/* The same, but the links are closed: the router dials at once.  */
+/* The same, but the links are closed: the router reconnects at once.  */
 static void
 test_cut_links (void)
 {
@@ -255,9 +255,10 @@
 
 /* ---- the platform ---- */
 
-/* The platform is down.  Model work and lookups go on; a post with an
-   Idempotency-Key, which needs a claim there, is refused "not run" and the
-   endpoint never sees it; when the platform is back, posts are served.  */
+/* The platform is down.  Model requests and lookups are still served; a POST
+   with an Idempotency-Key, which needs a claim at the platform, is refused as
+   "not-run" and never reaches the endpoint; when the platform is back, it is
+   served.  */
 static void
 test_platform_down (void)
 {
--- a/tests/test-withdrawn.c
+++ b/tests/test-withdrawn.c
@@ -1,20 +1,22 @@
-/* What operators take out of service while something else is at fault, and
-   planned stops of several processes at once, in whole fleets.  */
+/* Zones and endpoints that operators take out of service while a fault is
+   active, and planned stops of two processes at once, in whole fleets.  */
 
 #include "scene.h"
 #include <signal.h>
 
 #define LIMIT_MS 25000
-/* "After a few seconds": as the soak judges it.  */
+/* Time after which a withdrawn endpoint must start nothing; ZONE_GRACE_MS of
+   the soak.  */
 #define GRACE_MS 6000
-/* Until the others have a new record, a broken watch included.  */
+/* Time until the other processes have a new record, including the reopening of
+   a broken watch.  */
 #define PROPAGATION_MS 3000
 #define PLATFORM_DOWN "{\"mode\":\"down\"}"
 #define PLATFORM_UP "{\"mode\":\"up\"}"
 #define ZONE_1_OUT "{\"schema\":2,\"state\":\"out\",\"region\":\"r\"}"
 
-/* Three zones, with a router, an agent and an engine each; the load comes to
-   ROUTER.  */
+/* Starts three zones with a router, an agent and an engine each; the load goes
+   to ROUTER.  */
 static scene_t *
 start_three_zones (unsigned router)
 {
@@ -65,9 +67,9 @@
   scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults", mode);
 }
 
-/* Writes a record that all others learn, and that the stopped processes can't
-   have in their sockets when they wake: their watches are broken off before.
-   The platform is down afterwards.  */
+/* Writes a record that reaches all processes except the frozen ones.  Their
+   watches are disconnected first, so that the record can't be in their socket
+   buffers when they are resumed.  The platform is down afterwards.  */
 static void
 put_record_unseen (scene_t *scene, const char *kind, const char *name,
                    const char *spec)
@@ -79,8 +81,8 @@
   set_platform_mode (scene, PLATFORM_DOWN);
 }
 
-/* The record of endpoint 1 with its own address: with another one, its engine
-   would get nothing whatever the fleet did.  */
+/* Returns the record of endpoint 1 as leaving, with its real address: with
+   another one, its engine would get no requests in any case.  */
 static char *
 make_leaving_record (const scene_t *scene)
 {
@@ -93,7 +95,7 @@
       url);
 }
 
-/* Endpoint 1 starts nothing from now on, while the load goes on.  */
+/* Checks that endpoint 1 starts no request in 2 s of load.  */
 static void
 check_no_new_starts (scene_t *scene)
 {
@@ -104,12 +106,13 @@
                      requests_before);
 }
 
-/* A zone is cut off whole: its agent and router are stopped, its links are
-   dead, and the platform is down when they wake, so that neither can learn
-   that the zone was taken out meanwhile.  The router there has callers and the
-   agent free slots, and the agent had links to that router alone, which it
-   must not take for the whole fleet: it hears one zone of three and offers
-   none. When all is mended it learns that it is out.  */
+/* A zone is cut off completely: its agent and router are frozen, its links
+   drop all data, and the platform is down when they are resumed, so that
+   neither can learn that the zone was taken out in the meantime.  The router
+   has callers and the agent has free slots, but links to that router only,
+   which it must not take for the whole fleet: it is connected to one zone of
+   three and must grant nothing.  Once the faults are over, it learns that the
+   zone is out.  */
 static void
 test_zone_cut_off (void)
 {
@@ -129,10 +132,10 @@
   scene_finish (scene, LIMIT_MS);
 }
 
-/* An agent is stopped while its endpoint's record says that it leaves, and the
-   platform is down when it wakes with its grants and requests on their way:
-   it learns from a router before it starts anything.  Callers see whole
-   answers, the others serve.  */
+/* An agent is frozen while its endpoint's record changes to leaving, and the
+   platform is down when it is resumed with grants and requests in transit: it
+   must learn of the change from a router before it starts anything.  The other
+   agents serve, and callers get complete answers.  */
 static void
 test_leaving_frozen (void)
 {
@@ -155,9 +158,10 @@
                      ==, 0);
 }
 
-/* The endpoint's record says that it leaves just after all links between its
-   zone and the others went silent, and the platform goes down a moment later:
-   the agent has it from the platform or stops for being cut off.  */
+/* The endpoint's record changes to leaving just after all links between its
+   zone and the others stopped delivering data, and the platform goes down
+   200 ms later: the agent either has the record from the platform or stops
+   because it is cut off.  */
 static void
 test_leaving_cut (void)
 {
@@ -175,9 +179,9 @@
   scene_finish (scene, LIMIT_MS);
 }
 
-/* A router and an agent that serves its callers are asked to stop at the same
-   moment, with answers on the way between them and requests in the queue.
-   Each caller gets a whole answer, and both processes end.  */
+/* A router and an agent that serves it get SIGTERM at the same time, with
+   answers in transit between them and requests in the queue.  Each caller gets
+   a complete answer, and both processes exit.  */
 static void
 test_two_stops (void)
 {
