--- a/tests/fuzz-frames.c
+++ b/tests/fuzz-frames.c
@@ -1,6 +1,7 @@
-/* libFuzzer target for the frames between processes.  An input is taken as one
-   whole frame, and as what a peer sends on a link with short frames: whatever
-   decodes must encode to what decodes to the same again.
+/* libFuzzer target for the frames between processes.  An input is decoded as
+   one whole frame, and as the stream of a peer on a link with short frames.
+   Each decoded message must encode to a frame that decodes to the same
+   message.
 
      CC=clang meson setup build-fuzz -Dfuzz=true
      ninja -C build-fuzz tests/fuzz-frames
@@ -14,16 +15,17 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* One direction of a link that passes on what another one brought.  */
+/* Codec states for messages that are decoded from one link and forwarded on
+   another.  */
 typedef struct
 {
-  msg_state_t from; /* of the peer that is fuzzed */
-  msg_state_t sender;
-  msg_state_t receiver;
-} relay_t;
+  msg_state_t received_state; /* of the link with the fuzzed peer */
+  msg_state_t sender_state;
+  msg_state_t receiver_state;
+} forwarder_t;
 
 static GByteArray *
-whole_frame (const msg_t *message)
+encode_frame (const msg_t *message)
 {
   GByteArray *frame = msg_encode (message, NULL);
 
@@ -32,19 +34,19 @@
   return frame;
 }
 
-/* Both must be the same message.  */
+/* Aborts unless both messages have the same encoding.  */
 static void
-compare (const msg_t *first, const msg_t *second)
+require_equal (const msg_t *decoded, const msg_t *decoded_again)
 {
-  g_autoptr (GByteArray) a = whole_frame (first);
-  g_autoptr (GByteArray) b = whole_frame (second);
+  g_autoptr (GByteArray) a = encode_frame (decoded);
+  g_autoptr (GByteArray) b = encode_frame (decoded_again);
 
   if (a->len != b->len || memcmp (a->data, b->data, a->len) != 0)
     abort ();
 }
 
 static const uint8_t *
-payload_of (const GByteArray *frame, bool is_short, uint32_t *length)
+get_payload (const GByteArray *frame, bool is_short, uint32_t *length)
 {
   size_t prefix;
 
@@ -55,70 +57,75 @@
 }
 
 static void
-check_whole (const uint8_t *data, size_t size)
+check_single_frame (const uint8_t *data, size_t size)
 {
-  g_autoptr (msg_t) first = msg_decode (data, size, NULL, NULL);
-  g_autoptr (msg_t) second = NULL;
+  g_autoptr (msg_t) decoded = msg_decode (data, size, NULL, NULL);
+  g_autoptr (msg_t) decoded_again = NULL;
   g_autoptr (GByteArray) frame = NULL;
   const uint8_t *payload;
   uint32_t length;
 
-  if (first == NULL)
+  if (decoded == NULL)
     return;
-  frame = whole_frame (first);
-  payload = payload_of (frame, false, &length);
-  second = msg_decode (payload, length, NULL, NULL);
-  if (second == NULL)
+  frame = encode_frame (decoded);
+  payload = get_payload (frame, false, &length);
+  decoded_again = msg_decode (payload, length, NULL, NULL);
+  if (decoded_again == NULL)
     abort ();
-  compare (first, second);
+  require_equal (decoded, decoded_again);
 }
 
-/* False when the link would be closed.  */
+/* Decodes, re-encodes and decodes a message again; returns false when the link
+   would be closed.  */
 static bool
-pass_on (relay_t *relay, const uint8_t *payload, uint32_t length)
+forward (forwarder_t *forwarder, const uint8_t *payload, uint32_t length)
 {
-  g_autoptr (msg_t) first = msg_decode (payload, length, &relay->from, NULL);
-  g_autoptr (msg_t) second = NULL;
+  g_autoptr (msg_t) decoded
+      = msg_decode (payload, length, &forwarder->received_state, NULL);
+  g_autoptr (msg_t) decoded_again = NULL;
   g_autoptr (GByteArray) frame = NULL;
-  const uint8_t *again;
+  const uint8_t *reencoded;
 
-  if (first == NULL)
+  if (decoded == NULL)
     return false;
-  frame = msg_encode (first, &relay->sender);
-  /* A stamp of the peer may be too far ahead of the last to be said.  */
+  frame = msg_encode (decoded, &forwarder->sender_state);
+  /* The peer's time stamp may be too far ahead of the previous one to be
+     encoded.  */
   if (frame == NULL)
     return false;
-  again = payload_of (frame, true, &length);
-  second = msg_decode (again, length, &relay->receiver, NULL);
-  if (second == NULL)
+  reencoded = get_payload (frame, true, &length);
+  decoded_again
+      = msg_decode (reencoded, length, &forwarder->receiver_state, NULL);
+  if (decoded_again == NULL)
     abort ();
-  compare (first, second);
+  require_equal (decoded, decoded_again);
   return true;
 }
 
 static void
 check_stream (const uint8_t *data, size_t size)
 {
-  relay_t relay = { 0 };
+  forwarder_t forwarder = { 0 };
   uint32_t length;
   size_t prefix;
 
   while (msg_parse_length (data, size, true, &length, &prefix)
              == MSG_LENGTH_COMPLETE
-         && prefix + length <= size && pass_on (&relay, data + prefix, length))
+         && prefix + length <= size
+         && forward (&forwarder, data + prefix, length))
     {
       data += prefix + length;
       size -= prefix + length;
     }
-  msg_state_clear (&relay.from);
-  msg_state_clear (&relay.sender);
-  msg_state_clear (&relay.receiver);
+  msg_state_clear (&forwarder.received_state);
+  msg_state_clear (&forwarder.sender_state);
+  msg_state_clear (&forwarder.receiver_state);
 }
 
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  check_whole (data, size);
+  check_single_frame (data, size);
   check_stream (data, size);
   return 0;
 }
