--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -77,7 +77,7 @@
 }
 
 static void
-on_check (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   fault_run_t *run = watcher->data;
   const fault_case_t *fault_case = run->fault_case;
@@ -112,7 +112,7 @@
 {
   ev_timer check;
 
-  ev_timer_init (&check, on_check, 0.02, 0.02);
+  ev_timer_init (&check, on_timer, 0.02, 0.02);
   check.data = run;
   ev_timer_start (loop, &check);
   run->start_us = clock_now_us ();
@@ -169,7 +169,7 @@
   run.load = load_new (loop, &load_plan);
   run_load (&run, loop);
   g_assert_true (collect (run.fleet, run.load, &run.totals));
-  g_test_message ("%u requests: %u right, %u refused, %u broken, "
+  g_test_message ("%u requests: %u correct, %u refused, %u broken, "
                   "%u unfinished, %u overloads, %u in grace",
                   run.totals.requests, run.totals.correct, run.totals.refused,
                   run.totals.broken, run.totals.unfinished,
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -186,7 +186,7 @@
       return false;
     }
   faults_print (soak->faults);
-  printf ("%u requests: %u right, %u refused, %u broken, %u unfinished\n",
+  printf ("%u requests: %u correct, %u refused, %u broken, %u unfinished\n",
           sum.requests, sum.correct, sum.refused, sum.broken, sum.unfinished);
   failed += report_invariant ("every answer is complete and the caller's own",
                               sum.wrong_answers);
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -147,7 +147,7 @@
   double broken = fleet_sum_metric (run->fleet, FLEET_AGENT, 0,
                                     "cfd_agent_broken_total");
 
-  g_test_message ("%g requests were turned away", broken);
+  g_test_message ("%g requests failed at the engine", broken);
   g_assert_cmpuint (fault_count_agent_events (run, 0, "eject"), >=, 2);
   g_assert_cmpfloat (broken, <, 12);
   verify_all_answered (run);
@@ -194,8 +194,8 @@
   g_assert_cmpuint (run->totals.correct, >=, run->totals.requests / 2);
 }
 
-/* Each request that the resumed agent starts must belong to a grant made after
-   it was resumed: assignments to older grants are refused.  */
+/* Each start at the resumed agent must follow a grant made after it was
+   resumed: requests that were assigned to older grants are refused.  */
 static void
 verify_starts_follow_grants (const fault_run_t *run, unsigned agent)
 {
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -53,9 +53,9 @@
   int64_t start_us;
   int64_t failed_us;
   int64_t restored_us;
-  double suspected_agents; /* agents that each router doubts, or more, at
-                              BACK_US */
-  bool ended;
+  double suspected_agents; /* at RESTORED_US, the smallest number that a router
+                              suspects */
+  bool load_stopped;
   collect_result_t totals;
 } rack_run_t;
 
@@ -119,7 +119,7 @@
 }
 
 static void
-on_check (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   rack_run_t *run = watcher->data;
   int64_t now = clock_now_us ();
@@ -136,12 +136,13 @@
       run->restored_us = now;
       for_each_in_rack (run, restore_member);
     }
-  if (!run->ended && ms >= END_MS)
+  if (!run->load_stopped && ms >= END_MS)
     {
-      run->ended = true;
+      run->load_stopped = true;
       load_stop (run->load);
     }
-  if (ms >= END_LIMIT_MS || (run->ended && load_count_active (run->load) == 0))
+  if (ms >= END_LIMIT_MS
+      || (run->load_stopped && load_count_active (run->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -149,7 +150,7 @@
 
 /* Tokens per second over the window that begins with sample AT.  */
 static double
-window_rate (const GPtrArray *samples, guint at)
+window_token_rate (const GPtrArray *samples, guint at)
 {
   const load_sample_t *first = samples->pdata[at];
   const load_sample_t *last = samples->pdata[at + WINDOW_SAMPLES];
@@ -170,7 +171,7 @@
 }
 
 static double
-mean_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
+mean_token_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
 {
   const load_sample_t *first = samples->pdata[find_sample (samples, from_us)];
   const load_sample_t *last = samples->pdata[find_sample (samples, to_us)];
@@ -179,13 +180,14 @@
          / (double)(last->at_us - first->at_us);
 }
 
-/* Seconds from FROM until a whole second has LEAST tokens; -1: never.  */
+/* Seconds from FROM_US until the rate over a window is at least MIN_RATE
+   tokens per second; -1 when it never is.  */
 static double
 seconds_until_rate (const GPtrArray *samples, int64_t from_us, double min_rate)
 {
   for (guint i = find_sample (samples, from_us);
        i + WINDOW_SAMPLES < samples->len; i++)
-    if (window_rate (samples, i) >= min_rate)
+    if (window_token_rate (samples, i) >= min_rate)
       return (double)(((const load_sample_t *)samples->pdata[i])->at_us
                       - from_us)
              / 1e6;
@@ -208,57 +210,60 @@
 longest_failed_wait_s (const rack_run_t *run)
 {
   const GPtrArray *requests = load_get_requests (run->load);
-  double longest = 0;
+  double longest_s = 0;
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      int64_t from = MAX (request->started_us, run->failed_us);
+      int64_t wait_start_us = MAX (request->started_us, run->failed_us);
 
       if (request->end == LOAD_INCOMPLETE || request->end == LOAD_REFUSED)
-        longest = MAX (longest, (double)(request->last_us - from) / 1e6);
+        longest_s = MAX (longest_s,
+                         (double)(request->last_us - wait_start_us) / 1e6);
     }
-  return longest;
+  return longest_s;
 }
 
 static void
 verify (rack_run_t *run)
 {
   const GPtrArray *samples = load_get_samples (run->load);
-  double before
-      = mean_rate (samples, run->failed_us - 2000000, run->failed_us);
-  double share = before * (ZONES - 1) / ZONES;
+  double token_rate_before
+      = mean_token_rate (samples, run->failed_us - 2000000, run->failed_us);
+  double expected_rate = token_rate_before * (ZONES - 1) / ZONES;
   double share_while_failed
-      = mean_rate (samples, run->failed_us + 1000000, run->restored_us)
-        / share;
-  double share_when_restored = mean_rate (samples, run->restored_us + 5000000,
-                                          run->start_us + END_MS * 1000LL)
-                               / before;
+      = mean_token_rate (samples, run->failed_us + 1000000, run->restored_us)
+        / expected_rate;
+  double share_when_restored
+      = mean_token_rate (samples, run->restored_us + 5000000,
+                         run->start_us + END_MS * 1000LL)
+        / token_rate_before;
 
   g_test_message ("%u requests: %u refused, %u broken; %g retried, "
-                  "%g returned, longest without an end %.1f s",
+                  "%g returned, longest wait for a failure %.1f s",
                   run->totals.requests, run->totals.refused,
                   run->totals.broken,
                   sum_router_metric (run, "cfd_router_retried_total"),
                   sum_router_metric (run, "cfd_router_returned_total"),
                   longest_failed_wait_s (run));
-  g_test_message ("tokens a second before %.0f; gone: %.3f of the share that "
-                  "remains, 0.9 of it after %.2f s; back: %.3f from 5 s on, "
-                  "0.9 after %.2f s; %u overloads, %u in grace",
-                  before, share_while_failed,
-                  seconds_until_rate (samples, run->failed_us, 0.9 * share),
-                  share_when_restored,
-                  seconds_until_rate (samples, run->restored_us, 0.9 * before),
-                  run->totals.overload_count, run->totals.overload_in_grace);
+  g_test_message (
+      "tokens per second before the failure %.0f; rack down: %.3f of the "
+      "expected rate, 0.9 of it after %.2f s; restored: %.3f of the rate "
+      "before from 5 s on, 0.9 after %.2f s; %u overloads, %u in grace",
+      token_rate_before, share_while_failed,
+      seconds_until_rate (samples, run->failed_us, 0.9 * expected_rate),
+      share_when_restored,
+      seconds_until_rate (samples, run->restored_us, 0.9 * token_rate_before),
+      run->totals.overload_count, run->totals.overload_in_grace);
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
-      const load_sample_t *from
+      const load_sample_t *first
           = samples->pdata[find_sample (samples, run->failed_us)];
-      const load_sample_t *to
+      const load_sample_t *last
           = samples->pdata[find_sample (samples, run->restored_us)];
 
-      g_test_message ("%s got %.0f weighted tokens while gone",
-                      accounts[i].name, to->service[i] - from->service[i]);
+      g_test_message ("%s got %.0f weighted tokens while the rack was down",
+                      accounts[i].name, last->service[i] - first->service[i]);
     }
   g_test_message ("at least %g agents suspected by each router at the return",
                   run->suspected_agents);
@@ -279,7 +284,7 @@
 /* ---- cases ---- */
 
 static void
-add_accounts (GPtrArray *members, double *router_shares)
+add_account_loads (GPtrArray *members, double *router_shares)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
@@ -320,9 +325,9 @@
   g_assert_no_error (error);
   for (unsigned i = 0; i < ZONES; i++)
     urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
-  add_accounts (members, router_shares);
+  add_account_loads (members, router_shares);
   run.load = load_new (loop, &load_plan);
-  ev_timer_init (&check, on_check, 0.02, 0.02);
+  ev_timer_init (&check, on_timer, 0.02, 0.02);
   check.data = &run;
   ev_timer_start (loop, &check);
   run.start_us = clock_now_us ();
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -370,7 +370,7 @@
 #define LOAD_LIMIT_US 60000000
 
 static void
-on_shutdown_check (struct ev_loop *loop, ev_timer *watcher, int events)
+on_shutdown_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   shutdown_t *down = watcher->data;
   int64_t now = clock_now_us ();
@@ -449,7 +449,7 @@
 
   g_ptr_array_add (all, &account);
   down.load = load_new (loop, &plan);
-  ev_timer_init (&check, on_shutdown_check, 0.02, 0.02);
+  ev_timer_init (&check, on_shutdown_timer, 0.02, 0.02);
   check.data = &down;
   ev_timer_start (loop, &check);
   down.start_us = clock_now_us ();
