--- a/tests/check.sh
+++ b/tests/check.sh
@@ -1,17 +1,17 @@
 #!/bin/sh
 # Runs the tests of the suite $1 (short, or long: soaks of a minute) in each of
-# the given builds and closes with one line that counts test cases.  Tests named
-# in KNOWN-RED.txt ("test: cause, issue") run and are printed, but do not fail
+# the given builds; the last line counts the test cases.  Failures of tests
+# named in KNOWN-RED.txt ("test: cause, issue") are printed, but do not fail
 # the run.
 set -u
-# Whole fleets are some 20 processes each, which mostly wait: twelve tests side
-# by side took 1.3 of 8 cores, sanitizers included.
-SIDE_BY_SIDE=16
+# A whole fleet is about 20 processes, which mostly wait: twelve tests in
+# parallel used 1.3 of 8 cores, including sanitizers.
+PARALLEL_TESTS=16
 suite=$1
 shift
 case $suite in
-  long) choice=--suite=long ;;
-  short) choice=--no-suite=long ;;
+  long) suite_option=--suite=long ;;
+  short) suite_option=--no-suite=long ;;
   *) echo "check.sh: the suite is short or long, not $suite" >&2; exit 2 ;;
 esac
 passed=0
@@ -20,10 +20,11 @@
 known=$(sed -n 's/^\([a-z0-9-]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null)
 for build in "$@"; do
   ninja -C "$build" || exit 1
-  meson test -C "$build" --no-rebuild --print-errorlogs $choice \
-    --num-processes "$SIDE_BY_SIDE"
+  meson test -C "$build" --no-rebuild --print-errorlogs $suite_option \
+    --num-processes "$PARALLEL_TESTS"
   status=$?
-  # One line of JSON for each test program; a case is a TAP line in its output.
+  # The log has one JSON line for each test program, with a TAP line for each
+  # case in its output.
   python3 - "$build/meson-logs/testlog.json" $known <<'PY' >"$build/counts"
 import json, sys
 known = set(sys.argv[2:])
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Formatter and linter checks over all C files; $1 is a configured build.
+# Checks the format of all C files and runs the linters on them; $1 is a
+# configured build folder.
 set -eu
 files=$(git ls-files --cached --others --exclude-standard '*.c' '*.h')
 sources=$(git ls-files --cached --others --exclude-standard '*.c')
--- a/tests/page-commands.sh
+++ b/tests/page-commands.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Runs each block of commands of the given pages as printed, one shell a page,
-# on addresses of its own; a test.
+# A test that runs the shell blocks of the given pages as printed, one shell
+# for each page, with 127.0.0.1 replaced by an address of its own.
 #   tests/page-commands.sh BUILD PAGE...
 set -u
 build=$(realpath "$1")
--- a/tests/settings-page.sh
+++ b/tests/settings-page.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Prints docs/SETTINGS.md from the programs' own tables.  With --check it is
-# compared with the page, as a test.
+# Prints docs/SETTINGS.md from the programs' tables of settings.  With --check,
+# a test that compares the output with the given page.
 #   tests/settings-page.sh BUILD >docs/SETTINGS.md
 #   tests/settings-page.sh BUILD --check docs/SETTINGS.md
 set -eu
--- a/tests/try.sh
+++ b/tests/try.sh
@@ -1,8 +1,8 @@
-# A small fleet to try things on; source it in a shell at the repository's root
-# after make:  . tests/try.sh
-# Starts a stand-in platform and, in two zones, a stand-in engine, an agent and
-# a router each; writes the records, and ends all of it with the shell.
-# Addresses are on $TRY_ADDRESS (127.0.0.1), logs in build/try-*.log.
+# A small fleet for interactive use.  Source this file in a shell at the
+# repository's root after make:  . tests/try.sh
+# Starts a stand-in platform and, in each of two zones, a stand-in engine, an
+# agent and a router, and writes their records.  All processes end with the
+# shell.  Addresses are on $TRY_ADDRESS (127.0.0.1), logs in build/try-*.log.
 # shellcheck shell=sh
 TRY_ADDRESS=${TRY_ADDRESS:-127.0.0.1}
 TRY_BUILD=${TRY_BUILD:-$PWD/build}
@@ -10,7 +10,7 @@
 export CFD_PLATFORM="http://$TRY_ADDRESS:7000"
 export CFD_SECRET="${CFD_SECRET:-an-example-secret-of-a-fleet-to-try}"
 TRY_PIDS=
-# shellcheck disable=SC2064,SC2154  # the ids as they are then
+# shellcheck disable=SC2064,SC2154  # expands the ids at exit
 trap 'kill $TRY_PIDS 2>/dev/null' EXIT
 try_start() { # LOG COMMAND...
   try_log="$TRY_BUILD/try-$1.log"
