--- a/tests/fault-events.c
+++ b/tests/fault-events.c
@@ -10,10 +10,10 @@
 #define RETRY_GIVEN_BACK "the agent gave it back unstarted"
 
 JsonArray *
-fault_fetch_events (const fault_run_t *run, fleet_role_t sort, unsigned index,
+fault_fetch_events (const fault_run_t *run, fleet_role_t role, unsigned index,
                     JsonParser *parser)
 {
-  g_autofree char *base = fleet_get_admin_url (run->fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (run->fleet, role, index);
   g_autofree char *url = g_strconcat (base, "/events?since=0", NULL);
   long status = 0;
   g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
--- a/tests/fault-events.h
+++ b/tests/fault-events.h
@@ -9,7 +9,7 @@
 #include <json-glib/json-glib.h>
 
 /* Fetches all events of one process.  PARSER owns them.  */
-JsonArray *fault_fetch_events (const fault_run_t *run, fleet_role_t sort,
+JsonArray *fault_fetch_events (const fault_run_t *run, fleet_role_t role,
                                unsigned index, JsonParser *parser);
 /* Counts the events of KIND of one agent.  */
 unsigned fault_count_agent_events (const fault_run_t *run, unsigned agent,
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -2,7 +2,7 @@
 
 #include <ev.h>
 
-#define LIMIT_S 50
+#define MAX_RUN_S 50
 /* Long enough for requests to end and others to start during a cold start.  */
 #define LONG_COLD_MS 3000
 
@@ -102,7 +102,7 @@
                 || load_get_requests (run->load)->len < fault_case->requests
             ? 0
             : run->idle_checks + 1;
-  if (ms >= LIMIT_S * 1000
+  if (ms >= MAX_RUN_S * 1000
       || (run->idle_checks > 20 && ms > fault_case->second_action_ms))
     ev_break (loop, EVBREAK_ALL);
 }
@@ -129,7 +129,8 @@
   double router_shares[] = { 0.5, 0.5 };
   char *urls[2];
   g_autoptr (GError) error = NULL;
-  g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) account_loads
+      = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = 8,
                             .answer_seed = plan.seed,
                             .routers = plan.routers,
@@ -138,7 +139,7 @@
                             .plain = FLEET_PLAIN_SERVICE,
                             .request_limit = run.fault_case->requests,
                             .idle_timeout_ms = 20000,
-                            .accounts = members };
+                            .accounts = account_loads };
   struct ev_loop *loop = ev_loop_new (0);
 
   if (run.fault_case->zone_ms > 0)
@@ -164,7 +165,7 @@
 
       if (run.fault_case->flood_outstanding > 0)
         load->outstanding = i == 0 ? run.fault_case->flood_outstanding : 1;
-      g_ptr_array_add (members, load);
+      g_ptr_array_add (account_loads, load);
     }
   run.load = load_new (loop, &load_plan);
   run_load (&run, loop);
--- a/tests/fuzz-frames.c
+++ b/tests/fuzz-frames.c
@@ -78,7 +78,8 @@
 /* Decodes, re-encodes and decodes a message again; returns false when the link
    would be closed.  */
 static bool
-forward (forwarder_t *forwarder, const uint8_t *payload, uint32_t length)
+forward_message (forwarder_t *forwarder, const uint8_t *payload,
+                 uint32_t length)
 {
   g_autoptr (msg_t) decoded
       = msg_decode (payload, length, &forwarder->received_state, NULL);
@@ -112,7 +113,7 @@
   while (msg_parse_length (data, size, true, &length, &prefix)
              == MSG_LENGTH_COMPLETE
          && prefix + length <= size
-         && forward (&forwarder, data + prefix, length))
+         && forward_message (&forwarder, data + prefix, length))
     {
       data += prefix + length;
       size -= prefix + length;
--- a/tests/soak-kinds.c
+++ b/tests/soak-kinds.c
@@ -52,7 +52,7 @@
 }
 
 static bool
-kill_one_process (faults_t *faults, active_fault_t *active)
+kill_random_process (faults_t *faults, active_fault_t *active)
 {
   return choose_target (faults, active, active->fault->role)
          && kill_target (faults, active);
@@ -71,7 +71,7 @@
 }
 
 static bool
-freeze_one_process (faults_t *faults, active_fault_t *active)
+freeze_random_process (faults_t *faults, active_fault_t *active)
 {
   if (!choose_target (faults, active, active->fault->role))
     return false;
@@ -283,7 +283,7 @@
     }
   if (faults->platform_faulty)
     return false;
-  active->role = FLEET_ROLE_COUNT;
+  active->role = FLEET_ROLE_COUNT; /* the target is a zone, not a process */
   active->target
       = choose_index (faults, fleet_get_plan (faults->fleet)->zones);
   return write_zone_state (faults, active->target, "out");
@@ -339,13 +339,13 @@
 }
 
 const fault_t fault_kinds[] = {
-  { "kill-router", 300, 2500, kill_one_process, restart_target,
+  { "kill-router", 300, 2500, kill_random_process, restart_target,
     .role = FLEET_ROUTER },
-  { "kill-agent", 300, 2500, kill_one_process, restart_target,
+  { "kill-agent", 300, 2500, kill_random_process, restart_target,
     .role = FLEET_AGENT },
-  { "freeze-router", 500, 4000, freeze_one_process, resume_target,
+  { "freeze-router", 500, 4000, freeze_random_process, resume_target,
     .role = FLEET_ROUTER },
-  { "freeze-agent", 500, 4000, freeze_one_process, resume_target,
+  { "freeze-agent", 500, 4000, freeze_random_process, resume_target,
     .role = FLEET_AGENT },
   { "cut-link", 500, 5000, impair_link, restore_link, .spec = "cut" },
   { "silence-link", 100, 500, impair_link, restore_link, .spec = "silent" },
@@ -371,7 +371,7 @@
   /* New kinds are added at the end, so that a seed with --kinds injects the
      same faults as before.  */
   { "rack", 500, 4000, fail_rack, restore_rack, .needs_platform = false },
-  { "operators-race", 500, 2000, race_begin, race_end,
+  { "operators-race", 500, 2000, race_inject, race_revert,
     .needs_platform = false },
 };
 
--- a/tests/soak-private.h
+++ b/tests/soak-private.h
@@ -64,8 +64,8 @@
 bool faults_set_platform_mode (faults_t *faults, const char *spec);
 
 /* ---- soak-race.c ---- */
-bool race_begin (faults_t *faults, active_fault_t *active);
-void race_end (faults_t *faults, active_fault_t *active);
+bool race_inject (faults_t *faults, active_fault_t *active);
+void race_revert (faults_t *faults, active_fault_t *active);
 
 /* True when an active fault has stopped or killed this process.  */
 bool faults_is_target (const faults_t *faults, fleet_role_t role,
--- a/tests/soak-race.c
+++ b/tests/soak-race.c
@@ -62,7 +62,7 @@
 }
 
 bool
-race_begin (faults_t *faults, active_fault_t *active)
+race_inject (faults_t *faults, active_fault_t *active)
 {
   g_autofree char *version = NULL;
 
@@ -92,7 +92,7 @@
 }
 
 void
-race_end (faults_t *faults, active_fault_t *active)
+race_revert (faults_t *faults, active_fault_t *active)
 {
   int statuses[RACE_OPERATORS];
   unsigned value;
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -9,7 +9,7 @@
 #include <stdio.h>
 
 /* Time for the open requests to end once the load has stopped.  */
-#define SETTLE_S 45
+#define MAX_SETTLE_S 45
 /* Time after the faults in which each account must be served.  */
 #define QUIET_S 8
 #define ROUTERS 4
@@ -54,9 +54,9 @@
   struct ev_loop *loop;
   load_t *load;
   faults_t *faults;
-  cfd_time_t faults_until;
-  cfd_time_t load_until;
-  cfd_time_t until;
+  cfd_time_t faults_end_at;
+  cfd_time_t load_ends_at;
+  cfd_time_t ends_at;
   guint first_quiet_request; /* index of the first request after the faults */
   bool faults_reverted;
   bool load_stopped;
@@ -93,7 +93,7 @@
   soak_t *soak = watcher->data;
   cfd_time_t now = clock_now ();
 
-  if (now < soak->faults_until)
+  if (now < soak->faults_end_at)
     {
       faults_step (soak->faults, now);
       return;
@@ -103,19 +103,19 @@
       soak->faults_reverted = true;
       faults_revert_all (soak->faults, now);
       now = clock_now ();
-      soak->load_until = now + QUIET_S * 1000;
-      soak->until = now + (QUIET_S + SETTLE_S) * 1000;
+      soak->load_ends_at = now + QUIET_S * 1000;
+      soak->ends_at = now + (QUIET_S + MAX_SETTLE_S) * 1000;
       soak->first_quiet_request = load_get_requests (soak->load)->len;
       return;
     }
-  if (now < soak->load_until)
+  if (now < soak->load_ends_at)
     return;
   if (!soak->load_stopped)
     {
       soak->load_stopped = true;
       load_stop (soak->load);
     }
-  if (load_count_active (soak->load) == 0 || now >= soak->until)
+  if (load_count_active (soak->load) == 0 || now >= soak->ends_at)
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -150,13 +150,13 @@
 static double
 count_invariant_failures (const fleet_t *fleet)
 {
-  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t roles[] = { FLEET_ROUTER, FLEET_AGENT };
   double sum = 0;
 
-  for (unsigned s = 0; s < G_N_ELEMENTS (sorts); s++)
-    for (unsigned i = 0; i < fleet_count_members (fleet, sorts[s]); i++)
+  for (unsigned s = 0; s < G_N_ELEMENTS (roles); s++)
+    for (unsigned i = 0; i < fleet_count_members (fleet, roles[s]); i++)
       {
-        double value = fleet_sum_metric (fleet, sorts[s], i,
+        double value = fleet_sum_metric (fleet, roles[s], i,
                                          "cfd_invariant_failures_total");
 
         sum += value < 0 ? 1 : value;
@@ -211,12 +211,13 @@
 }
 
 static bool
-run (fleet_t *fleet, const options_t *options)
+run_soak (fleet_t *fleet, const options_t *options)
 {
   struct ev_loop *loop = ev_default_loop (0);
   double router_shares[ROUTERS] = { 0.5, 0.25, 0.15, 0.1 };
   char *urls[ROUTERS];
-  g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) account_loads
+      = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = (uint64_t)options->seed,
                             .answer_seed = plan.seed,
                             .routers = ROUTERS,
@@ -224,7 +225,7 @@
                             .model = FLEET_MODEL_SERVICE,
                             .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 30000,
-                            .accounts = members };
+                            .accounts = account_loads };
   soak_t soak = { .loop = loop };
   ev_timer step;
   bool passed;
@@ -233,14 +234,14 @@
     urls[i] = fleet_get_url (fleet, FLEET_ROUTER, i);
   for (unsigned i = 0; i < plan.account_count; i++)
     g_ptr_array_add (
-        members,
+        account_loads,
         make_account_load (&accounts[i], i, options->light, router_shares));
   soak.load = load_new (loop, &load_plan);
   soak.faults = faults_new (fleet, (uint64_t)options->seed, options->only_kind,
                             (unsigned)options->kind_count);
   if (soak.faults == NULL)
     g_error ("--only: no kind of fault is named %s", options->only_kind);
-  soak.faults_until = clock_now () + (cfd_time_t)options->seconds * 1000;
+  soak.faults_end_at = clock_now () + (cfd_time_t)options->seconds * 1000;
   ev_timer_init (&step, on_timer, 0.1, 0.1);
   step.data = &soak;
   ev_timer_start (loop, &step);
@@ -304,7 +305,7 @@
       fprintf (stderr, "soak: %s\n", error->message);
       return 1;
     }
-  passed = run (fleet, &options);
+  passed = run_soak (fleet, &options);
   fleet_free (fleet, options.keep || !passed);
   g_free (options.only_kind);
   return passed ? 0 : 1;
--- a/tests/test-agent-faults.c
+++ b/tests/test-agent-faults.c
@@ -7,7 +7,7 @@
 #include <signal.h>
 #include <string.h>
 
-#define STOP_MS 10000
+#define MAX_STOP_MS 10000
 
 /* ---- faults ---- */
 
@@ -83,7 +83,7 @@
 signal_agents (fault_run_t *run, int signal_number)
 {
   int wait_ms
-      = signal_number == SIGSTOP || signal_number == SIGCONT ? 0 : STOP_MS;
+      = signal_number == SIGSTOP || signal_number == SIGCONT ? 0 : MAX_STOP_MS;
 
   proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, 0), signal_number,
              wait_ms);
@@ -229,7 +229,7 @@
    100 ms away, so that some assignment arrives too late.  Only one account
    sends requests, so that no grant is declined as stale.  */
 static void
-verify_frozen (fault_run_t *run)
+verify_late_assignment_refused (fault_run_t *run)
 {
   verify_starts_follow_grants (run, fault_plan.models);
   g_assert_cmpfloat (fleet_sum_metric (run->fleet, FLEET_AGENT,
@@ -240,7 +240,7 @@
 }
 
 static void
-verify_frozen_long (fault_run_t *run)
+verify_starts_and_half_answered (fault_run_t *run)
 {
   verify_starts_follow_grants (run, 0);
   verify_starts_follow_grants (run, fault_plan.models);
@@ -248,7 +248,7 @@
 }
 
 static void
-verify_frozen_longer (fault_run_t *run)
+verify_starts_and_all_answered (fault_run_t *run)
 {
   verify_starts_follow_grants (run, 0);
   verify_all_answered (run);
@@ -268,7 +268,7 @@
     .second_action_ms = 2900,
     .first_action = freeze_agents,
     .second_action = resume_agents,
-    .verify = verify_frozen },
+    .verify = verify_late_assignment_refused },
   /* The same, long enough for the routers to close the links.  Answers that
      continued in the meantime are resumed.  */
   { .name = "frozen-long",
@@ -281,7 +281,7 @@
     .second_action_ms = 5000,
     .first_action = freeze_agents,
     .second_action = resume_agents,
-    .verify = verify_frozen_long },
+    .verify = verify_starts_and_half_answered },
   /* The same, for longer than a router waits for a process that has exited.
      The engine and the plain service keep running, and the agents have the
      answers when they are resumed: callers see a pause of about 10 s, and no
@@ -296,7 +296,7 @@
     .second_action_ms = 11000,
     .first_action = freeze_agents,
     .second_action = resume_agents,
-    .verify = verify_frozen_longer },
+    .verify = verify_starts_and_all_answered },
   /* Engines in cold start can run one request, and report no load whatever
      runs.  Agents that relied on the report would overload them.  */
   { .name = "cold-start-with-lying-report",
--- a/tests/test-cfdctl.c
+++ b/tests/test-cfdctl.c
@@ -8,7 +8,7 @@
 #include <sys/wait.h>
 
 #define KEY "key-of-the-branch"
-#define WAIT_MS 20000
+#define MAX_WAIT_MS 20000
 #define ZONES 2
 
 typedef struct
@@ -238,7 +238,7 @@
                     "{\"model\":\"draft\",\"max_tokens\":5,\"messages\":"
                     "[{\"role\":\"user\",\"content\":\"hello\"}]}");
 
-  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (call, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (call), ==, 200);
   return copy_header (call, "X-Request-Id");
 }
@@ -307,11 +307,11 @@
 }
 
 static void
-signal_endpoints (fixture_t *fixture, int number)
+signal_endpoints (fixture_t *fixture, int signal_number)
 {
   for (unsigned i = 0; i < ZONES; i++)
-    proc_stop (fleet_get_process (fixture->fleet, FLEET_ENDPOINT, i), number,
-               0);
+    proc_stop (fleet_get_process (fixture->fleet, FLEET_ENDPOINT, i),
+               signal_number, 0);
 }
 
 /* A refused request also has an id that explain finds.  */
@@ -325,7 +325,7 @@
   g_autofree char *id = NULL;
   g_autofree char *explain = NULL;
 
-  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (call, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (call), ==, 401);
   id = copy_header (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
@@ -350,7 +350,7 @@
   call = call_start (url, "POST", "/v1/chat/completions", KEY, NULL,
                      "{\"model\":\"draft\",\"max_tokens\":400,\"messages\":"
                      "[{\"role\":\"user\",\"content\":\"hello\"}]}");
-  for (unsigned i = 0; i < WAIT_MS / 10; i++)
+  for (unsigned i = 0; i < MAX_WAIT_MS / 10; i++)
     if (fleet_sum_metric (fixture->fleet, FLEET_ROUTER, 0,
                           "cfd_router_in_flight")
         > 0)
@@ -365,7 +365,7 @@
       fleet_get_process (fixture->fleet, FLEET_AGENT, first_agent[6] - '0'),
       SIGKILL, 2000);
   signal_endpoints (fixture, SIGCONT);
-  g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (call, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (call), ==, 200);
   id = copy_header (call, "X-Request-Id");
   explain = g_strdup_printf ("explain %s", id);
--- a/tests/test-logs.c
+++ b/tests/test-logs.c
@@ -9,7 +9,7 @@
 
 #define KEY "key-that-must-not-be-told"
 #define WRONG_KEY "wrong-key-that-must-not-be-told"
-#define WAIT_MS 20000
+#define MAX_WAIT_MS 20000
 
 static const char *const secrets[] = { KEY, WRONG_KEY, FLEET_SECRET };
 
@@ -77,7 +77,8 @@
       g_autoptr (call_t) call
           = call_start (url, "POST", c->path, c->key, c->headers, c->body);
 
-      g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+      g_assert_cmpint (call_read_to_end (call, MAX_WAIT_MS), ==,
+                       CALL_COMPLETE);
       g_test_message ("%s %s: %u", c->path, c->body, call_get_status (call));
       g_assert_cmpuint (call_get_status (call), ==, c->status);
     }
@@ -92,11 +93,11 @@
 }
 
 static void
-check_admin_pages (fleet_t *fleet, fleet_role_t sort, unsigned index)
+check_admin_pages (fleet_t *fleet, fleet_role_t role, unsigned index)
 {
   static const char *const paths[]
       = { "/status", "/metrics", "/events", "/readyz" };
-  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, role, index);
 
   for (unsigned i = 0; i < G_N_ELEMENTS (paths); i++)
     {
@@ -166,8 +167,8 @@
   proc_stop (fleet_get_process (fleet, FLEET_AGENT, 1), SIGKILL, 2000);
   check_admin_pages (fleet, FLEET_ROUTER, 0);
   check_admin_pages (fleet, FLEET_AGENT, 0);
-  proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0), SIGTERM, WAIT_MS);
-  proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGTERM, WAIT_MS);
+  proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0), SIGTERM, MAX_WAIT_MS);
+  proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGTERM, MAX_WAIT_MS);
   check_log (fleet, "router-0");
   check_log (fleet, "agent-0");
   check_log (fleet, "agent-1");
--- a/tests/test-pages.c
+++ b/tests/test-pages.c
@@ -6,10 +6,10 @@
 
 /* Adds "NAME TYPE" of each metric that a process exports.  */
 static void
-add_exported_metrics (const fleet_t *fleet, fleet_role_t sort,
+add_exported_metrics (const fleet_t *fleet, fleet_role_t role,
                       GHashTable *exported)
 {
-  g_autofree char *base = fleet_get_admin_url (fleet, sort, 0);
+  g_autofree char *base = fleet_get_admin_url (fleet, role, 0);
   g_autofree char *url = g_strconcat (base, "/metrics", NULL);
   long status = 0;
   g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -50,9 +50,9 @@
   load_account_t accounts[ACCOUNTS];
 } scene_t;
 
-/* SPREADS holds, for each account, the share of its requests by router.  */
+/* ROUTER_SHARES holds, for each account, the share that each router gets.  */
 static scene_t *
-scene_new (const fleet_plan_t *fleet, double (*spreads)[ROUTERS])
+scene_new (const fleet_plan_t *fleet, double (*router_shares)[ROUTERS])
 {
   scene_t *scene = g_new0 (scene_t, 1);
   g_autoptr (GError) error = NULL;
@@ -76,7 +76,7 @@
                                              .key = (char *)accounts[i].key,
                                              .weight = accounts[i].weight,
                                              .outstanding = 30,
-                                             .router_shares = spreads[i],
+                                             .router_shares = router_shares[i],
                                              .min_answer_tokens = 16,
                                              .max_answer_tokens = 48 };
       scene->accounts[i].kinds[LOAD_STREAM] = 1;
@@ -146,10 +146,10 @@
 static void
 test_rejoin (void)
 {
-  double spreads[ACCOUNTS][ROUTERS]
+  double router_shares[ACCOUNTS][ROUTERS]
       = { { 0.5, 0.5 }, { 1, 0 }, { 0, 1 }, { 0, 1 } };
   const unsigned sides[] = { 0, 1 };
-  scene_t *scene = scene_new (&plan, spreads);
+  scene_t *scene = scene_new (&plan, router_shares);
 
   scene_run (scene, WARM_UP_S);
   g_assert_true (fleet_set_partition (scene->fleet, sides, true));
@@ -169,17 +169,17 @@
    home, which gets SIGNAL and returns 5 s later.  Returns the largest gap from
    the signal on.  */
 static double
-measure_gap_without_home (int signal)
+measure_gap_without_home (int signal_number)
 {
-  double spreads[ACCOUNTS][ROUTERS] = { { 0.25, 0.25, 0.25, 0.25, 0 },
-                                        { 0.25, 0.25, 0.25, 0.25, 0 },
-                                        { 1, 0, 0, 0, 0 },
-                                        { 0, 1, 0, 0, 0 } };
+  double router_shares[ACCOUNTS][ROUTERS] = { { 0.25, 0.25, 0.25, 0.25, 0 },
+                                              { 0.25, 0.25, 0.25, 0.25, 0 },
+                                              { 1, 0, 0, 0, 0 },
+                                              { 0, 1, 0, 0, 0 } };
   fleet_plan_t one_zone = plan;
 
   one_zone.zones = 1;
   one_zone.routers = ROUTERS;
-  scene_t *scene = scene_new (&one_zone, spreads);
+  scene_t *scene = scene_new (&one_zone, router_shares);
   proc_t *home = fleet_get_process (scene->fleet, FLEET_ROUTER, HOME_ROUTER);
 
   scene_run (scene, WARM_UP_S);
@@ -189,7 +189,7 @@
   int64_t failed_us = clock_now_us ();
   /* Don't wait for the exit: that would block the load, which runs in this
      process.  */
-  (void)proc_stop (home, signal, 0);
+  (void)proc_stop (home, signal_number, 0);
   scene_run (scene, 5);
   if (proc_is_running (home))
     (void)proc_stop (home, SIGCONT, 0);
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -11,8 +11,8 @@
 #define FAIL_MS 9000
 #define RESTORE_MS 19000
 #define END_MS 29000
-#define END_LIMIT_MS 50000
-#define STOP_MS 10000
+#define MAX_RUN_MS 50000
+#define MAX_STOP_MS 10000
 /* Samples per second; service is measured over windows of this length.  */
 #define WINDOW_SAMPLES (1000u / LOAD_SAMPLE_INTERVAL_MS)
 
@@ -80,7 +80,7 @@
   proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGSTOP,
              0);
   proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, index), signal_number,
-             signal_number == SIGSTOP ? 0 : STOP_MS);
+             signal_number == SIGSTOP ? 0 : MAX_STOP_MS);
 }
 
 static void
@@ -93,7 +93,7 @@
   long status = 200;
 
   if (run->rack_case->signal_number == SIGSTOP)
-    proc_stop (agent, SIGKILL, STOP_MS);
+    proc_stop (agent, SIGKILL, MAX_STOP_MS);
   proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGCONT,
              0);
   if (index < MODELS)
@@ -141,7 +141,7 @@
       run->load_stopped = true;
       load_stop (run->load);
     }
-  if (ms >= END_LIMIT_MS
+  if (ms >= MAX_RUN_MS
       || (run->load_stopped && load_count_active (run->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
@@ -225,7 +225,7 @@
 }
 
 static void
-verify (rack_run_t *run)
+verify_service (rack_run_t *run)
 {
   const GPtrArray *samples = load_get_samples (run->load);
   double token_rate_before
@@ -284,21 +284,21 @@
 /* ---- cases ---- */
 
 static void
-add_account_loads (GPtrArray *members, double *router_shares)
+add_account_loads (GPtrArray *account_loads, double *router_shares)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
-      load_account_t *load = g_new0 (load_account_t, 1);
-
-      *load = (load_account_t){ .name = (char *)accounts[i].name,
-                                .key = (char *)accounts[i].key,
-                                .weight = accounts[i].weight,
-                                .outstanding = 24,
-                                .kinds = { 6, 1, 2, 2, 1, 1 },
-                                .router_shares = router_shares,
-                                .min_answer_tokens = 16,
-                                .max_answer_tokens = 48 };
-      g_ptr_array_add (members, load);
+      load_account_t *account_load = g_new0 (load_account_t, 1);
+
+      *account_load = (load_account_t){ .name = (char *)accounts[i].name,
+                                        .key = (char *)accounts[i].key,
+                                        .weight = accounts[i].weight,
+                                        .outstanding = 24,
+                                        .kinds = { 6, 1, 2, 2, 1, 1 },
+                                        .router_shares = router_shares,
+                                        .min_answer_tokens = 16,
+                                        .max_answer_tokens = 48 };
+      g_ptr_array_add (account_loads, account_load);
     }
 }
 
@@ -309,7 +309,8 @@
   double router_shares[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
   char *urls[ZONES];
   g_autoptr (GError) error = NULL;
-  g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) account_loads
+      = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = 8,
                             .answer_seed = plan.seed,
                             .routers = ZONES,
@@ -317,7 +318,7 @@
                             .model = FLEET_MODEL_SERVICE,
                             .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 20000,
-                            .accounts = members };
+                            .accounts = account_loads };
   struct ev_loop *loop = ev_loop_new (0);
   ev_timer check;
 
@@ -325,7 +326,7 @@
   g_assert_no_error (error);
   for (unsigned i = 0; i < ZONES; i++)
     urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
-  add_account_loads (members, router_shares);
+  add_account_loads (account_loads, router_shares);
   run.load = load_new (loop, &load_plan);
   ev_timer_init (&check, on_timer, 0.02, 0.02);
   check.data = &run;
@@ -334,7 +335,7 @@
   load_start (run.load);
   ev_run (loop, 0);
   g_assert_true (collect (run.fleet, run.load, &run.totals));
-  verify (&run);
+  verify_service (&run);
   load_free (run.load);
   ev_loop_destroy (loop);
   fleet_free (run.fleet, false);
--- a/tests/test-router-faults.c
+++ b/tests/test-router-faults.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define KEY "key-of-a"
-#define WAIT_MS 20000
+#define MAX_WAIT_MS 20000
 
 static const fleet_account_t accounts[] = { { "a", KEY, 1 } };
 
@@ -106,7 +106,7 @@
 static void
 wait_until_executed (fleet_t *fleet, const char *nonce)
 {
-  for (int i = 0; i < WAIT_MS / 10 && count_executions (fleet, nonce) == 0;
+  for (int i = 0; i < MAX_WAIT_MS / 10 && count_executions (fleet, nonce) == 0;
        i++)
     g_usleep (10000);
   g_assert_cmpuint (count_executions (fleet, nonce), ==, 1);
@@ -116,7 +116,7 @@
 wait_for_metric (fleet_t *fleet, fleet_role_t sort, unsigned index,
                  const char *name, double min_value)
 {
-  for (int i = 0; i < WAIT_MS / 10; i++)
+  for (int i = 0; i < MAX_WAIT_MS / 10; i++)
     {
       if (fleet_sum_metric (fleet, sort, index, name) >= min_value)
         return;
@@ -152,18 +152,19 @@
   g_autoptr (GError) error = NULL;
   proc_t *plain = fleet_get_process (fleet, FLEET_AGENT, PLAIN_AGENT);
 
-  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", MAX_WAIT_MS));
   wait_until_executed (fleet, "p");
   wait_until_executed (fleet, "l");
-  g_assert_true (
-      proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGKILL, WAIT_MS));
-  g_assert_true (proc_stop (plain, SIGKILL, WAIT_MS));
+  g_assert_true (proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGKILL,
+                            MAX_WAIT_MS));
+  g_assert_true (proc_stop (plain, SIGKILL, MAX_WAIT_MS));
   g_assert_true (proc_restart (fleet_get_processes (fleet), plain, &error));
-  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_INCOMPLETE);
-  g_assert_cmpint (call_read_to_end (posted, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (streamed, MAX_WAIT_MS), ==,
+                   CALL_INCOMPLETE);
+  g_assert_cmpint (call_read_to_end (posted, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (posted), ==, 502);
   g_assert_nonnull (strstr (posted->text->str, "\"run\":\"unknown\""));
-  g_assert_cmpint (call_read_to_end (looked, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (looked, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (looked), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   stop_fleet (fleet);
@@ -182,13 +183,14 @@
   g_autoptr (call_t) streamed = start_stream (fleet, 1, 300);
   g_autoptr (call_t) posted = start_post (fleet, 0, "p", NULL);
 
-  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", MAX_WAIT_MS));
   wait_until_executed (fleet, "p");
   g_assert_true (fleet_set_relay_mode (fleet, "zone-1>zone-0", "silent"));
   g_assert_true (fleet_set_relay_mode (fleet, "zone-0>zone-1", "silent"));
-  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (streamed, MAX_WAIT_MS), ==,
+                   CALL_COMPLETE);
   g_assert_nonnull (strstr (streamed->text->str, "data: [DONE]"));
-  g_assert_cmpint (call_read_to_end (posted, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (posted, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (posted), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   g_assert_cmpfloat (
@@ -218,10 +220,12 @@
       g_autoptr (call_t) waiter = start_post (fleet, 0, second, NULL);
       wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 1);
       kill (router->pid, SIGSTOP);
-      g_assert_cmpint (call_read_to_end (holder, WAIT_MS), ==, CALL_COMPLETE);
+      g_assert_cmpint (call_read_to_end (holder, MAX_WAIT_MS), ==,
+                       CALL_COMPLETE);
       g_usleep (1200000); /* longer than the lifetime of a grant */
       kill (router->pid, SIGCONT);
-      g_assert_cmpint (call_read_to_end (waiter, WAIT_MS), ==, CALL_COMPLETE);
+      g_assert_cmpint (call_read_to_end (waiter, MAX_WAIT_MS), ==,
+                       CALL_COMPLETE);
       g_assert_cmpuint (call_get_status (waiter), ==, 200);
       g_assert_cmpuint (count_executions (fleet, second), ==, 1);
       returned = fleet_sum_metric (fleet, FLEET_ROUTER, 0,
@@ -243,17 +247,18 @@
 
   wait_until_executed (fleet, "p");
   g_autoptr (call_t) during = start_post (fleet, 1, "p", "key-1");
-  g_assert_cmpint (call_read_to_end (during, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (during, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (during), ==, 409);
   g_assert_nonnull (strstr (during->text->str, "\"run\":\"unknown\""));
-  g_assert_cmpint (call_read_to_end (first, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (first, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (first), ==, 200);
   /* The answer is stored after the caller has received it.  */
   for (unsigned i = 0; i < 100; i++)
     {
       g_autoptr (call_t) after = start_post (fleet, 1, "p", "key-1");
 
-      g_assert_cmpint (call_read_to_end (after, WAIT_MS), ==, CALL_COMPLETE);
+      g_assert_cmpint (call_read_to_end (after, MAX_WAIT_MS), ==,
+                       CALL_COMPLETE);
       if (call_get_status (after) == 409 && i < 99)
         {
           g_usleep (20000);
@@ -265,17 +270,17 @@
       break;
     }
   g_autoptr (call_t) other = start_post (fleet, 1, "q", "key-1");
-  g_assert_cmpint (call_read_to_end (other, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (other, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (other), ==, 422);
   set_platform_mode (fleet, "down");
   g_autoptr (call_t) down = start_post (fleet, 1, "r", "key-2");
-  g_assert_cmpint (call_read_to_end (down, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (down, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (down), ==, 503);
   g_assert_nonnull (strstr (down->text->str, "\"run\":\"not-run\""));
   g_assert_nonnull (strstr (down->text->str, "Retry-After: "));
   /* A POST that needs no claim is still served.  */
   g_autoptr (call_t) bare = start_post (fleet, 1, "s", NULL);
-  g_assert_cmpint (call_read_to_end (bare, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (bare, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (bare), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   g_assert_cmpuint (count_executions (fleet, "q"), ==, 0);
@@ -295,13 +300,14 @@
 
   wait_until_executed (fleet, "p");
   g_assert_true (proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0),
-                            SIGKILL, WAIT_MS));
-  g_assert_cmpint (call_read_to_end (first, WAIT_MS), ==, CALL_INCOMPLETE);
+                            SIGKILL, MAX_WAIT_MS));
+  g_assert_cmpint (call_read_to_end (first, MAX_WAIT_MS), ==, CALL_INCOMPLETE);
   g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
-  g_assert_cmpint (call_read_to_end (again, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (again, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (again), ==, 409);
   g_assert_nonnull (strstr (again->text->str, "\"run\":\"unknown\""));
-  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (streamed, MAX_WAIT_MS), ==,
+                   CALL_COMPLETE);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   stop_fleet (fleet);
 }
@@ -321,25 +327,26 @@
   g_autoptr (call_t) running = start_post (fleet, 0, "p", NULL);
   long status = 0;
 
-  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", MAX_WAIT_MS));
   wait_until_executed (fleet, "p");
   g_autoptr (call_t) queued = start_post (fleet, 0, "q", NULL);
   g_autoptr (call_t) claimed = start_post (fleet, 0, "r", "key-1");
   wait_for_metric (fleet, FLEET_ROUTER, 0, "cfd_router_waiting", 2);
   set_platform_mode (fleet, "down");
   kill (router->pid, SIGTERM);
-  for (int i = 0; i < WAIT_MS / 10 && status != 503; i++)
+  for (int i = 0; i < MAX_WAIT_MS / 10 && status != 503; i++)
     {
       g_autofree char *answer
           = proc_send_http (NULL, ready, NULL, NULL, &status);
       g_usleep (10000);
     }
   g_autoptr (call_t) late = start_lookup (fleet, 0, "late");
-  g_assert_cmpint (call_read_to_end (late, WAIT_MS), ==, CALL_INCOMPLETE);
-  g_assert_cmpint (call_read_to_end (running, WAIT_MS), ==, CALL_COMPLETE);
-  g_assert_cmpint (call_read_to_end (queued, WAIT_MS), ==, CALL_COMPLETE);
-  g_assert_cmpint (call_read_to_end (claimed, WAIT_MS), ==, CALL_COMPLETE);
-  g_assert_cmpint (call_read_to_end (streamed, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (late, MAX_WAIT_MS), ==, CALL_INCOMPLETE);
+  g_assert_cmpint (call_read_to_end (running, MAX_WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (queued, MAX_WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (claimed, MAX_WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (streamed, MAX_WAIT_MS), ==,
+                   CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (running), ==, 200);
   g_assert_cmpuint (call_get_status (queued), ==, 200);
   g_assert_cmpuint (call_get_status (claimed), ==, 200);
@@ -347,12 +354,12 @@
   /* Only the claim of the last POST is still to be finished.  */
   g_usleep (1000000);
   set_platform_mode (fleet, "up");
-  for (int i = 0; i < WAIT_MS / 10 && proc_is_running (router); i++)
+  for (int i = 0; i < MAX_WAIT_MS / 10 && proc_is_running (router); i++)
     g_usleep (10000);
   g_assert_false (proc_is_running (router));
   /* The claim was finished before the process exited.  */
   g_autoptr (call_t) after = start_post (fleet, 1, "r", "key-1");
-  g_assert_cmpint (call_read_to_end (after, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (after, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (after), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "r"), ==, 1);
   stop_fleet (fleet);
@@ -367,7 +374,7 @@
 } shutdown_t;
 
 #define SIGNAL_AFTER_US 1500000
-#define LOAD_LIMIT_US 60000000
+#define MAX_RUN_US 60000000
 
 static void
 on_shutdown_timer (struct ev_loop *loop, ev_timer *watcher, int events)
@@ -382,7 +389,7 @@
     }
   if (down->signalled_us != 0 && !proc_is_running (down->router))
     load_stop (down->load);
-  if (now - down->start_us > LOAD_LIMIT_US
+  if (now - down->start_us > MAX_RUN_US
       || (down->signalled_us != 0 && !proc_is_running (down->router)
           && load_count_active (down->load) == 0))
     ev_break (loop, EVBREAK_ALL);
@@ -442,7 +449,7 @@
                        .urls = urls,
                        .model = FLEET_MODEL_SERVICE,
                        .plain = FLEET_PLAIN_SERVICE,
-                       .idle_timeout_ms = WAIT_MS,
+                       .idle_timeout_ms = MAX_WAIT_MS,
                        .accounts = all };
   shutdown_t down = { .router = fleet_get_process (fleet, FLEET_ROUTER, 0) };
   ev_timer check;
@@ -472,7 +479,7 @@
   call_t *streamed = start_stream (fleet, 0, 2000);
   call_t *posted = start_post (fleet, 0, "p", "key-1");
 
-  g_assert_true (call_wait_for_text (streamed, "data: ", WAIT_MS));
+  g_assert_true (call_wait_for_text (streamed, "data: ", MAX_WAIT_MS));
   wait_until_executed (fleet, "p");
   call_free (streamed);
   call_free (posted);
@@ -483,7 +490,7 @@
   /* The answer of the POST was stored for a repeat with the same key.  */
   g_usleep (200000);
   g_autoptr (call_t) again = start_post (fleet, 1, "p", "key-1");
-  g_assert_cmpint (call_read_to_end (again, WAIT_MS), ==, CALL_COMPLETE);
+  g_assert_cmpint (call_read_to_end (again, MAX_WAIT_MS), ==, CALL_COMPLETE);
   g_assert_cmpuint (call_get_status (again), ==, 200);
   g_assert_cmpuint (count_executions (fleet, "p"), ==, 1);
   stop_fleet (fleet);
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -2,7 +2,7 @@
 
 #include "measure-slow.h"
 
-#define MS 1000
+#define US_PER_MS 1000
 
 /* Adds an answer of 11 tokens to a prompt of 20 tokens, requested at 0 and
    received by the engine at 10 ms.  */
@@ -17,9 +17,9 @@
                                .prompt_tokens = 20,
                                .tokens = 11,
                                .length = 11,
-                               .engine_start_us = 10 * MS,
-                               .first_byte_us = (10 + first_ms) * MS,
-                               .last_us = (10 + whole_ms) * MS };
+                               .engine_start_us = 10 * US_PER_MS,
+                               .first_byte_us = (10 + first_ms) * US_PER_MS,
+                               .last_us = (10 + whole_ms) * US_PER_MS };
   g_ptr_array_add (requests, request);
 }
 
@@ -35,7 +35,7 @@
     add_request (requests, "usual", 30, 230);
   add_request (requests, "slow", first_ms, whole_ms);
   g_hash_table_add (slow, (gpointer) "slow");
-  return slow_summarize_span (requests, slow, 1, 10000 * MS);
+  return slow_summarize_span (requests, slow, 1, 10000 * US_PER_MS);
 }
 
 static const struct
@@ -120,7 +120,8 @@
   ((load_request_t *)requests->pdata[3])->end = LOAD_INCOMPLETE;
   add_request (requests, "unknown", 100, 290);
   ((load_request_t *)requests->pdata[4])->engine_start_us = 0;
-  slow_span_t span = slow_summarize_span (requests, slow, 250 * MS, 350 * MS);
+  slow_span_t span
+      = slow_summarize_span (requests, slow, 250 * US_PER_MS, 350 * US_PER_MS);
   g_assert_cmpuint (span.count, ==, 1);
   g_assert_cmpfloat (span.tokens, ==, 31);
   g_assert_cmpfloat (span.first.p50, ==, 110);
--- a/tests/test-starve.c
+++ b/tests/test-starve.c
@@ -54,14 +54,14 @@
 static void
 verify_invariants (const fault_run_t *run)
 {
-  static const fleet_role_t sorts[] = { FLEET_ROUTER, FLEET_AGENT };
+  static const fleet_role_t roles[] = { FLEET_ROUTER, FLEET_AGENT };
 
-  for (unsigned s = 0; s < G_N_ELEMENTS (sorts); s++)
-    for (unsigned i = 0; i < fleet_count_members (run->fleet, sorts[s]); i++)
+  for (unsigned s = 0; s < G_N_ELEMENTS (roles); s++)
+    for (unsigned i = 0; i < fleet_count_members (run->fleet, roles[s]); i++)
       {
         g_assert_true (
-            proc_is_running (fleet_get_process (run->fleet, sorts[s], i)));
-        g_assert_cmpfloat (fleet_sum_metric (run->fleet, sorts[s], i,
+            proc_is_running (fleet_get_process (run->fleet, roles[s], i)));
+        g_assert_cmpfloat (fleet_sum_metric (run->fleet, roles[s], i,
                                              "cfd_invariant_failures_total"),
                            ==, 0);
       }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -6,9 +6,9 @@
 #include <signal.h>
 #include <string.h>
 
-#define LIMIT_MS 25000
+#define MAX_WAIT_MS 25000
 #define AGENTS 3u
-#define ZONE_1                                                                \
+#define ZONE_1_OUT                                                            \
   "{\"schema\":2,\"state\":\"out\",\"region\":\"r\",\"note\":\"kept\"}"
 
 static char *
@@ -22,28 +22,28 @@
 /* Lists the process as leaving, stops it, waits until it has answered its
    running requests and exits, and starts the current program in its place.  */
 static void
-upgrade_process (scene_t *scene, fleet_role_t sort, unsigned index)
+upgrade_process (scene_t *scene, fleet_role_t role, unsigned index)
 {
   fleet_t *fleet = scene->fleet;
-  proc_t *proc = fleet_get_process (fleet, sort, index);
-  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
+  proc_t *proc = fleet_get_process (fleet, role, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, role, index);
   g_autofree char *ready = g_strconcat (base, "/healthz", NULL);
   g_autoptr (GError) error = NULL;
 
   g_assert_true (
-      fleet_set_instance_state (fleet, sort, index, "leaving", &error));
+      fleet_set_instance_state (fleet, role, index, "leaving", &error));
   scene_run (scene, 1200);
   g_assert_false (proc_stop (proc, SIGTERM, 0));
-  for (unsigned i = 0; proc_is_running (proc) && i < LIMIT_MS / 50; i++)
+  for (unsigned i = 0; proc_is_running (proc) && i < MAX_WAIT_MS / 50; i++)
     scene_run (scene, 50);
   g_assert_false (proc_is_running (proc));
   g_free (proc->argv[0]);
-  proc->argv[0] = program_path (sort == FLEET_ROUTER ? FLEET_NEW_ROUTER
+  proc->argv[0] = program_path (role == FLEET_ROUTER ? FLEET_NEW_ROUTER
                                                      : FLEET_NEW_AGENT);
   proc_restart (fleet_get_processes (fleet), proc, &error);
   g_assert_no_error (error);
   g_assert_true (
-      fleet_set_instance_state (fleet, sort, index, "live", &error));
+      fleet_set_instance_state (fleet, role, index, "live", &error));
   g_assert_true (proc_wait_http_ok (ready, 5000));
   scene_run (scene, 300);
 }
@@ -107,14 +107,14 @@
   g_autoptr (scene_t) scene = start_old_fleet (old_routers);
   g_autoptr (GError) error = NULL;
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   g_assert_cmpint (run_cfdctl (scene, "tests/old-cfdctl",
                                "set client-account branch weight=2"),
                    ==, 0);
   if (old_routers)
     upgrade_process (scene, FLEET_ROUTER, 1);
   upgrade_process (scene, FLEET_AGENT, 0);
-  fleet_put_object (scene->fleet, "availability-zone", "zone-1", ZONE_1,
+  fleet_put_object (scene->fleet, "availability-zone", "zone-1", ZONE_1_OUT,
                     &error);
   g_assert_no_error (error);
   g_assert_cmpint (run_cfdctl (scene, "tests/old-cfdctl",
@@ -140,7 +140,7 @@
   g_assert_nonnull (strstr (zone, "\"region\":\"new\""));
   g_assert_nonnull (strstr (account, "\"schema\":1"));
   g_assert_nonnull (strstr (account, "\"weight\":2"));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
--- a/tests/test-whole.c
+++ b/tests/test-whole.c
@@ -7,7 +7,7 @@
 
 /* Limit for each wait, far more than it needs, so that a fault shows as a
    failure and not as a hang.  */
-#define LIMIT_MS 25000
+#define MAX_WAIT_MS 25000
 
 /* ---- invalid requests ---- */
 
@@ -69,11 +69,11 @@
   plan.tokens = 120;
   g_autoptr (scene_t) scene = scene_new (&plan);
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   int64_t killed_us = clock_now_us ();
   proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 0), SIGKILL, 2000);
   scene_run (scene, 4000);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   const GPtrArray *requests = load_get_requests (scene->load);
   unsigned after = 0;
   for (guint i = 0; i < requests->len; i++)
@@ -90,21 +90,21 @@
 /* A planned stop (SIGTERM) of a router or an agent during streams: all answers
    are completed before the process exits.  */
 static void
-check_drain (fleet_role_t sort)
+check_drain (fleet_role_t role)
 {
   scene_plan_t plan = scene_default_plan ();
   plan.fleet.models = 2;
   plan.requests = 4;
   plan.tokens = 80;
   g_autoptr (scene_t) scene = scene_new (&plan);
-  proc_t *proc = fleet_get_process (scene->fleet, sort, 0);
+  proc_t *proc = fleet_get_process (scene->fleet, role, 0);
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_run (scene, 300);
   g_assert_false (proc_stop (proc, SIGTERM, 0));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 4);
-  for (unsigned i = 0; proc_is_running (proc) && i < LIMIT_MS / 20; i++)
+  for (unsigned i = 0; proc_is_running (proc) && i < MAX_WAIT_MS / 20; i++)
     g_usleep (20000);
   g_assert_false (proc_is_running (proc));
 }
@@ -136,7 +136,7 @@
   g_autoptr (scene_t) scene = scene_new (&plan);
   g_autoptr (GError) error = NULL;
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   fleet_start_spare (scene->fleet, FLEET_AGENT, 1, &error);
   g_assert_no_error (error);
   fleet_start_spare (scene->fleet, FLEET_ROUTER, 1, &error);
@@ -154,7 +154,7 @@
     }
   g_assert_cmpint (status, ==, 200);
   scene_run (scene, 3000);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
   g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 1);
 }
@@ -184,7 +184,7 @@
                      requests_before);
   g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), >,
                      other_before);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
@@ -219,7 +219,7 @@
   plan.outstanding = 16;
   plan.tokens = 120;
   scene = scene_new (&plan);
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_run (scene, 300);
   return scene;
 }
@@ -236,7 +236,7 @@
   g_assert_true (
       fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "silent"));
   scene_run (scene, 1000);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
@@ -249,7 +249,7 @@
   g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "cut"));
   scene_run (scene, 500);
   g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "pass"));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
@@ -272,7 +272,7 @@
   const char *headers = GOOD_KEY "\nIdempotency-Key: k1";
   long status = 0;
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults",
                      "{\"mode\":\"down\"}");
   guint before = load_get_requests (scene->load)->len;
@@ -295,7 +295,7 @@
       = proc_send_http ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
   g_assert_cmpint (status, ==, 200);
   g_assert_nonnull (strstr (again, "\"executions\":1"));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
--- a/tests/test-withdrawn.c
+++ b/tests/test-withdrawn.c
@@ -4,10 +4,10 @@
 #include "scene.h"
 #include <signal.h>
 
-#define LIMIT_MS 25000
+#define MAX_WAIT_MS 25000
 /* Time after which a withdrawn endpoint must start nothing; ZONE_GRACE_MS of
    the soak.  */
-#define GRACE_MS 6000
+#define WITHDRAWAL_GRACE_MS 6000
 /* Time until the other processes have a new record, including the reopening of
    a broken watch.  */
 #define PROPAGATION_MS 3000
@@ -35,10 +35,12 @@
 }
 
 static void
-signal_zone_1 (const scene_t *scene, int number)
+signal_zone_1 (const scene_t *scene, int signal_number)
 {
-  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), number, 0);
-  proc_stop (fleet_get_process (scene->fleet, FLEET_ROUTER, 1), number, 0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), signal_number,
+             0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_ROUTER, 1), signal_number,
+             0);
 }
 
 static void
@@ -123,13 +125,13 @@
   put_record_unseen (scene, "availability-zone", "zone-1", ZONE_1_OUT);
   scene_run (scene, 2000);
   signal_zone_1 (scene, SIGCONT);
-  scene_run (scene, GRACE_MS);
+  scene_run (scene, WITHDRAWAL_GRACE_MS);
   check_no_new_starts (scene);
   set_zone_1_links (scene, "pass");
   set_platform_mode (scene, PLATFORM_UP);
   scene_run (scene, 3000);
   check_no_new_starts (scene);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
 }
 
 /* An agent is frozen while its endpoint's record changes to leaving, and the
@@ -152,7 +154,7 @@
   g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
                      requests_before);
   set_platform_mode (scene, PLATFORM_UP);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpfloat (fleet_sum_metric (scene->fleet, FLEET_AGENT, 1,
                                        "cfd_invariant_failures_total"),
                      ==, 0);
@@ -172,11 +174,11 @@
   put_record (scene, "endpoint", "endpoint-1", leaving);
   scene_run (scene, 200);
   set_platform_mode (scene, PLATFORM_DOWN);
-  scene_run (scene, GRACE_MS);
+  scene_run (scene, WITHDRAWAL_GRACE_MS);
   check_no_new_starts (scene);
   set_platform_mode (scene, PLATFORM_UP);
   set_zone_1_links (scene, "pass");
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
 }
 
 /* A router and an agent that serves it get SIGTERM at the same time, with
@@ -195,13 +197,13 @@
   proc_t *router = fleet_get_process (scene->fleet, FLEET_ROUTER, 0);
   proc_t *agent = fleet_get_process (scene->fleet, FLEET_AGENT, 0);
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_run (scene, 300);
   g_assert_false (proc_stop (router, SIGTERM, 0));
   g_assert_false (proc_stop (agent, SIGTERM, 0));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 30);
-  for (unsigned i = 0; i < LIMIT_MS / 20; i++)
+  for (unsigned i = 0; i < MAX_WAIT_MS / 20; i++)
     if (proc_is_running (router) || proc_is_running (agent))
       g_usleep (20000);
   g_assert_false (proc_is_running (router) || proc_is_running (agent));
