--- a/tests/collect.c
+++ b/tests/collect.c
@@ -148,7 +148,8 @@
 }
 
 bool
-collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum)
+collect_results (const fleet_t *fleet, const load_t *load,
+                 collect_result_t *sum)
 {
   memset (sum, 0, sizeof *sum);
   g_autoptr (GHashTable) places = ask_places (fleet, sum);
--- a/tests/collect.h
+++ b/tests/collect.h
@@ -23,7 +23,8 @@
 
 /* Asks all endpoints and judges all requests of LOAD; prints one line on
    standard error for each that breaks a promise.  */
-bool collect (const fleet_t *fleet, const load_t *load, collect_result_t *sum);
+bool collect_results (const fleet_t *fleet, const load_t *load,
+                      collect_result_t *sum);
 bool collect_has_no_violation (const collect_result_t *sum);
 
 /* The nonces that endpoint INDEX has started, as keys; NULL when it gives no
--- a/tests/demo.c
+++ b/tests/demo.c
@@ -112,7 +112,7 @@
   load_t *load = load_new (loop, &load_plan);
   run_load (loop, load);
   collect_print_tables (fleet, load);
-  bool asked = collect (fleet, load, &sum);
+  bool asked = collect_results (fleet, load, &sum);
   printf ("\n%u requests: %u whole and right, %u refused, %u broken, %u "
           "unfinished; %u wrong answers, %u ran twice, %u not run but ran, "
           "%u overloads\n",
--- a/tests/fault-run.c
+++ b/tests/fault-run.c
@@ -169,7 +169,7 @@
     }
   run.load = load_new (loop, &load_plan);
   run_load (&run, loop);
-  g_assert_true (collect (run.fleet, run.load, &run.totals));
+  g_assert_true (collect_results (run.fleet, run.load, &run.totals));
   g_test_message ("%u requests: %u correct, %u refused, %u broken, "
                   "%u unfinished, %u overloads, %u in grace",
                   run.totals.requests, run.totals.correct, run.totals.refused,
--- a/tests/load.c
+++ b/tests/load.c
@@ -454,7 +454,7 @@
 }
 
 unsigned
-load_accounts (const load_t *load)
+load_count_accounts (const load_t *load)
 {
   return load->plan->accounts->len;
 }
--- a/tests/load.h
+++ b/tests/load.h
@@ -110,7 +110,7 @@
 void load_stop (load_t *load);
 unsigned load_count_active (const load_t *load);
 /* Number of accounts of the plan.  */
-unsigned load_accounts (const load_t *load);
+unsigned load_count_accounts (const load_t *load);
 /* All requests so far, of load_request_t.  */
 const GPtrArray *load_get_requests (const load_t *load);
 /* Taken each LOAD_SAMPLE_INTERVAL_MS, of load_sample_t.  */
--- a/tests/measure-run.c
+++ b/tests/measure-run.c
@@ -393,7 +393,7 @@
 {
   collect_result_t sum;
 
-  if (!collect (running->fleet, running->load, &sum))
+  if (!collect_results (running->fleet, running->load, &sum))
     return false;
   figures[FIGURE_OVERLOADS] = sum.overload_count;
   figures[FIGURE_OVERLOADS_GRACE] = sum.overload_in_grace;
--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -163,8 +163,8 @@
       g_array_append_val (ends, end);
       if (time <= found.after_ms)
         continue;
-      found.late++;
-      found.won += second < time;
+      found.second_attempts++;
+      found.second_wins += second < time;
       found.tokens += second < time
                           ? tokens_before (stream, second)
                           : tokens_in (stream, usual, time - found.after_ms);
@@ -219,7 +219,7 @@
            "slow:   hedge after %.0f ms without %s: %u attempts, %u won, "
            "%.2f%% more tokens; p50 %.0f, p95 %.0f, p99 %.0f, "
            "most %.0f ms\n",
-           it->after_ms, what, it->late, it->won,
+           it->after_ms, what, it->second_attempts, it->second_wins,
            tokens > 0 ? 100 * it->tokens / tokens : 0, it->end.p50,
            it->end.p95, it->end.p99, it->end.most);
 }
--- a/tests/measure-slow.h
+++ b/tests/measure-slow.h
@@ -23,11 +23,11 @@
    first of the two to come counts, and the other is cancelled.  */
 typedef struct
 {
-  double after_ms;        /* 95 of 100 at the other endpoints come sooner */
-  unsigned late;          /* second attempts */
-  unsigned won;           /* of these, sooner than the first */
-  double tokens;          /* of the attempts that are cancelled, at least */
-  slow_percentiles_t end; /* of the callers' times, with them */
+  double after_ms;          /* 95 of 100 at the other endpoints come sooner */
+  unsigned second_attempts; /* second attempts */
+  unsigned second_wins;     /* of these, sooner than the first */
+  double tokens;            /* of the attempts that are cancelled, at least */
+  slow_percentiles_t end;   /* of the callers' times, with them */
 } slow_hedge_t;
 
 /* The streams that ended in a span.  */
--- a/tests/measure-watch.c
+++ b/tests/measure-watch.c
@@ -58,7 +58,7 @@
            || watch->zone_sides[fleet_get_zone (watch->fleet, FLEET_AGENT, i)]
                   == side;
   return fair_min_waiting (load_get_samples (watch->load), watch->router_sides,
-                           side, load_accounts (watch->load),
+                           side, load_count_accounts (watch->load),
                            (guint)(POLL_S * 1000 / LOAD_SAMPLE_INTERVAL_MS)
                                + 2)
          >= WAITING_PART * plan->slots * models;
--- a/tests/proc.c
+++ b/tests/proc.c
@@ -181,7 +181,7 @@
 }
 
 static size_t
-collect (char *bytes, size_t size, size_t count, void *user)
+collect_results (char *bytes, size_t size, size_t count, void *user)
 {
   g_string_append_len (user, bytes, (gssize)(size * count));
   return size * count;
@@ -203,7 +203,7 @@
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, headers);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, 5000L);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, collect);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, collect_results);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, answer);
   if (body != NULL)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
--- a/tests/scene.c
+++ b/tests/scene.c
@@ -133,7 +133,7 @@
 {
   load_stop (scene->load);
   scene_run_until (scene, scene_is_idle, limit_ms);
-  g_assert_true (collect (scene->fleet, scene->load, &scene->sum));
+  g_assert_true (collect_results (scene->fleet, scene->load, &scene->sum));
   g_assert_true (collect_has_no_violation (&scene->sum));
 }
 
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -179,7 +179,7 @@
   unsigned total = 9;
   unsigned failed = 0;
 
-  if (!collect (fleet, soak->load, &sum))
+  if (!collect_results (fleet, soak->load, &sum))
     {
       printf ("the endpoints' counters could not be read\n"
               "0 passed, 1 failed\n");
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -113,7 +113,7 @@
   for (unsigned i = 0; i < MAX_DRAIN_S && load_count_active (scene->load) > 0;
        i++)
     scene_run (scene, 1);
-  g_assert_true (collect (scene->fleet, scene->load, &sum));
+  g_assert_true (collect_results (scene->fleet, scene->load, &sum));
   g_assert_cmpuint (sum.wrong_answers + sum.duplicate_runs + sum.false_not_run,
                     ==, 0);
   load_free (scene->load);
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -334,7 +334,7 @@
   run.start_us = clock_now_us ();
   load_start (run.load);
   ev_run (loop, 0);
-  g_assert_true (collect (run.fleet, run.load, &run.totals));
+  g_assert_true (collect_results (run.fleet, run.load, &run.totals));
   verify_service (&run);
   load_free (run.load);
   ev_loop_destroy (loop);
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -43,8 +43,9 @@
   const char *name;
   unsigned first_ms;
   unsigned whole_ms;
-  unsigned late[2]; /* until the first token, and the whole answer */
-  unsigned won[2];
+  unsigned
+      second_attempts[2]; /* until the first token, and the whole answer */
+  unsigned second_wins[2];
   double p99[2];
   double tokens[2];
 } cases[] = {
@@ -95,8 +96,10 @@
       g_assert_cmpuint (span.at_slow, ==, 1);
       for (unsigned j = 0; j < G_N_ELEMENTS (hedges); j++)
         {
-          g_assert_cmpuint (hedges[j]->late, ==, cases[i].late[j]);
-          g_assert_cmpuint (hedges[j]->won, ==, cases[i].won[j]);
+          g_assert_cmpuint (hedges[j]->second_attempts, ==,
+                            cases[i].second_attempts[j]);
+          g_assert_cmpuint (hedges[j]->second_wins, ==,
+                            cases[i].second_wins[j]);
           g_assert_cmpfloat_with_epsilon (hedges[j]->end.p99, cases[i].p99[j],
                                           0.01);
           g_assert_cmpfloat_with_epsilon (hedges[j]->tokens,
