--- a/tests/measure-slow.c
+++ b/tests/measure-slow.c
@@ -18,7 +18,7 @@
   unsigned tokens;
 } stream_t;
 
-/* Medians and late thresholds of the endpoints that are not slow.
+/* Medians and second_attempts thresholds of the endpoints that are not slow.
  */
 typedef struct
 {
--- a/tests/test-fair.c
+++ b/tests/test-fair.c
@@ -1,4 +1,4 @@
-/* Tests of the figures that come from what callers received.  */
+/* Tests of the fairness figures computed from the callers' samples.  */
 
 #include "measure.h"
 
@@ -6,12 +6,12 @@
 {
   double service[2];
   unsigned waiting[2];
-} moment_t;
+} gap_sample_t;
 
 typedef struct
 {
   const char *name;
-  moment_t moments[6];
+  gap_sample_t samples[6];
   unsigned count;
   int64_t from_us;
   double gap;
@@ -59,8 +59,8 @@
     {
       samples[i]
           = (load_sample_t){ .at_us = i,
-                             .service = (double *)c->moments[i].service,
-                             .waiting = (unsigned *)c->moments[i].waiting };
+                             .service = (double *)c->samples[i].service,
+                             .waiting = (unsigned *)c->samples[i].waiting };
       g_ptr_array_add (list, &samples[i]);
     }
   g_assert_cmpfloat_with_epsilon (
@@ -96,15 +96,16 @@
 }
 
 static load_sample_t
-two_accounts (int64_t at_us, double *service, unsigned *waiting)
+make_sample (int64_t at_us, double *service, unsigned *waiting)
 {
   return (load_sample_t){
     .at_us = at_us, .service = service, .started = service, .waiting = waiting
   };
 }
 
-/* One account is served on both sides of a partition, one on the first alone:
-   each side is judged by what went through its own routers.  */
+/* One account is served on both sides of a partition, the other on the first
+   side only.  The gap of each side counts only the tokens that went through
+   its own routers.  */
 static void
 test_side (void)
 {
@@ -112,11 +113,11 @@
   double first[] = { 10, 12 };
   double second[] = { 700, 0 };
   unsigned waiting[] = { 1, 1 };
-  unsigned one_waits[] = { 1, 0 };
-  load_sample_t before[] = { two_accounts (0, early, waiting),
-                             two_accounts (0, early, one_waits) };
-  load_sample_t after[] = { two_accounts (1, first, waiting),
-                            two_accounts (1, second, one_waits) };
+  unsigned one_waiting[] = { 1, 0 };
+  load_sample_t before[] = { make_sample (0, early, waiting),
+                             make_sample (0, early, one_waiting) };
+  load_sample_t after[] = { make_sample (1, first, waiting),
+                            make_sample (1, second, one_waiting) };
   load_sample_t samples[]
       = { { .at_us = 0, .routers = 2, .by_router = before },
           { .at_us = 1, .routers = 2, .by_router = after } };
@@ -133,9 +134,9 @@
     }
 }
 
-/* Many requests wait on one side of a cut and hardly any on the other: the
-   other's idle slots could not have served them, while the least of the latest
-   samples counts, since work that came or went in between was on its way.  */
+/* Many requests wait on one side of a partition and few on the other, whose
+   idle slots could not have served them.  The minimum over the latest samples
+   counts, since requests that came or went in between were in transit.  */
 static void
 test_least_waiting (void)
 {
@@ -169,7 +170,7 @@
                       ==, cases[i].least);
 }
 
-/* The gap opens until 2 s and closes at 3 s; from then on it is small.  */
+/* The gap grows until 2 s, closes at 3 s and stays small from then on.  */
 static void
 test_recovery (void)
 {
@@ -181,7 +182,7 @@
 
   for (unsigned i = 0; i < G_N_ELEMENTS (service); i++)
     {
-      samples[i] = two_accounts (i * G_USEC_PER_SEC, service[i], waiting);
+      samples[i] = make_sample (i * G_USEC_PER_SEC, service[i], waiting);
       g_ptr_array_add (list, &samples[i]);
     }
   g_assert_cmpfloat_with_epsilon (
--- a/tests/test-logs.c
+++ b/tests/test-logs.c
@@ -1,4 +1,5 @@
-/* What routers and agents log in a real run, at the level debug.  */
+/* Checks what routers and agents log at the level debug, and what their admin
+   ports show, in a real run.  */
 
 #include "call.h"
 #include "fleet.h"
@@ -8,14 +9,14 @@
 
 #define KEY "key-that-must-not-be-told"
 #define WRONG_KEY "wrong-key-that-must-not-be-told"
-#define WAIT_MS 20000
+#define MAX_WAIT_MS 20000
 
 static const char *const secrets[] = { KEY, WRONG_KEY, FLEET_SECRET };
 
 static const fleet_account_t account = { "branch", KEY, 1 };
 
 static fleet_t *
-start (void)
+start_fleet (void)
 {
   static const fleet_plan_t plan = { .zones = 1,
                                      .routers = 1,
@@ -54,7 +55,7 @@
   "{\"model\":\"draft\",\"stream\":true,\"max_tokens\":5,\"messages\":"       \
   "[{\"role\":\"user\",\"content\":\"hello\"}]}"
 
-static const call_case_t calls[] = {
+static const call_case_t call_cases[] = {
   { "/v1/chat/completions", KEY, NULL, CHAT, 200 },
   { "/v1/chat/completions", WRONG_KEY, NULL, CHAT, 401 },
   { "/v1/chat/completions", KEY, NULL, "{", 400 },
@@ -70,32 +71,33 @@
 {
   g_autofree char *url = fleet_get_direct_url (fleet, 0);
 
-  for (unsigned i = 0; i < G_N_ELEMENTS (calls); i++)
+  for (unsigned i = 0; i < G_N_ELEMENTS (call_cases); i++)
     {
-      const call_case_t *c = &calls[i];
+      const call_case_t *c = &call_cases[i];
       g_autoptr (call_t) call
           = call_start (url, "POST", c->path, c->key, c->headers, c->body);
 
-      g_assert_cmpint (call_read_to_end (call, WAIT_MS), ==, CALL_COMPLETE);
+      g_assert_cmpint (call_read_to_end (call, MAX_WAIT_MS), ==,
+                       CALL_COMPLETE);
       g_test_message ("%s %s: %u", c->path, c->body, call_get_status (call));
       g_assert_cmpuint (call_get_status (call), ==, c->status);
     }
 }
 
 static void
-check_no_secret (const char *text, const char *where)
+check_no_secrets (const char *text, const char *where)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (secrets); i++)
     if (strstr (text, secrets[i]) != NULL)
-      g_error ("%s tells a secret: %s", where, secrets[i]);
+      g_error ("%s contains a secret: %s", where, secrets[i]);
 }
 
 static void
-check_pages (fleet_t *fleet, fleet_role_t sort, unsigned index)
+check_admin_pages (fleet_t *fleet, fleet_role_t role, unsigned index)
 {
   static const char *const paths[]
       = { "/status", "/metrics", "/events", "/readyz" };
-  g_autofree char *base = fleet_get_admin_url (fleet, sort, index);
+  g_autofree char *base = fleet_get_admin_url (fleet, role, index);
 
   for (unsigned i = 0; i < G_N_ELEMENTS (paths); i++)
     {
@@ -104,7 +106,7 @@
       g_autofree char *text = proc_send_http (NULL, url, NULL, NULL, &status);
 
       g_assert_nonnull (text);
-      check_no_secret (text, url);
+      check_no_secrets (text, url);
     }
 }
 
@@ -141,7 +143,7 @@
   unsigned seen = 0;
 
   g_assert_true (g_file_get_contents (path, &text, NULL, NULL));
-  check_no_secret (text, name);
+  check_no_secrets (text, name);
   g_assert_nonnull (strstr (text, "\"level\":\"debug\""));
   lines = g_strsplit (text, "\n", 0);
   for (unsigned i = 0; lines[i] != NULL; i++)
@@ -153,20 +155,20 @@
   g_assert_cmpuint (seen, >, 3);
 }
 
-/* Served, refused and repeated calls, a lost agent and an end: no line of the
-   logs and no admin page tells a caller's key or the fleet's secret, and each
-   line is one JSON object.  */
+/* After served, refused and repeated requests, a killed agent and a regular
+   stop, no log line and no admin page contains a client account's key or the
+   fleet's secret, and each log line is one JSON object.  */
 static void
 test_no_secrets (void)
 {
-  fleet_t *fleet = start ();
+  fleet_t *fleet = start_fleet ();
 
   make_calls (fleet);
   proc_stop (fleet_get_process (fleet, FLEET_AGENT, 1), SIGKILL, 2000);
-  check_pages (fleet, FLEET_ROUTER, 0);
-  check_pages (fleet, FLEET_AGENT, 0);
-  proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0), SIGTERM, WAIT_MS);
-  proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGTERM, WAIT_MS);
+  check_admin_pages (fleet, FLEET_ROUTER, 0);
+  check_admin_pages (fleet, FLEET_AGENT, 0);
+  proc_stop (fleet_get_process (fleet, FLEET_ROUTER, 0), SIGTERM, MAX_WAIT_MS);
+  proc_stop (fleet_get_process (fleet, FLEET_AGENT, 0), SIGTERM, MAX_WAIT_MS);
   check_log (fleet, "router-0");
   check_log (fleet, "agent-0");
   check_log (fleet, "agent-1");
--- a/tests/test-partition.c
+++ b/tests/test-partition.c
@@ -1,23 +1,25 @@
-/* Fair share in a whole fleet that parts and rejoins, and whose homes die.  */
+/* Fair share in a whole fleet across a network partition and its end, and when
+   the home router of accounts fails.  */
 
 #include "collect.h"
 #include "measure.h"
 
 #include <signal.h>
 
-#define LIMIT_S 20
-#define WARM_S 3
-/* The platform's word and links that went silent need some time.  */
+#define MAX_DRAIN_S 20
+#define WARM_UP_S 3
+/* Time for links that were silent to be reopened and for the platform's
+   configuration to arrive.  */
 #define REJOIN_S 3
-/* Virtual times may be the window off the floor on either side of it; the rest
-   is what running requests and rough hints add, as without faults.  */
-#define GAP_MAX 1700
-/* A home that moves takes no bound.  */
-#define MOVED_GAP_MAX 900
+/* Virtual times may differ from the floor by the window in either direction;
+   running requests and inexact hints add the rest, as without faults.  */
+#define MAX_GAP_TOKENS 1700
+/* When a home moves, no virtual time reaches the bounds of the window.  */
+#define MAX_MOVED_GAP_TOKENS 900
 #define ROUTERS 5u
-#define HOME 4u
+#define HOME_ROUTER 4u
 
-/* Router 4 of 5 is the home of the first two.  */
+/* With five routers, router 4 is the home of the first two accounts.  */
 static const fleet_account_t accounts[] = { { "trat", "key-of-trat", 1 },
                                             { "roi-et", "key-of-roi-et", 1 },
                                             { "yala", "key-of-yala", 1 },
@@ -48,9 +50,9 @@
   load_account_t accounts[ACCOUNTS];
 } scene_t;
 
-/* SPREADS has the share of each router for each account.  */
+/* ROUTER_SHARES holds, for each account, the share that each router gets.  */
 static scene_t *
-scene_new (const fleet_plan_t *fleet, double (*spreads)[ROUTERS])
+scene_new (const fleet_plan_t *fleet, double (*router_shares)[ROUTERS])
 {
   scene_t *scene = g_new0 (scene_t, 1);
   g_autoptr (GError) error = NULL;
@@ -74,7 +76,7 @@
                                              .key = (char *)accounts[i].key,
                                              .weight = accounts[i].weight,
                                              .outstanding = 30,
-                                             .router_shares = spreads[i],
+                                             .router_shares = router_shares[i],
                                              .min_answer_tokens = 16,
                                              .max_answer_tokens = 48 };
       scene->accounts[i].kinds[LOAD_STREAM] = 1;
@@ -86,7 +88,7 @@
 }
 
 static void
-on_over (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timeout (struct ev_loop *loop, ev_timer *watcher, int events)
 {
   ev_break (loop, EVBREAK_ALL);
 }
@@ -94,21 +96,22 @@
 static void
 scene_run (scene_t *scene, double seconds)
 {
-  ev_timer over;
+  ev_timer timeout;
 
-  ev_timer_init (&over, on_over, seconds, 0);
-  ev_timer_start (scene->loop, &over);
+  ev_timer_init (&timeout, on_timeout, seconds, 0);
+  ev_timer_start (scene->loop, &timeout);
   ev_run (scene->loop, 0);
 }
 
-/* Ends the load and takes the verdict.  */
+/* Stops the load and checks the callers' results.  */
 static void
 scene_free (scene_t *scene)
 {
   collect_result_t sum;
 
   load_stop (scene->load);
-  for (unsigned i = 0; i < LIMIT_S && load_count_active (scene->load) > 0; i++)
+  for (unsigned i = 0; i < MAX_DRAIN_S && load_count_active (scene->load) > 0;
+       i++)
     scene_run (scene, 1);
   g_assert_true (collect_results (scene->fleet, scene->load, &sum));
   g_assert_cmpuint (sum.wrong_answers + sum.duplicate_runs + sum.false_not_run,
@@ -122,7 +125,7 @@
 }
 
 static double
-gap_since (const scene_t *scene, int64_t from_us)
+measure_gap_since (const scene_t *scene, int64_t from_us)
 {
   fair_gap_t gap = fair_gap (load_get_samples (scene->load), FAIR_RECEIVED,
                              ACCOUNTS, from_us, clock_now_us ());
@@ -132,57 +135,61 @@
   return gap.tokens;
 }
 
-/* Two zones lose each other for 20 s, and one of them the platform.  Both go
-   on, with one account that has work on both sides and gets a share on each,
-   one on the first side alone, and two on the second, which get less there.
-   After the rejoin each caller soon gets the same again.  Without bounds the
-   account of both sides would wait until the others have caught up with what
-   it got, and those two would get all until they have: for as long as the
-   partition lasted, or more.  */
+/* Two zones are partitioned for 20 s, and one of them is also cut off from the
+   platform.  Both keep serving: one account has requests on both sides and
+   gets a share on each, one on the first side only, and two on the second side
+   only, where they get less.  Soon after the partition ends all accounts get
+   equal service again.  Without the bounds on virtual time, the account of
+   both sides would wait until the others have caught up, and the two accounts
+   of the second side would get all service until then: for as long as the
+   partition lasted, or longer.  */
 static void
 test_rejoin (void)
 {
-  double spreads[ACCOUNTS][ROUTERS]
+  double router_shares[ACCOUNTS][ROUTERS]
       = { { 0.5, 0.5 }, { 1, 0 }, { 0, 1 }, { 0, 1 } };
   const unsigned sides[] = { 0, 1 };
-  scene_t *scene = scene_new (&plan, spreads);
+  scene_t *scene = scene_new (&plan, router_shares);
 
-  scene_run (scene, WARM_S);
+  scene_run (scene, WARM_UP_S);
   g_assert_true (fleet_set_partition (scene->fleet, sides, true));
   g_assert_true (fleet_set_platform_partition (scene->fleet, sides, 1, true));
   scene_run (scene, 20);
   g_assert_true (fleet_set_partition (scene->fleet, sides, false));
   g_assert_true (fleet_set_platform_partition (scene->fleet, sides, 1, false));
   scene_run (scene, REJOIN_S);
-  int64_t joined_us = clock_now_us ();
+  int64_t rejoined_us = clock_now_us ();
   scene_run (scene, 7);
-  g_assert_cmpfloat (gap_since (scene, joined_us), <, GAP_MAX);
+  g_assert_cmpfloat (measure_gap_since (scene, rejoined_us), <,
+                     MAX_GAP_TOKENS);
   scene_free (scene);
 }
 
-/* Two accounts have work at four routers and a fifth as their home, which gets
-   SIGNAL and is back 5 s later.  The greatest gap from the signal on.  */
+/* Two accounts send requests to four routers and have the fifth one as their
+   home, which gets SIGNAL and returns 5 s later.  Returns the largest gap from
+   the signal on.  */
 static double
-gap_without_home (int signal)
+measure_gap_without_home (int signal_number)
 {
-  double spreads[ACCOUNTS][ROUTERS] = { { 0.25, 0.25, 0.25, 0.25, 0 },
-                                        { 0.25, 0.25, 0.25, 0.25, 0 },
-                                        { 1, 0, 0, 0, 0 },
-                                        { 0, 1, 0, 0, 0 } };
+  double router_shares[ACCOUNTS][ROUTERS] = { { 0.25, 0.25, 0.25, 0.25, 0 },
+                                              { 0.25, 0.25, 0.25, 0.25, 0 },
+                                              { 1, 0, 0, 0, 0 },
+                                              { 0, 1, 0, 0, 0 } };
   fleet_plan_t one_zone = plan;
 
   one_zone.zones = 1;
   one_zone.routers = ROUTERS;
-  scene_t *scene = scene_new (&one_zone, spreads);
-  proc_t *home = fleet_get_process (scene->fleet, FLEET_ROUTER, HOME);
+  scene_t *scene = scene_new (&one_zone, router_shares);
+  proc_t *home = fleet_get_process (scene->fleet, FLEET_ROUTER, HOME_ROUTER);
 
-  scene_run (scene, WARM_S);
-  g_assert_cmpfloat (fleet_sum_metric (scene->fleet, FLEET_ROUTER, HOME,
+  scene_run (scene, WARM_UP_S);
+  g_assert_cmpfloat (fleet_sum_metric (scene->fleet, FLEET_ROUTER, HOME_ROUTER,
                                        "cfd_router_accounts{side=\"home\"}"),
                      ==, 2);
-  int64_t gone_us = clock_now_us ();
-  /* Without a wait, in which the callers here would stand still too.  */
-  (void)proc_stop (home, signal, 0);
+  int64_t failed_us = clock_now_us ();
+  /* Don't wait for the exit: that would block the load, which runs in this
+     process.  */
+  (void)proc_stop (home, signal_number, 0);
   scene_run (scene, 5);
   if (proc_is_running (home))
     (void)proc_stop (home, SIGCONT, 0);
@@ -190,33 +197,34 @@
     g_assert_true (
         proc_restart (fleet_get_processes (scene->fleet), home, NULL));
   scene_run (scene, 5);
-  double gap = gap_since (scene, gone_us);
+  double gap = measure_gap_since (scene, failed_us);
   scene_free (scene);
   return gap;
 }
 
-/* The home is killed and comes back empty.  The callers' shares stay the same
-   throughout: the accounts move at once to a home that is rebuilt from what
-   the four routers last heard, and back.  While an account has no home, each
-   of its routers knows but its own part and it gets a share at each.  */
+/* The home is killed and restarted without state.  The callers' shares stay
+   the same throughout: the accounts move at once to another home, which is
+   rebuilt from the values that the four routers received last, and back. While
+   an account has no home, each of its routers knows only its own part and the
+   account gets a share at each.  */
 static void
 test_home_killed (void)
 {
-  double gap = gap_without_home (SIGKILL);
+  double gap = measure_gap_without_home (SIGKILL);
 
-  g_assert_cmpfloat (gap, <, MOVED_GAP_MAX);
+  g_assert_cmpfloat (gap, <, MAX_MOVED_GAP_TOKENS);
 }
 
-/* The home freezes: its links stay open, reports go in and no answer comes.
-   The callers' shares stay the same: the accounts move when answers are
-   overdue, before the links are found silent, and come back to a home that
-   knows old counters and answers reports of long ago.  */
+/* The home freezes: its links stay open and accept reports, but no answer
+   comes.  The callers' shares stay the same: the accounts move when answers
+   are overdue, before the links are detected as silent, and return to a home
+   that has outdated counters and answers old reports.  */
 static void
 test_home_frozen (void)
 {
-  double gap = gap_without_home (SIGSTOP);
+  double gap = measure_gap_without_home (SIGSTOP);
 
-  g_assert_cmpfloat (gap, <, MOVED_GAP_MAX);
+  g_assert_cmpfloat (gap, <, MAX_MOVED_GAP_TOKENS);
 }
 
 int
--- a/tests/test-rack-faults.c
+++ b/tests/test-rack-faults.c
@@ -1,5 +1,5 @@
-/* A third of the endpoints goes in one moment under full load and comes back
-   together: what callers see, and when service is back.  */
+/* A third of the endpoints fails at once under full load and returns at once:
+   what callers see, and how soon service recovers.  */
 
 #include "collect.h"
 #include <signal.h>
@@ -8,13 +8,13 @@
 #define ZONES 3u
 #define MODELS 6u
 #define PLAINS 3u
-#define LOST_MS 9000
-#define BACK_MS 19000
+#define FAIL_MS 9000
+#define RESTORE_MS 19000
 #define END_MS 29000
-#define LIMIT_MS 50000
-#define STOP_MS 10000
-/* Service is looked at over windows of so many samples: a second.  */
-#define WINDOW (1000u / LOAD_SAMPLE_INTERVAL_MS)
+#define MAX_RUN_MS 50000
+#define MAX_STOP_MS 10000
+/* Samples per second; service is measured over windows of this length.  */
+#define WINDOW_SAMPLES (1000u / LOAD_SAMPLE_INTERVAL_MS)
 
 static const fleet_account_t accounts[] = { { "lampang", "key-1", 2 },
                                             { "trang", "key-2", 1 },
@@ -41,48 +41,50 @@
 typedef struct
 {
   const char *name;
-  int number;   /* signal that takes the agents */
-  double least; /* service while they are gone, by the share that remains */
-} case_t;
+  int signal_number; /* sent to the agents */
+  double min_share;  /* of the expected service while the rack is down */
+} rack_case_t;
 
 typedef struct
 {
-  const case_t *it;
+  const rack_case_t *rack_case;
   fleet_t *fleet;
   load_t *load;
-  int64_t began_us;
-  int64_t lost_us;
-  int64_t back_us;
-  double doubted; /* agents that each router doubts, or more, at BACK_US */
-  bool ended;
-  collect_result_t sum;
-} run_t;
+  int64_t start_us;
+  int64_t failed_us;
+  int64_t restored_us;
+  double suspected_agents; /* at RESTORED_US, the smallest number that a router
+                              suspects */
+  bool load_stopped;
+  collect_result_t totals;
+} rack_run_t;
 
-/* ---- the rack: all endpoints of zone 0, with their agents ---- */
+/* ---- the rack: the endpoints of zone 0 and their agents ---- */
 
 static void
-each_of_rack (run_t *run, void (*act) (run_t *run, unsigned index))
+for_each_in_rack (rack_run_t *run,
+                  void (*action) (rack_run_t *run, unsigned index))
 {
   for (unsigned i = 0; i < MODELS + PLAINS; i++)
     if (i % ZONES == 0)
-      act (run, i);
+      action (run, i);
 }
 
-/* The stand-in of an endpoint is stopped, not killed: its counts of what it
-   ran are needed for the verdict.  */
+/* The stand-in of an endpoint is frozen, not killed: its counters are needed
+   for the checks at the end.  */
 static void
-lose (run_t *run, unsigned index)
+fail_member (rack_run_t *run, unsigned index)
 {
-  int number = run->it->number;
+  int signal_number = run->rack_case->signal_number;
 
   proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGSTOP,
              0);
-  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, index), number,
-             number == SIGSTOP ? 0 : STOP_MS);
+  proc_stop (fleet_get_process (run->fleet, FLEET_AGENT, index), signal_number,
+             signal_number == SIGSTOP ? 0 : MAX_STOP_MS);
 }
 
 static void
-bring_back (run_t *run, unsigned index)
+restore_member (rack_run_t *run, unsigned index)
 {
   proc_t *agent = fleet_get_process (run->fleet, FLEET_AGENT, index);
   g_autofree char *base = fleet_get_url (run->fleet, FLEET_ENDPOINT, index);
@@ -90,8 +92,8 @@
   g_autoptr (GError) error = NULL;
   long status = 200;
 
-  if (run->it->number == SIGSTOP)
-    proc_stop (agent, SIGKILL, STOP_MS);
+  if (run->rack_case->signal_number == SIGSTOP)
+    proc_stop (agent, SIGKILL, MAX_STOP_MS);
   proc_stop (fleet_get_process (run->fleet, FLEET_ENDPOINT, index), SIGCONT,
              0);
   if (index < MODELS)
@@ -102,62 +104,63 @@
 }
 
 static double
-least_doubted (const run_t *run)
+min_suspected_agents (const rack_run_t *run)
 {
-  double least = MODELS + PLAINS;
+  double min_count = MODELS + PLAINS;
 
   for (unsigned i = 0; i < plan.routers; i++)
     {
-      double doubted = fleet_sum_metric (run->fleet, FLEET_ROUTER, i,
-                                         "cfd_router_agents_doubted");
+      double suspected_agents = fleet_sum_metric (run->fleet, FLEET_ROUTER, i,
+                                                  "cfd_router_agents_doubted");
 
-      least = MIN (least, doubted);
+      min_count = MIN (min_count, suspected_agents);
     }
-  return least;
+  return min_count;
 }
 
 static void
-on_check (struct ev_loop *loop, ev_timer *watcher, int events)
+on_timer (struct ev_loop *loop, ev_timer *watcher, int events)
 {
-  run_t *run = watcher->data;
+  rack_run_t *run = watcher->data;
   int64_t now = clock_now_us ();
-  int64_t ms = (now - run->began_us) / 1000;
+  int64_t ms = (now - run->start_us) / 1000;
 
-  if (run->lost_us == 0 && ms >= LOST_MS)
+  if (run->failed_us == 0 && ms >= FAIL_MS)
     {
-      run->lost_us = now;
-      each_of_rack (run, lose);
+      run->failed_us = now;
+      for_each_in_rack (run, fail_member);
     }
-  if (run->back_us == 0 && ms >= BACK_MS)
+  if (run->restored_us == 0 && ms >= RESTORE_MS)
     {
-      run->doubted = least_doubted (run);
-      run->back_us = now;
-      each_of_rack (run, bring_back);
+      run->suspected_agents = min_suspected_agents (run);
+      run->restored_us = now;
+      for_each_in_rack (run, restore_member);
     }
-  if (!run->ended && ms >= END_MS)
+  if (!run->load_stopped && ms >= END_MS)
     {
-      run->ended = true;
+      run->load_stopped = true;
       load_stop (run->load);
     }
-  if (ms >= LIMIT_MS || (run->ended && load_count_active (run->load) == 0))
+  if (ms >= MAX_RUN_MS
+      || (run->load_stopped && load_count_active (run->load) == 0))
     ev_break (loop, EVBREAK_ALL);
 }
 
-/* ---- judgement ---- */
+/* ---- checks ---- */
 
-/* Tokens a second over the window that begins with sample AT.  */
+/* Tokens per second over the window that begins with sample AT.  */
 static double
-rate (const GPtrArray *samples, guint at)
+window_token_rate (const GPtrArray *samples, guint at)
 {
   const load_sample_t *first = samples->pdata[at];
-  const load_sample_t *last = samples->pdata[at + WINDOW];
+  const load_sample_t *last = samples->pdata[at + WINDOW_SAMPLES];
 
   return (last->tokens - first->tokens) * 1e6
          / (double)(last->at_us - first->at_us);
 }
 
 static guint
-sample_at (const GPtrArray *samples, int64_t at_us)
+find_sample (const GPtrArray *samples, int64_t at_us)
 {
   guint i = 0;
 
@@ -168,21 +171,23 @@
 }
 
 static double
-mean_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
+mean_token_rate (const GPtrArray *samples, int64_t from_us, int64_t to_us)
 {
-  const load_sample_t *first = samples->pdata[sample_at (samples, from_us)];
-  const load_sample_t *last = samples->pdata[sample_at (samples, to_us)];
+  const load_sample_t *first = samples->pdata[find_sample (samples, from_us)];
+  const load_sample_t *last = samples->pdata[find_sample (samples, to_us)];
 
   return (last->tokens - first->tokens) * 1e6
          / (double)(last->at_us - first->at_us);
 }
 
-/* Seconds from FROM until a whole second has LEAST tokens; -1: never.  */
+/* Seconds from FROM_US until the rate over a window is at least MIN_RATE
+   tokens per second; -1 when it never is.  */
 static double
-seconds_until (const GPtrArray *samples, int64_t from_us, double least)
+seconds_until_rate (const GPtrArray *samples, int64_t from_us, double min_rate)
 {
-  for (guint i = sample_at (samples, from_us); i + WINDOW < samples->len; i++)
-    if (rate (samples, i) >= least)
+  for (guint i = find_sample (samples, from_us);
+       i + WINDOW_SAMPLES < samples->len; i++)
+    if (window_token_rate (samples, i) >= min_rate)
       return (double)(((const load_sample_t *)samples->pdata[i])->at_us
                       - from_us)
              / 1e6;
@@ -190,7 +195,7 @@
 }
 
 static double
-routers_metric (const run_t *run, const char *name)
+sum_router_metric (const rack_run_t *run, const char *name)
 {
   double sum = 0;
 
@@ -199,104 +204,113 @@
   return sum;
 }
 
-/* Longest time in which a caller that in the end got no whole answer heard
-   nothing: how long it was left without an end.  */
+/* Longest wait for the end of a request that was refused or truncated, counted
+   from its start or the failure of the rack, whichever is later.  */
 static double
-longest_without_end (const run_t *run)
+longest_failed_wait_s (const rack_run_t *run)
 {
   const GPtrArray *requests = load_get_requests (run->load);
-  double longest = 0;
+  double longest_s = 0;
 
   for (guint i = 0; i < requests->len; i++)
     {
       const load_request_t *request = requests->pdata[i];
-      int64_t from = MAX (request->started_us, run->lost_us);
+      int64_t wait_start_us = MAX (request->started_us, run->failed_us);
 
       if (request->end == LOAD_INCOMPLETE || request->end == LOAD_REFUSED)
-        longest = MAX (longest, (double)(request->last_us - from) / 1e6);
+        longest_s = MAX (longest_s,
+                         (double)(request->last_us - wait_start_us) / 1e6);
     }
-  return longest;
+  return longest_s;
 }
 
 static void
-judge (run_t *run)
+verify_service (rack_run_t *run)
 {
   const GPtrArray *samples = load_get_samples (run->load);
-  double before = mean_rate (samples, run->lost_us - 2000000, run->lost_us);
-  double share = before * (ZONES - 1) / ZONES;
-  double gone
-      = mean_rate (samples, run->lost_us + 1000000, run->back_us) / share;
-  double back = mean_rate (samples, run->back_us + 5000000,
-                           run->began_us + END_MS * 1000LL)
-                / before;
+  double token_rate_before
+      = mean_token_rate (samples, run->failed_us - 2000000, run->failed_us);
+  double expected_rate = token_rate_before * (ZONES - 1) / ZONES;
+  double share_while_failed
+      = mean_token_rate (samples, run->failed_us + 1000000, run->restored_us)
+        / expected_rate;
+  double share_when_restored
+      = mean_token_rate (samples, run->restored_us + 5000000,
+                         run->start_us + END_MS * 1000LL)
+        / token_rate_before;
 
   g_test_message ("%u requests: %u refused, %u broken; %g retried, "
-                  "%g returned, longest without an end %.1f s",
-                  run->sum.requests, run->sum.refused, run->sum.broken,
-                  routers_metric (run, "cfd_router_retried_total"),
-                  routers_metric (run, "cfd_router_returned_total"),
-                  longest_without_end (run));
-  g_test_message ("tokens a second before %.0f; gone: %.3f of the share that "
-                  "remains, 0.9 of it after %.2f s; back: %.3f from 5 s on, "
-                  "0.9 after %.2f s; %u overloads, %u in grace",
-                  before, gone,
-                  seconds_until (samples, run->lost_us, 0.9 * share), back,
-                  seconds_until (samples, run->back_us, 0.9 * before),
-                  run->sum.overload_count, run->sum.overload_in_grace);
+                  "%g returned, longest wait for a failure %.1f s",
+                  run->totals.requests, run->totals.refused,
+                  run->totals.broken,
+                  sum_router_metric (run, "cfd_router_retried_total"),
+                  sum_router_metric (run, "cfd_router_returned_total"),
+                  longest_failed_wait_s (run));
+  g_test_message (
+      "tokens per second before the failure %.0f; rack down: %.3f of the "
+      "expected rate, 0.9 of it after %.2f s; restored: %.3f of the rate "
+      "before from 5 s on, 0.9 after %.2f s; %u overloads, %u in grace",
+      token_rate_before, share_while_failed,
+      seconds_until_rate (samples, run->failed_us, 0.9 * expected_rate),
+      share_when_restored,
+      seconds_until_rate (samples, run->restored_us, 0.9 * token_rate_before),
+      run->totals.overload_count, run->totals.overload_in_grace);
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
-      const load_sample_t *from
-          = samples->pdata[sample_at (samples, run->lost_us)];
-      const load_sample_t *to
-          = samples->pdata[sample_at (samples, run->back_us)];
+      const load_sample_t *first
+          = samples->pdata[find_sample (samples, run->failed_us)];
+      const load_sample_t *last
+          = samples->pdata[find_sample (samples, run->restored_us)];
 
-      g_test_message ("%s got %.0f weighted tokens while gone",
-                      accounts[i].name, to->service[i] - from->service[i]);
+      g_test_message ("%s got %.0f weighted tokens while the rack was down",
+                      accounts[i].name, last->service[i] - first->service[i]);
     }
-  g_test_message ("%g agents in doubt at each router, or more, at the return",
-                  run->doubted);
-  g_assert_cmpfloat (gone, >=, run->it->least);
-  /* Else new work goes on being told to the dead first.  All three of the
-     rack are in doubt; a router without work for one has no link to lose.  */
-  g_assert_cmpfloat (run->doubted, >=, 1);
-  g_assert_cmpfloat (back, >=, 0.8);
-  /* Only what ran in the rack at that moment may end without an answer.  */
-  g_assert_cmpuint (run->sum.refused + run->sum.broken, <=,
+  g_test_message ("at least %g agents suspected by each router at the return",
+                  run->suspected_agents);
+  g_assert_cmpfloat (share_while_failed, >=, run->rack_case->min_share);
+  /* A router that suspects no agent keeps offering new requests to the failed
+     ones first.  All three of the rack are suspected, except by a router
+     without requests for one of them: it has no link that could fail.  */
+  g_assert_cmpfloat (run->suspected_agents, >=, 1);
+  g_assert_cmpfloat (share_when_restored, >=, 0.8);
+  /* Only requests that ran in the rack when it failed may get no answer.  */
+  g_assert_cmpuint (run->totals.refused + run->totals.broken, <=,
                     MODELS / ZONES * plan.slots
                         + PLAINS / ZONES * plan.plain_slots);
-  g_assert_true (collect_has_no_violation (&run->sum));
-  g_assert_cmpuint (run->sum.unfinished, ==, 0);
+  g_assert_true (collect_has_no_violation (&run->totals));
+  g_assert_cmpuint (run->totals.unfinished, ==, 0);
 }
 
-/* ---- a run ---- */
+/* ---- cases ---- */
 
 static void
-add_accounts (GPtrArray *members, double *router_shares)
+add_account_loads (GPtrArray *account_loads, double *router_shares)
 {
   for (unsigned i = 0; i < G_N_ELEMENTS (accounts); i++)
     {
-      load_account_t *load = g_new0 (load_account_t, 1);
-
-      *load = (load_account_t){ .name = (char *)accounts[i].name,
-                                .key = (char *)accounts[i].key,
-                                .weight = accounts[i].weight,
-                                .outstanding = 24,
-                                .kinds = { 6, 1, 2, 2, 1, 1 },
-                                .router_shares = router_shares,
-                                .min_answer_tokens = 16,
-                                .max_answer_tokens = 48 };
-      g_ptr_array_add (members, load);
+      load_account_t *account_load = g_new0 (load_account_t, 1);
+
+      *account_load = (load_account_t){ .name = (char *)accounts[i].name,
+                                        .key = (char *)accounts[i].key,
+                                        .weight = accounts[i].weight,
+                                        .outstanding = 24,
+                                        .kinds = { 6, 1, 2, 2, 1, 1 },
+                                        .router_shares = router_shares,
+                                        .min_answer_tokens = 16,
+                                        .max_answer_tokens = 48 };
+      g_ptr_array_add (account_loads, account_load);
     }
 }
 
 static void
-run_rack (gconstpointer data)
+run_rack_case (gconstpointer data)
 {
-  run_t run = { .it = data };
+  rack_run_t run = { .rack_case = data };
   double router_shares[] = { 1.0 / ZONES, 1.0 / ZONES, 1.0 / ZONES };
   char *urls[ZONES];
   g_autoptr (GError) error = NULL;
-  g_autoptr (GPtrArray) members = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) account_loads
+      = g_ptr_array_new_with_free_func (g_free);
   load_plan_t load_plan = { .seed = 8,
                             .answer_seed = plan.seed,
                             .routers = ZONES,
@@ -304,7 +318,7 @@
                             .model = FLEET_MODEL_SERVICE,
                             .plain = FLEET_PLAIN_SERVICE,
                             .idle_timeout_ms = 20000,
-                            .accounts = members };
+                            .accounts = account_loads };
   struct ev_loop *loop = ev_loop_new (0);
   ev_timer check;
 
@@ -312,16 +326,16 @@
   g_assert_no_error (error);
   for (unsigned i = 0; i < ZONES; i++)
     urls[i] = fleet_get_url (run.fleet, FLEET_ROUTER, i);
-  add_accounts (members, router_shares);
+  add_account_loads (account_loads, router_shares);
   run.load = load_new (loop, &load_plan);
-  ev_timer_init (&check, on_check, 0.02, 0.02);
+  ev_timer_init (&check, on_timer, 0.02, 0.02);
   check.data = &run;
   ev_timer_start (loop, &check);
-  run.began_us = clock_now_us ();
+  run.start_us = clock_now_us ();
   load_start (run.load);
   ev_run (loop, 0);
-  g_assert_true (collect_results (run.fleet, run.load, &run.sum));
-  judge (&run);
+  g_assert_true (collect_results (run.fleet, run.load, &run.totals));
+  verify_service (&run);
   load_free (run.load);
   ev_loop_destroy (loop);
   fleet_free (run.fleet, false);
@@ -329,21 +343,22 @@
     g_free (urls[i]);
 }
 
-/* The rack's agents die with what ran there.  Callers of begun answers and of
-   posts see a true end; what may be repeated is answered by the others, which
-   serve their share on.  On return the engines are cold and get no more than
-   they bear.  */
-static const case_t killed = { "killed", SIGKILL, 0.85 };
-/* The same by a loss of power: no connection is closed, the links go silent.
-   The slots elsewhere must not wait for it.  */
-static const case_t silent = { "silent", SIGSTOP, 0.8 };
+/* The rack's agents are killed with their requests.  Callers of partly
+   delivered answers and of POSTs get a correct error; requests that may be
+   repeated are answered by the other agents, which keep serving their share.
+   The engines return cold and get no more than their cold capacity.  */
+static const rack_case_t killed = { "killed", SIGKILL, 0.85 };
+/* The same by a loss of power: no connection is closed and the links go
+   silent.  The slots of other agents must not stay idle until that is
+   detected.  */
+static const rack_case_t silent = { "silent", SIGSTOP, 0.8 };
 
 int
 main (int argc, char **argv)
 {
   signal (SIGPIPE, SIG_IGN);
   g_test_init (&argc, &argv, NULL);
-  g_test_add_data_func ("/rack-faults/killed", &killed, run_rack);
-  g_test_add_data_func ("/rack-faults/silent", &silent, run_rack);
+  g_test_add_data_func ("/rack-faults/killed", &killed, run_rack_case);
+  g_test_add_data_func ("/rack-faults/silent", &silent, run_rack_case);
   return g_test_run ();
 }
--- a/tests/test-slow.c
+++ b/tests/test-slow.c
@@ -1,14 +1,14 @@
-/* Tests of what a hedge is reckoned to gain.  */
+/* Tests of the estimate of what hedged requests would gain.  */
 
 #include "measure-slow.h"
 
-#define MS 1000
+#define US_PER_MS 1000
 
-/* One answer of 11 tokens to a prompt of 20, asked for at 0, with the engine
-   at 10 ms.  */
+/* Adds an answer of 11 tokens to a prompt of 20 tokens, requested at 0 and
+   received by the engine at 10 ms.  */
 static void
-add (GPtrArray *requests, const char *nonce, unsigned first_ms,
-     unsigned whole_ms)
+add_request (GPtrArray *requests, const char *nonce, unsigned first_ms,
+             unsigned whole_ms)
 {
   load_request_t *request = g_new0 (load_request_t, 1);
 
@@ -17,25 +17,25 @@
                                .prompt_tokens = 20,
                                .tokens = 11,
                                .length = 11,
-                               .engine_start_us = 10 * MS,
-                               .first_byte_us = (10 + first_ms) * MS,
-                               .last_us = (10 + whole_ms) * MS };
+                               .engine_start_us = 10 * US_PER_MS,
+                               .first_byte_us = (10 + first_ms) * US_PER_MS,
+                               .last_us = (10 + whole_ms) * US_PER_MS };
   g_ptr_array_add (requests, request);
 }
 
-/* Ten ordinary answers: first token after 30 ms, then one each 20 ms.  One of
-   the slow endpoint.  */
+/* Ten answers of usual speed, with the first token after 30 ms and one every
+   20 ms from then on, and one answer of the slow endpoint.  */
 static slow_span_t
-span_with (unsigned first_ms, unsigned whole_ms)
+make_span (unsigned first_ms, unsigned whole_ms)
 {
   g_autoptr (GPtrArray) requests = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GHashTable) slow = g_hash_table_new (g_str_hash, g_str_equal);
 
   for (unsigned i = 0; i < 10; i++)
-    add (requests, "usual", 30, 230);
-  add (requests, "slow", first_ms, whole_ms);
+    add_request (requests, "usual", 30, 230);
+  add_request (requests, "slow", first_ms, whole_ms);
   g_hash_table_add (slow, (gpointer) "slow");
-  return slow_summarize_span (requests, slow, 1, 10000 * MS);
+  return slow_summarize_span (requests, slow, 1, 10000 * US_PER_MS);
 }
 
 static const struct
@@ -56,7 +56,8 @@
     { 0, 0 },
     { 40, 240 },
     { 0, 0 } },
-  /* Sent at 30 ms, there at 60: the second attempt has cost its prompt.  */
+  /* The second attempt, sent at 30 ms, would have its first token at 60 ms; it
+     costs its prompt.  */
   { "first comes before the second could",
     50,
     230,
@@ -71,8 +72,8 @@
     { 1, 0 },
     { 70, 340 },
     { 20, 24.5 } },
-  /* The second ends 460 ms after the start; the first had 5 of its tokens by
-     then, one each 90 ms from 90 ms on.  */
+  /* The second attempt ends 460 ms after the start.  The first had 5 of its
+     tokens by then, one every 90 ms from 90 ms on.  */
   { "second whole answer wins",
     90,
     990,
@@ -87,7 +88,7 @@
 {
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      slow_span_t span = span_with (cases[i].first_ms, cases[i].whole_ms);
+      slow_span_t span = make_span (cases[i].first_ms, cases[i].whole_ms);
       const slow_hedge_t *hedges[] = { &span.hedge_first, &span.hedge_whole };
 
       g_test_message ("%s", cases[i].name);
@@ -107,25 +108,27 @@
     }
 }
 
-/* What came before or after the span, or has no engine's time, isn't in it. */
+/* Only complete answers that ended within the span and have a time of receipt
+   at the engine are counted.  */
 static void
 test_span (void)
 {
   g_autoptr (GPtrArray) requests = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GHashTable) slow = g_hash_table_new (g_str_hash, g_str_equal);
 
-  add (requests, "before", 30, 230);
-  add (requests, "in", 100, 290);
-  add (requests, "after", 200, 400);
-  add (requests, "broken", 100, 290);
+  add_request (requests, "before", 30, 230);
+  add_request (requests, "in", 100, 290);
+  add_request (requests, "after", 200, 400);
+  add_request (requests, "broken", 100, 290);
   ((load_request_t *)requests->pdata[3])->end = LOAD_INCOMPLETE;
-  add (requests, "unknown", 100, 290);
+  add_request (requests, "unknown", 100, 290);
   ((load_request_t *)requests->pdata[4])->engine_start_us = 0;
-  slow_span_t span = slow_summarize_span (requests, slow, 250 * MS, 350 * MS);
+  slow_span_t span
+      = slow_summarize_span (requests, slow, 250 * US_PER_MS, 350 * US_PER_MS);
   g_assert_cmpuint (span.count, ==, 1);
   g_assert_cmpfloat (span.tokens, ==, 31);
   g_assert_cmpfloat (span.first.p50, ==, 110);
-  /* One ran throughout, two for half of the span.  */
+  /* One request ran during all of the span, two more for half of it each.  */
   g_assert_cmpfloat (span.busy, ==, 2);
 }
 
--- a/tests/test-whole.c
+++ b/tests/test-whole.c
@@ -1,15 +1,15 @@
-/* Whole-path tests: separate processes from the caller to the endpoint, and
-   what goes wrong between them.  */
+/* End-to-end tests: separate processes from the caller to the endpoint, and
+   faults between them.  */
 
 #include "scene.h"
 #include <signal.h>
 #include <string.h>
 
-/* The longest that any scene may take to come to its end, far more than it
-   does: it is there so that a fault shows as a failure and not as a hang.  */
-#define LIMIT_MS 25000
+/* Limit for each wait, far more than it needs, so that a fault shows as a
+   failure and not as a hang.  */
+#define MAX_WAIT_MS 25000
 
-/* ---- requests that are at fault themselves ---- */
+/* ---- invalid requests ---- */
 
 typedef struct
 {
@@ -55,12 +55,12 @@
   g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), ==, 0);
 }
 
-/* ---- processes that end ---- */
+/* ---- processes that exit ---- */
 
-/* The caller reads a stream when the agent that serves it is killed.  Bytes
-   have left, so the request can't be run again elsewhere: the answer breaks
-   off, well before any silence limit, and is never taken for whole.  Later
-   requests go to the agent that is left.  */
+/* The agent that serves a stream is killed.  Bytes have been delivered, so the
+   request can't be run again elsewhere: the answer is cut off, well before any
+   timeout for silence, and never looks complete.  Later requests go to the
+   other agent.  */
 static void
 test_agent_killed (void)
 {
@@ -69,11 +69,11 @@
   plan.tokens = 120;
   g_autoptr (scene_t) scene = scene_new (&plan);
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   int64_t killed_us = clock_now_us ();
   proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 0), SIGKILL, 2000);
   scene_run (scene, 4000);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   const GPtrArray *requests = load_get_requests (scene->load);
   unsigned after = 0;
   for (guint i = 0; i < requests->len; i++)
@@ -87,24 +87,24 @@
   g_assert_cmpuint (after, >, 0);
 }
 
-/* A planned stop of a router or an agent (SIGTERM) while answers stream: each
-   of them comes whole, and only then does the process end.  */
+/* A planned stop (SIGTERM) of a router or an agent during streams: all answers
+   are completed before the process exits.  */
 static void
-check_drain (fleet_role_t sort)
+check_drain (fleet_role_t role)
 {
   scene_plan_t plan = scene_default_plan ();
   plan.fleet.models = 2;
   plan.requests = 4;
   plan.tokens = 80;
   g_autoptr (scene_t) scene = scene_new (&plan);
-  proc_t *proc = fleet_get_process (scene->fleet, sort, 0);
+  proc_t *proc = fleet_get_process (scene->fleet, role, 0);
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_run (scene, 300);
   g_assert_false (proc_stop (proc, SIGTERM, 0));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 4);
-  for (unsigned i = 0; proc_is_running (proc) && i < LIMIT_MS / 20; i++)
+  for (unsigned i = 0; proc_is_running (proc) && i < MAX_WAIT_MS / 20; i++)
     g_usleep (20000);
   g_assert_false (proc_is_running (proc));
 }
@@ -121,10 +121,10 @@
   check_drain (FLEET_AGENT);
 }
 
-/* ---- what comes and goes ---- */
+/* ---- members that join or leave ---- */
 
-/* A router and an endpoint with its agent join while work runs, and no other
-   process is started again: the endpoint gets a part of the work, and the new
+/* A router and an endpoint with its agent join under load, and no other
+   process is restarted: the endpoint gets some of the requests, and the new
    router serves callers.  */
 static void
 test_join (void)
@@ -136,7 +136,7 @@
   g_autoptr (scene_t) scene = scene_new (&plan);
   g_autoptr (GError) error = NULL;
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   fleet_start_spare (scene->fleet, FLEET_AGENT, 1, &error);
   g_assert_no_error (error);
   fleet_start_spare (scene->fleet, FLEET_ROUTER, 1, &error);
@@ -154,14 +154,14 @@
     }
   g_assert_cmpint (status, ==, 200);
   scene_run (scene, 3000);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
   g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), >, 1);
 }
 
-/* An operator writes one record while two endpoints serve; the one concerned
-   gets no new work after a few seconds, what runs there ends whole, and the
-   other goes on.  */
+/* An operator writes a record that takes one of two endpoints out of service:
+   within a few seconds it gets no new requests, its running requests are
+   completed, and the other endpoint keeps serving.  */
 static void
 check_withdrawn (const char *kind, const char *name, const char *spec)
 {
@@ -177,12 +177,14 @@
   fleet_put_object (scene->fleet, kind, name, spec, &error);
   g_assert_no_error (error);
   scene_run (scene, 3000);
-  double then = scene_read_counter (scene, 1, "requests");
-  double other = scene_read_counter (scene, 0, "requests");
+  double requests_before = scene_read_counter (scene, 1, "requests");
+  double other_before = scene_read_counter (scene, 0, "requests");
   scene_run (scene, 1500);
-  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==, then);
-  g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), >, other);
-  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
+                     requests_before);
+  g_assert_cmpfloat (scene_read_counter (scene, 0, "requests"), >,
+                     other_before);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
@@ -204,9 +206,9 @@
 
 /* ---- the network ---- */
 
-/* Streams run from another zone while something befalls the links there.  */
+/* Starts streams to agents in two zones; the caller's router is in zone 0.  */
 static scene_t *
-scene_across (void)
+start_cross_zone_streams (void)
 {
   scene_plan_t plan = scene_default_plan ();
   scene_t *scene;
@@ -217,45 +219,46 @@
   plan.outstanding = 16;
   plan.tokens = 120;
   scene = scene_new (&plan);
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_run (scene, 300);
   return scene;
 }
 
-/* The open links from the router to an agent in another zone go silent for
-   good while streams run over them; nothing closes, and new connections work.
-   The router notices by its heartbeats, dials again and takes each stream up
-   where it stood: the callers see a pause and whole answers.  */
+/* The open links from the router to an agent in another zone stop delivering
+   data for good during streams; no connection is closed, and new ones work.
+   The router detects it by its heartbeats, reconnects and resumes each stream:
+   callers see a pause and complete answers.  */
 static void
 test_silent_links (void)
 {
-  g_autoptr (scene_t) scene = scene_across ();
+  g_autoptr (scene_t) scene = start_cross_zone_streams ();
 
   g_assert_true (
       fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "silent"));
   scene_run (scene, 1000);
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
-/* The same, but the links are closed: the router dials at once.  */
+/* The same, but the links are closed: the router reconnects at once.  */
 static void
 test_cut_links (void)
 {
-  g_autoptr (scene_t) scene = scene_across ();
+  g_autoptr (scene_t) scene = start_cross_zone_streams ();
 
   g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "cut"));
   scene_run (scene, 500);
   g_assert_true (fleet_set_relay_mode (scene->fleet, "zone-0>zone-1", "pass"));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 16);
 }
 
 /* ---- the platform ---- */
 
-/* The platform is down.  Model work and lookups go on; a post with an
-   Idempotency-Key, which needs a claim there, is refused "not run" and the
-   endpoint never sees it; when the platform is back, posts are served.  */
+/* The platform is down.  Model requests and lookups are still served; a POST
+   with an Idempotency-Key, which needs a claim at the platform, is refused as
+   "not-run" and never reaches the endpoint; when the platform is back, it is
+   served.  */
 static void
 test_platform_down (void)
 {
@@ -269,7 +272,7 @@
   const char *headers = GOOD_KEY "\nIdempotency-Key: k1";
   long status = 0;
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults",
                      "{\"mode\":\"down\"}");
   guint before = load_get_requests (scene->load)->len;
@@ -292,7 +295,7 @@
       = proc_send_http ("POST", url, headers, "{\"nonce\":\"p1\"}", &status);
   g_assert_cmpint (status, ==, 200);
   g_assert_nonnull (strstr (again, "\"executions\":1"));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, scene->sum.requests);
 }
 
--- a/tests/test-withdrawn.c
+++ b/tests/test-withdrawn.c
@@ -1,22 +1,24 @@
-/* What operators take out of service while something else is at fault, and
-   planned stops of several processes at once, in whole fleets.  */
+/* Zones and endpoints that operators take out of service while a fault is
+   active, and planned stops of two processes at once, in whole fleets.  */
 
 #include "scene.h"
 #include <signal.h>
 
-#define LIMIT_MS 25000
-/* "After a few seconds": as the soak judges it.  */
-#define GRACE_MS 6000
-/* Until the others have a new record, a broken watch included.  */
-#define LEARN_MS 3000
+#define MAX_WAIT_MS 25000
+/* Time after which a withdrawn endpoint must start nothing; ZONE_GRACE_MS of
+   the soak.  */
+#define WITHDRAWAL_GRACE_MS 6000
+/* Time until the other processes have a new record, including the reopening of
+   a broken watch.  */
+#define PROPAGATION_MS 3000
 #define PLATFORM_DOWN "{\"mode\":\"down\"}"
 #define PLATFORM_UP "{\"mode\":\"up\"}"
 #define ZONE_1_OUT "{\"schema\":2,\"state\":\"out\",\"region\":\"r\"}"
 
-/* Three zones, with a router, an agent and an engine each; the load comes to
-   ROUTER.  */
+/* Starts three zones with a router, an agent and an engine each; the load goes
+   to ROUTER.  */
 static scene_t *
-scene_of_three (unsigned router)
+start_three_zones (unsigned router)
 {
   scene_plan_t plan = scene_default_plan ();
   scene_t *scene;
@@ -33,14 +35,16 @@
 }
 
 static void
-signal_zone_1 (const scene_t *scene, int number)
+signal_zone_1 (const scene_t *scene, int signal_number)
 {
-  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), number, 0);
-  proc_stop (fleet_get_process (scene->fleet, FLEET_ROUTER, 1), number, 0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), signal_number,
+             0);
+  proc_stop (fleet_get_process (scene->fleet, FLEET_ROUTER, 1), signal_number,
+             0);
 }
 
 static void
-relay_zone_1 (const scene_t *scene, const char *mode)
+set_zone_1_links (const scene_t *scene, const char *mode)
 {
   static const char *const groups[]
       = { "zone-0>zone-1", "zone-2>zone-1", "zone-1>zone-0", "zone-1>zone-2" };
@@ -50,8 +54,8 @@
 }
 
 static void
-put (const scene_t *scene, const char *kind, const char *name,
-     const char *spec)
+put_record (const scene_t *scene, const char *kind, const char *name,
+            const char *spec)
 {
   g_autoptr (GError) error = NULL;
 
@@ -60,29 +64,29 @@
 }
 
 static void
-platform (const scene_t *scene, const char *mode)
+set_platform_mode (const scene_t *scene, const char *mode)
 {
   scene_put_control (scene, FLEET_PLATFORM, 0, "/control/faults", mode);
 }
 
-/* Writes a record that all others learn, and that the stopped processes can't
-   have in their sockets when they wake: their watches are broken off before.
-   The platform is down afterwards.  */
+/* Writes a record that reaches all processes except the frozen ones.  Their
+   watches are disconnected first, so that the record can't be in their socket
+   buffers when they are resumed.  The platform is down afterwards.  */
 static void
-put_unseen (scene_t *scene, const char *kind, const char *name,
-            const char *spec)
+put_record_unseen (scene_t *scene, const char *kind, const char *name,
+                   const char *spec)
 {
-  platform (scene, PLATFORM_DOWN);
-  platform (scene, PLATFORM_UP);
-  put (scene, kind, name, spec);
-  scene_run (scene, LEARN_MS);
-  platform (scene, PLATFORM_DOWN);
+  set_platform_mode (scene, PLATFORM_DOWN);
+  set_platform_mode (scene, PLATFORM_UP);
+  put_record (scene, kind, name, spec);
+  scene_run (scene, PROPAGATION_MS);
+  set_platform_mode (scene, PLATFORM_DOWN);
 }
 
-/* The record of endpoint 1 with its own address: with another one, its engine
-   would get nothing whatever the fleet did.  */
+/* Returns the record of endpoint 1 as leaving, with its real address: with
+   another one, its engine would get no requests in any case.  */
 static char *
-endpoint_1_leaving (const scene_t *scene)
+make_leaving_record (const scene_t *scene)
 {
   g_autofree char *url = fleet_get_url (scene->fleet, FLEET_ENDPOINT, 1);
 
@@ -93,89 +97,93 @@
       url);
 }
 
-/* Endpoint 1 starts nothing from now on, while the load goes on.  */
+/* Checks that endpoint 1 starts no request in 2 s of load.  */
 static void
-check_starts_nothing (scene_t *scene)
+check_no_new_starts (scene_t *scene)
 {
-  double then = scene_read_counter (scene, 1, "requests");
+  double requests_before = scene_read_counter (scene, 1, "requests");
 
   scene_run (scene, 2000);
-  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==, then);
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
+                     requests_before);
 }
 
-/* A zone is cut off whole: its agent and router are stopped, its links are
-   dead, and the platform is down when they wake, so that neither can learn
-   that the zone was taken out meanwhile.  The router there has callers and the
-   agent free slots, and the agent had links to that router alone, which it
-   must not take for the whole fleet: it hears one zone of three and offers
-   none. When all is mended it learns that it is out.  */
+/* A zone is cut off completely: its agent and router are frozen, its links
+   drop all data, and the platform is down when they are resumed, so that
+   neither can learn that the zone was taken out in the meantime.  The router
+   has callers and the agent has free slots, but links to that router only,
+   which it must not take for the whole fleet: it is connected to one zone of
+   three and must grant nothing.  Once the faults are over, it learns that the
+   zone is out.  */
 static void
 test_zone_cut_off (void)
 {
-  g_autoptr (scene_t) scene = scene_of_three (1);
+  g_autoptr (scene_t) scene = start_three_zones (1);
 
   signal_zone_1 (scene, SIGSTOP);
-  relay_zone_1 (scene, "hole");
-  put_unseen (scene, "availability-zone", "zone-1", ZONE_1_OUT);
+  set_zone_1_links (scene, "hole");
+  put_record_unseen (scene, "availability-zone", "zone-1", ZONE_1_OUT);
   scene_run (scene, 2000);
   signal_zone_1 (scene, SIGCONT);
-  scene_run (scene, GRACE_MS);
-  check_starts_nothing (scene);
-  relay_zone_1 (scene, "pass");
-  platform (scene, PLATFORM_UP);
+  scene_run (scene, WITHDRAWAL_GRACE_MS);
+  check_no_new_starts (scene);
+  set_zone_1_links (scene, "pass");
+  set_platform_mode (scene, PLATFORM_UP);
   scene_run (scene, 3000);
-  check_starts_nothing (scene);
-  scene_finish (scene, LIMIT_MS);
+  check_no_new_starts (scene);
+  scene_finish (scene, MAX_WAIT_MS);
 }
 
-/* An agent is stopped while its endpoint's record says that it leaves, and the
-   platform is down when it wakes with its grants and requests on their way:
-   it learns from a router before it starts anything.  Callers see whole
-   answers, the others serve.  */
+/* An agent is frozen while its endpoint's record changes to leaving, and the
+   platform is down when it is resumed with grants and requests in transit: it
+   must learn of the change from a router before it starts anything.  The other
+   agents serve, and callers get complete answers.  */
 static void
 test_leaving_frozen (void)
 {
-  g_autoptr (scene_t) scene = scene_of_three (0);
-  g_autofree char *leaving = endpoint_1_leaving (scene);
-  double then;
+  g_autoptr (scene_t) scene = start_three_zones (0);
+  g_autofree char *leaving = make_leaving_record (scene);
+  double requests_before;
 
   proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), SIGSTOP, 0);
-  put_unseen (scene, "endpoint", "endpoint-1", leaving);
+  put_record_unseen (scene, "endpoint", "endpoint-1", leaving);
   scene_run (scene, 1500);
-  then = scene_read_counter (scene, 1, "requests");
+  requests_before = scene_read_counter (scene, 1, "requests");
   proc_stop (fleet_get_process (scene->fleet, FLEET_AGENT, 1), SIGCONT, 0);
   scene_run (scene, 3000);
-  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==, then);
-  platform (scene, PLATFORM_UP);
-  scene_finish (scene, LIMIT_MS);
+  g_assert_cmpfloat (scene_read_counter (scene, 1, "requests"), ==,
+                     requests_before);
+  set_platform_mode (scene, PLATFORM_UP);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpfloat (fleet_sum_metric (scene->fleet, FLEET_AGENT, 1,
                                        "cfd_invariant_failures_total"),
                      ==, 0);
 }
 
-/* The endpoint's record says that it leaves just after all links between its
-   zone and the others went silent, and the platform goes down a moment later:
-   the agent has it from the platform or stops for being cut off.  */
+/* The endpoint's record changes to leaving just after all links between its
+   zone and the others stopped delivering data, and the platform goes down
+   200 ms later: the agent either has the record from the platform or stops
+   because it is cut off.  */
 static void
 test_leaving_cut (void)
 {
-  g_autoptr (scene_t) scene = scene_of_three (1);
-  g_autofree char *leaving = endpoint_1_leaving (scene);
+  g_autoptr (scene_t) scene = start_three_zones (1);
+  g_autofree char *leaving = make_leaving_record (scene);
 
-  relay_zone_1 (scene, "hole");
-  put (scene, "endpoint", "endpoint-1", leaving);
+  set_zone_1_links (scene, "hole");
+  put_record (scene, "endpoint", "endpoint-1", leaving);
   scene_run (scene, 200);
-  platform (scene, PLATFORM_DOWN);
-  scene_run (scene, GRACE_MS);
-  check_starts_nothing (scene);
-  platform (scene, PLATFORM_UP);
-  relay_zone_1 (scene, "pass");
-  scene_finish (scene, LIMIT_MS);
+  set_platform_mode (scene, PLATFORM_DOWN);
+  scene_run (scene, WITHDRAWAL_GRACE_MS);
+  check_no_new_starts (scene);
+  set_platform_mode (scene, PLATFORM_UP);
+  set_zone_1_links (scene, "pass");
+  scene_finish (scene, MAX_WAIT_MS);
 }
 
-/* A router and an agent that serves its callers are asked to stop at the same
-   moment, with answers on the way between them and requests in the queue.
-   Each caller gets a whole answer, and both processes end.  */
+/* A router and an agent that serves it get SIGTERM at the same time, with
+   answers in transit between them and requests in the queue.  Each caller gets
+   a complete answer, and both processes exit.  */
 static void
 test_two_stops (void)
 {
@@ -189,13 +197,13 @@
   proc_t *router = fleet_get_process (scene->fleet, FLEET_ROUTER, 0);
   proc_t *agent = fleet_get_process (scene->fleet, FLEET_AGENT, 0);
 
-  scene_run_until (scene, scene_is_streaming, LIMIT_MS);
+  scene_run_until (scene, scene_is_streaming, MAX_WAIT_MS);
   scene_run (scene, 300);
   g_assert_false (proc_stop (router, SIGTERM, 0));
   g_assert_false (proc_stop (agent, SIGTERM, 0));
-  scene_finish (scene, LIMIT_MS);
+  scene_finish (scene, MAX_WAIT_MS);
   g_assert_cmpuint (scene->sum.correct, ==, 30);
-  for (unsigned i = 0; i < LIMIT_MS / 20; i++)
+  for (unsigned i = 0; i < MAX_WAIT_MS / 20; i++)
     if (proc_is_running (router) || proc_is_running (agent))
       g_usleep (20000);
   g_assert_false (proc_is_running (router) || proc_is_running (agent));
