--- a/libcoltsfootdrum/relay/rly-place.c
+++ b/libcoltsfootdrum/relay/rly-place.c
@@ -27,8 +27,7 @@
 #define MAX_MISSING_SHARE 0.1
 /* Cost of a kilobyte sent between availability zones, in milliseconds of
    delay: that traffic is billed, and the links are slower.  The cost is less
-   than that of prefilling some hundred tokens again.  With 4 ms the additional
-   prefill costs more than the avoided traffic.  */
+   than that of prefilling some hundred tokens again.  */
 #define OTHER_ZONE_MS_PER_KB 1.5
 /* Size of a generated token in an event stream.  */
 #define STREAM_BYTES_PER_TOKEN 8.
